--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -6,6 +6,7 @@
 	"net"
 	"sync"
 
+	"gorselink/internal/acceptloop"
 	httpfront "gorselink/internal/front/http"
 )
 
@@ -33,7 +34,7 @@
 
 // serve takes connections until the door is closed.
 func (d *door) serve() {
-	if err := httpfront.Accept(d.l, d.take); !errors.Is(err, net.ErrClosed) {
+	if err := acceptloop.Serve(d.l, d.take); !errors.Is(err, net.ErrClosed) {
 		slog.Error("listener ended", "address", d.l.Addr().String(), "error", err)
 	}
 }
--- a/internal/fleet/console.go
+++ b/internal/fleet/console.go
@@ -10,6 +10,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"gorselink/internal/acceptloop"
 )
 
 // Operated is what operators can do with a sidecar by hand.
@@ -134,8 +136,11 @@
 	open []*boundedConn // the oldest first
 }
 
-// NewBounded returns l, bounded for the console.
-func NewBounded(l net.Listener) *Bounded { return &Bounded{Listener: l, most: consoleConns} }
+// NewBounded returns l, bounded for the console. Its Accept fails only once l is closed:
+// http.Server gives a listener up at most errors of the system.
+func NewBounded(l net.Listener) *Bounded {
+	return &Bounded{Listener: acceptloop.Wrap(l), most: consoleConns}
+}
 
 // Accept implements net.Listener.
 func (b *Bounded) Accept() (net.Conn, error) {
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -11,6 +11,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"gorselink/internal/acceptloop"
 )
 
 // The handover is spoken over a Unix socket whose messages keep their bounds
@@ -204,7 +206,7 @@
 
 // Successors takes in the processes that are to take this one's place.
 type Successors struct {
-	l *net.UnixListener
+	l net.Listener
 }
 
 // AwaitSuccessor makes this process the one that is found in the folder dir.
@@ -228,7 +230,7 @@
 		l.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	s := &Successors{l: l}
+	s := &Successors{l: acceptloop.Wrap(l)}
 	go s.serve(about, state, begins, ready)
 	return s, nil
 }
@@ -238,11 +240,11 @@
 
 func (s *Successors) serve(about syscall.Conn, state func() any, begins, ready func(*Link)) {
 	for {
-		c, err := s.l.AcceptUnix()
+		c, err := s.l.Accept()
 		if err != nil {
 			return
 		}
-		l := newLink(c)
+		l := newLink(c.(*net.UnixConn))
 		if err := l.tell(state(), about); err != nil {
 			l.Close()
 			continue
--- a/internal/front/http/callers.go
+++ b/internal/front/http/callers.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"gorselink/internal/acceptloop"
 	"gorselink/internal/ring"
 	"gorselink/internal/sock"
 )
@@ -77,20 +78,7 @@
 func (cs *Callers) Serve(l net.Listener) error { return Accept(l, cs.Take) }
 
 // Accept hands each connection that comes to l to take, until l is closed.
-func Accept(l net.Listener, take func(net.Conn)) error {
-	for {
-		nc, err := l.Accept()
-		if err != nil {
-			if t, ok := err.(interface{ Temporary() bool }); ok && t.Temporary() {
-				// Out of descriptors, or the peer has left already.
-				time.Sleep(acceptPause)
-				continue
-			}
-			return err
-		}
-		take(nc)
-	}
-}
+func Accept(l net.Listener, take func(net.Conn)) error { return acceptloop.Serve(l, take) }
 
 // Take takes one connection and serves it.
 func (cs *Callers) Take(nc net.Conn) {
@@ -99,10 +87,6 @@
 	}
 }
 
-// acceptPause is the wait after an accept that failed for want of something
-// that others give back: long enough not to spin, short beside any deadline.
-const acceptPause = 5 * time.Millisecond
-
 // hurryTime is how long a connection whose request is coming may take to give way.
 const hurryTime = 50 * time.Millisecond
 
--- a/internal/load/verdict.go
+++ b/internal/load/verdict.go
@@ -15,6 +15,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"gorselink/internal/acceptloop"
 	"gorselink/traffic"
 )
 
@@ -100,11 +101,7 @@
 
 // echo answers whatever comes on the connections of l until it is closed.
 func echo(l net.Listener) {
-	for {
-		c, err := l.Accept()
-		if err != nil {
-			return
-		}
+	acceptloop.Serve(l, func(c net.Conn) {
 		go func() {
 			defer c.Close()
 			in := bufio.NewReader(c)
@@ -117,7 +114,7 @@
 				}
 			}
 		}()
-	}
+	})
 }
 
 // Verdict is what a run says of itself.
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"gorselink/internal/acceptloop"
 )
 
 // Entry is one endpoint in the list that an Agent tells.
@@ -57,7 +59,7 @@
 	}
 	a := &Agent{addr: l.Addr().String(), list: list, index: 1, changed: make(chan struct{})}
 	a.srv = &http.Server{Handler: http.HandlerFunc(a.serve)}
-	go a.srv.Serve(l)
+	go a.srv.Serve(acceptloop.Wrap(l))
 	return a, nil
 }
 
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -14,6 +14,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"gorselink/internal/acceptloop"
 )
 
 // Mode is how a Node treats the requests that reach it.
@@ -216,22 +218,18 @@
 }
 
 func (n *Node) accept(l net.Listener) {
-	for {
-		c, err := l.Accept()
-		if err != nil {
-			return
-		}
+	acceptloop.Serve(l, func(c net.Conn) {
 		n.mu.Lock()
 		if n.l != l { // a connection of a life that has ended
 			n.mu.Unlock()
 			abort(c)
-			continue
+			return
 		}
 		n.conns[c] = true
 		n.opened++
 		n.mu.Unlock()
 		go n.serve(c)
-	}
+	})
 }
 
 // abort closes c so that the other side sees a reset.
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -12,6 +12,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"gorselink/internal/acceptloop"
 )
 
 // Registry is a stand-in for the discoveries of many services in one process: a listener
@@ -145,7 +147,7 @@
 			s.entries[e.Name] = e
 		}
 		r.lists, r.addrs = append(r.lists, s), append(r.addrs, l.Addr().String())
-		go r.srv.Serve(meteredListener{l, r, s})
+		go r.srv.Serve(meteredListener{acceptloop.Wrap(l), r, s})
 	}
 	return r, nil
 }
--- a/internal/voter/node.go
+++ b/internal/voter/node.go
@@ -21,6 +21,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"gorselink/internal/acceptloop"
 	"gorselink/internal/quorum"
 	"gorselink/lease"
 )
@@ -468,20 +469,12 @@
 // accept takes connections of voters and clients.
 func (n *Node) accept(ctx context.Context, all *sync.WaitGroup) {
 	slots := make(chan struct{}, mostConns)
-	for {
-		c, err := n.l.Accept()
-		if err != nil {
-			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
-				return
-			}
-			time.Sleep(10 * time.Millisecond) // no descriptors: those that are open go on
-			continue
-		}
+	acceptloop.Serve(n.l, func(c net.Conn) {
 		select {
 		case slots <- struct{}{}:
 		default:
 			c.Close()
-			continue
+			return
 		}
 		all.Go(func() {
 			defer func() { <-slots }()
@@ -489,7 +482,7 @@
 			defer context.AfterFunc(ctx, func() { c.Close() })()
 			n.serve(quorum.NewLink(c))
 		})
-	}
+	})
 }
 
 func (n *Node) serve(l *quorum.Link) {
