--- a/internal/daemon/apply.go
+++ b/internal/daemon/apply.go
@@ -130,10 +130,11 @@
 	}
 	known := c.Nodes.Known()
 	var conns *upstream.Pool
+	var ages *pool.Ages
 	if old != nil && sameConns(&old.cfg, c) {
 		// The connections go on, so the new Balancer starts from the list that
 		// the old one has, and hears of another one once it runs.
-		conns, known = old.pool.Conns(), old.pool.List()
+		conns, known, ages = old.pool.Conns(), old.pool.List(), old.pool.Ages()
 	} else {
 		conns = newConns(c, 0) // granted once the others have made room
 	}
@@ -145,6 +146,7 @@
 		Known:   known,
 		Source:  c.Nodes.Open(),
 		Limits:  limits(c),
+		Ages:    ages,
 	}, conns)
 	if err != nil {
 		return err
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -177,6 +177,7 @@
 func (p *Pool) told(src *source, l nodes.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	first := p.sources[0].number < src.number
 	for p.sources[0].number < src.number {
 		p.sources[0].cancel()
 		p.sources = p.sources[1:]
@@ -184,6 +185,7 @@
 	if p.sources[0] != src {
 		return // a late word of a source that has been replaced
 	}
+	p.hears(src, first, &l)
 	kind := balance.Delta
 	switch {
 	case l.Snapshot:
@@ -206,11 +208,9 @@
 // update takes a list, or the news that asking for one failed; the mutex is
 // held.
 func (p *Pool) update(kind balance.ListKind, l nodes.List) {
-	if l.Undated {
-		p.date(l.Endpoints)
-	}
 	if kind != balance.Failed {
-		p.version = l.Index
+		p.date(kind, &l)
+		p.version, p.undated = l.Index, l.Undated
 	}
 	list := l.Endpoints
 	entries := make([]balance.Endpoint, 0, len(list))
@@ -225,6 +225,9 @@
 		}
 	}
 	p.members(kind, entries)
+	if kind == balance.Full || kind == balance.Delta {
+		p.heard = p.now()
+	}
 	p.listed = p.listed || len(entries) > 0
 	whole := kind == balance.Full || kind == balance.Cached
 	was := p.known
@@ -240,11 +243,13 @@
 		delete(p.entered, e.Name)
 		p.conns.Remove(e.Name)
 		p.remember(e.Name)
+		p.leaves(e.Name)
 	}
 	if whole {
 		for _, name := range slices.Sorted(maps.Keys(was)) {
 			if _, stays := p.known[name]; !stays {
 				p.remember(name)
+				p.leaves(name)
 			}
 		}
 		p.conns.Keep(func(name string) bool { _, ok := p.known[name]; return ok })
@@ -255,7 +260,7 @@
 func (p *Pool) List() nodes.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := nodes.List{Snapshot: true, Undated: len(p.dates) > 0}
+	l := nodes.List{Snapshot: true, Undated: p.undated}
 	for _, name := range p.sorted() {
 		l.Endpoints = append(l.Endpoints, p.known[name])
 	}
@@ -269,21 +274,13 @@
 // name, which all sidecars share: the Balancers must agree on the ring.
 func (p *Pool) entry(listed *nodes.Endpoint) balance.Endpoint {
 	e := p.byHand(*listed)
-	b := balance.Endpoint{Addr: e.Name, Zone: p.zone(e.Zone), Cell: e.Group}
+	b := balance.Endpoint{Addr: e.Name, Zone: p.zone(e.Zone), Cell: e.Group, Since: p.since(e.Name)}
 	switch e.Status {
 	case nodes.InService:
 		b.State = balance.Ready
 	case nodes.Terminating:
 		b.State = balance.Draining
 	}
-	if e.SinceMs != 0 {
-		// The offset is that of the start, read once: a clock that is set
-		// later must not make old processes look restarted.
-		b.Since = time.UnixMilli(e.SinceMs).Sub(p.start.Round(0))
-		if b.Since == 0 {
-			b.Since = 1 // 0 would mean long ago
-		}
-	}
 	return b
 }
 
@@ -302,28 +299,3 @@
 	}
 	return i
 }
-
-// date gives the nodes of an undated list a start; the mutex is held. What was
-// in the first list has been there for long, as far as anybody knows. A node
-// that comes to others later counts as started when it came: it may be cold,
-// and to take it for warm could push it over. It costs a warm node that was
-// only added the time to warm up. A list without any node that was known is
-// another service, not a fresh start of this one; with nobody warm beside them
-// its nodes would be given next to nothing.
-func (p *Pool) date(list []nodes.Endpoint) {
-	now, dates, joined := time.Now().UnixMilli(), map[string]int64{}, false
-	for i := range list {
-		_, known := p.dates[list[i].Name]
-		joined = joined || known
-	}
-	for i := range list {
-		e := &list[i]
-		if since, known := p.dates[e.Name]; e.SinceMs == 0 && known {
-			e.SinceMs = since
-		} else if e.SinceMs == 0 && joined {
-			e.SinceMs = now
-		}
-		dates[e.Name] = e.SinceMs
-	}
-	p.dates = dates
-}
--- a/internal/pool/out.go
+++ b/internal/pool/out.go
@@ -1,6 +1,7 @@
 package pool
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -64,17 +65,17 @@
 func (p *Pool) Exclude(out map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := time.Now()
+	now := p.now()
 	var changed []balance.Endpoint
 	for name := range out {
 		if _, was := p.out[name]; !was {
-			p.out[name] = now.UnixMilli()
+			p.out[name] = now
 		}
 	}
 	for name, since := range p.out {
 		if !out[name] {
 			delete(p.out, name)
-			p.back[name] = Returned{Out: since, Back: now.UnixMilli()}
+			p.back[name] = returned{out: since, back: now}
 		}
 	}
 	for _, name := range p.sorted() {
@@ -86,26 +87,32 @@
 		p.members(balance.Delta, changed)
 	}
 	for name, r := range p.back { // the list has dated all by then
-		if now.UnixMilli()-r.Back > (p.cfg.Balance.RampTime + time.Minute).Milliseconds() {
+		if now-r.back > p.cfg.Balance.RampTime+time.Minute {
 			delete(p.back, name)
 		}
 	}
 }
 
-// Returned is when an endpoint went out and came back, in Unix ms.
-type Returned struct{ Out, Back int64 }
+// returned is when an endpoint went out and came back, by the Balancer's time.
+type returned struct{ out, back time.Duration }
 
 // byHand is what the endpoint e is beside what operators have said of it.
 func (p *Pool) byHand(e nodes.Endpoint) nodes.Endpoint {
 	if _, out := p.out[e.Name]; out && e.Status == nodes.InService {
 		e.Status = nodes.Terminating
 	}
-	if r, ok := p.back[e.Name]; ok && e.SinceMs < r.Out {
-		e.SinceMs = r.Back
-	}
 	return e
 }
 
+// since is the start of an endpoint's life, as the Balancer is told.
+func (p *Pool) since(name string) time.Duration {
+	since := p.lives[name].since
+	if r, ok := p.back[name]; ok && (since == 0 || since < r.out) {
+		return cmp.Or(r.back, 1) // 0 would mean long ago
+	}
+	return since
+}
+
 // members tells the Balancer of endpoints and books what it was told.
 func (p *Pool) members(kind balance.ListKind, entries []balance.Endpoint) {
 	p.balancer.Members(p.now(), kind, entries)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"gorselink/balance"
+	"gorselink/internal/clock"
 	"gorselink/internal/limit"
 	"gorselink/internal/nodes"
 	"gorselink/internal/upstream"
@@ -27,6 +28,9 @@
 	Known   nodes.List // as last known, maybe outdated
 	Source  nodes.Source
 	Limits  Limits
+
+	Ages  *Ages       // of what Known lists, from the Pool before; nil for none
+	Clock clock.Clock // the system's unless a test sets another
 }
 
 // Limits bound what a Pool takes at once. They can change while it serves.
@@ -40,6 +44,7 @@
 type Pool struct {
 	cfg    Config
 	conns  *upstream.Pool
+	clock  clock.Clock
 	start  time.Time // the Balancer's time 0
 	bodies limit.Bytes
 	long   limit.Bytes
@@ -49,6 +54,8 @@
 	held  atomic.Int64 // mean time that one is open, in ns
 	moves chan nodes.Source
 
+	startWall time.Time // the wall clock at start, which dates what lists tell
+
 	mu       sync.Mutex // guards what follows and all in a Request that says so
 	balancer *balance.Balancer
 	requests map[balance.RequestID]*Request // those that are owed an answer
@@ -61,9 +68,12 @@
 	entered  map[string]balance.Endpoint // of them, as the Balancer was told
 	past     []string                    // names of some that are gone, see Knows
 	passed   map[string]bool             // those in past
-	out      map[string]int64            // left out by hand, since when in Unix ms
-	back     map[string]Returned         // were out, and the list may not have dated their start yet
-	dates    map[string]int64            // since when nodes of undated lists have been there, in Unix ms
+	out      map[string]time.Duration    // left out by hand, since when by the Balancer's time
+	back     map[string]returned         // were out, and the list may not have dated their start yet
+	lives    map[string]life             // of the endpoints in known
+	left     map[string]departed         // lives of some that have left the list lately
+	heard    time.Duration               // when discovery last told that the list is up to date; never before
+	undated  bool                        // the list is of a source that cannot know when a process started
 	zones    map[string]int
 	wanted   bool      // a watch was wanted before there was a source
 	sources  []*source // followed: the one that tells and, after Move, the one to take over
@@ -147,21 +157,25 @@
 	p := &Pool{
 		cfg:      cfg,
 		conns:    conns,
-		start:    time.Now(),
+		clock:    cfg.Clock,
+		start:    cfg.Clock.Now(),
 		moves:    make(chan nodes.Source, 1),
 		requests: map[balance.RequestID]*Request{},
 		classes:  map[balance.Class]int{},
 		known:    map[string]nodes.Endpoint{},
 		entered:  map[string]balance.Endpoint{},
 		passed:   map[string]bool{},
-		out:      map[string]int64{},
-		back:     map[string]Returned{},
-		dates:    map[string]int64{},
+		out:      map[string]time.Duration{},
+		back:     map[string]returned{},
+		lives:    map[string]life{},
+		left:     map[string]departed{},
+		heard:    never,
 		zones:    cfg.Zones,
 	}
 	if p.zones == nil {
 		p.zones = map[string]int{cfg.OwnZone: 0}
 	}
+	p.startWall = cfg.Clock.Wall()
 	p.Limit(cfg.Limits)
 	var err error
 	if p.balancer, err = balance.New(cfg.Balance, cfg.Seed, (*host)(p)); err != nil {
@@ -172,6 +186,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	p.recallAges(cfg.Ages)
 	p.update(balance.Cached, cfg.Known)
 	return p, nil
 }
@@ -273,7 +288,7 @@
 
 // now is the Balancer's time. It is read under the mutex, so that the Balancer
 // never sees it run back.
-func (p *Pool) now() time.Duration { return time.Since(p.start) }
+func (p *Pool) now() time.Duration { return p.clock.Since(p.start) }
 
 // Take hands a request to the Balancer, or tells why not. One that was taken is
 // answered once over Answer, needs a call of Attempt, which may be the first
--- a/internal/sidecar/places_test.go
+++ b/internal/sidecar/places_test.go
@@ -70,6 +70,9 @@
 			text := strings.Replace(configuration(m.listen, d.addr), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
 			text = strings.Replace(text, `"name":"n0"`, fmt.Sprintf(`"name":"n0","console":%q`, console), 1)
 			text = strings.Replace(text, `"RegistryMode":"push"`, `"RegistryMode":"`+mode+`"`, 1)
+			// The second endpoint is new to the process, whatever its stamp says: with a ramp
+			// it would be cold, and not owed all that is asked for at once.
+			text = strings.Replace(text, `"RampTimeS":5`, `"RampTimeS":0`, 1)
 			put(t, m.path, strings.Replace(text, `"DrainGraceS":2`, `"DrainGraceS":2,"AskWithinS":10`, 1))
 			m.start(t)
 			p := m.process()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -167,6 +167,7 @@
 		Known:   cfg.Known,
 		Source:  begin,
 		Limits:  bodyLimits(s.memory()),
+		Ages:    was.Memory.Ages,
 	}, s.up)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
