--- a/internal/front/http/body.go
+++ b/internal/front/http/body.go
@@ -9,11 +9,14 @@
 
 	"gorselink/internal/framing"
 	"gorselink/internal/limit"
+	"gorselink/internal/sock"
 )
 
 var (
 	errBodyLong = errors.New("body is too long")
 	errBodyRoom = errors.New("no room for the body")
+	errBehind   = errors.New("bytes behind the request")
+	errGone     = errors.New("the caller has left")
 )
 
 // firstChunk is what a body without a length is given room for at first; it
@@ -24,7 +27,7 @@
 // finds no room; nil if there is none.
 type body struct {
 	data []byte
-	rest io.Reader // ends with io.EOF after the last byte of the body
+	rest *restOf
 	room limit.Hold
 	long *limit.Bytes // where room for more than firstChunk is; without any, it is where the first is
 }
@@ -153,7 +156,7 @@
 	got    int64
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It ends with io.EOF after the last byte of the body.
 func (r *restOf) Read(b []byte) (n int, err error) {
 	if r.h.Length > 0 {
 		if r.got == r.h.Length {
@@ -183,3 +186,33 @@
 	}
 	return n, err
 }
+
+// whole tells whether the last byte of the body has been read, once a read has ended with err.
+func (r *restOf) whole(err error) bool {
+	return err == io.EOF || r.h.Length > 0 && r.got == r.h.Length
+}
+
+// presentBody is the rest of a body that is sent on while it comes, for as long as its
+// caller is there. A read may be of bytes that lay here for long, while the process did not
+// get to run, and what it brings is sent on at once: the last of it begins the request.
+type presentBody struct {
+	of   *caller
+	rest *restOf
+}
+
+// Read implements io.Reader.
+func (b *presentBody) Read(p []byte) (int, error) {
+	n, err := b.rest.Read(p)
+	if err != nil && err != io.EOF {
+		return n, err
+	}
+	state := b.of.peer.State()
+	switch {
+	case state == sock.Ended:
+		return 0, errGone
+	case b.rest.whole(err) && (state == sock.Bytes || b.of.in.Buffered() > 0):
+		// What should not be there may hide that the caller has left.
+		return 0, errBehind
+	}
+	return n, err
+}
--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -12,6 +12,7 @@
 	"runtime/debug"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"gorselink/internal/framing"
@@ -83,11 +84,11 @@
 	intake  intake        // reads from conn
 	in      *bufio.Reader // reads from intake
 	look    *sock.Look
+	peer    *sock.Presence
 	born    time.Time
 	gone    chan struct{} // closed when the connection is given up for another
 	done    chan struct{} // closed when its descriptor is free
 	rejects int           // in a row
-	seen    time.Time     // nothing of the request that is read had come by then; zero if that is not known
 	resumed bool          // it was another process's, and has brought requests there
 	pass    Pass          // that of the Callers at the last move
 	req     Request       // the one that is being read or is out
@@ -95,7 +96,10 @@
 	// Of the request that is out.
 	watch   *time.Timer // begins watchOut, which tells watched
 	watched chan bool   // whether the caller has left
-	early   bool        // bytes came before the answer, so that the connection ends with it
+	early   atomic.Bool // bytes came before the answer, so that the connection ends with it
+	streams bool        // its body is sent on while it comes
+	outMu   sync.Mutex
+	out     bool // what comes belongs to no request; guarded by outMu
 	pool    *pool.Pool
 	request *pool.Request
 	reply   chan pool.Answer
@@ -123,6 +127,7 @@
 		callers: cs,
 		conn:    nc,
 		look:    sock.New(nc),
+		peer:    sock.NewPresence(nc),
 		born:    time.Now(),
 		gone:    make(chan struct{}),
 		done:    make(chan struct{}),
@@ -261,7 +266,7 @@
 		// Callers send one request at a time. What comes all at once is a
 		// burst, or stood hidden behind the body of the first.
 		body.release()
-		c.reject(http.StatusBadRequest, errors.New("bytes behind the request"))
+		c.reject(http.StatusBadRequest, errBehind)
 		return false, false
 	}
 	return c.carry(req, p, body)
@@ -320,8 +325,11 @@
 		b.release()
 		return false, c.turnAway(req, http.StatusConflict, errSeen)
 	}
+	c.streams = b != nil && b.rest != nil
+	c.setOut(!c.streams)
 	p, r, wrong := c.take(p, b)
 	if wrong != nil {
+		c.setOut(false)
 		b.release()
 		return false, c.give(req, *wrong, true)
 	}
@@ -335,18 +343,20 @@
 	p.Pool.Attempt(r)
 	a := <-r.Answer()
 	left := false
-	if c.watch.Stop() {
-		c.early = c.look.State() == sock.Bytes
-	} else {
+	c.setOut(false)
+	if !c.watch.Stop() {
 		c.conn.SetReadDeadline(past)
 		left = <-c.watched
+	} else if c.look.State() == sock.Bytes {
+		c.early.Store(true)
 	}
 	c.pool, c.request = nil, nil // an idle connection holds no body
-	goesOn = c.give(req, answerOf(a, p), !left && !c.early)
+	early := c.early.Load()
+	goesOn = c.give(req, answerOf(a, p), !left && !early)
 	if a.Up != nil {
 		a.Up.Release()
 	}
-	if c.early {
+	if early {
 		c.linger() // what came too early must not eat the answer
 	}
 	return true, goesOn
@@ -414,7 +424,7 @@
 func (c *caller) awaitLeave() bool {
 	_, err := c.in.Peek(1)
 	if err == nil {
-		c.early = true
+		c.early.Store(true)
 		buf := scratch.Get().(*[]byte)
 		defer scratch.Put(buf)
 		for n, next := 0, dropBurst; err == nil; {
@@ -430,7 +440,61 @@
 }
 
 // Left implements pool.Caller.
-func (c *caller) Left() bool { return sock.Left(c.conn) }
+func (c *caller) Left() bool {
+	switch c.peer.State() {
+	case sock.Ended:
+		return true
+	case sock.Bytes:
+		return !c.streams && c.leftBehind()
+	}
+	return false
+}
+
+const (
+	// earlyFew is how many early bytes surely left room for an end behind them.
+	earlyFew = 4 << 10
+	// earlyRounds bounds how often early bytes are dropped before who goes on sending
+	// them is given up: 32 MB or more, in half a second or more.
+	earlyRounds = 500
+)
+
+// leftBehind tells whether the caller has left behind bytes that came too early. An end
+// behind more than the buffer of the connection holds does not show before they are read.
+// They are dropped here, as who watches for the end may not have got to run.
+func (c *caller) leftBehind() bool {
+	c.early.Store(true)
+	for range earlyRounds {
+		dropped, out := c.dropEarly()
+		if !out || c.peer.State() == sock.Ended {
+			return true
+		}
+		if dropped < earlyFew {
+			return false
+		}
+		time.Sleep(earlyPause) // for what the room that there is now lets come
+	}
+	return true
+}
+
+// dropEarly reads what has come too early, unless the request is not out any more and
+// what comes may be the next one.
+func (c *caller) dropEarly() (dropped int, out bool) {
+	c.outMu.Lock()
+	defer c.outMu.Unlock()
+	if !c.out {
+		return 0, false
+	}
+	buf := scratch.Get().(*[]byte)
+	defer scratch.Put(buf)
+	return sock.Drop(c.conn, *buf), true
+}
+
+// setOut tells whether a request is out whose body has come whole.
+func (c *caller) setOut(out bool) {
+	c.outMu.Lock()
+	defer c.outMu.Unlock()
+	c.out = out
+}
 
 // uploadLook is how often a caller is looked at whose body waits to be sent on, or is.
 const uploadLook = 25 * time.Millisecond
@@ -446,7 +510,7 @@
 			return
 		case <-tick.C:
 		}
-		if sock.Left(c.conn) {
+		if c.peer.State() == sock.Ended {
 			r.Out.Upload.Leave()
 			p.Withdraw(r)
 			return
@@ -476,12 +540,11 @@
 			Name:   p.id,
 			Reply:  c.reply,
 			Caller: c,
-			Seen:   c.seen,
 		}
 		switch {
 		case b != nil && b.rest != nil:
 			over := make(chan struct{})
-			r.Out.Upload = &upstream.Upload{Ahead: b.data, In: b.rest, Length: c.req.Length, Over: over, Coming: c.coming}
+			r.Out.Upload = &upstream.Upload{Ahead: b.data, In: &presentBody{c, b.rest}, Length: c.req.Length, Over: over, Coming: c.coming}
 			r.Over = func() { b.release(); close(over) }
 		case b != nil:
 			r.Out.Body, r.Over = b.data, b.release
@@ -569,7 +632,6 @@
 // give writes an answer and tells whether another request may follow.
 func (c *caller) give(req *Request, a answer, goesOn bool) bool {
 	goesOn = goesOn && !req.Close && req.Minor > 0 && c.in.Buffered() == 0 && !c.ending()
-	c.seen = time.Now() // callers send the next request once they have the answer
-	c.conn.SetWriteDeadline(c.seen.Add(unread))
+	c.conn.SetWriteDeadline(time.Now().Add(unread))
 	return a.write(c.conn, req.Method, goesOn) == nil && goesOn
 }
--- a/internal/front/http/left_test.go
+++ b/internal/front/http/left_test.go
@@ -23,6 +23,14 @@
 	addr string
 	mu   sync.Mutex
 	ids  map[string]int
+	last map[string]time.Time // when an id has come whole the last time
+}
+
+// lastSaw is when an id has come whole the last time, zero for never.
+func (w *witness) lastSaw(id string) time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.last[id]
 }
 
 func (w *witness) saw(id string) int {
@@ -33,13 +41,14 @@
 
 // newWitness starts a witness, at l if there is one.
 func newWitness(t *testing.T, l net.Listener) *witness {
-	w := &witness{ids: map[string]int{}}
+	w := &witness{ids: map[string]int{}, last: map[string]time.Time{}}
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return // its last byte has not come
 		}
 		w.mu.Lock()
 		w.ids[r.Header.Get("X-Call-Id")]++
+		w.last[r.Header.Get("X-Call-Id")] = time.Now()
 		w.mu.Unlock()
 		io.WriteString(rw, "ok")
 	}))
@@ -66,12 +75,17 @@
 }
 
 func newDepartures(t *testing.T, long int64, list ...nodes.Endpoint) *departures {
+	return newRestingDepartures(t, long, 0, list...)
+}
+
+// newRestingDepartures is newDepartures with connections to endpoints that rest for a while.
+func newRestingDepartures(t *testing.T, long int64, rest time.Duration, list ...nodes.Endpoint) *departures {
 	cfg := testConfig()
 	for i := range cfg.Balance.Classes {
 		cfg.Balance.Classes[i].Deadline = 4 * patience
 	}
 	cfg.Balance.RampTime = 0 // what comes back is not cold
-	conns := upstream.New(upstream.Config{DialTimeout: patience, ConnIdle: 5 * time.Second, MaxConns: 200, LargeBytes: 1 << 20, Stream: PlatformLongest})
+	conns := upstream.New(upstream.Config{DialTimeout: patience, ConnIdle: 5 * time.Second, MaxConns: 200, LargeBytes: 1 << 20, Stream: PlatformLongest, Rest: rest})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{Name: "test", Zones: map[string]int{"a": 0}, Balance: cfg.Balance,
 		Known: nodes.List{Snapshot: true, Endpoints: list}, Limits: pool.Limits{BodyBytes: 8 << 20, LongBytes: long}}, conns)
@@ -250,6 +264,20 @@
 	}
 }
 
+// earnRetries has requests served whose shares make up the budget of what is tried again.
+func (d *departures) earnRetries(t *testing.T) {
+	t.Helper()
+	d.serve()
+	for range 60 {
+		c := d.dial(t)
+		io.WriteString(c, view(""))
+		if status, _, err := get(bufio.NewReader(c)); status != 200 {
+			t.Fatalf("answered %d, %v, want 200", status, err)
+		}
+		c.Close()
+	}
+}
+
 // brokenOff is a first attempt at an endpoint that has it whole and then breaks off, having
 // said so much; the second would go to the witness.
 func brokenOff(t *testing.T, say string) *departures {
@@ -275,15 +303,7 @@
 	w := newWitness(t, nil)
 	d := newDepartures(t, 8<<20, inService("s-1", w.addr), inService("s-2", l.Addr().String()))
 	d.Exclude(map[string]bool{"s-2": true})
-	d.serve()
-	for range 60 { // whose shares make up the budget of what is tried again
-		c := d.dial(t)
-		io.WriteString(c, view(""))
-		if status, _, err := get(bufio.NewReader(c)); status != 200 {
-			t.Fatalf("answered %d, %v, want 200", status, err)
-		}
-		c.Close()
-	}
+	d.earnRetries(t)
 	d.Exclude(map[string]bool{"s-1": true})
 	d.seen = w
 	d.ready = func(n int) bool { mu.Lock(); defer mu.Unlock(); return len(hung) == n }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -94,10 +94,8 @@
 
 	Reply chan Answer // takes the one answer, with room for it; made if it is nil
 
-	// Caller is asked, unless it is nil, whether it is still there right before an attempt
-	// that begins over lookAfter after Seen, when it surely was.
+	// Caller is asked, unless it is nil, whether it is still there right before each attempt.
 	Caller Caller
-	Seen   time.Time
 
 	// Name is what the caller calls the request, for the log alone.
 	Name string
@@ -475,20 +473,33 @@
 // confirmAfter is how long a decision stands without being asked for again.
 const confirmAfter = 10 * time.Millisecond
 
-// lookAfter is how long a caller is taken to be there still. Who watches for its leaving
-// may not have got to run, nor whoever read the request, and what begins 0.1 s after it
-// has left is work for nobody.
-const lookAfter = 50 * time.Millisecond
-
-// Confirm implements upstream.Confirmer. The caller may have left unseen. While a connection
-// came up the node may have been told to be draining, or the time in which it drops a repeat
-// may have run out.
+// Confirm implements upstream.Confirmer. The caller may have left unseen: what begins 0.1 s
+// after it has is work for nobody, and who watches for that, or whoever read the request,
+// may not have got to run. So every attempt has a look at the caller as the last step,
+// however short a time ago the caller was there by some clock: a process may be held up
+// between reading it and going on.
 func (a *attempt) Confirm() bool {
-	p, r, now := a.pool, a.of, time.Now()
-	if r.Caller != nil && now.Sub(r.Seen) > lookAfter && r.Caller.Left() {
-		p.Withdraw(r)
-		return false
+	for {
+		began := time.Now()
+		if !a.stands(began) {
+			return false
+		}
+		if a.of.Caller != nil && a.of.Caller.Left() {
+			a.pool.Withdraw(a.of)
+			return false
+		}
+		if time.Since(began) < confirmAfter {
+			return true
+		}
+		// The look has taken long, or the process did not get to run.
 	}
+}
+
+// stands tells whether the decision for the attempt holds. While a connection came up the
+// node may have been told to be draining, or the time in which it drops a repeat may have
+// run out.
+func (a *attempt) stands(now time.Time) bool {
+	p := a.pool
 	if now.Sub(p.start)-a.sent < confirmAfter {
 		return true
 	}
