--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -41,6 +41,9 @@
 	return w
 }
 
+// streams tells whether the answer is written piece by piece.
+func (a *answer) streams() bool { return a.up != nil && a.up.Rest != nil }
+
 // write writes the answer to a request with this method in one piece; keep
 // tells that the connection goes on.
 func (a answer) write(w io.Writer, method string, keep bool) error {
--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -86,15 +86,19 @@
 	look    *sock.Look
 	peer    *sock.Presence
 	born    time.Time
-	gone    chan struct{} // closed when the connection is given up for another
-	done    chan struct{} // closed when its descriptor is free
+	asked   chan struct{} // told when the place is needed, so that a pause ends
 	rejects int           // in a row
 	resumed bool          // it was another process's, and has brought requests there
 	pass    Pass          // that of the Callers at the last move
 	req     Request       // the one that is being read or is out
 
+	// Of the request that was read last.
+	owed bool // its head has been read whole, and it has no answer yet
+	sent bool // its pool has taken it, so that it may run
+
 	// Of the request that is out.
 	watch   *time.Timer // begins watchOut, which tells watched
+	watches bool        // it has been set
 	watched chan bool   // whether the caller has left
 	early   atomic.Bool // bytes came before the answer, so that the connection ends with it
 	streams bool        // its body is sent on while it comes
@@ -104,12 +108,10 @@
 	request *pool.Request
 	reply   chan pool.Answer
 
-	state  state // guarded by Callers.mu, as are
-	place  ring.Link[*caller]
-	placed bool // it stands in its state; false when given up
+	state state // guarded by Callers.mu, as are
+	place ring.Link[*caller]
 
-	// While a request is coming: who needs the place has asked for it, and settled is
-	// closed when the state changes.
+	// Who needs the place has asked for it, and settled is closed when the state changes.
 	hurried bool
 	settled chan struct{}
 }
@@ -129,8 +131,7 @@
 		look:    sock.New(nc),
 		peer:    sock.NewPresence(nc),
 		born:    time.Now(),
-		gone:    make(chan struct{}),
-		done:    make(chan struct{}),
+		asked:   make(chan struct{}, 1),
 		watched: make(chan bool, 1),
 		reply:   make(chan pool.Answer, 1),
 	}
@@ -145,12 +146,7 @@
 // serve reads requests one by one and answers each.
 func (c *caller) serve() {
 	defer c.end()
-	defer func() {
-		// One request that meets a fault must not take all others with it.
-		if e := recover(); e != nil {
-			slog.Error("a connection ended by a fault", "error", e, "stack", string(debug.Stack()))
-		}
-	}()
+	defer c.answerOwed()
 	times := &c.callers.times
 	wait, until, end := unproven, c.born.Add(times.Hello), c.born.Add(times.Request)
 	if c.resumed {
@@ -177,11 +173,52 @@
 	}
 }
 
+// answerOwed is what every connection ends by, whatever ends it: a request whose head has
+// been read whole is answered first. One request that meets a fault does not take all others
+// with it, and has an answer too.
+func (c *caller) answerOwed() {
+	fault := recover()
+	if fault != nil {
+		slog.Error("a connection ended by a fault", "error", fault, "stack", string(debug.Stack()))
+		defer func() {
+			if again := recover(); again != nil {
+				slog.Error("no answer after a fault", "error", again)
+			}
+		}()
+		c.abandon()
+	}
+	if !c.owed {
+		return
+	}
+	a := answer{status: http.StatusServiceUnavailable, retryAfter: roomWait} // nothing was done for it
+	if c.sent {
+		a = answer{status: http.StatusInternalServerError}
+	}
+	c.conn.SetWriteDeadline(time.Now().Add(unread))
+	if a.write(c.conn, c.req.Method, false) == nil {
+		endSending(c.conn)
+		sock.Drop(c.conn, make([]byte, 4<<10)) // nobody else reads any more, or who does is not to be met
+	}
+}
+
+// abandon ends the request that is out as a fault ends the connection.
+func (c *caller) abandon() {
+	if c.request == nil {
+		return
+	}
+	c.setOut(false)
+	if c.watches && !c.watch.Stop() {
+		c.conn.SetReadDeadline(past)
+		<-c.watched
+	}
+	c.pool.Withdraw(c.request)
+}
+
 // await waits for the first byte of a request and tells whether it has come.
 func (c *caller) await(st state, until time.Time) bool {
 	for {
-		goesOn, ends := c.move(st, until)
-		if !goesOn || c.passOn() {
+		ends := c.move(st, until)
+		if c.passOn() {
 			return false
 		}
 		_, err := c.in.Peek(1)
@@ -202,16 +239,15 @@
 			return err == nil
 		}
 		// Woken by Drain or Ebb before its time, it has one last look, and by
-		// PassOn it goes on elsewhere.
+		// PassOn it goes on elsewhere. Nothing of a request has been read then.
 	}
 }
 
 // one reads and answers one request. It tells whether the request was taken
 // and whether another may follow on the connection.
 func (c *caller) one(end time.Time) (served, goesOn bool) {
-	if ok, _ := c.move(reading, end); !ok {
-		return false, false
-	}
+	c.move(reading, end)
+	c.sent = false
 	head, err := framing.Peek(c.in)
 	if err != nil {
 		switch {
@@ -222,6 +258,7 @@
 		}
 		return false, false
 	}
+	c.owed = true
 	req := &c.req
 	if err := req.ParseRequest(head); err != nil {
 		c.reject(http.StatusBadRequest, err)
@@ -317,10 +354,7 @@
 
 // carry hands a whole request to its pool and gives the answer.
 func (c *caller) carry(req *Request, p *Plan, b *body) (served, goesOn bool) {
-	if ok, _ := c.move(taken, time.Time{}); !ok {
-		b.release()
-		return false, false
-	}
+	c.move(taken, time.Time{})
 	if !p.isNew() {
 		b.release()
 		return false, c.turnAway(req, http.StatusConflict, errSeen)
@@ -334,31 +368,31 @@
 		return false, c.give(req, *wrong, true)
 	}
 	defer p.Pool.Done(r)
-	c.rejects = 0
+	c.rejects, c.sent = 0, true
+	c.pool, c.request, c.watches = p.Pool, r, false
 	if r.Out.Upload != nil {
 		return true, c.upload(req, p, r)
 	}
-	c.pool, c.request = p.Pool, r
+	c.watches = true
 	c.watch.Reset(watchAfter)
 	p.Pool.Attempt(r)
 	a := <-r.Answer()
 	left := false
 	c.setOut(false)
-	if !c.watch.Stop() {
+	quiet := c.watch.Stop() // nobody has watched
+	if !quiet {
 		c.conn.SetReadDeadline(past)
 		left = <-c.watched
-	} else if c.look.State() == sock.Bytes {
+	}
+	c.watches = false
+	if quiet && c.look.State() == sock.Bytes {
 		c.early.Store(true)
 	}
 	c.pool, c.request = nil, nil // an idle connection holds no body
-	early := c.early.Load()
-	goesOn = c.give(req, answerOf(a, p), !left && !early)
+	goesOn = c.give(req, answerOf(a, p), !left && !c.early.Load())
 	if a.Up != nil {
 		a.Up.Release()
 	}
-	if early {
-		c.linger() // what came too early must not eat the answer
-	}
 	return true, goesOn
 }
 
@@ -367,11 +401,14 @@
 func (c *caller) upload(req *Request, p *Plan, r *pool.Request) (goesOn bool) {
 	u := r.Out.Upload
 	answered := make(chan struct{})
+	over := sync.OnceFunc(func() { close(answered) })
+	defer over()
 	go c.watchUpload(p.Pool, r, answered)
 	p.Pool.Attempt(r)
 	a := <-r.Answer()
-	close(answered)
+	over()
 	<-u.Over // an attempt may still read from the caller
+	c.pool, c.request = nil, nil
 	c.intake.end()
 	if a.Up != nil {
 		defer a.Up.Release()
@@ -384,11 +421,6 @@
 		c.rejectWith(answerOf(a, p))
 		return false
 	}
-	if c.in.Buffered() > 0 {
-		c.give(req, answerOf(a, p), false)
-		c.linger()
-		return false
-	}
 	return c.give(req, answerOf(a, p), true)
 }
 
@@ -571,22 +603,23 @@
 		c.reject(status, why)
 		return false
 	}
-	c.pause()
-	return c.give(req, answer{status: status, text: why.Error()}, true)
+	goesOn = c.pause()
+	return c.give(req, answer{status: status, text: why.Error()}, goesOn)
 }
 
-// pause holds back the answer to the second and later of a row of rejections.
-func (c *caller) pause() {
+// pause holds back the answer to the second and later of a row of rejections. It tells
+// whether the connection may go on, which it does not where its place is needed.
+func (c *caller) pause() (goesOn bool) {
 	c.rejects++
 	if c.rejects < 2 {
-		return
-	}
-	if ok, _ := c.move(rejected, time.Time{}); !ok {
-		return
+		return true
 	}
+	c.move(rejected, time.Time{})
 	select {
-	case <-c.gone:
+	case <-c.asked:
+		return false
 	case <-time.After(rejectPause):
+		return true
 	}
 }
 
@@ -600,27 +633,33 @@
 }
 
 func (c *caller) rejectWith(a answer) {
-	c.conn.SetWriteDeadline(time.Now().Add(unread))
-	if err := a.write(c.conn, "", false); err != nil {
-		return
+	if c.write(a, "", false) == nil {
+		c.linger()
+	}
+}
+
+// write writes the one answer that the request has.
+func (c *caller) write(a answer, method string, keep bool) error {
+	if a.streams() {
+		c.owed = false // from the first piece on
 	}
-	c.linger()
+	c.conn.SetWriteDeadline(time.Now().Add(unread))
+	err := a.write(c.conn, method, keep)
+	c.owed = false
+	return err
 }
 
 // linger reads on until the caller had time to see the last answer.
 func (c *caller) linger() {
-	if ok, _ := c.move(rejected, time.Now().Add(lingerTime)); !ok {
-		return
-	}
-	if tc, ok := c.conn.(*net.TCPConn); ok {
-		tc.CloseWrite()
-	}
+	c.move(rejected, time.Now().Add(lingerTime))
+	endSending(c.conn)
 	buf := scratch.Get().(*[]byte)
 	defer scratch.Put(buf)
 	for n := 0; n < lingerBytes; {
 		k, err := c.in.Read(*buf)
 		n += k
 		if err != nil {
+			sock.Drop(c.conn, *buf) // its place may be needed; what waits must not eat the answer
 			return
 		}
 	}
@@ -629,9 +668,16 @@
 // scratch holds buffers for bytes that nobody wants.
 var scratch = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
 
-// give writes an answer and tells whether another request may follow.
+// give writes an answer and tells whether another request may follow. Where none may, and
+// bytes came before the answer, it reads on: a close on them would eat the answer.
 func (c *caller) give(req *Request, a answer, goesOn bool) bool {
 	goesOn = goesOn && !req.Close && req.Minor > 0 && c.in.Buffered() == 0 && !c.ending()
-	c.conn.SetWriteDeadline(time.Now().Add(unread))
-	return a.write(c.conn, req.Method, goesOn) == nil && goesOn
+	early := !goesOn && (c.early.Load() || c.in.Buffered() > 0 || c.peer.State() == sock.Bytes)
+	if c.write(a, req.Method, goesOn) != nil {
+		return false
+	}
+	if early {
+		c.linger()
+	}
+	return goesOn
 }
--- a/internal/front/http/callers.go
+++ b/internal/front/http/callers.go
@@ -7,6 +7,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -82,50 +83,39 @@
 
 // Take takes one connection and serves it.
 func (cs *Callers) Take(nc net.Conn) {
-	if c := cs.admit(nc); c != nil {
+	if c := cs.admit(nc, nil); c != nil {
 		go c.serve()
 	}
 }
 
-// hurryTime is how long a connection whose request is coming may take to give way.
+// hurryTime is how long a connection that is asked to give way may take to.
 const hurryTime = 50 * time.Millisecond
 
-// admit books a new connection, or closes it and returns nil.
-func (cs *Callers) admit(nc net.Conn) *caller {
+// admit books a new connection, of which ahead has been read already, or shuts it and
+// returns nil. Another one that gives way for it is ended by its own goroutine, which
+// alone knows what it has read: a request that has come meanwhile is served or told off.
+func (cs *Callers) admit(nc net.Conn, ahead []byte) *caller {
 	cs.mu.Lock()
+	defer cs.mu.Unlock()
 	for cs.open >= cs.max {
 		victim := cs.victim()
 		if victim == nil {
 			cs.mu.Unlock()
-			nc.Close()
-			return nil
-		}
-		if victim.state == reading {
-			// What it has sent may be whole by now, and then it is owed an answer: it is
-			// told off by its own goroutine, or turns out to be taken.
-			settled := make(chan struct{})
-			victim.hurried, victim.settled = true, settled
-			victim.intake.stop()
-			cs.mu.Unlock()
-			select {
-			case <-settled:
-			case <-time.After(hurryTime): // it cannot write; another one may give way
-			}
+			shut(nc, ahead)
 			cs.mu.Lock()
-			continue
+			return nil
 		}
-		victim.leave()
-		cs.open--
-		close(victim.gone)
+		settled := victim.hurry()
 		cs.mu.Unlock()
-		victim.conn.Close()
-		<-victim.done // its descriptor is free from here on
+		select {
+		case <-settled:
+		case <-time.After(hurryTime): // it cannot write; another one may give way
+		}
 		cs.mu.Lock()
 	}
 	c := newCaller(cs, nc)
 	cs.open++
 	c.enter(unproven)
-	cs.mu.Unlock()
 	return c
 }
 
@@ -134,7 +124,7 @@
 func (cs *Callers) victim() *caller {
 	for st := range taken {
 		for e := cs.places[st].Front(); e != nil; e = cs.places[st].Next(e) {
-			if st == rejected || st == reading && !e.Of.hurried || st != reading && !sock.Waiting(e.Of.conn) {
+			if !e.Of.hurried && (st == rejected || st == reading || !sock.Waiting(e.Of.conn)) {
 				return e.Of
 			}
 		}
@@ -142,6 +132,36 @@
 	return nil
 }
 
+// shutLook is what a connection for which there is no place gets to bring its request.
+const shutLook = 5 * time.Millisecond
+
+// shut ends a connection for which there is no place. Who has sent something is told so, as
+// a request that is whole may not be closed on; nothing has been done for it.
+func shut(nc net.Conn, ahead []byte) {
+	defer nc.Close()
+	buf := scratch.Get().(*[]byte)
+	defer scratch.Put(buf)
+	if len(ahead) == 0 {
+		nc.SetReadDeadline(time.Now().Add(shutLook))
+		if n, _ := nc.Read(*buf); n == 0 {
+			return
+		}
+	}
+	nc.SetWriteDeadline(time.Now().Add(shutLook))
+	full := answer{status: http.StatusServiceUnavailable, retryAfter: roomWait}
+	if full.write(nc, "", false) == nil {
+		endSending(nc)
+		sock.Drop(nc, *buf) // unread, it would take the answer along
+	}
+}
+
+// endSending closes the sending side of c.
+func endSending(c net.Conn) {
+	if tc, ok := c.(interface{ CloseWrite() error }); ok {
+		tc.CloseWrite()
+	}
+}
+
 // Drain lets go of all connections as soon as no request is open on them, and
 // waits until none is left. What is still taken is answered by last. New ones go on
 // being taken; once no more can come, Drain again tells that the last has gone.
@@ -228,7 +248,7 @@
 
 // Resume serves a connection that another Callers has passed on.
 func (cs *Callers) Resume(nc net.Conn, ahead []byte) {
-	if c := cs.admit(nc); c != nil {
+	if c := cs.admit(nc, ahead); c != nil {
 		if len(ahead) > 0 {
 			c.in.Reset(io.MultiReader(bytes.NewReader(ahead), &c.intake))
 		}
@@ -260,29 +280,20 @@
 // enter puts c into a state; the mutex is held.
 func (c *caller) enter(st state) {
 	c.callers.places[st].PushBack(&c.place)
-	c.state, c.placed = st, true
+	c.state = st
 }
 
-// leave takes c out of its state: it has been given up; the mutex is held.
-func (c *caller) leave() {
-	if c.placed {
-		c.callers.places[c.state].Remove(&c.place)
-		c.placed = false
-	}
-}
+// leave takes c out of its state; the mutex is held.
+func (c *caller) leave() { c.callers.places[c.state].Remove(&c.place) }
 
-// move changes the state of c and sets until when it may read. It tells whether
-// c goes on, which it does not once it has been given up, and whether
-// it is to end; then it has lastLook.
-func (c *caller) move(st state, until time.Time) (goesOn, ends bool) {
+// move changes the state of c and sets until when it may read. It tells whether c is to
+// end; then it has lastLook.
+func (c *caller) move(st state, until time.Time) (ends bool) {
 	cs := c.callers
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	c.pass = cs.pass
-	if ends = cs.ends(st); !c.placed {
-		return false, ends
-	}
-	if ends {
+	if ends = cs.ends(st); ends {
 		until = time.Now().Add(lastLook)
 	}
 	c.settle()
@@ -294,7 +305,7 @@
 		until = past
 	}
 	c.conn.SetReadDeadline(until)
-	return true, ends
+	return ends
 }
 
 // lastLook is how long a connection that is to end is read for a request that
@@ -309,25 +320,23 @@
 	return c.callers.ends(idle)
 }
 
-// woken tells whether a wait in the state st may have been cut short.
+// woken tells whether a wait in the state st may have been cut short, and c goes on. It does
+// not where its place is needed.
 func (c *caller) woken(st state) bool {
 	c.callers.mu.Lock()
 	defer c.callers.mu.Unlock()
-	return c.callers.ends(st) || c.callers.pass != nil
+	return !c.hurried && (c.callers.ends(st) || c.callers.pass != nil)
 }
 
-// end books that c is closed.
+// end closes c, on which nothing is owed any more, and books that.
 func (c *caller) end() {
 	cs := c.callers
 	c.conn.Close()
-	close(c.done)
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if c.placed { // else it was given up, and booked then
-		c.settle()
-		c.leave()
-		cs.open--
-	}
+	c.settle()
+	c.leave()
+	cs.open--
 	cs.tellEmpty()
 }
 
@@ -342,12 +351,28 @@
 	}
 }
 
+// hurry asks c to give way, and returns what is closed when it is not what it was; the
+// mutex is held.
+func (c *caller) hurry() (settled <-chan struct{}) {
+	c.hurried, c.settled = true, make(chan struct{})
+	c.intake.stop()
+	select {
+	case c.asked <- struct{}{}:
+	default: // has been asked
+	}
+	return c.settled
+}
+
 // settle tells who waits for c that it is not what it was; the mutex is held.
 func (c *caller) settle() {
 	if c.hurried {
 		c.hurried = false
 		close(c.settled)
 	}
+	select {
+	case <-c.asked:
+	default:
+	}
 }
 
 // tellEmpty tells who waits for the end that there is none left; the mutex is
