--- /dev/null
+++ b/internal/fleet/durable_test.go
@@ -0,0 +1,314 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+
+	"gorselink/internal/durable/durabletest"
+)
+
+const (
+	modelRoot = "/run"
+	modelDir  = "/run/sidecar"
+)
+
+func ignore(Said) {}
+
+// marksIn opens the marks of a modelled disk, as the next process does.
+func marksIn(t *testing.T, disk *durabletest.Model) *Marks {
+	t.Helper()
+	m, err := openMarks(disk, modelDir, ignore)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
+
+// nextSays is what the next process reads after a loss of power.
+func nextSays(t *testing.T, disk *durabletest.Model, kept func(string) bool) Said {
+	t.Helper()
+	return marksIn(t, disk.AfterPowerLoss(kept)).Said()
+}
+
+// fates are what may become of what was not synced when the power is lost.
+var fates = map[string]func(path string) bool{
+	"all of it is lost": nil,
+	"all of it is kept": func(string) bool { return true },
+	"marks are kept":    func(path string) bool { return filepath.Dir(path) == modelDir },
+}
+
+// word is something that operators say.
+type word struct {
+	name   string
+	before func(*Marks) error
+	say    func(*Marks) error
+	want   Said
+}
+
+var (
+	drain   = func(m *Marks) error { return m.Drain(true) }
+	undrain = func(m *Marks) error { return m.Drain(false) }
+	disable = func(m *Marks) error { return m.Out("a/b", true) }
+	enable  = func(m *Marks) error { return m.Out("a/b", false) }
+	first   = func(m *Marks) error { return m.Out("first", true) }
+
+	words = []word{
+		{"drain", first, drain, Said{Drained: true, Out: map[string]bool{"first": true}}},
+		{"drain again", drain, drain, Said{Drained: true, Out: map[string]bool{}}},
+		{"undrain", drain, undrain, Said{Out: map[string]bool{}}},
+		{"disable", first, disable, Said{Out: map[string]bool{"first": true, "a/b": true}}},
+		{"enable", disable, enable, Said{Out: map[string]bool{}}},
+		{"the very first word", nil, drain, Said{Drained: true, Out: map[string]bool{}}},
+	}
+)
+
+// begun is a disk and a process at which w is about to be said.
+func begun(t *testing.T, w word) (*durabletest.Model, *Marks) {
+	t.Helper()
+	disk := durabletest.NewModel(modelRoot)
+	m := marksIn(t, disk)
+	if w.before != nil {
+		if err := w.before(m); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return disk, m
+}
+
+// What operators say is on the disk before they are told so. Whichever step of the disk
+// fails, for once or for a while, either it holds, in this process and the next one and
+// after a loss of power, or they are told that it failed and it never comes to hold. A
+// kill at any step leaves what was said before or what was being said.
+func TestStateWritesFailAndTear(t *testing.T) {
+	for _, w := range words {
+		t.Run(w.name, func(t *testing.T) {
+			disk, m := begun(t, w)
+			was := m.Said()
+			disk.Fault(nil)
+			if err := w.say(m); err != nil {
+				t.Fatal(err)
+			}
+			steps := disk.Steps()
+			for fate, kept := range fates {
+				if s := nextSays(t, disk, kept); !s.equal(w.want) {
+					t.Errorf("%s: after a yes the next process reads %+v, want %+v", fate, s, w.want)
+				}
+			}
+			for step := range steps {
+				for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
+					once := func(s durabletest.Step) bool { return s.Number == step }
+					failsAt(t, w, was, once, cause)
+					fromNowOn := func(s durabletest.Step) bool { return s.Number >= step }
+					failsAt(t, w, was, fromNowOn, cause)
+				}
+				killedAt(t, w, was, step)
+			}
+		})
+	}
+}
+
+// failsAt says a word while some steps of the disk fail.
+func failsAt(t *testing.T, w word, was Said, fails func(durabletest.Step) bool, cause error) {
+	t.Helper()
+	disk, m := begun(t, w)
+	var at []string
+	disk.Fault(func(s durabletest.Step) error {
+		if !fails(s) {
+			return nil
+		}
+		at = append(at, fmt.Sprintf("%d %s %s", s.Number, s.Op, s.Path))
+		return cause
+	})
+	err := w.say(m)
+	want := w.want
+	if err != nil {
+		want = was
+		if !errors.Is(err, cause) {
+			t.Errorf("%v: error %v, want one that names %v", at, err, cause)
+		}
+	}
+	if s := m.Said(); !s.equal(want) {
+		t.Errorf("%v: told %v, and in memory stands %+v, want %+v", at, err, s, want)
+	}
+	m.Look() // while it goes on
+	disk.Fault(nil)
+	if err := m.Look(); err != nil || !m.Said().equal(want) {
+		t.Errorf("%v: looked at, the folder says %+v (%v), want %+v", at, m.Said(), err, want)
+	}
+	if err := m.settle(); err != nil {
+		t.Errorf("%v: %v", at, err)
+	}
+	if err := m.Look(); err != nil || !m.Said().equal(want) {
+		t.Errorf("%v: with all put back, the folder says %+v (%v), want %+v", at, m.Said(), err, want)
+	}
+	for fate, kept := range fates {
+		if s := nextSays(t, disk, kept); !s.equal(want) {
+			t.Errorf("%v, told %v: %s: the next process reads %+v, want %+v", at, err, fate, s, want)
+		}
+	}
+}
+
+// killedAt has the power fail right before a step.
+func killedAt(t *testing.T, w word, was Said, step int) {
+	t.Helper()
+	disk, m := begun(t, w)
+	disk.Fault(func(s durabletest.Step) error {
+		if s.Number >= step {
+			return errors.New("no power")
+		}
+		return nil
+	})
+	w.say(m)
+	disk.Fault(nil)
+	for fate, kept := range fates {
+		if s := nextSays(t, disk, kept); !s.equal(was) && !s.equal(w.want) {
+			t.Errorf("killed before step %d, %s: the next process reads %+v, want %+v or %+v", step, fate, s, was, w.want)
+		}
+	}
+}
+
+// A change that could neither be made nor taken back is put back by Watch, once the disk
+// can be written to.
+func TestMarksOwedAreSettled(t *testing.T) {
+	disk, m := begun(t, words[0])
+	var failed bool
+	disk.Fault(func(s durabletest.Step) error {
+		failed = failed || s.Op == "syncdir"
+		if failed {
+			return syscall.EIO
+		}
+		return nil
+	})
+	if err := m.Drain(true); !errors.Is(err, syscall.EIO) {
+		t.Fatalf("error %v, want %v", err, syscall.EIO)
+	}
+	disk.Fault(nil)
+	next := marksIn(t, disk)
+	if !next.Said().Drained {
+		t.Fatal("the file was put back at once: that was no test")
+	}
+	done := make(chan struct{})
+	defer close(done)
+	go m.Watch(done)
+	for end := time.Now().Add(patience); next.Said().Drained; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("what operators were told had failed holds in the next process")
+		}
+		if err := next.Look(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if m.Said().Drained {
+		t.Error("the process takes itself for drained")
+	}
+}
+
+// While the folder cannot be read, or is gone, what was said last stands, and what
+// operators say then is told to have failed. A process that starts meanwhile reads the
+// folder later.
+func TestMarksOutlastTheirFolder(t *testing.T) {
+	disk, m := begun(t, words[3])
+	want := m.Said()
+	unreadable := func(s durabletest.Step) error {
+		if s.Op == "list" {
+			return syscall.EIO
+		}
+		return nil
+	}
+	disk.Fault(unreadable)
+	if err := m.Look(); !errors.Is(err, syscall.EIO) || !m.Said().equal(want) {
+		t.Errorf("unreadable: %v, %+v, want %+v", err, m.Said(), want)
+	}
+	next := marksIn(t, disk)
+	disk.Fault(nil)
+	if err := next.Look(); err != nil || !next.Said().equal(want) {
+		t.Errorf("the next process: %v, %+v, want %+v", err, next.Said(), want)
+	}
+	back := disk.Vanish(modelDir)
+	if err := m.Look(); err == nil || !m.Said().equal(want) {
+		t.Errorf("gone: %v, %+v, want %+v", err, m.Said(), want)
+	}
+	if err := m.Drain(true); err == nil || !m.Said().equal(want) {
+		t.Errorf("said while it is gone: %v, %+v, want %+v", err, m.Said(), want)
+	}
+	back()
+	if err := m.Look(); err != nil || !m.Said().equal(want) {
+		t.Errorf("there again: %v, %+v, want %+v", err, m.Said(), want)
+	}
+}
+
+// What other processes are told is seen whatever the folder's date is: the wall clock may
+// be set back, and it stands still for a tick.
+func TestMarksAreSeenWhateverTheDate(t *testing.T) {
+	dir := t.TempDir()
+	date := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	a, err := OpenMarks(dir, ignore)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := OpenMarks(dir, ignore)
+	if err != nil {
+		t.Fatal(err)
+	}
+	drained := false
+	for _, step := range []time.Duration{0, 0, 0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour, 0} {
+		date, drained = date.Add(step), !drained
+		if err := a.Drain(drained); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Chtimes(dir, date, date); err != nil {
+			t.Fatal(err)
+		}
+		if err := b.Look(); err != nil || b.Said().Drained != drained {
+			t.Errorf("clock set by %v: drained %v (%v), want %v", step, b.Said().Drained, err, drained)
+		}
+	}
+}
+
+// The folder has the form that it always had, in both directions: empty files of these
+// names, between which others may lie.
+func TestMarksFormIsKept(t *testing.T) {
+	dir := t.TempDir()
+	names := []string{"drained", "next", "next.4711", "out-%2F", "out-%zz", "out-s-1"}
+	for _, name := range names {
+		if err := os.WriteFile(filepath.Join(dir, name), nil, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want := Said{Drained: true, Out: map[string]bool{"/": true, "s-1": true}}
+	m, err := OpenMarks(dir, ignore)
+	if err != nil || !m.Said().equal(want) {
+		t.Fatalf("read %+v, %v, want %+v", m.Said(), err, want)
+	}
+	if err := errors.Join(m.Out("/", false), m.Out("a b", true), m.Drain(true)); err != nil {
+		t.Fatal(err)
+	}
+	sizes := map[string]int64{}
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range entries {
+		info, err := e.Info()
+		if err != nil {
+			t.Fatal(err)
+		}
+		sizes[e.Name()] = info.Size()
+	}
+	left := []string{"drained", "next", "next.4711", "out-%zz", "out-a+b", "out-s-1"}
+	if got := slices.Sorted(maps.Keys(sizes)); !slices.Equal(got, left) {
+		t.Errorf("written %q, want %q", got, left)
+	}
+	for name, size := range sizes {
+		if size != 0 {
+			t.Errorf("%s has %d bytes, want none", name, size)
+		}
+	}
+}
--- a/internal/fleet/marks.go
+++ b/internal/fleet/marks.go
@@ -6,30 +6,38 @@
 import (
 	"errors"
 	"fmt"
-	"io/fs"
 	"log/slog"
 	"maps"
 	"net/url"
-	"os"
 	"path/filepath"
 	"strings"
 	"sync"
+	"syscall"
 	"time"
+
+	"gorselink/internal/durable"
 )
 
 // Marks are what operators have said by hand: which endpoints are out, and
 // whether the sidecar is drained. Each stands as an empty file in a folder that
 // the processes of one sidecar share, so that what is said to one of them holds
-// in the others and in the next one. To put a mark or take it away is one system
-// call that nothing can tear; a list in one file would need a lock against two
-// processes that write at once. Without a folder the marks are of the process.
+// in the others and in the next one. A name is there or not, and nothing can tear
+// it; a list in one file would need a lock against two processes that write at
+// once. Without a folder the marks are of the process.
 type Marks struct {
 	dir    string
+	disk   durable.FS
 	notify func(Said)
 
-	mu      sync.Mutex
-	said    Said
-	changed time.Time // of the folder, as it was when last read
+	mu     sync.Mutex
+	said   Said
+	listed bool // the folder has been read once
+	rooted bool // the folder's own name is on the disk
+
+	// owed are the files that could not be put back after a change that failed
+	// half way, and whether they have to be there. For them it is not the folder
+	// that counts.
+	owed map[string]bool
 }
 
 // Said is what the marks say at one moment.
@@ -51,23 +59,22 @@
 	// another process: well within the 1 s after which it has to hold.
 	markTick = 200 * time.Millisecond
 
-	// markDoubt is how long a folder's time may stand still under a change:
-	// file systems date by the kernel's tick, of 10 ms at most.
-	markDoubt = 100 * time.Millisecond
+	// owedMost is the most ticks between two tries to put a file back.
+	owedMost = 25
 )
 
 // OpenMarks returns the marks in the folder dir, which it makes if need be. An
 // empty dir keeps them in the process. All that is said is handed to notify,
-// one call at a time, at once with what stands there.
+// one call at a time, at once with what stands there. A folder that cannot be
+// read for now says nothing yet, and Watch tries again.
 func OpenMarks(dir string, notify func(Said)) (*Marks, error) {
-	m := &Marks{dir: dir, notify: notify, said: Said{Out: map[string]bool{}}}
-	if dir != "" {
-		if err := os.MkdirAll(dir, 0o700); err != nil {
-			return nil, fmt.Errorf("marks: %w", err)
-		}
-		if err := m.Look(); err != nil {
-			return nil, err
-		}
+	return openMarks(durable.OS{}, dir, notify)
+}
+
+func openMarks(disk durable.FS, dir string, notify func(Said)) (*Marks, error) {
+	m := &Marks{dir: dir, disk: disk, notify: notify, said: Said{Out: map[string]bool{}}, owed: map[string]bool{}}
+	if err := m.Look(); errors.Is(err, syscall.ENOTDIR) { // that does not pass
+		return nil, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,8 +89,8 @@
 	return m.said
 }
 
-// Out marks an endpoint as out, or takes that back. Once it returns nil, notify
-// has been told.
+// Out marks an endpoint as out, or takes that back. Once it returns nil, that is
+// on the disk and notify has been told; after an error nothing has changed.
 func (m *Marks) Out(id string, out bool) error {
 	return m.mark(outMark+url.QueryEscape(id), out, func(s *Said) {
 		s.Out = maps.Clone(s.Out)
@@ -95,7 +102,7 @@
 	})
 }
 
-// Drain marks the sidecar as drained, or takes that back.
+// Drain marks the sidecar as drained, or takes that back, as Out does.
 func (m *Marks) Drain(on bool) error {
 	return m.mark(drainedMark, on, func(s *Said) { s.Drained = on })
 }
@@ -114,22 +121,71 @@
 	return nil
 }
 
+// file puts a mark on the disk or takes it off. After an error the folder is as
+// before, or will be: what is left of the change is owed.
 func (m *Marks) file(name string, on bool) error {
 	if len(name) > maxName {
 		return fmt.Errorf("a name of %d bytes, want %d at most", len(name), maxName)
 	}
+	if err := m.root(); err != nil {
+		return err
+	}
+	changed, err := m.put(name, on)
+	if err == nil {
+		delete(m.owed, name)
+		return nil
+	}
+	if !changed {
+		return err
+	}
+	if _, undone := m.put(name, !on); undone != nil {
+		m.owed[name] = !on
+	}
+	return err
+}
+
+// put makes the file of a mark or removes it. It tells whether the name is now
+// another than before, which may be so with an error as well.
+func (m *Marks) put(name string, on bool) (changed bool, err error) {
 	path := filepath.Join(m.dir, name)
-	if !on {
-		if err := os.Remove(path); !errors.Is(err, fs.ErrNotExist) {
+	if on {
+		return durable.Touch(m.disk, path, 0o600)
+	}
+	return durable.Remove(m.disk, path)
+}
+
+// root makes the folder, and puts its name on the disk: a mark is worth no more
+// than the folder that it is in. One that was there and is gone is not made again,
+// as an empty one would take back all that was said.
+func (m *Marks) root() error {
+	if !m.listed {
+		if err := m.disk.MkdirAll(m.dir, 0o700); err != nil {
 			return err
 		}
+	}
+	if m.rooted {
 		return nil
 	}
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o600)
-	if err != nil {
+	if err := m.disk.SyncDir(filepath.Dir(m.dir)); err != nil {
 		return err
 	}
-	return f.Close()
+	m.rooted = true
+	return nil
+}
+
+// settle tries to put back what is owed.
+func (m *Marks) settle() error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var failed error
+	for name, on := range m.owed {
+		if _, err := m.put(name, on); err != nil {
+			failed = err
+			continue
+		}
+		delete(m.owed, name)
+	}
+	return failed
 }
 
 // tell hands on what is said if it is new; the mutex is held.
@@ -141,50 +197,65 @@
 	m.notify(next)
 }
 
-// Look reads the folder if it may have changed.
+// Look reads the folder. It does so each time: the folder's date would tell of a
+// change only as long as nobody sets the clock. If it cannot be read, what was
+// said last stands.
 func (m *Marks) Look() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.dir == "" {
 		return nil
 	}
-	info, err := os.Stat(m.dir)
+	names, err := m.list()
 	if err != nil {
 		return fmt.Errorf("marks: %w", err)
 	}
-	if info.ModTime().Equal(m.changed) {
-		return nil
+	there := map[string]bool{}
+	for _, name := range names {
+		there[name] = true
 	}
-	entries, err := os.ReadDir(m.dir)
-	if err != nil {
-		return fmt.Errorf("marks: %w", err)
+	maps.Copy(there, m.owed)
+	m.tell(read(there))
+	return nil
+}
+
+// list gives the names in the folder, which is made if it has never been there.
+func (m *Marks) list() ([]string, error) {
+	if !m.listed {
+		if err := m.disk.MkdirAll(m.dir, 0o700); err != nil {
+			return nil, err
+		}
 	}
-	next := Said{Out: map[string]bool{}}
-	for _, e := range entries {
-		if e.Name() == drainedMark {
-			next.Drained = true
+	names, err := m.disk.Names(m.dir)
+	m.listed = m.listed || err == nil
+	return names, err
+}
+
+// read gives what the files of a folder say.
+func read(there map[string]bool) Said {
+	s := Said{Out: map[string]bool{}, Drained: there[drainedMark]}
+	for name, is := range there {
+		escaped, ok := strings.CutPrefix(name, outMark)
+		if !is || !ok {
+			continue
 		}
-		if name, ok := strings.CutPrefix(e.Name(), outMark); ok {
-			if id, err := url.QueryUnescape(name); err == nil {
-				next.Out[id] = true
-			}
+		if id, err := url.QueryUnescape(escaped); err == nil {
+			s.Out[id] = true
 		}
 	}
-	if time.Since(info.ModTime()) > markDoubt {
-		m.changed = info.ModTime()
-	}
-	m.tell(next)
-	return nil
+	return s
 }
 
-// Watch looks for what other processes are told, until done is closed.
+// Watch looks for what other processes are told, and tries again what is owed,
+// until done is closed.
 func (m *Marks) Watch(done <-chan struct{}) {
 	if m.dir == "" {
 		return
 	}
 	tick := time.NewTicker(markTick)
 	defer tick.Stop()
-	failed := false
+	var unseen, unsettled bool
+	wait, waited := 1, 0 // ticks between two tries, and since the last one
 	for {
 		select {
 		case <-done:
@@ -192,9 +263,22 @@
 		case <-tick.C:
 		}
 		err := m.Look()
-		if err != nil && !failed { // once for a row of failures
-			slog.Error("what operators say to other processes is not seen", "error", err)
+		if err != nil && !unseen { // once for a row of failures
+			slog.Error("what operators say to other processes is not seen; what they said last stands", "folder", m.dir, "error", err)
+		}
+		unseen = err != nil
+		if waited++; waited < wait {
+			continue
+		}
+		waited = 0
+		err = m.settle()
+		if err != nil && !unsettled {
+			slog.Error("a change by operators failed, and its file cannot be put back yet", "folder", m.dir, "error", err)
+		}
+		unsettled = err != nil
+		wait = min(2*wait, owedMost)
+		if !unsettled {
+			wait = 1
 		}
-		failed = err != nil
 	}
 }
