--- a/internal/pool/age.go
+++ b/internal/pool/age.go
@@ -15,6 +15,11 @@
 // what a hiccup of discovery drops comes back within it.
 const leftMemory = 30 * time.Second
 
+// watchLag is how late a standing watch may tell what has changed: the time that discovery
+// gets to answer. A change that it tells had not been made before that, however long ago the
+// watch told anything else.
+const watchLag = time.Second
+
 // life is one run of an endpoint's process. Its start is reckoned once, when the list
 // first tells of it, and stands for as long as the list tells the same stamp: the wall
 // clock may be stepped meanwhile, and says nothing new of what has been seen.
@@ -34,7 +39,7 @@
 func (p *Pool) date(kind balance.ListKind, l *nodes.List) {
 	now := p.now()
 	p.forgetDeparted(now)
-	floor := p.latestWithout(kind, l, now)
+	floor := p.latestWithout(kind, l)
 	for i := range l.Endpoints {
 		e := &l.Endpoints[i]
 		if e.Status == nodes.Terminated {
@@ -64,20 +69,19 @@
 // by the Balancer's time: no life that l is the first to tell of began before it. It is
 // never where nothing is known of an earlier list.
 //
-// That moment is the last answer, with or without news, and not the one that brings l: an
-// endpoint that shows after an outage of discovery may be as old as the outage.
-func (p *Pool) latestWithout(kind balance.ListKind, l *nodes.List, now time.Duration) time.Duration {
+// That moment is the last answer, with or without news, or a moment ago where a watch has
+// stood since (see hears). It is not the answer that brings l: an endpoint that shows after
+// an outage of discovery may be as old as the outage.
+func (p *Pool) latestWithout(kind balance.ListKind, l *nodes.List) time.Duration {
 	switch {
 	case kind == balance.Cached:
 		return never // nobody knows how old that list is
-	case !l.Undated:
-		return p.heard
-	case p.sharesNames(l):
-		return now // a file or a fixed list is told as soon as it changes
+	case l.Undated && !p.sharesNames(l):
+		// Another service, not a fresh start of this one; with nobody warm beside them its
+		// nodes would be given next to nothing.
+		return never
 	}
-	// A list without any node that was known is another service, not a fresh start of this
-	// one; with nobody warm beside them its nodes would be given next to nothing.
-	return never
+	return p.heard
 }
 
 // hears books what a word of src says of the time before it; the mutex is held. first tells
@@ -86,8 +90,15 @@
 	if first && (l.Undated != p.undated || !p.sharesNames(l)) {
 		p.heard = never // what another list did not name may have been there for long
 	}
-	if _, answers := src.Source.(*nodes.Discovery); !answers && p.heard != never {
+	if p.heard == never {
+		return
+	}
+	_, answers := src.Source.(*nodes.Discovery)
+	switch {
+	case !answers:
 		p.heard = p.now() // it is looked at all the time, and tells changes alone
+	case src.stands:
+		p.heard = max(p.heard, p.now()-watchLag)
 	}
 }
 
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -36,7 +36,8 @@
 	number int           // later ones are higher
 	watch  chan struct{} // the Balancer wants a watch
 	cancel context.CancelFunc
-	failed int // calls in a row; its follower's alone
+	failed int  // calls in a row; its follower's alone
+	stands bool // a watch stands since its last word; its follower's alone
 }
 
 // fails books a failed call. Only the first in a row is logged: a discovery that is
@@ -116,6 +117,7 @@
 	defer src.Close()
 	jitter := rand.New(rand.NewPCG(p.cfg.Seed, uint64(src.number)))
 	for ctx.Err() == nil {
+		src.stands = false
 		err := src.Follow(ctx, func(l nodes.List) {
 			src.tells(p.cfg.Name)
 			p.told(src, l)
@@ -144,6 +146,7 @@
 		case <-src.watch:
 		}
 		for silent := 0; ; {
+			src.stands = false
 			err := src.Follow(ctx, func(l nodes.List) {
 				src.tells(p.cfg.Name)
 				p.told(src, l)
@@ -175,6 +178,7 @@
 // told takes what a source tells. The first word of a new one is its whole list
 // and ends the source before, whose changes cannot be applied to that list.
 func (p *Pool) told(src *source, l nodes.List) {
+	defer func() { src.stands = true }()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first := p.sources[0].number < src.number
@@ -185,7 +189,6 @@
 	if p.sources[0] != src {
 		return // a late word of a source that has been replaced
 	}
-	p.hears(src, first, &l)
 	kind := balance.Delta
 	switch {
 	case l.Snapshot:
@@ -195,6 +198,7 @@
 		// tells is older than what is known, and would bring back what has been drained.
 		return
 	}
+	p.hears(src, first, &l)
 	p.update(kind, l)
 }
 
--- a/internal/pool/memory.go
+++ b/internal/pool/memory.go
@@ -28,6 +28,11 @@
 // meaning with a step of the clock; an age is short by the time that it is on its way, so
 // that nothing counts as older than it is.
 type Ages struct {
+	// Wall is what the wall clock would show by now, in Unix ms, had it not been set since it
+	// was read: the time that stamps of the list are taken for. It is handed on so that the
+	// next Pool need not read a clock that was stepped meanwhile, and is compared with none.
+	Wall int64
+
 	Heard *time.Duration           `json:",omitempty"` // since the list was last known to be up to date; nil for never
 	Lives map[string]LifeAge       `json:",omitempty"` // of endpoints that have not been there for as long as anybody knows
 	Out   map[string]time.Duration `json:",omitempty"` // of endpoints that are left out by hand
@@ -78,7 +83,7 @@
 
 func (p *Pool) ages() *Ages {
 	now := p.now()
-	a := &Ages{Lives: map[string]LifeAge{}, Out: map[string]time.Duration{}, Back: map[string]ReturnedAges{}}
+	a := &Ages{Wall: p.startWall.Add(now).UnixMilli(), Lives: map[string]LifeAge{}, Out: map[string]time.Duration{}, Back: map[string]ReturnedAges{}}
 	if p.heard != never {
 		heard := now - p.heard
 		a.Heard = &heard
@@ -103,6 +108,7 @@
 	if a == nil {
 		return
 	}
+	p.startWall = time.UnixMilli(a.Wall)
 	if a.Heard != nil {
 		p.heard = -max(*a.Heard, 0)
 	}
@@ -116,31 +122,27 @@
 	}
 }
 
-// recallByHand takes up what operators have said to the Pool before; the mutex is held.
-// One that tells no ages tells wall times, which are as good as the clock has been since.
+// recallByHand takes up what operators have said to the Pool before; the mutex is held. One
+// that knows no ages tells wall times alone, which the clock may have left behind: what it
+// tells counts as done now, which costs an endpoint that is put back one ramp at most.
 func (p *Pool) recallByHand(m *Memory) {
-	if m.Ages != nil {
-		for name, age := range m.Ages.Out {
-			p.out[name] = -max(age, 0)
-		}
-		for name, r := range m.Ages.Back {
-			p.back[name] = returned{-max(r.Out, 0), -max(r.Back, 0)}
-		}
+	for name := range m.Out {
+		p.out[name] = 0
+	}
+	for name := range m.Back {
+		p.back[name] = returned{}
+	}
+	if m.Ages == nil {
 		return
 	}
-	for name, ms := range m.Out {
-		p.out[name] = p.before(ms)
+	for name, age := range m.Ages.Out {
+		p.out[name] = -max(age, 0)
 	}
-	for name, r := range m.Back {
-		p.back[name] = returned{p.before(r.Out), p.before(r.Back)}
+	for name, r := range m.Ages.Back {
+		p.back[name] = returned{-max(r.Out, 0), -max(r.Back, 0)}
 	}
 }
 
-// before is the Balancer's time of a wall time that has passed.
-func (p *Pool) before(ms int64) time.Duration {
-	return min(time.UnixMilli(ms).Sub(p.startWall), 0)
-}
-
 // Recall takes up what another Pool has learnt, as far as it has the same classes
 // and nodes. Without it the first jam shows what the first seconds have served for
 // all that the service can take. It is to be called before the first request, and
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -54,7 +54,7 @@
 	held  atomic.Int64 // mean time that one is open, in ns
 	moves chan nodes.Source
 
-	startWall time.Time // the wall clock at start, which dates what lists tell
+	startWall time.Time // the wall clock at start, by which the stamps of lists are read
 
 	mu       sync.Mutex // guards what follows and all in a Request that says so
 	balancer *balance.Balancer
