--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gorselink/balance"
+	"gorselink/internal/clock"
 	"gorselink/internal/nodes"
 	"gorselink/internal/upstream"
 )
@@ -62,3 +63,53 @@
 		t.Errorf("endpoints %+v, want nothing of a and c", got.Endpoints)
 	}
 }
+
+// What a process that knows no ages hands over is taken up, with all that operators have said
+// counting as done now, however far its wall clock is off; and it finds the times that it
+// knows in what is handed to it.
+func TestMemoryOfAProcessThatKnowsNoAges(t *testing.T) {
+	type olderMemory struct { // as it was written before there were ages
+		Learnt  balance.Memory
+		Classes []balance.Class
+		Out     map[string]int64
+		Back    map[string]Returned
+	}
+	for _, offset := range wallOffsets {
+		clocks := clock.NewManual(offset)
+		cfg := agedConfig(clocks)
+		cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{stamped("a", 0), stamped("b", 0), stamped("c", 0)}}
+		minute := clocks.Clock().Wall().Add(-offset - time.Minute).UnixMilli()
+		text, err := json.Marshal(olderMemory{Out: map[string]int64{"a": minute}, Back: map[string]Returned{"b": {minute, minute + 1000}}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		var m Memory
+		if err := json.Unmarshal(text, &m); err != nil {
+			t.Fatal(err)
+		}
+		cfg.Ages = m.Ages
+		p := newAged(t, clocks, cfg)
+		p.Recall(m)
+		p.Exclude(map[string]bool{"a": true})
+		if got := p.agesNow(); len(got) != 1 || got["b"] > time.Millisecond {
+			t.Errorf("clock off by %v: ages %v, want b as if it had come back now", offset, got)
+		}
+		clocks.Advance(time.Second)
+		p.Exclude(nil)
+		if got := p.agesNow(); len(got) != 2 || got["a"] != 0 {
+			t.Errorf("clock off by %v: ages %v, want a as if it had come back now", offset, got)
+		}
+
+		if text, err = json.Marshal(p.Memory()); err != nil {
+			t.Fatal(err)
+		}
+		var older olderMemory
+		if err := json.Unmarshal(text, &older); err != nil {
+			t.Fatal(err)
+		}
+		now := clocks.Clock().Wall().UnixMilli()
+		if r := older.Back["a"]; r.Back != now || r.Out != now-1000 {
+			t.Errorf("clock off by %v: handed on as %+v at %d", offset, r, now)
+		}
+	}
+}
