--- a/internal/front/http/callers.go
+++ b/internal/front/http/callers.go
@@ -301,8 +301,11 @@
 	c.enter(st)
 	stopped := st == reading && cs.cut
 	c.intake.stopped.Store(stopped)
-	if stopped {
+	switch {
+	case stopped:
 		until = past
+	case st == rejected && cs.cut:
+		until = time.Now().Add(lastLook)
 	}
 	c.conn.SetReadDeadline(until)
 	return ends
@@ -341,20 +344,24 @@
 }
 
 // Cut ends the reading of requests: what has not come whole by now is told so, and the
-// kernel keeps nothing of it unanswered.
+// kernel keeps nothing of it unanswered. Who has had its last answer is not read on.
 func (cs *Callers) Cut() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.cut = true
-	for e := cs.places[reading].Front(); e != nil; e = cs.places[reading].Next(e) {
-		e.Of.intake.stop()
+	for _, st := range []state{rejected, reading} {
+		for e := cs.places[st].Front(); e != nil; e = cs.places[st].Next(e) {
+			e.Of.hurry()
+		}
 	}
 }
 
 // hurry asks c to give way, and returns what is closed when it is not what it was; the
 // mutex is held.
 func (c *caller) hurry() (settled <-chan struct{}) {
-	c.hurried, c.settled = true, make(chan struct{})
+	if !c.hurried {
+		c.hurried, c.settled = true, make(chan struct{})
+	}
 	c.intake.stop()
 	select {
 	case c.asked <- struct{}{}:
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -62,6 +62,12 @@
 	killMargin = 200 * time.Millisecond
 	// answerMargin is what the very last answers have to be written.
 	answerMargin = 50 * time.Millisecond
+	// drainLeast is what connections have to end in at the least, where the kill comes so
+	// soon that comingTime would leave less. Until then is still more than new ones come for.
+	drainLeast = 150 * time.Millisecond
+	// exitMargin is how long before the kill the process ends whatever is still open. It has
+	// killMargin less that to answer what it finds if it does not get to run for a while.
+	exitMargin = 20 * time.Millisecond
 )
 
 // Place is where a sidecar finds what it is told.
@@ -430,7 +436,10 @@
 		next = nil
 	}
 	s.mu.Unlock()
-	last := time.Now().Add(max(min(longest, killLongest)+killTime-killMargin, comingTime))
+	began := time.Now()
+	kill := began.Add(min(longest, killLongest) + killTime)
+	last := began.Add(max(kill.Sub(began)-killMargin, comingTime))
+	exit := kill.Add(-exitMargin)
 	s.callers.Bound(last.Add(-answerMargin))
 	// What came before the bound was set may have longer than this process has, and what
 	// is still coming may be whole in the moment that the process ends.
@@ -443,17 +452,19 @@
 		s.listener.Close()
 		<-served
 		s.callers.PassOn(next.Pass)
-		s.callers.Drain(last)
+		s.callers.Drain(exit)
 		next.Close()
 		return
 	}
 	slog.Info("draining", "left", time.Until(last), "open", s.pool.Open())
 	s.judge.Drain()
+	coming := min(comingTime, last.Sub(began)-drainLeast)
 	// Where requests may take long, fewer of those that come late end in time.
-	time.Sleep(max(comingTime, time.Until(last)-max(windDown, longest/2)))
-	s.callers.Drain(last)
+	time.Sleep(max(coming, time.Until(last)-max(windDown, longest/2)))
+	s.callers.Drain(exit)
 	// Whoever connected while the last one was closed is served as well.
+	time.Sleep(min(comingTime, last.Sub(began)-answerMargin) - time.Since(began))
 	s.listener.Close()
 	<-served
-	s.callers.Drain(last)
+	s.callers.Drain(exit)
 }
