--- a/internal/sidecar/answers_test.go
+++ b/internal/sidecar/answers_test.go
@@ -10,6 +10,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -28,6 +29,7 @@
 type exchange struct {
 	conn net.Conn
 	id   string
+	told time.Duration // how long the sidecar will wait
 	idle time.Duration // since the last answer on the connection; 0 for its first request
 	stop <-chan struct{}
 }
@@ -185,6 +187,8 @@
 	does  atomic.Pointer[behaviour]
 	scene *scene
 
+	last time.Time // when an attempt last came; guarded by scene.mu
+
 	mu    sync.Mutex
 	conns []net.Conn
 }
@@ -230,8 +234,13 @@
 		if !answered.IsZero() {
 			x.idle = time.Since(answered)
 		}
+		ms, err := strconv.Atoi(req.Header.Get("X-Budget-Ms"))
+		if err != nil {
+			e.scene.t.Errorf("%s: an attempt tells %q of its time", e.scene.name, req.Header.Get("X-Budget-Ms"))
+		}
+		x.told = time.Duration(ms) * time.Millisecond
 		does := e.does.Load()
-		e.scene.attempt(x.id, !does.rejects)
+		e.attempt(x, !does.rejects)
 		if !does.do(x) {
 			return
 		}
@@ -243,8 +252,8 @@
 type scene struct {
 	t         *testing.T
 	name      string
-	listen    string
-	path      string // of its configuration
+	listen    atomic.Pointer[string] // where clients find a sidecar
+	path      string                 // of its configuration
 	sidecar   *process
 	endpoints []*faultyEndpoint
 	agent     *standin.Agent
@@ -254,20 +263,26 @@
 
 	mu       sync.Mutex
 	ran      map[string]int
+	told     map[string]time.Duration // the most that an attempt told
 	attempts []time.Time
+	rejects  []time.Time
 	count    counts
 }
 
 // counts are the ends of requests.
 type counts struct{ served, rejected, failed, unanswered, twice int }
 
-func (s *scene) attempt(id string, runs bool) {
+// attempt books an attempt, which runs its request unless it is rejected.
+func (e *faultyEndpoint) attempt(x *exchange, runs bool) {
+	s, now := e.scene, time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.attempts = append(s.attempts, time.Now())
+	s.attempts = append(s.attempts, now)
+	e.last = now
 	if runs {
-		s.ran[id]++
+		s.ran[x.id]++
 	}
+	s.told[x.id] = max(s.told[x.id], x.told)
 }
 
 func (s *scene) runs(id string) int {
@@ -298,7 +313,7 @@
 // ones come up once they are opened.
 func newScene(t *testing.T, name string, late ...*standin.Late) *scene {
 	t.Helper()
-	s := &scene{t: t, name: name, listen: ownAddr(t), stop: make(chan struct{}), over: make(chan struct{}), ran: map[string]int{}}
+	s := &scene{t: t, name: name, stop: make(chan struct{}), over: make(chan struct{}), ran: map[string]int{}, told: map[string]time.Duration{}}
 	t.Cleanup(func() { close(s.stop) })
 	var list []standin.Entry
 	for i := range sceneEndpoints {
@@ -327,41 +342,52 @@
 	return s
 }
 
+// text is a configuration of the sidecar at listen, which may hold so many descriptors.
+func (s *scene) text(listen string, sockets int) string {
+	text := strings.Replace(configuration(listen, s.agent.Addr()), `"cores":1,"memory_mb":64,"sockets":256`,
+		fmt.Sprintf(`"cores":4,"memory_mb":512,"sockets":%d`, sockets), 1)
+	text = strings.Replace(text, `"Worth":1}`, `"Worth":1},
+{"Name":"put","AimS":1,"DeadlineS":2,"Semantics":"guarded","KeyScope":"all","MemorySpanS":1,"Worth":1},
+{"Name":"pay","AimS":1,"DeadlineS":2,"Semantics":"single_shot","Worth":1}`, 1)
+	return strings.Replace(text, `"ConnectTimeoutS":1,`, `"ConnectTimeoutS":1.5,`, 1) // the kernel knocks again after 1 s
+}
+
 // begin starts the sidecar, which may hold so many descriptors; 0 for plenty.
 func (s *scene) begin(sockets int) {
 	s.t.Helper()
 	if sockets == 0 {
 		sockets = 256
 	}
-	text := strings.Replace(configuration(s.listen, s.agent.Addr()), `"cores":1,"memory_mb":64,"sockets":256`,
-		fmt.Sprintf(`"cores":4,"memory_mb":512,"sockets":%d`, sockets), 1)
-	text = strings.Replace(text, `"Worth":1}`, `"Worth":1},
-{"Name":"put","AimS":1,"DeadlineS":2,"Semantics":"guarded","KeyScope":"all","MemorySpanS":1,"Worth":1},
-{"Name":"pay","AimS":1,"DeadlineS":2,"Semantics":"single_shot","Worth":1}`, 1)
-	text = strings.Replace(text, `"ConnectTimeoutS":1,`, `"ConnectTimeoutS":1.5,`, 1) // the kernel knocks again after 1 s
+	s.start(ownAddr(s.t), func(listen string) string { return s.text(listen, sockets) })
+}
+
+// start starts a sidecar at listen, which clients find from then on.
+func (s *scene) start(listen string, text func(listen string) string) {
+	s.t.Helper()
 	path := filepath.Join(s.t.TempDir(), "config.json")
-	put(s.t, path, text)
+	put(s.t, path, text(listen))
 	cfg, err := config.Load(path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.path = path
-	s.sidecar = &process{
+	p := &process{
 		Sidecar: &Sidecar{place: Place{Config: path}, cfg: cfg},
 		reload:  make(chan os.Signal, 1),
 		ended:   make(chan error, 1),
 	}
-	s.sidecar.ctx, s.sidecar.stop = context.WithCancel(context.Background())
-	s.t.Cleanup(s.sidecar.stop)
-	go func() { s.sidecar.ended <- s.sidecar.run(s.sidecar.ctx, s.sidecar.reload) }()
+	p.ctx, p.stop = context.WithCancel(context.Background())
+	s.t.Cleanup(p.stop)
+	go func() { p.ended <- p.run(p.ctx, p.reload) }()
 	eventually(s.t, s.name+": ready", func() bool {
 		select {
-		case err := <-s.sidecar.ended:
+		case err := <-p.ended:
 			s.t.Fatalf("%s: the sidecar ended: %v", s.name, err)
 		default:
 		}
-		return call(s.listen, "GET", "/-/ready", "") == http.StatusOK
+		return call(listen, "GET", "/-/ready", "") == http.StatusOK
 	})
+	s.path, s.sidecar = path, p
+	s.listen.Store(&listen)
 }
 
 // entry is how discovery lists an endpoint.
@@ -420,7 +446,7 @@
 // second more.
 func (c *client) once(id string) (status int, body string, err error) {
 	if c.conn == nil {
-		if c.conn, err = net.DialTimeout("tcp", c.s.listen, patience); err != nil {
+		if c.conn, err = net.DialTimeout("tcp", *c.s.listen.Load(), patience); err != nil {
 			return 0, "", fmt.Errorf("%w: %w", errUnanswered, err)
 		}
 		c.in = bufio.NewReader(c.conn)
@@ -445,10 +471,13 @@
 	id := fmt.Sprintf("%016x", lastAsk.Add(1))
 	used := c.conn != nil
 	status, body, err := c.once(id)
-	if errors.Is(err, errUnanswered) && !errors.Is(err, os.ErrDeadlineExceeded) && used && c.s.crosses && c.s.runs(id) == 0 {
+	if errors.Is(err, errUnanswered) && !errors.Is(err, os.ErrDeadlineExceeded) && used && c.s.crosses {
+		// It crossed the end of a resting connection. One that was read all the same is
+		// known by its id.
 		c.close()
-		id = fmt.Sprintf("%016x", lastAsk.Add(1))
-		status, body, err = c.once(id)
+		if status, body, err = c.once(id); status == http.StatusConflict {
+			err = fmt.Errorf("%w: it was read, and its connection closed", errUnanswered)
+		}
 	}
 	if err != nil {
 		c.close()
@@ -457,6 +486,9 @@
 	runs := s.runs(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	if told := s.told[id]; told > c.budget {
+		s.t.Errorf("%s: an attempt for request %s tells %v of its time, which is %v", s.name, id, told, c.budget)
+	}
 	if c.class == "pay" && runs > 1 {
 		s.count.twice++
 		s.t.Errorf("%s: request %s must not run twice and ran %d times", s.name, id, runs)
@@ -473,6 +505,7 @@
 		s.count.served++
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		s.count.rejected++
+		s.rejects = append(s.rejects, time.Now())
 		if c.class == "pay" && runs > 0 {
 			s.t.Errorf("%s: request %s may have run and is refused", s.name, id)
 		}
--- a/internal/sidecar/everyanswer_test.go
+++ b/internal/sidecar/everyanswer_test.go
@@ -110,7 +110,7 @@
 	}},
 	{name: "idle clients use up the descriptors", sockets: 64, crosses: true, begin: func(s *scene) {
 		for range 100 {
-			c, err := net.DialTimeout("tcp", s.listen, time.Second)
+			c, err := net.DialTimeout("tcp", *s.listen.Load(), time.Second)
 			if err != nil {
 				return
 			}
@@ -124,7 +124,7 @@
 func (s *scene) beside(does func(c net.Conn)) {
 	go func() {
 		for {
-			if c, err := net.DialTimeout("tcp", s.listen, time.Second); err == nil {
+			if c, err := net.DialTimeout("tcp", *s.listen.Load(), time.Second); err == nil {
 				does(c)
 				c.Close()
 			}
