--- a/internal/sidecar/answers_test.go
+++ b/internal/sidecar/answers_test.go
@@ -205,6 +205,18 @@
 	}
 }
 
+// listenFaulty starts a sound endpoint of a scene.
+func listenFaulty(s *scene) (*faultyEndpoint, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	e := &faultyEndpoint{scene: s, Listener: l}
+	e.does.Store(&sound)
+	go e.accept()
+	return e, nil
+}
+
 func (e *faultyEndpoint) accept() {
 	for {
 		c, err := e.Accept()
@@ -259,6 +271,7 @@
 	agent     *standin.Agent
 	stop      chan struct{} // closed at the end
 	over      chan struct{} // closed once no client of the scene makes requests any more
+	padding   string        // that answers have behind the id
 	crosses   bool          // the sidecar may close connections on which no request is open
 
 	mu       sync.Mutex
@@ -317,20 +330,17 @@
 	t.Cleanup(func() { close(s.stop) })
 	var list []standin.Entry
 	for i := range sceneEndpoints {
-		e := &faultyEndpoint{scene: s}
-		e.does.Store(&sound)
-		if i < len(late) {
-			e.Listener = late[i]
+		var e *faultyEndpoint
+		if i < len(late) { // whoever accepts there makes room for connections to come up
+			e = &faultyEndpoint{scene: s, Listener: late[i]}
+			e.does.Store(&sound)
 		} else {
 			var err error
-			if e.Listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+			if e, err = listenFaulty(s); err != nil {
 				t.Fatal(err)
 			}
 		}
 		t.Cleanup(func() { e.Close() })
-		if i >= len(late) { // whoever accepts makes room for those that come up late
-			go e.accept()
-		}
 		s.endpoints = append(s.endpoints, e)
 		list = append(list, standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: e.Addr().String(), Zone: "a", Status: "in_service"})
 	}
@@ -499,8 +509,8 @@
 		s.t.Errorf("%s: %s with %v, request %s, ran %d times: no final answer: %v", s.name, c.class, c.budget, id, runs, err)
 	case err != nil: // broken off so that the client can tell
 		s.count.failed++
-	case status == http.StatusOK && body != id:
-		s.t.Errorf("%s: %s, request %s is given %q", s.name, c.class, id, body)
+	case status == http.StatusOK && body != id+s.padding:
+		s.t.Errorf("%s: %s, request %s is given %.40q, %d bytes", s.name, c.class, id, body, len(body))
 	case status == http.StatusOK:
 		s.count.served++
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
