--- a/internal/sidecar/nolength_test.go
+++ b/internal/sidecar/nolength_test.go
@@ -56,4 +56,3 @@
 	}
 	all.Wait()
 }
-
