--- a/balance/balance.go
+++ b/balance/balance.go
@@ -213,7 +213,11 @@
 	draws        [2]time.Duration // when the last two were made from a subset
 	memory       time.Duration    // how long round trips are remembered
 	spread       float64          // variance of a round trip over the square of its endpoint's mean
-	near, walked float64          // sum of growth over the stretch of the last subset, and of the one being gathered
+	subsetEnd    [2]int           // length of the stretch of the last subset, by part of the ring
+	subsetLength int              // of both, or of all that is ready until a subset is gathered
+	walked       float64          // sum of growth over the stretch that is being gathered
+	warmth       float64          // its mean, averaged over the time
+	warmthAt     time.Duration    // when it was
 
 	requests map[RequestID]*request
 	held     []RequestID // waiting for an endpoint
@@ -251,6 +255,7 @@
 		rng:      rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		byAddr:   map[string]int{},
 		spread:   1,
+		warmth:   1,
 		requests: map[RequestID]*request{},
 	}
 	for _, c := range cfg.Classes {
@@ -301,6 +306,7 @@
 func (b *Balancer) Recall(now time.Duration, m Memory) {
 	b.door.limit = m.Limit
 	b.servedRate, b.aimRate = rateOf(now, m.Served), rateOf(now, m.InAim)
+	b.warmth, b.warmthAt = 1, now // all may have been warm when that was served
 	for i := range b.classes[:min(len(b.classes), len(m.Classes))] {
 		b.classes[i].mean, b.classes[i].n = m.Classes[i].Mean, m.Classes[i].N
 	}
@@ -345,16 +351,18 @@
 		b.member(now, entry)
 	}
 	b.forget(now)
-	b.ready, b.local, b.near = b.ready[:0], 0, 0
+	b.ready, b.local = b.ready[:0], 0
 	for i := range b.eps {
 		if b.eps[i].State == Ready {
 			b.ready = append(b.ready, i)
-			b.near += b.growth(&b.eps[i], now) // until a subset is gathered
 			if b.crossing(i) == 1 {
 				b.local++
 			}
 		}
 	}
+	if b.subsetLength == 0 {
+		b.subsetLength = len(b.ready)
+	}
 	// By hash, the own zone first where crossings are priced.
 	slices.SortFunc(b.ready, func(i, k int) int {
 		return cmp.Or(cmp.Compare(b.crossing(i), b.crossing(k)), cmp.Compare(b.eps[i].hash, b.eps[k].hash))
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -185,6 +185,8 @@
 	return b.cfg.ColdShare + (1-b.cfg.ColdShare)*float64(max(age, 0))/float64(b.cfg.RampTime)
 }
 
+const warmthLeast = 0.01 // settings may let endpoints start at nothing
+
 // coldAllowed tells whether the cold budget of e has room for one more send, topped up
 // for the time since the last draw that reached it. It grows at the even share of this
 // balancer's served attempts that e would get by its present capacity, times half the
@@ -194,13 +196,22 @@
 	if g == 1 {
 		return true
 	}
-	rate := max(1, b.cfg.FallMultiple/2) * b.servedRate.perSecond(now) * g / max(b.near, 1)
+	warm := float64(b.subsetLength) * max(b.warmth, warmthLeast)
+	rate := max(1, b.cfg.FallMultiple/2) * b.servedRate.perSecond(now) * g / warm
 	e.tokens += rate * max(0, now-max(e.tokensAt, b.draws[0])).Seconds()
 	e.tokensAt = now
 	e.tokens = min(e.tokens, 1+rate*b.cfg.OverloadFor.Seconds()/2)
 	return e.tokens >= 1
 }
 
+// averageWarmth averages over the time what share of its full capacity the subset has, as
+// servedRate averages what it served: what was served while more were warm is too much for
+// those that are left.
+func (b *Balancer) averageWarmth(now time.Duration, share float64) {
+	weight := math.Exp(-float64(now-b.warmthAt) / float64(rateSpan))
+	b.warmth, b.warmthAt = b.warmth*weight+share*(1-weight), now
+}
+
 // pick draws an endpoint for r by the paper's rule, or returns -1. Each candidate's weight
 // is t_b/t_i; two are drawn with replacement and the lower mean wins, one that failures
 // lower counting as slower by as much: what fails at once would win each draw by the mean
@@ -250,6 +261,12 @@
 	anyReady           // for a first attempt when every server refuses them
 )
 
+// The parts of the ring: endpoints of the own zone come first where crossings are priced.
+const (
+	ownZone = iota
+	otherZones
+)
+
 // gather fills b.cands and returns how many there are.
 func (b *Balancer) gather(r *request, now time.Duration, reach int) int {
 	b.cands = b.cands[:0]
@@ -261,9 +278,10 @@
 	_, part := b.stretch(len(b.ready), want)
 	among := min(want, b.local) + min(want, len(b.ready)-b.local)
 	b.memory = max(memoryLeast, memoryTurns*time.Duration(float64(min(part, len(b.ready)))/max(b.servedRate.mean(now), 1.0/20)*float64(time.Second)))
-	best := min(b.gatherFrom(b.ready[:b.local], r, now, reach, want, among), b.gatherFrom(b.ready[b.local:], r, now, reach, want, among))
-	if reach == subset {
-		b.near = b.walked
+	best := min(b.gatherFrom(ownZone, r, now, reach, want, among), b.gatherFrom(otherZones, r, now, reach, want, among))
+	if reach == subset && b.subsetEnd != [2]int{} {
+		b.subsetLength = b.subsetEnd[ownZone] + b.subsetEnd[otherZones]
+		b.averageWarmth(now, b.walked/float64(b.subsetLength))
 	}
 	if math.IsInf(best, 1) {
 		best = 1 // all are unsampled and alike
@@ -332,12 +350,27 @@
 
 // gatherFrom adds the candidates of one part of the ring, from this balancer's
 // place on, until it holds want sound endpoints. It returns the lowest mean.
-func (b *Balancer) gatherFrom(ring []int, r *request, now time.Duration, reach, want, among int) float64 {
+//
+// Beyond the subset no cold one is added: its budget is shared among those that have it in
+// theirs, and all the others together would spend it many times over.
+func (b *Balancer) gatherFrom(part int, r *request, now time.Duration, reach, want, among int) float64 {
+	ring := b.ready[:b.local]
+	if part == otherZones {
+		ring = b.ready[b.local:]
+	}
 	best := math.Inf(1)
 	start, want := b.stretch(len(ring), want)
+	if reach == subset {
+		b.subsetEnd[part] = 0
+	}
 	for k := 0; k < len(ring) && want > 0; k++ {
 		i := ring[(start+k)%len(ring)]
 		e := &b.eps[i]
+		if reach == subset {
+			b.subsetEnd[part]++
+		} else if k >= b.subsetEnd[part] && b.growth(e, now) < 1 {
+			continue
+		}
 		zone := b.zoneFailures(e.Zone)
 		sound := e.failures.count(now) < 1
 		b.walked += b.growth(e, now) // sound or not: what the others lack is no reason to push a cold one
