--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -452,6 +452,10 @@
 	r.pending--
 	p.stats.Results[result]++
 	p.trace(r, a, result, now)
+	elapsed := now - a.sent
+	if up != nil {
+		elapsed -= up.Lost // it is none of the node's
+	}
 	switch {
 	case up == nil:
 	case r.answered:
@@ -466,7 +470,7 @@
 		r.own = up
 	}
 	over := r.answered || r.withdrawn
-	p.balancer.Outcome(now, r.id, a.number, result, now-a.sent, over)
+	p.balancer.Outcome(now, r.id, a.number, result, elapsed, over)
 	p.settle(r)
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -45,7 +45,12 @@
 	Fields framing.Fields
 	Body   []byte
 	Rest   *Rest // nil if Body is all
-	large  limit.Hold
+
+	// Lost is how long the attempt was held up before it had a connection, by failures of
+	// this machine, which say nothing of the endpoint.
+	Lost time.Duration
+
+	large limit.Hold
 }
 
 // Release gives back the memory of an answer that is not needed any more, and
@@ -113,7 +118,7 @@
 		return nil, balance.NotSent
 	}
 	deadline := time.Now().Add(timeout)
-	c, result := p.connect(call, name, r.Once, deadline)
+	c, lost, result := p.connect(call, name, r.Once, deadline)
 	if c == nil {
 		return nil, result
 	}
@@ -148,6 +153,9 @@
 		c.SetDeadline(deadline)
 	}
 	a, again, result := c.receive(r, deadline)
+	if a != nil {
+		a.Lost = lost
+	}
 	c.pace = 0
 	if a != nil && a.Rest != nil {
 		call.leave(me)
@@ -164,6 +172,7 @@
 		p.lose(c, result == balance.OK)
 		return a, result
 	}
+	p.hear(c.target)
 	p.giveBack(c)
 	return a, result
 }
@@ -183,45 +192,66 @@
 	c.SetReadDeadline(deadline)
 }
 
-// connect returns a connection to name, or what its lack means.
-func (p *Pool) connect(call *Call, name string, once bool, deadline time.Time) (*conn, balance.Result) {
+// connect returns a connection to name, or what its lack means. lost is how long it was
+// held up by failures of this machine.
+func (p *Pool) connect(call *Call, name string, once bool, deadline time.Time) (c *conn, lost time.Duration, result balance.Result) {
 	if call.Over() {
-		return nil, balance.NotSent
+		return nil, 0, balance.NotSent
 	}
-	got := p.take(name, once)
-	for got.c != nil {
-		if got.rest <= 0 {
-			return got.c, balance.OK
+	var d redial
+	for {
+		got := p.ready(name, once)
+		if got.c != nil {
+			return got.c, d.lost(), balance.OK
+		}
+		if got.t == nil {
+			return nil, 0, balance.NotSent
 		}
+		c, again, result := p.reach(call, got.t, &d, deadline)
+		if !again {
+			return c, d.lost(), result
+		}
+	}
+}
+
+// ready returns a connection to name that may be used now, or what there is instead.
+func (p *Pool) ready(name string, once bool) taken {
+	got := p.take(name, once)
+	for got.c != nil && got.rest > 0 {
 		// An end of the call is seen before anything is sent.
 		if c := p.await(got.c, got.rest, got.fresh); c != nil {
-			return c, balance.OK
+			return taken{c: c, t: got.t}
 		}
 		got = p.take(name, once)
 	}
-	t := got.t
-	if t == nil {
-		return nil, balance.NotSent
-	}
-	// No TCP keep-alive: connections idle for seconds at most.
-	d := net.Dialer{Timeout: p.cfg.DialTimeout, Deadline: deadline, KeepAlive: -1}
+	return got
+}
+
+// reach dials t. If this machine has failed it waits, and tells that t is to be dialled
+// again.
+func (p *Pool) reach(call *Call, t *target, d *redial, deadline time.Time) (c *conn, again bool, result balance.Result) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	me := out{dial: &cancel}
 	if !call.enter(me) {
 		p.forget(t)
-		return nil, balance.NotSent
+		return nil, false, balance.NotSent
 	}
-	nc, err := d.DialContext(ctx, "tcp", t.Address)
-	over := call.leave(me)
+	d.look(p, t)
+	c, err := p.dial(ctx, t, deadline)
 	if err != nil {
-		p.forget(t)
-		if over || shortage(err) {
-			return nil, balance.NotSent
+		if again, result = d.next(p, t, err, deadline); again {
+			again = d.pause(ctx)
 		}
-		return nil, balance.ConnectError
 	}
-	return newConn(nc, t), balance.OK
+	over := call.leave(me)
+	switch {
+	case err == nil:
+		return c, false, balance.OK
+	case over:
+		return nil, false, balance.NotSent
+	}
+	return nil, again, result
 }
 
 // send writes the request. An error means that its last byte did not go out,
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -2,9 +2,7 @@
 
 import (
 	"bufio"
-	"errors"
 	"net"
-	"syscall"
 	"time"
 
 	"gorselink/internal/framing"
@@ -71,14 +69,3 @@
 func (c *conn) quiet() bool {
 	return c.in.Buffered() == 0 && c.look.State() == sock.Quiet
 }
-
-// shortage tells whether dialling failed for want of something on this
-// machine, which says nothing of the endpoint.
-func shortage(err error) bool {
-	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/upstream/spare.go
+++ b/internal/upstream/spare.go
@@ -1,7 +1,7 @@
 package upstream
 
 import (
-	"net"
+	"context"
 	"time"
 )
 
@@ -62,13 +62,10 @@
 	t.open++
 	fresh := make(chan *conn)
 	go func() {
-		d := net.Dialer{Timeout: p.cfg.DialTimeout, KeepAlive: -1}
-		nc, err := d.Dial("tcp", t.Address)
+		c, err := p.dial(context.Background(), t, time.Time{})
 		if err != nil {
-			p.forget(t)
-			return
+			return // the request has a connection that it waits for
 		}
-		c := newConn(nc, t)
 		select {
 		case fresh <- c:
 		default: // nobody waits any more
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -45,6 +45,8 @@
 	// Do return also those from 500 on, with balance.Error. Without it only a
 	// 200 serves, as the platform's protocol says.
 	AnyStatus bool
+
+	Dialer Dialer // opens the connections; nil for a net.Dialer with DialTimeout
 }
 
 // What connections cost an endpoint, and a request, in seconds of one core.
@@ -100,6 +102,9 @@
 	closed  bool
 	unruly  time.Time // until then endpoints are known to send more than they should
 	doubt   time.Time // until then a kept connection may be dead without showing it
+
+	reached   contacts // endpoints that have been connected to, or have answered
+	undialled contacts // endpoints that this machine has failed to dial
 }
 
 // target is an endpoint in one life of its process at one address.
