--- /dev/null
+++ b/internal/clock/uses_test.go
@@ -0,0 +1,128 @@
+package clock
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// root is the folder of the module, as tests run in that of their package.
+const root = "../.."
+
+// wallUses are all places outside of tests that read a wall time, or make one of a number, by
+// file. docs/clocks.md tells of each why it may, and which clock decides there.
+var wallUses = map[string][]string{
+	"internal/clock/clock.go":        {"Round"},
+	"internal/front/http/callers.go": {"Unix"},
+	"internal/load/lane.go":          {"Unix"},
+	"internal/load/runner.go":        {"Unix"},
+	"internal/nodes/file.go":         {"Parse", "UnixMilli"},
+	"internal/pool/age.go":           {"UnixMilli"},
+	"internal/pool/memory.go":        {"UnixMilli", "Wall"},
+	"internal/pool/pool.go":          {"Wall"},
+	"internal/sidecar/sidecar.go":    {"Unix"},
+	"internal/standin/agent.go":      {"UnixMilli"},
+	"internal/trace/trace.go":        {"Parse"},
+	"internal/upstream/call.go":      {"Unix"},
+	"internal/upstream/spool.go":     {"Unix"},
+	"scripts/fleetlog/main.go":       {"Parse"},
+}
+
+// wallNames are the functions and methods that read a wall time or make one.
+var wallNames = []string{
+	"Unix", "UnixMilli", "UnixMicro", "UnixNano", "ModTime", "Wall", "ParseInLocation", "ParseTime",
+	"Date", "Clock", "Weekday", "YearDay", "CLOCK_REALTIME", "CLOCK_REALTIME_COARSE", "Gettimeofday",
+}
+
+// wallUse is the name of what n uses of a wall time, or "".
+func wallUse(n ast.Node) string {
+	switch n := n.(type) {
+	case *ast.CallExpr:
+		f, ok := n.Fun.(*ast.SelectorExpr)
+		if !ok {
+			return ""
+		}
+		of, _ := f.X.(*ast.Ident)
+		ofTime := of != nil && of.Name == "time"
+		switch {
+		case f.Sel.Name == "Round" && len(n.Args) == 1:
+			if a, ok := n.Args[0].(*ast.BasicLit); ok && a.Value == "0" { // strips the monotonic reading
+				return "Round"
+			}
+		case f.Sel.Name == "Parse" && ofTime:
+			return "Parse"
+		case slices.Contains(wallNames, f.Sel.Name):
+			return f.Sel.Name
+		}
+	case *ast.SelectorExpr:
+		if strings.HasPrefix(n.Sel.Name, "CLOCK_") && slices.Contains(wallNames, n.Sel.Name) {
+			return n.Sel.Name
+		}
+	}
+	return ""
+}
+
+// A wall time is read where it is listed and nowhere else: what is a span of time goes by the
+// monotonic clock. Each file that is listed has its row in docs/clocks.md.
+func TestWallTimeIsReadOnlyWhereListed(t *testing.T) {
+	found := map[string][]string{}
+	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case d.IsDir() && path != root && strings.HasPrefix(d.Name(), "."):
+			return filepath.SkipDir
+		case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		name, err := filepath.Rel(root, path)
+		if err != nil {
+			return err
+		}
+		uses := map[string]bool{}
+		ast.Inspect(file, func(n ast.Node) bool {
+			if use := wallUse(n); use != "" {
+				uses[use] = true
+			}
+			return true
+		})
+		if len(uses) > 0 {
+			found[filepath.ToSlash(name)] = slices.Sorted(maps.Keys(uses))
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, uses := range found {
+		for _, use := range uses {
+			if !slices.Contains(wallUses[name], use) {
+				t.Errorf("%s uses %s, which is not listed: a span goes by the monotonic clock", name, use)
+			}
+		}
+	}
+	page, err := os.ReadFile(filepath.Join(root, "docs", "clocks.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name := range wallUses {
+		if found[name] == nil {
+			t.Errorf("%s is listed and reads no wall time", name)
+		}
+		if !strings.Contains(string(page), fmt.Sprintf("`%s`", name)) {
+			t.Errorf("docs/clocks.md has no row for %s", name)
+		}
+	}
+}
