--- a/internal/pool/age.go
+++ b/internal/pool/age.go
@@ -87,7 +87,7 @@
 // hears books what a word of src says of the time before it; the mutex is held. first tells
 // that src has just taken the place of another.
 func (p *Pool) hears(src *source, first bool, l *nodes.List) {
-	if first && (l.Undated != p.undated || !p.sharesNames(l)) {
+	if first && l.Snapshot && (l.Undated != p.undated || !p.sharesNames(l)) {
 		p.heard = never // what another list did not name may have been there for long
 	}
 	if p.heard == never {
--- a/internal/pool/age_test.go
+++ b/internal/pool/age_test.go
@@ -131,6 +131,69 @@
 	}
 }
 
+// A reload names another discovery while endpoints come. What its first word tells of the
+// list that is known is bounded by the last word of the one before; a whole list that names
+// none of the known endpoints is of another service, whose stamps are all there is.
+func TestFreshEndpointInTheFirstWordOfAnotherSource(t *testing.T) {
+	const gap = 700 * time.Millisecond
+	for name, c := range map[string]struct {
+		whole   bool
+		list    []string
+		bounded bool
+	}{
+		"a change":                       {false, []string{"new"}, true},
+		"a change beside a known one":    {false, []string{"a", "new"}, true},
+		"the whole list":                 {true, []string{"a", "b", "new"}, true},
+		"the whole list of another tier": {true, []string{"new"}, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			clocks := clock.NewManual(0)
+			p := newAged(t, clocks, agedConfig(clocks))
+			p.tell(true, stamped("a", 0), stamped("b", 0))
+			clocks.Advance(time.Minute)
+			p.tell(false)
+			heard := p.now()
+			clocks.Advance(gap)
+			next := &source{Source: p.sources[0].Source, number: 2, cancel: func() {}}
+			p.sources = append(p.sources, next)
+			l := nodes.List{Index: p.index + 1, Snapshot: c.whole}
+			for _, name := range c.list {
+				e := stamped(name, 0)
+				if name == "new" {
+					e.SinceMs = ago(clocks.Clock().Wall(), time.Hour)
+				}
+				l.Endpoints = append(l.Endpoints, e)
+			}
+			p.told(next, l)
+			if since := p.sinceOf("new"); (since == heard) != c.bounded || !c.bounded && since > -50*time.Minute {
+				t.Errorf("since %v, last heard at %v, want it bounded: %t", since, heard, c.bounded)
+			}
+		})
+	}
+}
+
+// A source that tells starts takes the place of one that knows none, with the same names.
+// The stamps that it is the first to tell are no restarts.
+func TestStampsAfterAListWithoutThem(t *testing.T) {
+	clocks := clock.NewManual(0)
+	p := newAged(t, clocks, agedConfig(clocks))
+	first := p.sources[0].Source
+	p.sources[0].Source = &nodes.File{}
+	p.told(p.sources[0], entries("127.0.0.1:1", "127.0.0.1:2"))
+	clocks.Advance(time.Minute)
+	p.sources = append(p.sources, &source{Source: first, number: 2, cancel: func() {}})
+	stamp := ago(clocks.Clock().Wall(), time.Hour)
+	p.told(p.sources[1], nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{stamped("127.0.0.1:1", stamp), stamped("127.0.0.1:2", stamp)}})
+	for name, age := range p.agesNow() {
+		if age < 59*time.Minute {
+			t.Errorf("%s counts as %v old, want an hour", name, age)
+		}
+	}
+	if n := len(p.agesNow()); n != 2 {
+		t.Errorf("%d have an age, want 2", n)
+	}
+}
+
 // shares are the parts of all attempts that an endpoint gets in the first second and, in
 // virtual time, after its ramp, from a Balancer that was told what the Pool's was.
 func (a *aged) shares(t *testing.T, name string) (first, after float64) {
