--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -439,8 +439,13 @@
 		u.Time = r.Budget
 		u.Begin = func() bool { return p.detach(r, a) }
 	}
-	left := a.timeout - (p.now() - a.sent) // this goroutine may not have got to run at once
-	up, result := p.conns.Do(&r.call, a.node, &r.Out, left, a)
+	// An instant, as this goroutine may not have got to run at once; and counted from before
+	// the Balancer read the clock, as the process may have been held up after that.
+	deadline := p.start.Add(a.sent + a.timeout)
+	if end := r.taken.Add(r.Budget); end.Before(deadline) {
+		deadline = end
+	}
+	up, result := p.conns.Do(&r.call, a.node, &r.Out, deadline, a)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.detached {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -101,45 +101,40 @@
 type Confirmer interface{ Confirm() bool }
 
 // Do makes one attempt at the endpoint called name and waits for its outcome
-// for as long as timeout. Until its last byte is written, the attempt ends
+// until the deadline. Until its last byte is written, the attempt ends
 // with its call, never having run; then it has afterOver to end. The answer
 // comes with balance.OK and, under Config.AnyStatus, with balance.Error if the
 // endpoint made one.
 //
-// timeout is what is left to the caller as Do is called. The endpoint is told what is left
-// of it as the head is written, after whatever the connection took to come up, and an
-// attempt that is left with nothing to tell is not sent. An Upload has all the time that it
-// comes in; what is left counts from its end, see Upload.Time.
+// The deadline is the caller's, an instant and no span, so that a process that is held up on
+// the way here takes nothing from it. The endpoint is told what is left until then as the head is
+// written, after whatever the connection took to come up, and an attempt that is left with
+// nothing to tell is not sent. An Upload has all the time that it comes in; what is left
+// counts from its end, see Upload.Time.
 //
 // A connection may take its time to come up, and what was right to be sent need not be so
 // any more: unless it is nil, may is asked right before the first byte.
-func (p *Pool) Do(call *Call, name string, r *Request, timeout time.Duration, may Confirmer) (*Answer, balance.Result) {
-	if timeout < leastLeft {
+func (p *Pool) Do(call *Call, name string, r *Request, deadline time.Time, may Confirmer) (*Answer, balance.Result) {
+	if deadline.Sub(p.now()) < leastLeft {
 		return nil, balance.NotSent
 	}
-	deadline := time.Now().Add(timeout)
 	c, lost, result := p.connect(call, name, r.Once, deadline)
 	if c == nil {
 		return nil, result
 	}
-	if may != nil && !may.Confirm() {
-		p.giveBack(c)
-		return nil, balance.NotSent
-	}
 	c.SetDeadline(deadline)
 	me := out{c: c, deadline: deadline}
 	if !call.enter(me) {
 		p.giveBack(c)
 		return nil, balance.NotSent
 	}
-	sent := time.Now()
-	left := r.left(deadline.Sub(sent))
-	if left < leastLeft {
+	sent, left := c.prepare(call, r, deadline, may)
+	if left == 0 {
 		call.leave(me)
 		p.giveBack(c)
 		return nil, balance.NotSent
 	}
-	if err := c.send(call, r, left); err != nil {
+	if err := c.send(call, r); err != nil {
 		result := balance.NotSent
 		if !errors.Is(err, errUpload) {
 			result = c.unsent(call)
@@ -233,7 +228,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	me := out{dial: &cancel}
-	if !call.enter(me) {
+	// A dial that has no time from its beginning would be taken for one that has failed.
+	if time.Until(deadline) < leastLeft || !call.enter(me) {
 		p.forget(t)
 		return nil, false, balance.NotSent
 	}
@@ -254,10 +250,40 @@
 	return nil, again, result
 }
 
-// send writes the request. An error means that its last byte did not go out,
-// so that the endpoint has not begun it.
-func (c *conn) send(call *Call, r *Request, left time.Duration) error {
-	c.out = c.encode(c.out[:0], r, left)
+const (
+	// stall is how long the process has been held up at the least that is looked into: from
+	// the clock to the write there is the work of some microseconds.
+	stall = 5 * time.Millisecond
+	// mostLooks bounds how often that is done. A process that is held up each time is so
+	// before the write as well, whatever it looks at.
+	mostLooks = 3
+)
+
+// prepare makes the head of r ready, and tells when it was and how much time it tells the
+// endpoint; none if r is not to be sent. The process may be held up between any two steps:
+// then what the clock and may have said is old, and both are asked again.
+func (c *conn) prepare(call *Call, r *Request, deadline time.Time, may Confirmer) (at time.Time, left time.Duration) {
+	for range mostLooks {
+		began := c.target.pool.now()
+		if may != nil && !may.Confirm() || call.Over() {
+			return began, 0
+		}
+		at = c.target.pool.now()
+		left = r.left(deadline.Sub(at))
+		if left < leastLeft {
+			return at, 0
+		}
+		c.out = c.encode(c.out[:0], r, left)
+		if c.target.pool.now().Sub(began) < stall {
+			break
+		}
+	}
+	return at, left
+}
+
+// send writes the request, whose head is ready. An error means that its last byte did not
+// go out, so that the endpoint has not begun it.
+func (c *conn) send(call *Call, r *Request) error {
 	if r.Upload != nil {
 		return c.upload(call, c.out, r.Upload)
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -62,7 +62,7 @@
 }
 
 func send(p *Pool, timeout time.Duration) (*Answer, balance.Result) {
-	return p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/x", Host: "x"}, timeout, nil)
+	return p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/x", Host: "x"}, time.Now().Add(timeout), nil)
 }
 
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
@@ -183,7 +183,7 @@
 	call := new(Call)
 	ended := make(chan balance.Result)
 	go func() {
-		_, result := p.Do(call, "s-1", &Request{Method: "GET", URI: "/x", Host: "x"}, 10*patience, nil)
+		_, result := p.Do(call, "s-1", &Request{Method: "GET", URI: "/x", Host: "x"}, time.Now().Add(10*patience), nil)
 		ended <- result
 	}()
 	for end := time.Now().Add(patience); p.Open() == 0 && time.Now().Before(end); {
@@ -221,7 +221,7 @@
 		t.Helper()
 		time.Sleep(2 * restless)
 		r := &Request{Method: "GET", URI: "/x", Host: "x", Once: once}
-		if _, result := p.Do(new(Call), "s-1", r, patience, nil); result != want {
+		if _, result := p.Do(new(Call), "s-1", r, time.Now().Add(patience), nil); result != want {
 			t.Fatalf("result %v, want %v", result, want)
 		}
 		if n := conns(); n != total {
@@ -304,7 +304,7 @@
 	} {
 		p, _ := script(t, func(nc net.Conn, n int) { fmt.Fprint(nc, c.text) })
 		p.cfg.AnyStatus = true
-		a, result := p.Do(new(Call), "s-1", &Request{Method: c.method, URI: "/", Host: "x"}, patience, nil)
+		a, result := p.Do(new(Call), "s-1", &Request{Method: c.method, URI: "/", Host: "x"}, time.Now().Add(patience), nil)
 		status, body := 0, ""
 		if a != nil {
 			status, body = a.Status, string(a.Body)
--- a/internal/upstream/spare_test.go
+++ b/internal/upstream/spare_test.go
@@ -37,7 +37,7 @@
 			waits := int64(0)
 			for i := range 150 {
 				before := p.waits.Load()
-				a, result := p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/", Host: "x"}, patience, nil)
+				a, result := p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/", Host: "x"}, time.Now().Add(patience), nil)
 				if result != balance.OK {
 					t.Fatalf("%v", result)
 				}
@@ -84,7 +84,7 @@
 				for range n {
 					time.Sleep(time.Until(next))
 					all.Go(func() {
-						a, result := p.Do(new(Call), fmt.Sprint(rand.IntN(nodes)), &Request{Method: "GET", URI: "/", Host: "x"}, patience, nil)
+						a, result := p.Do(new(Call), fmt.Sprint(rand.IntN(nodes)), &Request{Method: "GET", URI: "/", Host: "x"}, time.Now().Add(patience), nil)
 						if result != balance.OK {
 							b.Errorf("%v", result)
 							return
--- a/internal/upstream/told_test.go
+++ b/internal/upstream/told_test.go
@@ -34,7 +34,7 @@
 	p.Set("s-1", Target{Address: srv.Listener.Addr().String()})
 	ask := func(timeout time.Duration, r *Request, may Confirmer) balance.Result {
 		r.Method, r.URI, r.Host = "POST", "/", "x"
-		a, result := p.Do(new(Call), "s-1", r, timeout, may)
+		a, result := p.Do(new(Call), "s-1", r, time.Now().Add(timeout), may)
 		if a != nil {
 			a.Release()
 		}
@@ -80,7 +80,7 @@
 			p.Set("s-1", Target{Address: srv.Listener.Addr().String()})
 			for i := range 3 { // the second and third on the connection of the first
 				began := time.Now()
-				a, result := p.Do(new(Call), "s-1", &Request{Method: "POST", URI: "/", Host: "x", Once: once}, patience, confirmer(held))
+				a, result := p.Do(new(Call), "s-1", &Request{Method: "POST", URI: "/", Host: "x", Once: once}, time.Now().Add(patience), confirmer(held))
 				if result != balance.OK {
 					t.Fatalf("%v", result)
 				}
--- a/internal/upstream/twice_test.go
+++ b/internal/upstream/twice_test.go
@@ -44,7 +44,7 @@
 	p.Set("s-1", Target{Address: l.Addr().String()})
 	for i := range 15 {
 		path := fmt.Sprintf("/%04d", i)
-		a, result := p.Do(new(Call), "s-1", &Request{Method: "GET", URI: path, Host: "x"}, patience, nil)
+		a, result := p.Do(new(Call), "s-1", &Request{Method: "GET", URI: path, Host: "x"}, time.Now().Add(patience), nil)
 		if result != balance.OK || string(a.Body) != path {
 			t.Fatalf("request %d: %v, answer %q, want %q", i, result, a.Body, path)
 		}
@@ -84,7 +84,7 @@
 	p.Set("s-1", Target{Address: l.Addr().String()})
 	ask := func() {
 		t.Helper()
-		a, result := p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/", Host: "x"}, patience, nil)
+		a, result := p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/", Host: "x"}, time.Now().Add(patience), nil)
 		if result != balance.OK {
 			t.Fatalf("%v", result)
 		}
@@ -134,7 +134,7 @@
 	p.Set("s-1", Target{Address: l.Addr().String()})
 	ask := func() string {
 		t.Helper()
-		a, result := p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/", Host: "x"}, patience, nil)
+		a, result := p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/", Host: "x"}, time.Now().Add(patience), nil)
 		if result != balance.OK {
 			t.Fatalf("%v", result)
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -91,6 +91,7 @@
 // time; the one used last is used first, so that those not needed go idle.
 type Pool struct {
 	cfg    Config
+	now    func() time.Time // the clock that endpoints are told by
 	large  limit.Bytes
 	chunks chunks // of what is read ahead
 
@@ -125,7 +126,7 @@
 	if cfg.AnswerTime == 0 {
 		cfg.AnswerTime = answerTime
 	}
-	p := &Pool{cfg: cfg, targets: map[string]*target{}}
+	p := &Pool{cfg: cfg, now: time.Now, targets: map[string]*target{}}
 	p.large.Set(cfg.LargeBytes)
 	return p
 }
