--- a/internal/sock/look.go
+++ b/internal/sock/look.go
@@ -28,11 +28,8 @@
 // Waiting tells whether bytes of c wait to be read. It may be called beside a reader
 // and whatever the read deadline, and costs an allocation.
 func Waiting(c net.Conn) bool {
-	var b [1]byte
 	n := 0
-	control(c, func(fd int) {
-		n, _, _ = syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	})
+	control(c, func(fd int) { n, _ = peek(fd) })
 	return n > 0
 }
 
@@ -40,13 +37,49 @@
 // before that still to be read. It may be called beside a reader.
 func Left(c net.Conn) (left bool) {
 	control(c, func(fd int) {
-		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(p, 0)
-		left = err == nil && n == 1 && p[0].Revents&unix.POLLRDHUP != 0
+		events, err := poll(fd, unix.POLLRDHUP)
+		left = err == nil && events&unix.POLLRDHUP != 0
 	})
 	return left
 }
 
+// The calls that this package makes itself; tests make them fail.
+var (
+	recvfrom = peekOnce
+	pollCall = pollOnce
+)
+
+// peek looks for a byte that has come on the socket fd. A signal that interrupts it is no
+// answer, and the call is made again.
+func peek(fd int) (int, error) {
+	for {
+		if n, err := recvfrom(fd); err != syscall.EINTR {
+			return n, err
+		}
+	}
+}
+
+func peekOnce(fd int) (int, error) {
+	var b [1]byte
+	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	return n, err
+}
+
+// poll tells which events there are on fd, without a wait. It makes the call again like peek.
+func poll(fd int, events int16) (int16, error) {
+	for {
+		if got, err := pollCall(fd, events); err != syscall.EINTR {
+			return got, err
+		}
+	}
+}
+
+func pollOnce(fd int, events int16) (int16, error) {
+	p := [1]unix.PollFd{{Fd: int32(fd), Events: events}}
+	_, err := unix.Poll(p[:], 0)
+	return p[0].Revents, err
+}
+
 // control calls f with the descriptor of c, if it is a socket that is open.
 func control(c net.Conn, f func(fd int)) {
 	if sys, ok := c.(syscall.Conn); ok {
@@ -63,8 +96,7 @@
 		l.raw, _ = sys.SyscallConn() // nil if there is none
 	}
 	l.peek = func(fd uintptr) bool {
-		var b [1]byte
-		switch n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); {
+		switch n, err := peek(int(fd)); {
 		case err == syscall.EAGAIN:
 			l.state = Quiet
 		case err == nil && n > 0:
