--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -136,7 +136,7 @@
 	}
 	if err := c.send(call, r); err != nil {
 		result := balance.NotSent
-		if !errors.Is(err, errUpload) {
+		if !errors.Is(err, errUpload) && faultOf(err) != ofMachine {
 			result = c.unsent(call)
 		}
 		call.leave(me)
