--- a/scripts/faultinject/main.go
+++ b/scripts/faultinject/main.go
@@ -52,9 +52,10 @@
 	span := flag.Duration("for", 5*time.Second, "how long clients ask, for each error")
 	clients := flag.Int("clients", 40, "clients that ask at once")
 	only := flag.String("call", "", "one of accept4, connect, socket; empty for all")
+	when := flag.String("when", "", "which invocations fail, as strace has it; empty for the usual ones of each call")
 	flag.Parse()
 	if flag.NArg() != 1 || *span <= 0 || *clients < 1 {
-		fmt.Fprintln(os.Stderr, "usage: faultinject [-for time] [-clients n] [-call name] PROGRAM")
+		fmt.Fprintln(os.Stderr, "usage: faultinject [-for time] [-clients n] [-call name] [-when invocations] PROGRAM")
 		os.Exit(2)
 	}
 	fmt.Println("| call | error | injected | requests | lost | GETs refused or failed | POSTs refused or failed | POSTs run twice | longest | verdict |")
@@ -64,6 +65,9 @@
 		if *only != "" && *only != f.call {
 			continue
 		}
+		if *when != "" {
+			f.when = *when
+		}
 		for _, errno := range strings.Fields(f.errnos) {
 			seen, err := trial(flag.Arg(0), f.call, f.when, errno, *span, *clients)
 			if err != nil {
