--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -152,9 +152,9 @@
 	if c.resumed {
 		wait, until = idle, c.born.Add(times.Idle)
 	}
-	for c.await(wait, until) {
-		if wait != unproven {
-			end = time.Now().Add(times.Request)
+	for first := true; c.await(wait, until); first = false {
+		if !first || c.resumed {
+			end = time.Now().Add(times.Request) // from its first byte on, also behind what was not served
 		}
 		served, goesOn := c.one(end)
 		if !goesOn {
@@ -169,7 +169,6 @@
 		if wait == idle {
 			until = time.Now().Add(times.Idle)
 		}
-		end = time.Now().Add(times.Hello + times.Request)
 	}
 }
 
