--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -493,7 +493,6 @@
 // behind more than the buffer of the connection holds does not show before they are read.
 // They are dropped here, as who watches for the end may not have got to run.
 func (c *caller) leftBehind() bool {
-	c.early.Store(true)
 	for range earlyRounds {
 		dropped, out := c.dropEarly()
 		if !out || c.peer.State() == sock.Ended {
@@ -517,7 +516,10 @@
 	}
 	buf := scratch.Get().(*[]byte)
 	defer scratch.Put(buf)
-	return sock.Drop(c.conn, *buf), true
+	if dropped = sock.Drop(c.conn, *buf); dropped > 0 {
+		c.early.Store(true)
+	}
+	return dropped, true
 }
 
 // setOut tells whether a request is out whose body has come whole.
