--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -185,6 +185,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recallAges(cfg.Ages)
+	p.cfg.Ages = nil // not to be held for the life of the Pool
 	p.update(balance.Cached, cfg.Known)
 	return p, nil
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -139,6 +139,7 @@
 	}
 	dir := s.folder()
 	var was handed
+	var ages *pool.Ages // of cfg.Known
 	if dir != "" {
 		if s.before, s.listener, err = fleet.TakeOver(dir, &was); err != nil {
 			slog.Warn("the process before is not heard", "error", err)
@@ -150,6 +151,7 @@
 		}
 	} else if len(was.Nodes) > 0 {
 		cfg.Known.Endpoints = was.Nodes // as new as what the old process goes by
+		ages = was.Memory.Ages
 	}
 	defer s.listener.Close()
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
@@ -173,7 +175,7 @@
 		Known:   cfg.Known,
 		Source:  begin,
 		Limits:  bodyLimits(s.memory()),
-		Ages:    was.Memory.Ages,
+		Ages:    ages,
 	}, s.up)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
