--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -10,6 +10,7 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"syscall"
 )
 
 // FS is what durable files are made with. OS is the real one.
@@ -63,13 +64,37 @@
 // Remove implements FS.
 func (OS) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir implements FS.
+// SyncDir implements FS. Some file systems know no sync of a folder and say that the call
+// makes no sense; with those there is nothing more to do.
 func (OS) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(f.Sync(), f.Close())
+	err = f.Sync()
+	if errors.Is(err, syscall.EINVAL) {
+		err = nil
+	}
+	return errors.Join(err, f.Close())
+}
+
+// MakeDir makes a folder whose name is on the disk once it returns nil, with the folders
+// above it. A folder above that this process may not read is somebody else's, who has to
+// see to its names.
+func MakeDir(fsys FS, dir string, perm fs.FileMode) error {
+	above := filepath.Dir(dir)
+	if _, err := fsys.Names(above); errors.Is(err, fs.ErrNotExist) && above != dir {
+		if err := MakeDir(fsys, above, perm); err != nil {
+			return err
+		}
+	}
+	if err := fsys.MkdirAll(dir, perm); err != nil {
+		return err
+	}
+	if err := fsys.SyncDir(above); !errors.Is(err, fs.ErrPermission) {
+		return err
+	}
+	return nil
 }
 
 // Touch makes an empty file that is on the disk once Touch returns nil. One that is there
--- a/internal/fleet/marks.go
+++ b/internal/fleet/marks.go
@@ -158,15 +158,15 @@
 // than the folder that it is in. One that was there and is gone is not made again,
 // as an empty one would take back all that was said.
 func (m *Marks) root() error {
-	if !m.listed {
-		if err := m.disk.MkdirAll(m.dir, 0o700); err != nil {
-			return err
-		}
-	}
 	if m.rooted {
 		return nil
 	}
-	if err := m.disk.SyncDir(filepath.Dir(m.dir)); err != nil {
+	if m.listed {
+		if _, err := m.disk.Names(m.dir); err != nil {
+			return err
+		}
+	}
+	if err := durable.MakeDir(m.disk, m.dir, 0o700); err != nil {
 		return err
 	}
 	m.rooted = true
--- a/internal/nodes/durable_test.go
+++ b/internal/nodes/durable_test.go
@@ -128,6 +128,21 @@
 	}
 }
 
+// What is broken in one way after another is no reason to take the next thing unsettled.
+func TestBrokenFilesDoNotHurryTheNext(t *testing.T) {
+	f := nodeFile(t, "127.0.0.1:1\n")
+	for i := range 2 * mostUnsettled {
+		write(t, f, strings.Repeat("nonsense ", i+1))
+		if _, found, err := settled(f); found == changed || err == nil {
+			t.Fatalf("nonsense: %v, %v", found, err)
+		}
+	}
+	write(t, f, "127.0.0.1:2\n")
+	if list, found, err := f.look(); found != unsettled || err != nil {
+		t.Errorf("told at the first look: %v, %v, %v", addresses(list), found, err)
+	}
+}
+
 // A change is seen whatever the file's date is, of the same size too.
 func TestFileIsSeenWhateverTheDate(t *testing.T) {
 	f := nodeFile(t, "127.0.0.1:1000\n")
--- a/internal/voter/node.go
+++ b/internal/voter/node.go
@@ -50,6 +50,8 @@
 	writePatience = 10 * time.Second
 	redialLeast   = 50 * time.Millisecond
 	redialMost    = time.Second
+	rewriteLeast  = 50 * time.Millisecond
+	rewriteMost   = time.Second
 )
 
 func (c *Config) check() error {
@@ -82,6 +84,7 @@
 	done chan struct{}
 
 	raw      *raft.RawNode
+	stall    *stall // not nil while the log cannot be written
 	conf     *raftpb.ConfState
 	state    lease.State
 	applied  uint64
@@ -123,6 +126,11 @@
 	if err != nil {
 		return nil, err
 	}
+	return newNode(cfg, d)
+}
+
+// newNode makes a voter of its log, which it closes if it fails.
+func newNode(cfg Config, d *disk) (*Node, error) {
 	n := &Node{
 		cfg: cfg, log: cfg.Log, disk: d, work: make(chan func(), mostBatch), done: make(chan struct{}), nonce: rand.Uint64(),
 		waiting: map[uint64]waiting{}, watchers: map[string]map[*session]bool{}, sessions: map[*session]bool{}, peers: map[uint64]chan *raftpb.Message{},
@@ -165,8 +173,17 @@
 	return nil
 }
 
-// Run votes until ctx ends or the disk fails: a voter that cannot write what it promises
-// must not promise.
+// stall is the state of a voter that could not write what it was to promise. It promises
+// nothing: it neither votes nor leads nor takes entries, and tells clients to go to others.
+// To these it is as one that has stopped.
+type stall struct {
+	ready raft.Ready // what has to be written before anything else happens
+	wait  time.Duration
+	again <-chan time.Time
+}
+
+// Run votes until ctx ends. While the log cannot be written it promises nothing, and tries
+// again.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -198,8 +215,11 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			n.raw.Tick()
-			n.expire()
+			n.tick()
+		case <-n.again():
+			if err := n.resume(); err != nil {
+				return err
+			}
 		case f := <-n.work:
 			f()
 		}
@@ -226,47 +246,110 @@
 	}
 }
 
+// ready does what the engine has ready, unless the log cannot be written.
 func (n *Node) ready() error {
-	for n.raw.HasReady() {
+	for n.stall == nil && n.raw.HasReady() {
 		rd := n.raw.Ready()
 		if err := n.disk.save(&rd); err != nil {
-			return err
-		}
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := n.restore(rd.Snapshot); err != nil {
-				return err
-			}
-			n.log.Info("lease state taken from a snapshot", "index", n.applied)
-		}
-		if rd.SoftState != nil {
-			if rd.SoftState.RaftState != raft.StateLeader && n.keeper != nil {
-				n.keeper = nil
-				n.abandon()
-			}
-			n.log.Info("quorum", "leader", rd.SoftState.Lead, "own", n.cfg.ID, "state", rd.SoftState.RaftState.String())
+			n.log.Error("the log cannot be written: this voter promises nothing until it can", "error", err)
+			n.stall = &stall{ready: rd}
+			n.stall.later()
+			n.abandon()
+			return nil
 		}
-		for _, m := range rd.Messages {
-			select {
-			case n.peers[m.GetTo()] <- m:
-			default: // the engine sends again what matters
-				n.raw.ReportUnreachable(m.GetTo())
-			}
+		if err := n.carryOut(rd); err != nil {
+			return err
 		}
-		for _, e := range rd.CommittedEntries {
-			n.apply(e)
+	}
+	if n.stall == nil && n.applied-n.snapshot >= snapshotEvery {
+		return n.compact()
+	}
+	return nil
+}
+
+// later sets when to try again: later each time, and not with other voters of the machine.
+func (s *stall) later() {
+	s.wait = min(max(rewriteLeast, 2*s.wait), rewriteMost)
+	s.again = time.After(s.wait/2 + time.Duration(rand.Int64N(int64(s.wait))))
+}
+
+// again is when to try to write once more.
+func (n *Node) again() <-chan time.Time {
+	if n.stall == nil {
+		return nil
+	}
+	return n.stall.again
+}
+
+// resume tries to write what is owed, and goes on from there.
+func (n *Node) resume() error {
+	s := n.stall
+	if err := n.disk.save(&s.ready); err != nil {
+		n.log.Debug("the log still cannot be written", "error", err)
+		s.later()
+		return nil
+	}
+	n.log.Info("the log is written again")
+	n.stall = nil
+	return n.carryOut(s.ready)
+}
+
+// tick lets the engine's time go on. For one that is stalled it stands still.
+func (n *Node) tick() {
+	if n.stall == nil {
+		n.raw.Tick()
+		n.expire()
+	}
+}
+
+// step hands the engine a message of another voter. One that cannot promise is deaf: what
+// it may be told again later needs no room now.
+func (n *Node) step(m *raftpb.Message) {
+	if n.stall == nil {
+		n.raw.Step(m)
+	}
+}
+
+// compact makes a snapshot of the state. It is no promise, so that a failure holds up
+// nothing.
+func (n *Node) compact() error {
+	text, err := n.state.Snapshot()
+	if err != nil {
+		return err
+	}
+	if err := n.disk.compact(n.applied, n.conf, text, snapshotKeep); err != nil {
+		n.log.Error("the log is not shortened", "error", err)
+	}
+	n.snapshot = n.applied
+	return nil
+}
+
+// carryOut does what has been written: it sends, applies and answers.
+func (n *Node) carryOut(rd raft.Ready) error {
+	if !raft.IsEmptySnap(rd.Snapshot) {
+		if err := n.restore(rd.Snapshot); err != nil {
+			return err
 		}
-		n.raw.Advance(rd)
+		n.log.Info("lease state taken from a snapshot", "index", n.applied)
 	}
-	if n.applied-n.snapshot >= snapshotEvery {
-		text, err := n.state.Snapshot()
-		if err == nil {
-			err = n.disk.compact(n.applied, n.conf, text, snapshotKeep)
+	if rd.SoftState != nil {
+		if rd.SoftState.RaftState != raft.StateLeader && n.keeper != nil {
+			n.keeper = nil
+			n.abandon()
 		}
-		if err != nil {
-			return err
+		n.log.Info("quorum", "leader", rd.SoftState.Lead, "own", n.cfg.ID, "state", rd.SoftState.RaftState.String())
+	}
+	for _, m := range rd.Messages {
+		select {
+		case n.peers[m.GetTo()] <- m:
+		default: // the engine sends again what matters
+			n.raw.ReportUnreachable(m.GetTo())
 		}
-		n.snapshot = n.applied
 	}
+	for _, e := range rd.CommittedEntries {
+		n.apply(e)
+	}
+	n.raw.Advance(rd)
 	return nil
 }
 
@@ -359,7 +442,7 @@
 		}})
 		return
 	}
-	if n.keeper == nil { // also a leader that has not yet applied all of before
+	if n.keeper == nil || n.stall != nil { // also a leader that has not yet applied all of before
 		s.tell(quorum.FrameAnswer, n.notLeader(a.Number))
 		return
 	}
@@ -515,7 +598,7 @@
 			n.log.Warn("a message that is not one of that voter", "voter", from)
 			return
 		}
-		if !n.do(func() { n.raw.Step(m) }) {
+		if !n.do(func() { n.step(m) }) {
 			return
 		}
 	}
