--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -5,9 +5,11 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
+	"reflect"
 	"sync"
 	"syscall"
 	"time"
@@ -38,8 +40,16 @@
 	mostPart  = 32 << 10
 	mostState = 4 << 20
 	mostAhead = 16 << 10 // bytes of a connection that have been read already
+
+	// awaitLeast and awaitMost bound the wait before another try to be found by the
+	// next process.
+	awaitLeast = 50 * time.Millisecond
+	awaitMost  = 5 * time.Second
 )
 
+// errTorn tells of a message of which something was lost on the way.
+var errTorn = errors.New("handover: a message is cut off, or there was no room for its descriptor")
+
 // Link connects two processes of one sidecar while the new one takes the place
 // of the old one. Either of them sees the other's end as the end of the Link.
 type Link struct {
@@ -86,7 +96,7 @@
 // receive reads one message.
 func (l *Link) receive(buf []byte) (kind byte, text []byte, about *os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
-	n, oobn, _, _, err := l.conn.ReadMsgUnix(buf, oob)
+	n, oobn, flags, _, err := l.conn.ReadMsgUnix(buf, oob)
 	if err != nil {
 		return 0, nil, nil, err
 	}
@@ -98,6 +108,12 @@
 	if n == 0 {
 		return 0, nil, about, io.ErrUnexpectedEOF
 	}
+	if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
+		if about != nil {
+			about.Close()
+		}
+		return 0, nil, nil, errTorn
+	}
 	return buf[0], buf[1:n], about, nil
 }
 
@@ -145,6 +161,10 @@
 	buf := make([]byte, mostAhead+1)
 	for {
 		kind, ahead, f, err := l.receive(buf)
+		if errors.Is(err, errTorn) { // one connection is lost; the others come
+			slog.Error("a connection of the process before is lost", "error", err)
+			continue
+		}
 		if err != nil {
 			return
 		}
@@ -160,7 +180,8 @@
 }
 
 // TakeOver asks the process that serves in the folder dir for its listener and
-// its state, which must be JSON for state. The Link is nil if there is none.
+// its state, which must be JSON for what state points to. The Link is nil if there
+// is none. After an error state is as before, and the old process serves on.
 func TakeOver(dir string, state any) (*Link, net.Listener, error) {
 	c, err := net.DialTimeout("unixpacket", filepath.Join(dir, socketName), helloTime)
 	if err != nil {
@@ -193,31 +214,74 @@
 		if kind == partMark && f == nil && len(text) <= mostState {
 			continue
 		}
-		if kind != stateMark || f == nil {
-			return nil, fmt.Errorf("message %q, want a state with a listener", kind)
+		if f == nil {
+			return nil, fmt.Errorf("message %q without a descriptor, want a state with a listener", kind)
 		}
 		defer f.Close()
-		if err := json.Unmarshal(text, state); err != nil {
-			return nil, err
+		if kind != stateMark {
+			return nil, fmt.Errorf("message %q, want a state with a listener", kind)
 		}
-		return net.FileListener(f)
+		return adopt(text, state, f)
 	}
 }
 
+// adopt takes up a state and its listener, or nothing of both: half of a state is
+// worth less than none.
+func adopt(text []byte, state any, f *os.File) (net.Listener, error) {
+	into := reflect.ValueOf(state).Elem()
+	whole := reflect.New(into.Type())
+	if err := json.Unmarshal(text, whole.Interface()); err != nil {
+		return nil, err
+	}
+	listener, err := net.FileListener(f)
+	if err != nil {
+		return nil, err
+	}
+	into.Set(whole.Elem())
+	return listener, nil
+}
+
 // Successors takes in the processes that are to take this one's place.
 type Successors struct {
-	l net.Listener
+	l net.Listener // of the one goroutine that serves, once it is set
+
+	mu     sync.Mutex
+	closed bool
+	done   chan struct{}
 }
 
 // AwaitSuccessor makes this process the one that is found in the folder dir.
 // Each new process is given the listener and the state, one at a time; ready is
-// called once it serves, and Done of the Link tells if it ends again.
+// called once it serves, and Done of the Link tells if it ends again. While the
+// folder does not take the socket, the process that was found there stays so, and
+// this one tries again.
 func AwaitSuccessor(dir string, listener net.Listener, state func() any, begins, ready func(*Link)) (*Successors, error) {
 	about, ok := listener.(syscall.Conn)
 	if !ok {
 		return nil, errors.New("handover: the listener is no socket")
 	}
 	path := filepath.Join(dir, socketName)
+	l, err := found(path)
+	if errors.Is(err, syscall.EINVAL) { // a path that is too long stays so
+		return nil, err
+	}
+	s := &Successors{done: make(chan struct{})}
+	if err == nil {
+		s.hold(l)
+		go s.serve(about, state, begins, ready)
+		return s, nil
+	}
+	slog.Warn("no other process can take this one's place yet", "error", err)
+	go func() {
+		if s.retry(path) {
+			s.serve(about, state, begins, ready)
+		}
+	}()
+	return s, nil
+}
+
+// found listens at a path, in the place of what was there.
+func found(path string) (*net.UnixListener, error) {
 	// Beside it first: the old process is found there until the new one is.
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(fresh)
@@ -228,15 +292,52 @@
 	l.SetUnlinkOnClose(false) // what is found there may be the next process
 	if err := os.Rename(fresh, path); err != nil {
 		l.Close()
+		os.Remove(fresh)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	s := &Successors{l: acceptloop.Wrap(l)}
-	go s.serve(about, state, begins, ready)
-	return s, nil
+	return l, nil
+}
+
+// retry tries to be found until it is; false if that is not wanted any more.
+func (s *Successors) retry(path string) bool {
+	for wait := awaitLeast; ; wait = min(2*wait, awaitMost) {
+		select {
+		case <-s.done:
+			return false
+		case <-time.After(wait):
+		}
+		if l, err := found(path); err == nil {
+			slog.Info("another process can take this one's place now")
+			return s.hold(l)
+		}
+	}
+}
+
+// hold keeps the listener; false if it is not wanted any more.
+func (s *Successors) hold(l net.Listener) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		l.Close()
+		return false
+	}
+	s.l = acceptloop.Wrap(l)
+	return true
 }
 
 // Close ends the waiting for a successor.
-func (s *Successors) Close() { s.l.Close() }
+func (s *Successors) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return
+	}
+	s.closed = true
+	close(s.done)
+	if s.l != nil {
+		s.l.Close()
+	}
+}
 
 func (s *Successors) serve(about syscall.Conn, state func() any, begins, ready func(*Link)) {
 	for {
