--- a/cmd/gorselink/lease.go
+++ b/cmd/gorselink/lease.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"gorselink/internal/config"
+	"gorselink/internal/durable"
 	"gorselink/internal/quorum"
 	"gorselink/lease"
 )
@@ -74,6 +75,8 @@
 // exitLost is the exit code where the lease was lost while the program ran.
 const exitLost = 6
 
+var errLost = coded{errors.New("gorselink: lease run: the lease was lost"), exitLost}
+
 // Run runs the program whenever the lease is held.
 func (c *leaseRun) Run(s *shell, parent *leaseCommand) error {
 	if len(c.Cmd) > 0 && c.Cmd[0] == "--" {
@@ -100,9 +103,12 @@
 	defer cancel()
 	var result atomic.Pointer[error]
 	cl.Hold(ctx, cfg, func(ctx context.Context, g *quorum.Grant) {
-		stop, err := c.audit(g)
+		stop, err := c.audit(s, g)
 		if err == nil {
-			err = c.child(ctx, s, g)
+			err = errLost // the disk may have taken longer than the claim lasts
+			if ctx.Err() == nil {
+				err = c.child(ctx, s, g)
+			}
 			stop()
 		}
 		if c.Once || s.ctx.Err() != nil {
@@ -116,44 +122,24 @@
 	return nil
 }
 
-// audit writes the claim down while it is held, and its end once stop is called.
-func (c *leaseRun) audit(g *quorum.Grant) (stop func(), err error) {
+// audit writes the claim down while it is held, and its end once stop is called. After an
+// error the program must not run: its claim would be missing.
+func (c *leaseRun) audit(s *shell, g *quorum.Grant) (stop func(), err error) {
 	if c.Claims == "" {
 		return func() {}, nil
 	}
-	f, err := os.OpenFile(c.Claims, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		return nil, fmt.Errorf("gorselink: lease run: %w", err)
+	all := &claims{disk: durable.OS{}, path: c.Claims, lease: c.Name, epoch: g.Epoch, until: g.Until, err: s.err}
+	if err := all.begin(); err != nil {
+		err = fmt.Errorf("gorselink: lease run: claims: %w", err)
+		fmt.Fprintln(s.err, err)
+		return nil, err
 	}
-	pid := os.Getpid()
-	line := func(what string) {
-		until, held := g.Until()
-		now := quorum.Now()
-		if !held {
-			now = min(now, until)
-		}
-		fmt.Fprintf(f, "%s %s %d %d %d %d\n", what, c.Name, pid, g.Epoch, now, until)
-	}
-	line("begin")
-	end, done := make(chan struct{}), make(chan struct{})
+	over, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		tick := time.NewTicker(20 * time.Millisecond)
-		defer tick.Stop()
-		for {
-			select {
-			case <-end:
-				line("end")
-				f.Close()
-				return
-			case <-tick.C:
-				if _, held := g.Until(); held {
-					line("held")
-				}
-			}
-		}
+		all.follow(over)
 	}()
-	return func() { close(end); <-done }, nil
+	return func() { close(over); <-done }, nil
 }
 
 // child runs the program once, from the lease being held to its end or the program's.
@@ -188,7 +174,7 @@
 	if s.ctx.Err() != nil {
 		return nil // told to end
 	}
-	return coded{errors.New("gorselink: lease run: the lease was lost"), exitLost}
+	return errLost
 }
 
 // exitOf passes a program's exit code on.
