--- a/internal/fleet/durable_test.go
+++ b/internal/fleet/durable_test.go
@@ -4,9 +4,12 @@
 	"errors"
 	"fmt"
 	"maps"
+	"net/http"
+	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -312,3 +315,49 @@
 		}
 	}
 }
+
+// markedOnly is a sidecar of which there are the marks alone.
+type markedOnly struct{ *Marks }
+
+func (markedOnly) Ready() bool        { return true }
+func (markedOnly) Listed(string) bool { return true }
+
+// The console says yes to what will be found after a loss of power in that moment, and no
+// to what failed and holds nowhere.
+func TestConsoleSaysYesToWhatIsOnTheDisk(t *testing.T) {
+	for _, c := range []struct {
+		path, body string
+		before     func(*Marks) error
+		want       Said
+	}{
+		{"/drain", "", first, words[0].want},
+		{"/undrain", "", drain, words[2].want},
+		{"/endpoints/disable", `{"target":"a/b"}`, first, words[3].want},
+		{"/endpoints/enable", `{"target":"a/b"}`, disable, words[4].want},
+	} {
+		disk, m := begun(t, word{before: c.before})
+		was := m.Said()
+		door := NewConsole(markedOnly{m}).Handler
+		post := func() *httptest.ResponseRecorder {
+			answer := httptest.NewRecorder()
+			door.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, c.path, strings.NewReader(c.body)))
+			return answer
+		}
+		disk.Fault(func(s durabletest.Step) error {
+			if s.Op == "syncdir" {
+				return syscall.EIO
+			}
+			return nil
+		})
+		if a := post(); a.Code != http.StatusInternalServerError || !strings.Contains(a.Body.String(), syscall.EIO.Error()) || !m.Said().equal(was) {
+			t.Errorf("%s on a disk that fails: %d %q, and it holds %+v, want %+v", c.path, a.Code, a.Body, m.Said(), was)
+		}
+		disk.Fault(nil)
+		if a := post(); a.Code != http.StatusOK || !m.Said().equal(c.want) {
+			t.Errorf("%s: %d %q, and it holds %+v, want %+v", c.path, a.Code, a.Body, m.Said(), c.want)
+		}
+		if s := nextSays(t, disk, nil); !s.equal(c.want) {
+			t.Errorf("%s: yes, and the next process reads %+v, want %+v", c.path, s, c.want)
+		}
+	}
+}
