--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -463,11 +463,8 @@
 		}
 		return data, large, nil
 	}
-	if !h.Chunked && !h.Told {
-		// It would end with the connection, which the endpoint has not said
-		// it would close: whether it is whole could never be told.
-		return nil, large, spoilt{errors.New("body has no length")}
-	}
+	// Without a length and without chunks it ends with its connection (RFC 9112, section 6.3),
+	// whether or not the endpoint says that it will close. A reset is no end.
 	return c.endless(h.Chunked, maxLarge)
 }
 
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -46,7 +46,7 @@
 	case h.Length > SmallAnswer:
 		r.in, r.left = c.in, h.Length
 		return &Answer{Status: h.Status, Fields: h.Fields, Rest: r}, false, nil
-	case h.Length >= 0 || !h.Chunked && !h.Told:
+	case h.Length >= 0:
 		return nil, false, nil
 	}
 	r.in, r.left = c.in, most
