--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -196,7 +196,7 @@
 	if g == 1 {
 		return true
 	}
-	rate := max(b.coldRate(now)*g, b.leastColdRate())
+	rate := b.coldRate(now) * g
 	e.tokens += rate * max(0, now-max(e.tokensAt, b.draws[0])).Seconds()
 	e.tokensAt = now
 	e.tokens = min(e.tokens, 1+rate*b.cfg.OverloadFor.Seconds()/2)
@@ -211,17 +211,6 @@
 	return rate
 }
 
-// leastColdRate is how many sends a second a warming endpoint is given where nothing has been
-// served lately, so that a fleet of which all endpoints have just started is tried at all: one
-// in the span over which its load is judged, from all Balancers together that draw from it.
-func (b *Balancer) leastColdRate() float64 {
-	if b.cfg.OverloadFor == 0 {
-		return 0
-	}
-	sharing := max(1, float64(b.cfg.Instances)*float64(b.subsetLength)/float64(max(1, len(b.ready))))
-	return 1 / (b.cfg.OverloadFor.Seconds() * sharing)
-}
-
 // averageWarmth averages over the time what share of its full capacity the subset has, as
 // servedRate averages what it served: what was served while more were warm is too much for
 // those that are left.
