--- a/balance/balance.go
+++ b/balance/balance.go
@@ -216,8 +216,11 @@
 	own          [2]int           // length of the last subset's stretch, by part of the ring
 	subsetLength int              // of both, or of all that is ready until a subset is gathered
 	walked       float64          // sum of growth over the stretch that is being gathered
-	warmth       float64          // its mean, averaged over the time
-	warmthAt     time.Duration    // when it was
+	warmth       float64          // its mean, averaged over the time, as is
+	lengthMean   float64          // subsetLength
+	averagedAt   time.Duration    // when they were
+	anyWarm      bool             // the last subset had an endpoint that was warm
+	warmSeen     bool             // the stretch that is being gathered has one
 
 	requests map[RequestID]*request
 	held     []RequestID // waiting for an endpoint
@@ -228,6 +231,7 @@
 	door        admission
 	classes     []classStats
 	servedRate  rate
+	askedRate   rate
 	aimRate     rate // of served requests, each counted with its aim in seconds: how many can be out and be in time
 	cands       []candidate
 	total       float64
@@ -252,11 +256,12 @@
 	}
 	b := &Balancer{
 		host: host, retryTokens: retryLeast,
-		rng:      rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		byAddr:   map[string]int{},
-		spread:   1,
-		warmth:   1,
-		requests: map[RequestID]*request{},
+		rng:        rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		byAddr:     map[string]int{},
+		spread:     1,
+		warmth:     1,
+		averagedAt: -10 * rateSpan, // nothing was served yet
+		requests:   map[RequestID]*request{},
 	}
 	for _, c := range cfg.Classes {
 		if _, err := b.AddClass(c); err != nil {
@@ -306,7 +311,7 @@
 func (b *Balancer) Recall(now time.Duration, m Memory) {
 	b.door.limit = m.Limit
 	b.servedRate, b.aimRate = rateOf(now, m.Served), rateOf(now, m.InAim)
-	b.warmth, b.warmthAt = 1, now // all may have been warm when that was served
+	b.warmth, b.averagedAt = 1, now // all may have been warm when that was served
 	for i := range b.classes[:min(len(b.classes), len(m.Classes))] {
 		b.classes[i].mean, b.classes[i].n = m.Classes[i].Mean, m.Classes[i].N
 	}
@@ -449,6 +454,7 @@
 	if aim := b.cfg.Classes[class].Aim; b.cfg.Entry && aim < budget {
 		b.after(r, aim, timerLate)
 	}
+	b.askedRate.add(now, 1)
 	b.try(r, now)
 }
 
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -185,7 +185,10 @@
 	return b.cfg.ColdShare + (1-b.cfg.ColdShare)*float64(max(age, 0))/float64(b.cfg.RampTime)
 }
 
-const warmthLeast = 0.01 // settings may let endpoints start at nothing
+const (
+	warmthLeast = 0.01 // settings may let endpoints start at nothing
+	askedPart   = 0.5  // of what is asked: clients may ask several times for one request
+)
 
 // coldAllowed tells whether the cold budget of e has room for one more send, topped up
 // for the time since the last draw that reached it. It grows at the even share of this
@@ -204,19 +207,25 @@
 }
 
 // coldRate is how many sends a second an endpoint with all of its capacity would have at its
-// even share of what was served, times half the multiple that pushes it over.
+// even share: of what was served, times half the multiple that pushes it over, or, where none
+// is warm and nothing would ever be served without a beginning, of a part of what is asked.
 func (b *Balancer) coldRate(now time.Duration) float64 {
-	length := float64(b.subsetLength)
+	length := max(float64(b.subsetLength), b.lengthMean)
 	rate := max(1, b.cfg.FallMultiple/2) * b.servedRate.perSecond(now) / (length * max(b.warmth, warmthLeast))
+	if !b.anyWarm {
+		rate = max(rate, askedPart*b.askedRate.mean(now)/length)
+	}
 	return rate
 }
 
-// averageWarmth averages over the time what share of its full capacity the subset has, as
-// servedRate averages what it served: what was served while more were warm is too much for
-// those that are left.
-func (b *Balancer) averageWarmth(now time.Duration, share float64) {
-	weight := math.Exp(-float64(now-b.warmthAt) / float64(rateSpan))
-	b.warmth, b.warmthAt = b.warmth*weight+share*(1-weight), now
+// averageSubset averages over the time how long the subset is and what share of its full
+// capacity it has, as servedRate averages what it served: what was served by more of them, or
+// while more were warm, is too much for those that are left.
+func (b *Balancer) averageSubset(now time.Duration, share float64) {
+	weight := math.Exp(-float64(now-b.averagedAt) / float64(rateSpan))
+	b.warmth = b.warmth*weight + share*(1-weight)
+	b.lengthMean = b.lengthMean*weight + float64(b.subsetLength)*(1-weight)
+	b.averagedAt = now
 }
 
 // pick draws an endpoint for r by the paper's rule, or returns -1. Each candidate's weight
@@ -277,7 +286,7 @@
 // gather fills b.cands and returns how many there are.
 func (b *Balancer) gather(r *request, now time.Duration, reach int) int {
 	b.cands = b.cands[:0]
-	b.total, b.walked = 0, 0
+	b.total, b.walked, b.warmSeen = 0, 0, false
 	want := len(b.ready)
 	if reach == subset {
 		want, b.draws = b.subsetSize(now), [2]time.Duration{b.draws[1], now}
@@ -288,7 +297,8 @@
 	best := min(b.gatherFrom(ownZone, r, now, reach, want, among), b.gatherFrom(otherZones, r, now, reach, want, among))
 	if reach == subset && b.own != [2]int{} {
 		b.subsetLength = b.own[ownZone] + b.own[otherZones]
-		b.averageWarmth(now, b.walked/float64(b.subsetLength))
+		b.averageSubset(now, b.walked/float64(b.subsetLength))
+		b.anyWarm = b.warmSeen
 	}
 	if math.IsInf(best, 1) {
 		best = 1 // all are unsampled and alike
@@ -381,6 +391,7 @@
 		}
 		if k < b.own[part] {
 			b.walked += growth // sound or not: what the others lack is no reason to push a cold one
+			b.warmSeen = b.warmSeen || growth == 1
 		} else if growth < 1 {
 			continue
 		}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -375,7 +375,7 @@
 // is smaller than the mean. Some Balancers have several times the mean of the traffic.
 func TestSlowStartBudgetHoldsForAnyFleet(t *testing.T) {
 	sizes := []slowStartSize{
-		{1, 2, 20, 3}, {1, 4, 60, 2}, {1, 12, 8, 3}, {2, 6, 40, 2}, {5, 8, 30, 2}, {20, 14, 10, 2}, {20, 320, 8, 1}, {80, 40, 8, 1}, {300, 60, 4, 1}, {900, 60, 1, 1},
+		{1, 2, 20, 3}, {1, 4, 60, 2}, {1, 12, 8, 3}, {2, 6, 40, 2}, {5, 8, 30, 2}, {20, 14, 10, 2}, {20, 320, 8, 1}, {80, 40, 8, 1}, {300, 40, 2.5, 1}, {900, 60, 1, 1}, {2, 4, 150, 1},
 	}
 	scenarios := []slowStartScenario{
 		{name: "some join", coldShare: 0.31, joined: 0.3, within: 4 * time.Second},
@@ -386,6 +386,7 @@
 		{name: "Balancers reload", coldShare: 0.2, replaced: 0.5, within: 2 * time.Second, restarted: 0.2, retuned: true, clients: true},
 		{name: "first lists come late", coldShare: 0.2, joined: 0.1, returned: 0.4, within: 2 * time.Second, restarted: 0.7, listLate: 2 * time.Second},
 		{name: "all are cold", coldShare: 0.2, replaced: 1, within: 100 * ms, clients: true},
+		{name: "all start", coldShare: 0.2, replaced: 1, within: 100 * ms, restarted: 1, clients: true},
 	}
 	for _, set := range scenarios {
 		for _, size := range sizes {
@@ -405,3 +406,70 @@
 		}
 	}
 }
+
+// Each attempt at an endpoint that warms up counts, however it ends: none is given back.
+// Four warm endpoints serve 100 requests a second; then the list has one that is cold in
+// the place of all of them.
+func TestSlowStartCountsEveryAttempt(t *testing.T) {
+	const began, each, perEndpoint = 8 * time.Second, 10 * ms, 25.0
+	for result := OK; result <= NotSent; result++ {
+		cfg := fleetConfig()
+		cfg.Instances = 1
+		b, h := newTest(t, cfg, "a", "b", "c", "d")
+		sends := 0
+		for now := time.Duration(0); now < began+cfg.OverloadFor; now += each {
+			if now == began {
+				b.Members(now, Full, []Endpoint{{Addr: "cold", State: Ready, Since: now}})
+			}
+			id, first := RequestID(now/each)+1, len(h.sends)
+			b.Request(now, id, 0, 0, 1500*ms)
+			for k := first; k < len(h.sends); k++ { // further attempts are made as one ends
+				if h.sends[k].addr != "cold" {
+					b.Outcome(now, id, k-first, OK, 20*ms, true)
+					continue
+				}
+				sends++
+				if result == Cancelled {
+					b.Withdrawn(now, id)
+				}
+				b.Outcome(now, id, k-first, result, 5*ms, result == OK)
+			}
+		}
+		n := cfg.FallMultiple * perEndpoint * cfg.ColdShare * cfg.OverloadFor.Seconds()
+		if sends == 0 || float64(sends) > slowStartBound(n) {
+			t.Errorf("result %d: %d attempts at the cold endpoint in %v, want some and %.0f at most", result, sends, cfg.OverloadFor, slowStartBound(n))
+		}
+	}
+}
+
+// A process that takes over from one whose fleet was warm, and finds it cold as a whole,
+// does not give what that one served to the tenth of the capacity that there is now.
+func TestRecallOfAWarmFleetKeepsColdBudget(t *testing.T) {
+	const now, each, served = time.Hour, 10 * ms, 100.0
+	cfg := fleetConfig()
+	cfg.Instances, cfg.ColdShare = 1, 0.1
+	b, h := newTest(t, cfg)
+	list := ready("e", 5)
+	for i := range list {
+		list[i].Since = now
+	}
+	b.Members(now, Cached, list)
+	b.Recall(now, Memory{Served: served, InAim: served})
+	for id := RequestID(1); id <= RequestID(cfg.OverloadFor/each); id++ {
+		at, first := now+time.Duration(id)*each, len(h.sends)
+		b.Request(at, id, 0, 0, 1500*ms)
+		if len(h.sends) > first {
+			b.Outcome(at, id, 0, OK, 20*ms, true)
+		}
+	}
+	sends := map[string]int{}
+	for _, s := range h.sends {
+		sends[s.addr]++
+	}
+	n := cfg.FallMultiple * served / 5 * cfg.ColdShare * cfg.OverloadFor.Seconds()
+	for _, e := range list {
+		if got := float64(sends[e.Addr]); got == 0 || got > slowStartBound(n) {
+			t.Errorf("%s got %.0f requests in %v, want some and %.0f at most", e.Addr, got, cfg.OverloadFor, slowStartBound(n))
+		}
+	}
+}
