--- a/cmd/gorselink/claims_test.go
+++ b/cmd/gorselink/claims_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -198,3 +199,20 @@
 		t.Error(err)
 	}
 }
+
+// Without its claim on record, or once that is over, a program does not start.
+func TestNoProgramWithoutAClaimOnRecord(t *testing.T) {
+	dir := t.TempDir()
+	var told bytes.Buffer
+	s := &shell{out: &told, err: &told}
+	over, cancel := context.WithCancel(context.Background())
+	cancel()
+	c := &leaseRun{Name: "l", Cmd: []string{filepath.Join(dir, "no program")}}
+	if err := c.audited(over, s, &quorum.Grant{}); err != errLost {
+		t.Errorf("the claim is over: %v, want %v", err, errLost)
+	}
+	c.Claims = dir // which is no file
+	if err := c.audited(context.Background(), s, &quorum.Grant{}); !errors.Is(err, syscall.EISDIR) || !strings.Contains(told.String(), dir) {
+		t.Errorf("no record: %v, told %q", err, told.String())
+	}
+}
--- a/cmd/gorselink/lease.go
+++ b/cmd/gorselink/lease.go
@@ -103,14 +103,7 @@
 	defer cancel()
 	var result atomic.Pointer[error]
 	cl.Hold(ctx, cfg, func(ctx context.Context, g *quorum.Grant) {
-		stop, err := c.audit(s, g)
-		if err == nil {
-			err = errLost // the disk may have taken longer than the claim lasts
-			if ctx.Err() == nil {
-				err = c.child(ctx, s, g)
-			}
-			stop()
-		}
+		err := c.audited(ctx, s, g)
 		if c.Once || s.ctx.Err() != nil {
 			result.CompareAndSwap(nil, &err)
 			cancel()
@@ -122,6 +115,19 @@
 	return nil
 }
 
+// audited runs the program once, with its claim on record.
+func (c *leaseRun) audited(ctx context.Context, s *shell, g *quorum.Grant) error {
+	stop, err := c.audit(s, g)
+	if err != nil {
+		return err
+	}
+	defer stop()
+	if ctx.Err() != nil { // the disk may have taken longer than the claim lasts
+		return errLost
+	}
+	return c.child(ctx, s, g)
+}
+
 // audit writes the claim down while it is held, and its end once stop is called. After an
 // error the program must not run: its claim would be missing.
 func (c *leaseRun) audit(s *shell, g *quorum.Grant) (stop func(), err error) {
