--- a/balance/balance.go
+++ b/balance/balance.go
@@ -204,30 +204,30 @@
 	host Host
 	rng  *rand.Rand
 
-	eps          []endpoint
-	byAddr       map[string]int
-	spare        []int // places in eps that are free again
-	local        int   // how many of ready come first as of the own zone; all where crossings cost nothing
-	zones        []failures
-	ready        []int            // endpoints that the list calls ready, by hash: the ring of subsets
-	draws        [2]time.Duration // when the last two were made from a subset
-	memory       time.Duration    // how long round trips are remembered
-	spread       float64          // variance of a round trip over the square of its endpoint's mean
-	own          [2]int           // length of the last subset's stretch, by part of the ring
-	subsetLength int              // of both, or of all that is ready until a subset is gathered
-	walked       float64          // sum of growth over the stretch that is being gathered
-	warmth       float64          // its mean, averaged over the time, as is
-	lengthMean   float64          // subsetLength
-	averagedAt   time.Duration    // when they were
-	anyWarm      bool             // the last subset had an endpoint that was warm
-	warmSeen     bool             // the stretch that is being gathered has one
+	eps           []endpoint
+	byAddr        map[string]int
+	spare         []int // places in eps that are free again
+	local         int   // how many of ready come first as of the own zone; all where crossings cost nothing
+	zones         []failures
+	ready         []int            // endpoints that the list calls ready, by hash: the ring of subsets
+	draws         [2]time.Duration // when the last two were made from a subset
+	memory        time.Duration    // how long round trips are remembered
+	spread        float64          // variance of a round trip over the square of its endpoint's mean
+	own           [2]int           // length of the last subset's stretch, by part of the ring
+	subsetLength  int              // of both, or of all that is ready until a subset is gathered
+	walked        float64          // sum of growth over the stretch that is being gathered
+	warmth        float64          // its mean, averaged over the time, as is
+	lengthMean    float64          // subsetLength
+	averagedAt    time.Duration    // when they and outMean were
+	averageWeight float64          // of the averages before that in them
+	anyWarm       bool             // the last subset had an endpoint that was warm
+	warmSeen      bool             // the stretch that is being gathered has one
 
 	requests map[RequestID]*request
 	held     []RequestID // waiting for an endpoint
 
 	outTotal    int // attempts without an outcome
 	outMean     float64
-	outAt       time.Duration
 	door        admission
 	classes     []classStats
 	servedRate  rate
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -221,11 +221,9 @@
 // averageSubset averages over the time how long the subset is and what share of its full
 // capacity it has, as servedRate averages what it served: what was served by more of them, or
 // while more were warm, is too much for those that are left.
-func (b *Balancer) averageSubset(now time.Duration, share float64) {
-	weight := math.Exp(-float64(now-b.averagedAt) / float64(rateSpan))
-	b.warmth = b.warmth*weight + share*(1-weight)
-	b.lengthMean = b.lengthMean*weight + float64(b.subsetLength)*(1-weight)
-	b.averagedAt = now
+func (b *Balancer) averageSubset(share float64) {
+	b.warmth = b.warmth*b.averageWeight + share*(1-b.averageWeight)
+	b.lengthMean = b.lengthMean*b.averageWeight + float64(b.subsetLength)*(1-b.averageWeight)
 }
 
 // pick draws an endpoint for r by the paper's rule, or returns -1. Each candidate's weight
@@ -297,7 +295,7 @@
 	best := min(b.gatherFrom(ownZone, r, now, reach, want, among), b.gatherFrom(otherZones, r, now, reach, want, among))
 	if reach == subset && b.own != [2]int{} {
 		b.subsetLength = b.own[ownZone] + b.own[otherZones]
-		b.averageSubset(now, b.walked/float64(b.subsetLength))
+		b.averageSubset(b.walked / float64(b.subsetLength))
 		b.anyWarm = b.warmSeen
 	}
 	if math.IsInf(best, 1) {
@@ -336,9 +334,9 @@
 // ring that is its own, as long as its attempts out at once, as a thin stream would
 // know each server of a large fleet too little. A burst widens it.
 func (b *Balancer) subsetSize(now time.Duration) int {
-	w := math.Exp(-float64(now-b.outAt) / float64(rateSpan))
-	b.outMean = b.outMean*w + float64(b.outTotal)*(1-w)
-	b.outAt = now
+	b.averageWeight = math.Exp(-float64(now-b.averagedAt) / float64(rateSpan))
+	b.averagedAt = now
+	b.outMean = b.outMean*b.averageWeight + float64(b.outTotal)*(1-b.averageWeight)
 	return max(subsetMin, int(math.Ceil(max(b.outMean, float64(b.outTotal)))))
 }
 
