--- a/cmd/gorselink/demo.go
+++ b/cmd/gorselink/demo.go
@@ -15,6 +15,7 @@
 	"text/tabwriter"
 	"time"
 
+	"gorselink/internal/acceptloop"
 	"gorselink/internal/config"
 	"gorselink/internal/daemon"
 	"gorselink/internal/standin"
@@ -153,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	go http.Serve(acceptloop.Wrap(l), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		service, mode, _ := strings.Cut(strings.Trim(r.URL.Path, "/"), "/")
 		if err := d.set(service, mode); err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
--- a/internal/fleet/marks.go
+++ b/internal/fleet/marks.go
@@ -28,6 +28,7 @@
 	dir    string
 	disk   durable.FS
 	notify func(Said)
+	broken error // why nothing can be kept, see UnusableMarks; nil as a rule
 
 	mu     sync.Mutex
 	said   Said
@@ -82,6 +83,15 @@
 	return m, nil
 }
 
+// UnusableMarks returns marks for a folder that can never be used, as the cause says.
+// They say nothing, and all that operators say to them fails with the cause: a word that
+// would be forgotten with the process must not be taken for one that is kept.
+func UnusableMarks(cause error, notify func(Said)) *Marks {
+	m := &Marks{notify: notify, said: Said{Out: map[string]bool{}}, broken: cause}
+	notify(m.said)
+	return m
+}
+
 // Said is what the marks say now.
 func (m *Marks) Said() Said {
 	m.mu.Lock()
@@ -110,6 +120,9 @@
 func (m *Marks) mark(name string, on bool, change func(*Said)) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
+	if m.broken != nil {
+		return fmt.Errorf("marks: %w", m.broken)
+	}
 	if m.dir != "" {
 		if err := m.file(name, on); err != nil {
 			return fmt.Errorf("marks: %w", err)
--- a/internal/proving/chain.go
+++ b/internal/proving/chain.go
@@ -16,6 +16,7 @@
 	"sync/atomic"
 	"time"
 
+	"gorselink/internal/acceptloop"
 	"gorselink/internal/tomlfile"
 )
 
@@ -72,7 +73,7 @@
 		}
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { t.serve(w, q, client, i) })}
 		t.servers, t.addrs = append(t.servers, s), append(t.addrs, l.Addr().String())
-		go s.Serve(l)
+		go s.Serve(acceptloop.Wrap(l))
 	}
 	return t, nil
 }
--- a/internal/proving/wire.go
+++ b/internal/proving/wire.go
@@ -9,6 +9,8 @@
 	"net/netip"
 	"sync"
 	"time"
+
+	"gorselink/internal/acceptloop"
 )
 
 // Weather is how a way treats what goes over it, in one direction.
@@ -344,22 +346,19 @@
 }
 
 func (f *forwarder) streams() {
-	for {
-		c, err := f.tcp.AcceptTCP()
-		if err != nil {
-			return
-		}
+	acceptloop.Serve(f.tcp, func(conn net.Conn) {
+		c := conn.(*net.TCPConn)
 		from := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 		w := f.over(from)
 		if w == nil {
 			c.SetLinger(0)
 			c.Close()
-			continue
+			return
 		}
 		// The far side sees who it is from.
 		d := &net.Dialer{Timeout: dialTime, KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: from.AsSlice()}}
 		f.work.Go(func() { w.carry(f.ctx, c, d, f.target) })
-	}
+	})
 }
 
 const (
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -192,10 +192,8 @@
 	s.callers = httpfront.NewCallers(s.judge, 1, httpfront.Times{})
 	s.share()
 	if s.marks, err = fleet.OpenMarks(dir, s.heed); err != nil {
-		slog.Error("what operators say will not outlive the process", "error", err)
-		if s.marks, err = fleet.OpenMarks("", s.heed); err != nil {
-			return err
-		}
+		slog.Error("what operators say cannot be kept, and is refused", "error", err)
+		s.marks = fleet.UnusableMarks(err, s.heed)
 	}
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -236,15 +234,14 @@
 }
 
 // folder is the one that the processes of this sidecar share, "" if there is
-// none.
+// none. One that cannot be made yet is made once something is to be kept there.
 func (s *Sidecar) folder() string {
 	if s.place.Temp == "" {
 		return ""
 	}
 	dir := filepath.Join(s.place.Temp, "gorselink-"+url.QueryEscape(s.cfg.Name))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		slog.Error("no folder to share with other processes", "error", err)
-		return ""
+		slog.Error("the folder to share with other processes cannot be made yet", "error", err)
 	}
 	return dir
 }
--- a/scripts/perf/main.go
+++ b/scripts/perf/main.go
@@ -30,6 +30,7 @@
 
 	"github.com/alecthomas/kong"
 
+	"gorselink/internal/acceptloop"
 	"gorselink/internal/load"
 )
 
@@ -81,7 +82,7 @@
 			return err
 		}
 		addrs = append(addrs, l.Addr().String())
-		go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write(body) }))
+		go http.Serve(acceptloop.Wrap(l), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write(body) }))
 	}
 	fmt.Println(strings.Join(addrs, ","))
 	untilEnd()
@@ -96,7 +97,7 @@
 		return err
 	}
 	fmt.Println(l.Addr())
-	go http.Serve(l, &httputil.ReverseProxy{
+	go http.Serve(acceptloop.Wrap(l), &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.Out.URL.Scheme = "http"
 			r.Out.URL.Host = o.Targets[rand.IntN(len(o.Targets))]
