--- a/internal/front/http/close_test.go
+++ b/internal/front/http/close_test.go
@@ -69,21 +69,7 @@
 		"finds no place, handed over": func(t *testing.T) (net.Conn, int) {
 			r, free := fullRig(t)
 			defer free()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer l.Close()
-			conn, err := net.Dial("tcp", l.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { conn.Close() })
-			conn.SetDeadline(time.Now().Add(patience))
-			here, err := l.Accept()
-			if err != nil {
-				t.Fatal(err)
-			}
+			conn, here := connected(t)
 			r.callers.Resume(here, []byte(view("")))
 			return readWhole(t, conn), 503
 		},
--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/crossing_test.go
@@ -47,21 +47,7 @@
 // join makes a connection whose other end the rig holds as wrapped by wrap.
 func (r *rig) join(t *testing.T, wrap func(net.Conn) net.Conn) net.Conn {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	there, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
+	c, there := connected(t)
 	r.callers.Take(wrap(there))
 	return c
 }
--- a/internal/front/http/gone_test.go
+++ b/internal/front/http/gone_test.go
@@ -163,21 +163,7 @@
 // what another process has read of it, resumed.
 func (d *departures) connect(t *testing.T, wrap func(net.Conn) net.Conn, resume bool, ahead string) net.Conn {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	there, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
+	c, there := connected(t)
 	if resume {
 		d.callers.Resume(wrap(there), []byte(ahead))
 	} else {
--- a/internal/front/http/rig_test.go
+++ b/internal/front/http/rig_test.go
@@ -1,6 +1,7 @@
 package httpfront
 
 import (
+	"net"
 	"testing"
 	"time"
 
@@ -63,3 +64,23 @@
 		"pay":  {Class: cfg.Balance.Classes[1], Number: 1},
 	}}
 }
+
+// connected returns both ends of a connection on loopback. The client's is closed at the end
+// of the test, and ends its reads and writes in time.
+func connected(t *testing.T) (client, server net.Conn) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	if client, err = net.Dial("tcp", l.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { client.Close() })
+	client.SetDeadline(time.Now().Add(patience))
+	if server, err = l.Accept(); err != nil {
+		t.Fatal(err)
+	}
+	return client, server
+}
