--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -167,8 +167,8 @@
 		p.lose(c, result == balance.OK)
 		return a, result
 	}
-	p.hear(c.target)
-	p.giveBack(c)
+	c.SetDeadline(time.Time{})
+	p.give(c, true)
 	return a, result
 }
 
@@ -176,7 +176,7 @@
 // stands is seen when it is taken again.
 func (p *Pool) giveBack(c *conn) {
 	c.SetDeadline(time.Time{})
-	p.give(c)
+	p.give(c, false)
 }
 
 // limit makes reading end after d, or at the deadline if that is sooner.
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -199,7 +199,7 @@
 	return newConn(nc, t), nil
 }
 
-// hear books that t has been connected to, or has answered.
+// hear books that t has been connected to.
 func (p *Pool) hear(t *target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/spare.go
+++ b/internal/upstream/spare.go
@@ -69,7 +69,7 @@
 		select {
 		case fresh <- c:
 		default: // nobody waits any more
-			p.give(c)
+			p.give(c, false)
 		}
 	}()
 	return fresh
@@ -85,7 +85,7 @@
 		defer rested.Stop()
 		select {
 		case other := <-fresh:
-			p.give(c)
+			p.give(c, false)
 			return other
 		case <-rested.C:
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -379,16 +379,21 @@
 	return taken{t: t}
 }
 
-// give takes a connection back for further use.
-func (p *Pool) give(c *conn) {
+// give takes a connection back for further use; answered tells that its endpoint has just
+// answered on it.
+func (p *Pool) give(c *conn, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	now := time.Now()
+	if answered {
+		p.reached.note(c.target, now)
+	}
 	if c.target.gone || p.closed || p.open > p.cfg.MaxConns {
 		p.ended(c.target)
 		c.Close()
 		return
 	}
-	c.idleSince = time.Now()
+	c.idleSince = now
 	p.idle.PushBack(&c.place)
 	c.target.idle = append(c.target.idle, c)
 }
