--- a/cmd/gorselink/lease.go
+++ b/cmd/gorselink/lease.go
@@ -85,8 +85,8 @@
 	switch {
 	case len(c.Cmd) == 0:
 		return errors.New("gorselink: lease run: no program")
-	case c.Length < lease.LeastTime || c.Length > lease.MostTime:
-		return fmt.Errorf("gorselink: lease run: --length %v, want %v to %v", c.Length, lease.LeastTime, lease.MostTime)
+	case c.Length < lease.MinLength || c.Length > lease.MaxLength:
+		return fmt.Errorf("gorselink: lease run: --length %v, want %v to %v", c.Length, lease.MinLength, lease.MaxLength)
 	case c.Grace <= 0 || c.Grace > c.Length/2:
 		return fmt.Errorf("gorselink: lease run: --grace %v, want up to half of the length", c.Grace)
 	}
@@ -97,7 +97,7 @@
 	defer cl.Close()
 	host, _ := os.Hostname()
 	cfg := lease.HolderConfig{
-		Lease: c.Name, Client: fmt.Sprintf("%s/%d/%08x", host, os.Getpid(), rand.Uint32()), Length: c.Length, Grace: c.Grace, Retry: c.Retry,
+		Lease: c.Name, Client: fmt.Sprintf("%s/%d/%08x", host, os.Getpid(), rand.Uint32()), Length: c.Length, Grace: c.Grace, RetryInterval: c.Retry,
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
@@ -134,7 +134,7 @@
 	if c.Claims == "" {
 		return func() {}, nil
 	}
-	all := &claims{disk: durable.OS{}, path: c.Claims, lease: c.Name, epoch: g.Epoch, until: g.Until, err: s.err}
+	all := &claims{disk: durable.OS{}, path: c.Claims, lease: c.Name, epoch: g.Epoch, until: g.ClaimEnd, err: s.err}
 	if err := all.begin(); err != nil {
 		err = fmt.Errorf("gorselink: lease run: claims: %w", err)
 		fmt.Fprintln(s.err, err)
@@ -169,7 +169,7 @@
 	syscall.Kill(-cmd.Process.Pid, syscall.SIGTERM)
 	// Killed a tenth of the grace before the claim ends, by the claim's own clock: it may
 	// have been renewed for the last time long before.
-	t := time.NewTimer(max(0, g.Left()-c.Grace/10))
+	t := time.NewTimer(max(0, g.Remaining()-c.Grace/10))
 	defer t.Stop()
 	select {
 	case <-ended:
@@ -245,7 +245,7 @@
 	if err = cmp.Or(err, got.Err); err != nil {
 		return fmt.Errorf("gorselink: lease %s, held by %s with epoch %d: %w", c.Name, r.Holder, r.Epoch, err)
 	}
-	fmt.Fprintf(s.out, "%s: %s gives way within %v\n", c.Name, r.Holder, lease.Patience(r.Length))
+	fmt.Fprintf(s.out, "%s: %s gives way within %v\n", c.Name, r.Holder, lease.ExpiryDelay(r.Length))
 	return nil
 }
 
@@ -295,7 +295,7 @@
 			continue
 		}
 		all[strconv.FormatUint(v.ID, 10)] = st
-		fmt.Fprintf(tw, "%d\t%s\t%d\t%d\t%d\t%d\t%d\n", v.ID, v.Address, st.Leader, st.Term, st.Applied, st.Leases, st.Clients)
+		fmt.Fprintf(tw, "%d\t%s\t%d\t%d\t%d\t%d\t%d\n", v.ID, v.Address, st.Leader, st.Term, st.AppliedIndex, st.Leases, st.Clients)
 	}
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(all)
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -38,14 +38,14 @@
 
 // clientConn is one connection with what is asked over it.
 type clientConn struct {
-	l      *Link
+	l      *FrameConn
 	voter  int
 	broken chan struct{}
 	once   sync.Once
 	write  sync.Mutex
 
 	mu      sync.Mutex
-	waiting map[uint64]chan Answer
+	waiting map[uint64]chan Response
 }
 
 func (cc *clientConn) close() {
@@ -97,13 +97,13 @@
 	}
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
-	l := NewLink(raw)
-	if _, err := l.Greet(Hello{Cluster: c.cluster}); err != nil {
+	l := NewFrameConn(raw)
+	if _, err := l.Handshake(Hello{Cluster: c.cluster}); err != nil {
 		raw.Close()
 		c.next(k, 0)
 		return nil, err
 	}
-	cc := &clientConn{l: l, voter: k, broken: make(chan struct{}), waiting: map[uint64]chan Answer{}}
+	cc := &clientConn{l: l, voter: k, broken: make(chan struct{}), waiting: map[uint64]chan Response{}}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil || c.ended { // somebody else was faster
@@ -148,25 +148,25 @@
 func (c *Client) hear(cc *clientConn) {
 	defer c.drop(cc, 0)
 	for {
-		kind, body, err := cc.l.ReadFrame(MostFrame)
+		kind, body, err := cc.l.ReadFrame(MaxFrameBytes)
 		if err != nil {
 			return
 		}
 		switch kind {
-		case FrameAnswer:
-			var a Answer
+		case FrameResponse:
+			var a Response
 			if json.Unmarshal(body, &a) != nil {
 				return
 			}
 			cc.mu.Lock()
-			got := cc.waiting[a.Number]
-			delete(cc.waiting, a.Number)
+			got := cc.waiting[a.RequestID]
+			delete(cc.waiting, a.RequestID)
 			cc.mu.Unlock()
 			if got != nil {
 				got <- a
 			}
-		case FrameNews:
-			var x News
+		case FrameLeaseChange:
+			var x LeaseChange
 			if json.Unmarshal(body, &x) != nil {
 				return
 			}
@@ -185,7 +185,7 @@
 }
 
 // ask asks until the leader answers or ctx ends.
-func (c *Client) ask(ctx context.Context, q Ask) (*Answer, error) {
+func (c *Client) ask(ctx context.Context, q Request) (*Response, error) {
 	var last error
 	for wait := againLeast; ; wait = min(2*wait, againMost) {
 		a, cc, err := c.once(ctx, q)
@@ -219,22 +219,22 @@
 	return c.ended
 }
 
-func (c *Client) once(ctx context.Context, q Ask) (*Answer, *clientConn, error) {
+func (c *Client) once(ctx context.Context, q Request) (*Response, *clientConn, error) {
 	cc, err := c.connect(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	c.mu.Lock()
 	c.number++
-	q.Number = c.number
+	q.RequestID = c.number
 	c.mu.Unlock()
-	got := make(chan Answer, 1)
+	got := make(chan Response, 1)
 	cc.mu.Lock()
-	cc.waiting[q.Number] = got
+	cc.waiting[q.RequestID] = got
 	cc.mu.Unlock()
 	cc.write.Lock()
 	cc.l.SetWriteDeadline(time.Now().Add(askPatience))
-	err = cc.l.Tell(FrameAsk, q)
+	err = cc.l.WriteJSON(FrameRequest, q)
 	cc.write.Unlock()
 	if err != nil {
 		c.drop(cc, 0)
@@ -258,7 +258,7 @@
 // Do has a command done. The Reply's error is the quorum's word; the other error means
 // that there was none.
 func (c *Client) Do(ctx context.Context, cmd lease.Command) (lease.Reply, error) {
-	a, err := c.ask(ctx, Ask{Command: &cmd})
+	a, err := c.ask(ctx, Request{Command: &cmd})
 	if err != nil {
 		return lease.Reply{}, err
 	}
@@ -267,7 +267,7 @@
 
 // List is all leases as the leader has them.
 func (c *Client) List(ctx context.Context) (map[string]lease.Record, error) {
-	a, err := c.ask(ctx, Ask{List: true})
+	a, err := c.ask(ctx, Request{List: true})
 	if err != nil {
 		return nil, err
 	}
@@ -281,7 +281,7 @@
 		return nil, err
 	}
 	defer c.Close()
-	a, _, err := c.once(ctx, Ask{Status: true})
+	a, _, err := c.once(ctx, Request{Status: true})
 	if err != nil {
 		return nil, err
 	}
@@ -309,7 +309,7 @@
 			c.mu.Unlock()
 		}()
 		for ctx.Err() == nil { // once for each connection
-			a, err := c.ask(ctx, Ask{Watch: name})
+			a, err := c.ask(ctx, Request{Watch: name})
 			if err != nil {
 				return
 			}
--- a/internal/quorum/frame.go
+++ b/internal/quorum/frame.go
@@ -32,16 +32,16 @@
 // What goes over a connection is frames: the length of the rest, what it is, and that.
 // The first frame of either side is a hello.
 const (
-	FrameHello   = 'h'
-	FrameMessage = 'm' // of the engine, between voters
-	FrameAsk     = 'a' // of a client
-	FrameAnswer  = 'r'
-	FrameNews    = 'n' // to a client that watches
-
-	MostFrame     = 64 << 20 // of a snapshot among voters
-	MostAskFrame  = 64 << 10 // of a client
-	version       = 1
-	HelloPatience = 5 * time.Second
+	FrameHello       = 'h'
+	FrameRaftMessage = 'm' // of the engine, between voters
+	FrameRequest     = 'a' // of a client
+	FrameResponse    = 'r'
+	FrameLeaseChange = 'n' // to a client that watches
+
+	MaxFrameBytes       = 64 << 20 // of a snapshot among voters
+	MaxClientFrameBytes = 64 << 10 // of a client
+	version             = 1
+	HandshakeTimeout    = 5 * time.Second
 )
 
 // Voter is one of those that keep the state.
@@ -52,13 +52,13 @@
 
 // Status is how a voter stands.
 type Status struct {
-	ID       uint64 `json:"id"`
-	Term     uint64 `json:"term"`
-	Leader   uint64 `json:"leader"` // 0 if it knows of none
-	Applied  uint64 `json:"applied"`
-	Leases   int    `json:"leases"`
-	Clients  int    `json:"clients"`
-	Snapshot uint64 `json:"snapshot"` // index
+	ID            uint64 `json:"id"`
+	Term          uint64 `json:"term"`
+	Leader        uint64 `json:"leader"` // 0 if it knows of none
+	AppliedIndex  uint64 `json:"applied"`
+	Leases        int    `json:"leases"`
+	Clients       int    `json:"clients"`
+	SnapshotIndex uint64 `json:"snapshot"` // index
 }
 
 // Hello is who speaks.
@@ -70,17 +70,17 @@
 }
 
 // Ask is what a client wants to know or to have done.
-type Ask struct {
-	Number  uint64         `json:"number"`
-	Command *lease.Command `json:"command,omitempty"`
-	Watch   string         `json:"watch,omitempty"` // be told when this lease changes
-	List    bool           `json:"list,omitempty"`  // all leases, as the leader has them
-	Status  bool           `json:"status,omitempty"`
+type Request struct {
+	RequestID uint64         `json:"number"`
+	Command   *lease.Command `json:"command,omitempty"`
+	Watch     string         `json:"watch,omitempty"` // be told when this lease changes
+	List      bool           `json:"list,omitempty"`  // all leases, as the leader has them
+	Status    bool           `json:"status,omitempty"`
 }
 
 // Answer is what has come of it. NotLeader answers say whom to ask, if that is known.
-type Answer struct {
-	Number    uint64                  `json:"number"`
+type Response struct {
+	RequestID uint64                  `json:"number"`
 	Error     string                  `json:"error,omitempty"`
 	Code      string                  `json:"code,omitempty"`
 	Record    lease.Record            `json:"record"`
@@ -91,7 +91,7 @@
 }
 
 // News is that a lease has changed.
-type News struct {
+type LeaseChange struct {
 	Lease  string       `json:"lease"`
 	Record lease.Record `json:"record"`
 }
@@ -99,7 +99,7 @@
 // codes of errors that callers tell apart.
 var codes = map[string]error{"held": lease.ErrHeld, "stale": lease.ErrStale, "unknown": lease.ErrUnknown, "bounds": lease.ErrBounds}
 
-func CodeOf(err error) string {
+func ErrorCode(err error) string {
 	for code, e := range codes {
 		if errors.Is(err, e) {
 			return code
@@ -109,7 +109,7 @@
 }
 
 // reply is the answer as a lease.Reply.
-func (a *Answer) reply() lease.Reply {
+func (a *Response) reply() lease.Reply {
 	r := lease.Reply{Record: a.Record}
 	if a.Error != "" {
 		if r.Err = codes[a.Code]; r.Err == nil {
@@ -120,15 +120,15 @@
 }
 
 // Link is a connection with frames.
-type Link struct {
+type FrameConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func NewLink(c net.Conn) *Link { return &Link{c, bufio.NewReader(c)} }
+func NewFrameConn(c net.Conn) *FrameConn { return &FrameConn{c, bufio.NewReader(c)} }
 
 // ReadFrame reads a frame of at most so many bytes.
-func (l *Link) ReadFrame(most int) (kind byte, body []byte, err error) {
+func (l *FrameConn) ReadFrame(most int) (kind byte, body []byte, err error) {
 	var head [5]byte
 	if _, err := io.ReadFull(l.in, head[:]); err != nil {
 		return 0, nil, err
@@ -145,7 +145,7 @@
 	return head[4], body, err
 }
 
-func (l *Link) WriteFrame(kind byte, body []byte) error {
+func (l *FrameConn) WriteFrame(kind byte, body []byte) error {
 	out := make([]byte, 5, 5+len(body))
 	binary.BigEndian.PutUint32(out, uint32(len(body)))
 	out[4] = kind
@@ -153,7 +153,7 @@
 	return err
 }
 
-func (l *Link) Tell(kind byte, v any) error {
+func (l *FrameConn) WriteJSON(kind byte, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -163,14 +163,14 @@
 
 // Greet tells who we are and hears who it is. A foreign cluster is an error on both
 // sides, which names both.
-func (l *Link) Greet(own Hello) (other Hello, err error) {
-	l.SetDeadline(time.Now().Add(HelloPatience))
+func (l *FrameConn) Handshake(own Hello) (other Hello, err error) {
+	l.SetDeadline(time.Now().Add(HandshakeTimeout))
 	defer l.SetDeadline(time.Time{})
 	own.Version = version
-	if err := l.Tell(FrameHello, own); err != nil {
+	if err := l.WriteJSON(FrameHello, own); err != nil {
 		return other, err
 	}
-	kind, body, err := l.ReadFrame(MostAskFrame)
+	kind, body, err := l.ReadFrame(MaxClientFrameBytes)
 	if err != nil {
 		return other, err
 	}
@@ -189,7 +189,7 @@
 		err = fmt.Errorf("cluster %q, this is %q", other.Cluster, own.Cluster)
 	}
 	if err != nil {
-		l.Tell(FrameHello, Hello{Version: version, Cluster: own.Cluster, Error: err.Error()})
+		l.WriteJSON(FrameHello, Hello{Version: version, Cluster: own.Cluster, Error: err.Error()})
 	}
 	return other, err
 }
--- a/internal/quorum/hold.go
+++ b/internal/quorum/hold.go
@@ -35,7 +35,7 @@
 
 // Until is when the claim ends if nothing is heard any more, by Now, and whether it is
 // held at this moment.
-func (g *Grant) Until() (at time.Duration, held bool) {
+func (g *Grant) ClaimEnd() (at time.Duration, held bool) {
 	g.hold.mu.Lock()
 	defer g.hold.mu.Unlock()
 	e, until, ok := g.hold.h.Claims(Now())
@@ -43,8 +43,8 @@
 }
 
 // Left is for how long the claim lasts if nothing is heard any more; 0 once it is over.
-func (g *Grant) Left() time.Duration {
-	if until, held := g.Until(); held {
+func (g *Grant) Remaining() time.Duration {
+	if until, held := g.ClaimEnd(); held {
 		return until - Now()
 	}
 	return 0
--- a/internal/voter/accept_test.go
+++ b/internal/voter/accept_test.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if other, err := quorum.NewLink(c).Greet(quorum.Hello{Cluster: cluster}); err != nil || other.Voter != 1 || l.Failed() != 1 {
+		if other, err := quorum.NewFrameConn(c).Handshake(quorum.Hello{Cluster: cluster}); err != nil || other.Voter != 1 || l.Failed() != 1 {
 			t.Errorf("%v: voter %d, %v, %d accepts failed", errno, other.Voter, err, l.Failed())
 		}
 		c.Close()
--- a/internal/voter/durable_test.go
+++ b/internal/voter/durable_test.go
@@ -572,7 +572,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	for {
-		r, err := cl.Do(ctx, lease.Command{Kind: lease.Acquire, Lease: name, Client: "me", Length: lease.MostTime})
+		r, err := cl.Do(ctx, lease.Command{Kind: lease.Acquire, Lease: name, Client: "me", Length: lease.MaxLength})
 		if err == nil || ctx.Err() != nil {
 			return errors.Join(err, r.Err)
 		}
@@ -662,7 +662,7 @@
 	}
 	s := &session{out: make(chan []byte, mostQueue)}
 	n.sessions[s] = true
-	says := func(a quorum.Ask) (is quorum.Answer) {
+	says := func(a quorum.Request) (is quorum.Response) {
 		t.Helper()
 		n.asked(s, &a)
 		n.mustReady(t)
@@ -676,14 +676,14 @@
 		}
 		return is
 	}
-	acquire := quorum.Ask{Number: 1, Command: &lease.Command{Kind: lease.Acquire, Lease: "a", Client: "me", Length: lease.MostTime}}
+	acquire := quorum.Request{RequestID: 1, Command: &lease.Command{Kind: lease.Acquire, Lease: "a", Client: "me", Length: lease.MaxLength}}
 	f.set(&faults{write: func(write) (int, error) { return 0, syscall.ENOSPC }})
-	for _, a := range []quorum.Ask{acquire, acquire, {Number: 2, List: true}, {Number: 3, Watch: "a"}} {
-		if is := says(a); !is.NotLeader || is.Leader != 0 || is.Number != a.Number {
+	for _, a := range []quorum.Request{acquire, acquire, {RequestID: 2, List: true}, {RequestID: 3, Watch: "a"}} {
+		if is := says(a); !is.NotLeader || is.Leader != 0 || is.RequestID != a.RequestID {
 			t.Errorf("%+v: answered %+v", a, is)
 		}
 	}
-	if is := says(quorum.Ask{Number: 4, Status: true}); is.Status == nil || is.Status.ID != 1 {
+	if is := says(quorum.Request{RequestID: 4, Status: true}); is.Status == nil || is.Status.ID != 1 {
 		t.Errorf("status: answered %+v", is)
 	}
 	f.set(&faults{})
--- a/internal/voter/node.go
+++ b/internal/voter/node.go
@@ -89,7 +89,7 @@
 	state    lease.State
 	applied  uint64
 	snapshot uint64
-	keeper   *lease.Keeper
+	keeper   *lease.ExpiryTracker
 	waiting  map[uint64]waiting // by the number of a proposal
 	number   uint64
 	nonce    uint64 // tells our proposals from those of earlier lives
@@ -359,7 +359,7 @@
 	s := n.raw.BasicStatus()
 	lead := s.RaftState == raft.StateLeader
 	if lead && n.keeper == nil && e.GetTerm() == s.HardState.GetTerm() { // all of before is applied
-		n.keeper = lease.NewKeeper(&n.state, quorum.Now())
+		n.keeper = lease.NewExpiryTracker(&n.state, quorum.Now())
 	}
 	if e.GetType() != raftpb.EntryNormal || len(e.GetData()) == 0 {
 		return
@@ -373,20 +373,20 @@
 	was, _ := n.state.Get(name)
 	r := n.state.Apply(in.Command)
 	if n.keeper != nil {
-		n.keeper.Applied(&n.state, name, quorum.Now())
+		n.keeper.CommandApplied(&n.state, name, quorum.Now())
 	}
 	if r.Err == nil && (was.Holder != r.Record.Holder || was.Epoch != r.Record.Epoch) {
 		for s := range n.watchers[name] {
-			s.tell(quorum.FrameNews, quorum.News{Lease: name, Record: r.Record})
+			s.tell(quorum.FrameLeaseChange, quorum.LeaseChange{Lease: name, Record: r.Record})
 		}
 	}
 	if w, ok := n.waiting[in.Number]; ok && in.Nonce == n.nonce {
 		delete(n.waiting, in.Number)
-		a := quorum.Answer{Number: w.number, Record: r.Record}
+		a := quorum.Response{RequestID: w.number, Record: r.Record}
 		if r.Err != nil {
-			a.Error, a.Code = r.Err.Error(), quorum.CodeOf(r.Err)
+			a.Error, a.Code = r.Err.Error(), quorum.ErrorCode(r.Err)
 		}
-		w.s.tell(quorum.FrameAnswer, a)
+		w.s.tell(quorum.FrameResponse, a)
 	}
 }
 
@@ -395,12 +395,12 @@
 func (n *Node) abandon() {
 	for k, w := range n.waiting {
 		delete(n.waiting, k)
-		w.s.tell(quorum.FrameAnswer, n.notLeader(w.number))
+		w.s.tell(quorum.FrameResponse, n.notLeader(w.number))
 	}
 }
 
-func (n *Node) notLeader(number uint64) quorum.Answer {
-	a := quorum.Answer{Number: number, NotLeader: true, Error: "not the leader"}
+func (n *Node) notLeader(number uint64) quorum.Response {
+	a := quorum.Response{RequestID: number, NotLeader: true, Error: "not the leader"}
 	if lead := n.raw.BasicStatus().Lead; lead != n.cfg.ID {
 		a.Leader = lead
 	}
@@ -415,7 +415,7 @@
 	due, _ := n.keeper.Due(&n.state, quorum.Now())
 	for _, c := range due {
 		if n.propose(entry{Command: c}) != nil {
-			n.keeper.Forget(c.Lease)
+			n.keeper.ProposalDropped(c.Lease)
 		}
 	}
 }
@@ -429,21 +429,21 @@
 }
 
 // asked does what a client asks.
-func (n *Node) asked(s *session, a *quorum.Ask) {
+func (n *Node) asked(s *session, a *quorum.Request) {
 	if !n.sessions[s] {
 		return
 	}
 	if a.Status {
 		st := n.raw.BasicStatus()
 		snap, _ := n.disk.Snapshot()
-		s.tell(quorum.FrameAnswer, quorum.Answer{Number: a.Number, Status: &quorum.Status{
-			ID: n.cfg.ID, Term: st.HardState.GetTerm(), Leader: st.Lead, Applied: n.applied, Leases: len(n.state.Names()), Clients: len(n.sessions),
-			Snapshot: snap.GetMetadata().GetIndex(),
+		s.tell(quorum.FrameResponse, quorum.Response{RequestID: a.RequestID, Status: &quorum.Status{
+			ID: n.cfg.ID, Term: st.HardState.GetTerm(), Leader: st.Lead, AppliedIndex: n.applied, Leases: len(n.state.Names()), Clients: len(n.sessions),
+			SnapshotIndex: snap.GetMetadata().GetIndex(),
 		}})
 		return
 	}
 	if n.keeper == nil || n.stall != nil { // also a leader that has not yet applied all of before
-		s.tell(quorum.FrameAnswer, n.notLeader(a.Number))
+		s.tell(quorum.FrameResponse, n.notLeader(a.RequestID))
 		return
 	}
 	if a.Watch != "" {
@@ -453,7 +453,7 @@
 		n.watchers[a.Watch][s] = true
 		s.watches = append(s.watches, a.Watch)
 		r, _ := n.state.Get(a.Watch)
-		s.tell(quorum.FrameAnswer, quorum.Answer{Number: a.Number, Record: r})
+		s.tell(quorum.FrameResponse, quorum.Response{RequestID: a.RequestID, Record: r})
 		return
 	}
 	if a.List {
@@ -461,18 +461,18 @@
 		for _, name := range n.state.Names() {
 			all[name], _ = n.state.Get(name)
 		}
-		s.tell(quorum.FrameAnswer, quorum.Answer{Number: a.Number, Leases: all})
+		s.tell(quorum.FrameResponse, quorum.Response{RequestID: a.RequestID, Leases: all})
 		return
 	}
 	if a.Command == nil || a.Command.Kind == lease.Expire { // that is the leader's own
-		s.tell(quorum.FrameAnswer, quorum.Answer{Number: a.Number, Error: "no command", Code: "bounds"})
+		s.tell(quorum.FrameResponse, quorum.Response{RequestID: a.RequestID, Error: "no command", Code: "bounds"})
 		return
 	}
 	n.number++
-	n.waiting[n.number] = waiting{s: s, number: a.Number}
+	n.waiting[n.number] = waiting{s: s, number: a.RequestID}
 	if err := n.propose(entry{n.nonce, n.number, *a.Command}); err != nil {
 		delete(n.waiting, n.number)
-		s.tell(quorum.FrameAnswer, n.notLeader(a.Number))
+		s.tell(quorum.FrameResponse, n.notLeader(a.RequestID))
 	}
 }
 
@@ -499,15 +499,15 @@
 }
 
 func (n *Node) carry(ctx context.Context, v quorum.Voter, queue <-chan *raftpb.Message, reached func()) error {
-	d := net.Dialer{Timeout: quorum.HelloPatience}
+	d := net.Dialer{Timeout: quorum.HandshakeTimeout}
 	c, err := d.DialContext(ctx, "tcp", v.Address)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	l := quorum.NewLink(c)
-	other, err := l.Greet(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
+	l := quorum.NewFrameConn(c)
+	other, err := l.Handshake(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
 	if err != nil {
 		return err
 	}
@@ -517,7 +517,7 @@
 	reached()
 	broken := make(chan error, 1)
 	go func() { // nothing is to come but the reason of an end
-		_, _, err := l.ReadFrame(quorum.MostAskFrame)
+		_, _, err := l.ReadFrame(quorum.MaxClientFrameBytes)
 		broken <- cmpErr(err, errors.New("a frame that nobody asked for"))
 	}()
 	for {
@@ -532,7 +532,7 @@
 				return err
 			}
 			c.SetWriteDeadline(time.Now().Add(writePatience))
-			if err := l.WriteFrame(quorum.FrameMessage, text); err != nil {
+			if err := l.WriteFrame(quorum.FrameRaftMessage, text); err != nil {
 				return err
 			}
 			if m.GetType() == raftpb.MsgSnap {
@@ -563,13 +563,13 @@
 			defer func() { <-slots }()
 			defer c.Close()
 			defer context.AfterFunc(ctx, func() { c.Close() })()
-			n.serve(quorum.NewLink(c))
+			n.serve(quorum.NewFrameConn(c))
 		})
 	})
 }
 
-func (n *Node) serve(l *quorum.Link) {
-	other, err := l.Greet(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
+func (n *Node) serve(l *quorum.FrameConn) {
+	other, err := l.Handshake(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
 	if err != nil {
 		if !errors.Is(err, io.EOF) {
 			n.log.Warn("turned away", "from", l.RemoteAddr(), "error", err)
@@ -583,14 +583,14 @@
 	n.fromClient(l)
 }
 
-func (n *Node) fromPeer(l *quorum.Link, from uint64) {
+func (n *Node) fromPeer(l *quorum.FrameConn, from uint64) {
 	if !slices.ContainsFunc(n.cfg.Voters, func(v quorum.Voter) bool { return v.ID == from }) || from == n.cfg.ID {
-		l.Tell(quorum.FrameHello, quorum.Hello{Error: fmt.Sprintf("voter %d is none of ours", from)})
+		l.WriteJSON(quorum.FrameHello, quorum.Hello{Error: fmt.Sprintf("voter %d is none of ours", from)})
 		return
 	}
 	for {
-		kind, body, err := l.ReadFrame(quorum.MostFrame)
-		if err != nil || kind != quorum.FrameMessage {
+		kind, body, err := l.ReadFrame(quorum.MaxFrameBytes)
+		if err != nil || kind != quorum.FrameRaftMessage {
 			return
 		}
 		m := &raftpb.Message{}
@@ -607,7 +607,7 @@
 // session is a client's connection. What is told it waits in a queue of its own: a client
 // that does not read loses its connection and holds up nobody.
 type session struct {
-	l       *quorum.Link
+	l       *quorum.FrameConn
 	out     chan []byte
 	full    bool // of the loop
 	watches []string
@@ -626,7 +626,7 @@
 	}
 }
 
-func (n *Node) fromClient(l *quorum.Link) {
+func (n *Node) fromClient(l *quorum.FrameConn) {
 	s := &session{l: l, out: make(chan []byte, mostQueue)}
 	stop := make(chan struct{})
 	var writing sync.WaitGroup
@@ -646,9 +646,9 @@
 	})
 	n.do(func() { n.sessions[s] = true })
 	for {
-		kind, body, err := l.ReadFrame(quorum.MostAskFrame)
-		var a quorum.Ask
-		if err != nil || kind != quorum.FrameAsk || json.Unmarshal(body, &a) != nil {
+		kind, body, err := l.ReadFrame(quorum.MaxClientFrameBytes)
+		var a quorum.Request
+		if err != nil || kind != quorum.FrameRequest || json.Unmarshal(body, &a) != nil {
 			break
 		}
 		if !n.do(func() { n.asked(s, &a) }) {
--- a/lease/clock_test.go
+++ b/lease/clock_test.go
@@ -33,7 +33,7 @@
 
 func newClaimant(name string, length time.Duration) *claimant {
 	c := &claimant{side: newSide()}
-	c.h = NewHolder(HolderConfig{Lease: "l", Client: name, Length: length, Grace: length / 10, Retry: length / 5, Draw: func() float64 { return 0.5 }}, c)
+	c.h = NewHolder(HolderConfig{Lease: "l", Client: name, Length: length, Grace: length / 10, RetryInterval: length / 5, Draw: func() float64 { return 0.5 }}, c)
 	return c
 }
 
@@ -53,7 +53,7 @@
 	play := func(t *testing.T, stepAt, step time.Duration, who int) (told []string) {
 		first, second, leader := newClaimant("first", length), newClaimant("second", length), newSide()
 		var state State
-		keeper := NewKeeper(&state, leader.now())
+		keeper := NewExpiryTracker(&state, leader.now())
 		sides := []side{first.side, second.side, leader}
 		first.h.Start(first.now())
 		for at := time.Duration(0); at < span; at += tick {
@@ -69,7 +69,7 @@
 			due, _ := keeper.Due(&state, leader.now())
 			for _, c := range due {
 				state.Apply(c)
-				keeper.Applied(&state, c.Lease, leader.now())
+				keeper.CommandApplied(&state, c.Lease, leader.now())
 			}
 			held := 0
 			for i, c := range []*claimant{first, second} {
@@ -82,7 +82,7 @@
 						continue
 					}
 					r := state.Apply(cmd)
-					keeper.Applied(&state, cmd.Lease, leader.now())
+					keeper.CommandApplied(&state, cmd.Lease, leader.now())
 					c.h.Answer(c.now(), numbers[k], r)
 				}
 				if c.duty != was {
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -32,13 +32,13 @@
 
 // HolderConfig says what a Holder wants.
 type HolderConfig struct {
-	Lease  string
-	Client string // with its incarnation
-	Length time.Duration
-	Grace  time.Duration  // that the duty takes to end; the claim is as much longer
-	Stall  time.Duration  // without progress after which the duty counts as stalled; 0 for never
-	Retry  time.Duration  // between two tries to get a lease that another has, in the mean
-	Draw   func() float64 // from 0 to 1, for jitter
+	Lease         string
+	Client        string // with its incarnation
+	Length        time.Duration
+	Grace         time.Duration  // that the duty takes to end; the claim is as much longer
+	Stall         time.Duration  // without progress after which the duty counts as stalled; 0 for never
+	RetryInterval time.Duration  // between two tries to get a lease that another has, in the mean
+	Draw          func() float64 // from 0 to 1, for jitter
 }
 
 // Holder asks for one lease and knows when its claim on it ends. Its duty runs from Begin
@@ -98,7 +98,7 @@
 // Many hear that at once, so they ask spread over a part of their usual wait.
 func (h *Holder) Freed(now time.Duration) {
 	if h.on && !h.running {
-		h.tryAt = min(h.tryAt, now+time.Duration(h.cfg.Draw()*float64(h.cfg.Retry)/4))
+		h.tryAt = min(h.tryAt, now+time.Duration(h.cfg.Draw()*float64(h.cfg.RetryInterval)/4))
 		h.Wake(now)
 	}
 }
@@ -119,7 +119,7 @@
 		h.release(now, h.epoch, h.value)
 	}
 	h.epoch, h.why = 0, 0
-	h.tryAt = now + h.spread(h.cfg.Retry)
+	h.tryAt = now + h.spread(h.cfg.RetryInterval)
 	h.Wake(now)
 }
 
@@ -220,7 +220,7 @@
 	case h.on && !h.running:
 		if now >= h.tryAt {
 			h.ask(now, Command{Kind: Acquire, Lease: h.cfg.Lease, Client: h.cfg.Client, Length: h.cfg.Length})
-			h.tryAt = now + h.spread(h.cfg.Retry)
+			h.tryAt = now + h.spread(h.cfg.RetryInterval)
 		}
 		next = h.tryAt
 	default:
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -27,7 +27,7 @@
 }
 func newDesk(stall time.Duration) (*Holder, *desk) {
 	d := &desk{}
-	return NewHolder(HolderConfig{Lease: "l", Client: "me", Length: time.Second, Grace: 100 * ms, Stall: stall, Retry: 200 * ms, Draw: func() float64 { return 0.5 }}, d), d
+	return NewHolder(HolderConfig{Lease: "l", Client: "me", Length: time.Second, Grace: 100 * ms, Stall: stall, RetryInterval: 200 * ms, Draw: func() float64 { return 0.5 }}, d), d
 }
 
 // wakeUntil wakes the Holder whenever it has asked for it.
--- a/lease/sim_test.go
+++ b/lease/sim_test.go
@@ -123,7 +123,7 @@
 	pending []func() // what came while it was stopped
 	state   State
 	applied uint64
-	keeper  *Keeper
+	keeper  *ExpiryTracker
 	conf    *raftpb.ConfState
 	reply   map[string]func(Reply)
 }
@@ -238,7 +238,7 @@
 	lead := status.RaftState == raft.StateLeader
 	if lead && v.keeper == nil && e.GetTerm() == status.GetTerm() { // all of before is applied
 		v.w.leaders++
-		v.keeper = NewKeeper(&v.state, v.clock.at(v.w.now))
+		v.keeper = NewExpiryTracker(&v.state, v.clock.at(v.w.now))
 		if v.w.planted == newLeaderImpatient {
 			for name, s := range v.keeper.seen {
 				s.since -= time.Hour
@@ -252,7 +252,7 @@
 	}
 	r := v.state.Apply(in.Command)
 	if lead && v.keeper != nil {
-		v.keeper.Applied(&v.state, in.Command.Lease, v.clock.at(v.w.now))
+		v.keeper.CommandApplied(&v.state, in.Command.Lease, v.clock.at(v.w.now))
 		if r.Err == nil && in.Command.Kind == Acquire {
 			v.w.grants++
 		}
@@ -271,7 +271,7 @@
 	for _, c := range due {
 		text, _ := json.Marshal(entry{Command: c})
 		if v.raw.Propose(text) != nil {
-			v.keeper.Forget(c.Lease)
+			v.keeper.ProposalDropped(c.Lease)
 		}
 	}
 }
@@ -406,7 +406,7 @@
 	for i := range clients {
 		c := &client{w: w, id: i, clock: w.clock(), guess: w.rng.IntN(voters)}
 		c.h = NewHolder(HolderConfig{
-			Lease: fmt.Sprint("l", i%leases), Client: fmt.Sprint("c", i), Length: time.Second, Grace: 100 * ms, Stall: 400 * ms, Retry: 300 * ms, Draw: w.rng.Float64,
+			Lease: fmt.Sprint("l", i%leases), Client: fmt.Sprint("c", i), Length: time.Second, Grace: 100 * ms, Stall: 400 * ms, RetryInterval: 300 * ms, Draw: w.rng.Float64,
 		}, c)
 		w.clients = append(w.clients, c)
 		w.after(time.Duration(w.rng.Int64N(int64(time.Second))), func() { c.h.Start(c.now()) })
--- a/lease/state.go
+++ b/lease/state.go
@@ -62,8 +62,8 @@
 	MostLeases = 100_000
 	MostName   = 200
 	MostValue  = 4 << 10
-	LeastTime  = 100 * time.Millisecond
-	MostTime   = time.Hour
+	MinLength  = 100 * time.Millisecond
+	MaxLength  = time.Hour
 )
 
 // Errors of commands. Held and Stale come with the Record as it is.
@@ -175,8 +175,8 @@
 		return fmt.Errorf("%w: a name of %d bytes, want 1 to %d", ErrBounds, len(c.Lease), MostName)
 	case len(c.Value) > MostValue:
 		return fmt.Errorf("%w: a value of %d bytes, want %d at most", ErrBounds, len(c.Value), MostValue)
-	case c.Kind == Acquire && (c.Length < LeastTime || c.Length > MostTime):
-		return fmt.Errorf("%w: a length of %v, want %v to %v", ErrBounds, c.Length, LeastTime, MostTime)
+	case c.Kind == Acquire && (c.Length < MinLength || c.Length > MaxLength):
+		return fmt.Errorf("%w: a length of %v, want %v to %v", ErrBounds, c.Length, MinLength, MaxLength)
 	case c.Kind != Expire && c.Kind != Evict && (c.Client == "" || len(c.Client) > MostName):
 		return fmt.Errorf("%w: a client's name of %d bytes, want 1 to %d", ErrBounds, len(c.Client), MostName)
 	}
@@ -239,14 +239,14 @@
 
 // Patience is how long the leader waits, on its own clock, before it gives a lease of
 // this length away.
-func Patience(length time.Duration) time.Duration {
+func ExpiryDelay(length time.Duration) time.Duration {
 	return length + time.Duration(2*Drift*float64(length)) + time.Millisecond
 }
 
 // Keeper is the leader's side: it knows when it learnt of each renewal, by its own clock,
 // and which leases are over. It lives for one term of leadership: a new leader makes a
 // new one, which counts every lease from then on.
-type Keeper struct {
+type ExpiryTracker struct {
 	seen map[string]seen
 }
 
@@ -259,15 +259,15 @@
 
 // NewKeeper is the keeper of a term that begins now, when all that was committed before
 // has been applied to s.
-func NewKeeper(s *State, now time.Duration) *Keeper {
-	k := &Keeper{seen: map[string]seen{}}
+func NewExpiryTracker(s *State, now time.Duration) *ExpiryTracker {
+	k := &ExpiryTracker{seen: map[string]seen{}}
 	for name, r := range s.leases {
 		k.note(name, r, now)
 	}
 	return k
 }
 
-func (k *Keeper) note(name string, r *Record, now time.Duration) {
+func (k *ExpiryTracker) note(name string, r *Record, now time.Duration) {
 	if r.Holder == "" {
 		delete(k.seen, name)
 		return
@@ -278,18 +278,18 @@
 }
 
 // Applied tells that a command about a lease has been applied.
-func (k *Keeper) Applied(s *State, name string, now time.Duration) {
+func (k *ExpiryTracker) CommandApplied(s *State, name string, now time.Duration) {
 	if r := s.leases[name]; r != nil {
 		k.note(name, r, now)
 	}
 }
 
 // Due are the commands that are to be proposed now, each once, and when to look again.
-func (k *Keeper) Due(s *State, now time.Duration) (expire []Command, next time.Duration) {
-	next = now + MostTime
+func (k *ExpiryTracker) Due(s *State, now time.Duration) (expire []Command, next time.Duration) {
+	next = now + MaxLength
 	for _, name := range slices.Sorted(maps.Keys(k.seen)) {
 		w, r := k.seen[name], s.leases[name]
-		if at := w.since + Patience(r.Length); at > now {
+		if at := w.since + ExpiryDelay(r.Length); at > now {
 			next = min(next, at)
 		} else if !w.asked {
 			w.asked = true
@@ -301,7 +301,7 @@
 }
 
 // Forget lets what was proposed be proposed again: the engine has dropped it.
-func (k *Keeper) Forget(name string) {
+func (k *ExpiryTracker) ProposalDropped(name string) {
 	if w, ok := k.seen[name]; ok {
 		w.asked = false
 		k.seen[name] = w
