--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -13,308 +13,310 @@
 	"gorselink/lease"
 )
 
-// Client asks a quorum. It is safe for concurrent use, and holds one connection at a time:
-// to the leader, once it has found it.
+// Client sends requests to a quorum. It keeps at most one connection, to the leader once
+// that is known, and is safe for concurrent use.
 type Client struct {
 	cluster string
 	voters  []Voter
 
-	mu     sync.Mutex
-	guess  int // of voters
-	conn   *clientConn
-	number uint64
-	ended  bool
-	watch  map[string]map[chan lease.Record]bool
+	mu            sync.Mutex
+	target        int // index in voters of the voter to connect to
+	conn          *clientConn
+	lastRequestID uint64
+	closed        bool
+	watchers      map[string]map[chan lease.Record]bool // by the name of the lease
 }
 
-// NewClient returns a client of a cluster. The voters' addresses are as this process
-// reaches them.
+// NewClient returns a client of a cluster. The voters' addresses must be reachable from
+// this process; they may differ from the addresses that the voters use for each other.
 func NewClient(cluster string, voters []Voter) (*Client, error) {
 	if len(voters) == 0 {
-		return nil, errors.New("quorum: no voters")
+		return nil, errors.New("quorum: no voters are configured")
 	}
-	return &Client{cluster: cluster, voters: voters, guess: rand.IntN(len(voters)), watch: map[string]map[chan lease.Record]bool{}}, nil
+	return &Client{cluster: cluster, voters: voters, target: rand.IntN(len(voters)), watchers: map[string]map[chan lease.Record]bool{}}, nil
 }
 
-// clientConn is one connection with what is asked over it.
+// clientConn is one connection and its requests in flight.
 type clientConn struct {
-	l      *FrameConn
-	voter  int
-	broken chan struct{}
-	once   sync.Once
-	write  sync.Mutex
+	frames    *FrameConn
+	voter     int // index in Client.voters
+	closed    chan struct{}
+	closeOnce sync.Once
+	writeMu   sync.Mutex
 
 	mu      sync.Mutex
-	waiting map[uint64]chan Response
+	pending map[uint64]chan Response // by request ID
 }
 
 func (cc *clientConn) close() {
-	cc.once.Do(func() {
-		cc.l.Close()
-		close(cc.broken)
+	cc.closeOnce.Do(func() {
+		cc.frames.Close()
+		close(cc.closed)
 	})
 }
 
-// Close ends the connection; what is asked fails.
+// Close closes the connection. Requests in flight and later ones fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = true
+	c.closed = true
 	if c.conn != nil {
 		c.conn.close()
 	}
 }
 
-// ErrUnheard is in the chain of errors of what got no answer from a leader. Whether it
-// was done is not known.
-var ErrUnheard = errors.New("no answer from the quorum")
+// ErrNoResponse is wrapped by the error of a request that got no response from a leader.
+// The request may have been executed or not.
+var ErrNoResponse = errors.New("no response from the leader")
 
 const (
-	dialPatience = 2 * time.Second
-	askPatience  = 3 * time.Second // on one connection
-	againLeast   = 20 * time.Millisecond
-	againMost    = time.Second
+	dialTimeout    = 2 * time.Second
+	requestTimeout = 3 * time.Second // for one attempt on one connection
+	minRetryDelay  = 20 * time.Millisecond
+	maxRetryDelay  = time.Second
 )
 
-// connect returns the connection there is, or makes one to the guess.
+// connect returns the open connection, or opens one to the target voter.
 func (c *Client) connect(ctx context.Context) (*clientConn, error) {
 	c.mu.Lock()
 	if cc := c.conn; cc != nil {
 		c.mu.Unlock()
 		return cc, nil
 	}
-	if c.ended {
+	if c.closed {
 		c.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	k := c.guess
+	target := c.target
 	c.mu.Unlock()
-	d := net.Dialer{Timeout: dialPatience}
-	raw, err := d.DialContext(ctx, "tcp", c.voters[k].Address)
+	d := net.Dialer{Timeout: dialTimeout}
+	raw, err := d.DialContext(ctx, "tcp", c.voters[target].Address)
 	if err != nil {
-		c.next(k, 0)
+		c.retarget(target, 0)
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
-	l := NewFrameConn(raw)
-	if _, err := l.Handshake(Hello{Cluster: c.cluster}); err != nil {
+	frames := NewFrameConn(raw)
+	if _, err := frames.Handshake(Hello{Cluster: c.cluster}); err != nil {
 		raw.Close()
-		c.next(k, 0)
+		c.retarget(target, 0)
 		return nil, err
 	}
-	cc := &clientConn{l: l, voter: k, broken: make(chan struct{}), waiting: map[uint64]chan Response{}}
+	cc := &clientConn{frames: frames, voter: target, closed: make(chan struct{}), pending: map[uint64]chan Response{}}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn != nil || c.ended { // somebody else was faster
+	if c.conn != nil || c.closed { // another goroutine has connected or closed the client meanwhile
 		raw.Close()
-		if c.ended {
+		if c.closed {
 			return nil, net.ErrClosed
 		}
 		return c.conn, nil
 	}
 	c.conn = cc
-	go c.hear(cc)
+	go c.readLoop(cc)
 	return cc, nil
 }
 
-// next leaves a voter for the one that leads, if that is known, or for another.
-func (c *Client) next(from int, leader uint64) {
+// retarget selects the leader as the next target, or another voter at random if leaderID
+// is 0 or unknown. It does nothing if the target is no longer the voter at index from.
+func (c *Client) retarget(from int, leaderID uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.guess != from {
+	if c.target != from {
 		return
 	}
-	c.guess = (from + 1 + rand.IntN(max(1, len(c.voters)-1))) % len(c.voters)
+	c.target = (from + 1 + rand.IntN(max(1, len(c.voters)-1))) % len(c.voters)
 	for i, v := range c.voters {
-		if v.ID == leader && leader != 0 {
-			c.guess = i
+		if v.ID == leaderID && leaderID != 0 {
+			c.target = i
 		}
 	}
 }
 
-// drop gives a connection up.
-func (c *Client) drop(cc *clientConn, leader uint64) {
+// drop closes a connection and selects a new target.
+func (c *Client) drop(cc *clientConn, leaderID uint64) {
 	cc.close()
 	c.mu.Lock()
 	if c.conn == cc {
 		c.conn = nil
 	}
 	c.mu.Unlock()
-	c.next(cc.voter, leader)
+	c.retarget(cc.voter, leaderID)
 }
 
-// hear takes what comes over a connection.
-func (c *Client) hear(cc *clientConn) {
+// readLoop dispatches the frames that arrive on a connection until it fails.
+func (c *Client) readLoop(cc *clientConn) {
 	defer c.drop(cc, 0)
 	for {
-		kind, body, err := cc.l.ReadFrame(MaxFrameBytes)
+		kind, body, err := cc.frames.ReadFrame(MaxFrameBytes)
 		if err != nil {
 			return
 		}
 		switch kind {
 		case FrameResponse:
-			var a Response
-			if json.Unmarshal(body, &a) != nil {
+			var response Response
+			if json.Unmarshal(body, &response) != nil {
 				return
 			}
 			cc.mu.Lock()
-			got := cc.waiting[a.RequestID]
-			delete(cc.waiting, a.RequestID)
+			responses := cc.pending[response.RequestID]
+			delete(cc.pending, response.RequestID)
 			cc.mu.Unlock()
-			if got != nil {
-				got <- a
+			if responses != nil {
+				responses <- response
 			}
 		case FrameLeaseChange:
-			var x LeaseChange
-			if json.Unmarshal(body, &x) != nil {
+			var change LeaseChange
+			if json.Unmarshal(body, &change) != nil {
 				return
 			}
 			c.mu.Lock()
-			for ch := range c.watch[x.Lease] {
+			for ch := range c.watchers[change.Lease] {
 				select {
-				case ch <- x.Record:
-				default: // it has one to look at already
+				case ch <- change.Record:
+				default: // the watcher has not read the previous record yet
 				}
 			}
 			c.mu.Unlock()
-		case FrameHello: // why we are turned away
+		case FrameHello: // the voter rejects the connection
 			return
 		}
 	}
 }
 
-// ask asks until the leader answers or ctx ends.
-func (c *Client) ask(ctx context.Context, q Request) (*Response, error) {
-	var last error
-	for wait := againLeast; ; wait = min(2*wait, againMost) {
-		a, cc, err := c.once(ctx, q)
+// request repeats a request until a leader responds or ctx ends.
+func (c *Client) request(ctx context.Context, req Request) (*Response, error) {
+	var lastErr error
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
+		response, cc, err := c.requestOnce(ctx, req)
 		switch {
-		case err == nil && !a.NotLeader:
-			return a, nil
+		case err == nil && !response.NotLeader:
+			return response, nil
 		case err == nil:
-			last = fmt.Errorf("voter %d does not lead", c.voters[cc.voter].ID)
-			c.drop(cc, a.Leader)
-			if a.Leader != 0 && wait == againLeast {
+			lastErr = fmt.Errorf("voter %d is not the leader", c.voters[cc.voter].ID)
+			c.drop(cc, response.Leader)
+			if response.Leader != 0 && delay == minRetryDelay {
 				continue
 			}
-		case errors.Is(err, net.ErrClosed) && c.closed():
+		case errors.Is(err, net.ErrClosed) && c.isClosed():
 			return nil, err
 		default:
-			last = err
+			lastErr = err
 		}
-		t := time.NewTimer(wait/2 + time.Duration(rand.Int64N(int64(wait))))
+		timer := time.NewTimer(delay/2 + time.Duration(rand.Int64N(int64(delay))))
 		select {
 		case <-ctx.Done():
-			t.Stop()
-			return nil, fmt.Errorf("quorum: %w: %w (last: %w)", ErrUnheard, ctx.Err(), last)
-		case <-t.C:
+			timer.Stop()
+			return nil, fmt.Errorf("quorum: %w: %w (last attempt: %w)", ErrNoResponse, ctx.Err(), lastErr)
+		case <-timer.C:
 		}
 	}
 }
 
-func (c *Client) closed() bool {
+func (c *Client) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ended
+	return c.closed
 }
 
-func (c *Client) once(ctx context.Context, q Request) (*Response, *clientConn, error) {
+// requestOnce makes one attempt at a request.
+func (c *Client) requestOnce(ctx context.Context, req Request) (*Response, *clientConn, error) {
 	cc, err := c.connect(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	c.mu.Lock()
-	c.number++
-	q.RequestID = c.number
+	c.lastRequestID++
+	req.RequestID = c.lastRequestID
 	c.mu.Unlock()
-	got := make(chan Response, 1)
+	responses := make(chan Response, 1)
 	cc.mu.Lock()
-	cc.waiting[q.RequestID] = got
+	cc.pending[req.RequestID] = responses
 	cc.mu.Unlock()
-	cc.write.Lock()
-	cc.l.SetWriteDeadline(time.Now().Add(askPatience))
-	err = cc.l.WriteJSON(FrameRequest, q)
-	cc.write.Unlock()
+	cc.writeMu.Lock()
+	cc.frames.SetWriteDeadline(time.Now().Add(requestTimeout))
+	err = cc.frames.WriteJSON(FrameRequest, req)
+	cc.writeMu.Unlock()
 	if err != nil {
 		c.drop(cc, 0)
 		return nil, cc, err
 	}
-	t := time.NewTimer(askPatience)
-	defer t.Stop()
+	timer := time.NewTimer(requestTimeout)
+	defer timer.Stop()
 	select {
-	case a := <-got:
-		return &a, cc, nil
-	case <-cc.broken:
-		return nil, cc, errors.New("the connection broke")
-	case <-t.C:
+	case response := <-responses:
+		return &response, cc, nil
+	case <-cc.closed:
+		return nil, cc, errors.New("connection closed before the response arrived")
+	case <-timer.C:
 		c.drop(cc, 0)
-		return nil, cc, fmt.Errorf("voter %d is silent", c.voters[cc.voter].ID)
+		return nil, cc, fmt.Errorf("voter %d did not respond in time", c.voters[cc.voter].ID)
 	case <-ctx.Done():
 		return nil, cc, ctx.Err()
 	}
 }
 
-// Do has a command done. The Reply's error is the quorum's word; the other error means
-// that there was none.
-func (c *Client) Do(ctx context.Context, cmd lease.Command) (lease.Reply, error) {
-	a, err := c.ask(ctx, Request{Command: &cmd})
+// Do executes a command. Result.Err is the quorum's refusal; the error that Do returns
+// means that the outcome is unknown.
+func (c *Client) Do(ctx context.Context, cmd lease.Command) (lease.Result, error) {
+	response, err := c.request(ctx, Request{Command: &cmd})
 	if err != nil {
-		return lease.Reply{}, err
+		return lease.Result{}, err
 	}
-	return a.reply(), nil
+	return response.result(), nil
 }
 
-// List is all leases as the leader has them.
+// List returns the leader's records of all leases, by name.
 func (c *Client) List(ctx context.Context) (map[string]lease.Record, error) {
-	a, err := c.ask(ctx, Request{List: true})
+	response, err := c.request(ctx, Request{List: true})
 	if err != nil {
 		return nil, err
 	}
-	return a.Leases, nil
+	return response.Leases, nil
 }
 
-// StatusOf is how one voter stands, whether it leads or not.
+// StatusOf returns the status of one voter, whether or not it is the leader.
 func StatusOf(ctx context.Context, cluster string, v Voter) (*Status, error) {
 	c, err := NewClient(cluster, []Voter{v})
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	a, _, err := c.once(ctx, Request{Status: true})
+	response, _, err := c.requestOnce(ctx, Request{Status: true})
 	if err != nil {
 		return nil, err
 	}
-	return a.Status, nil
+	return response.Status, nil
 }
 
-// Watch tells the lease as it is now, and then each change that this client hears of: a
-// change of leader may hide one, so whoever waits also looks now and then. It ends with
-// ctx.
+// Watch sends the current record of a lease and then its changes, until ctx ends. Changes
+// can be missed while the leader changes or the receiver is slow, so callers that wait for
+// a state must also poll.
 func (c *Client) Watch(ctx context.Context, name string) <-chan lease.Record {
 	ch := make(chan lease.Record, 1)
 	c.mu.Lock()
-	if c.watch[name] == nil {
-		c.watch[name] = map[chan lease.Record]bool{}
+	if c.watchers[name] == nil {
+		c.watchers[name] = map[chan lease.Record]bool{}
 	}
-	c.watch[name][ch] = true
+	c.watchers[name][ch] = true
 	c.mu.Unlock()
 	go func() {
 		defer func() {
 			c.mu.Lock()
-			delete(c.watch[name], ch)
-			if len(c.watch[name]) == 0 {
-				delete(c.watch, name)
+			delete(c.watchers[name], ch)
+			if len(c.watchers[name]) == 0 {
+				delete(c.watchers, name)
 			}
 			c.mu.Unlock()
 		}()
-		for ctx.Err() == nil { // once for each connection
-			a, err := c.ask(ctx, Request{Watch: name})
+		for ctx.Err() == nil { // each new connection needs its own watch request
+			response, err := c.request(ctx, Request{Watch: name})
 			if err != nil {
 				return
 			}
 			select {
-			case ch <- a.Record:
+			case ch <- response.Record:
 			default:
 			}
 			c.mu.Lock()
@@ -324,7 +326,7 @@
 				continue
 			}
 			select {
-			case <-cc.broken:
+			case <-cc.closed:
 			case <-ctx.Done():
 			}
 		}
--- a/internal/quorum/clock_test.go
+++ b/internal/quorum/clock_test.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Leases go by the time since the machine was booted, which nobody can set, is the same in
-// every process, and goes on while the machine is suspended.
+// Now must be the time since boot: it cannot be set, is the same in every process, and
+// includes time during which the machine was suspended.
 func TestNowIsTheTimeSinceBoot(t *testing.T) {
-	boot := func() time.Duration {
+	bootTime := func() time.Duration {
 		var ts unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 			t.Fatal(err)
@@ -18,9 +18,9 @@
 		return time.Duration(ts.Nano())
 	}
 	for range 100 {
-		before, now, after := boot(), Now(), boot()
+		before, now, after := bootTime(), Now(), bootTime()
 		if now < before || now > after {
-			t.Fatalf("now is %v, want it from %v to %v", now, before, after)
+			t.Fatalf("Now returned %v, want a time from %v to %v", now, before, after)
 		}
 	}
 }
--- a/internal/quorum/frame.go
+++ b/internal/quorum/frame.go
@@ -1,6 +1,6 @@
-// Package quorum is what clients of a quorum of voters use: frames over a connection, a
-// client that finds the leader, and the driving of a lease.Holder by clock and answers.
-// The voters themselves are package voter, which sidecars do not carry.
+// Package quorum is the client side of a quorum of voters: the framing of messages on a
+// connection, a client that finds the leader, and the timers and requests that drive a
+// lease.Holder. The voters are in package voter, which sidecars do not import.
 package quorum
 
 import (
@@ -18,89 +18,91 @@
 	"gorselink/lease"
 )
 
-// Now is the time of a clock that nobody can set and that goes on while the machine is
-// suspended: one that stood still meanwhile would let a claim live on after it was given
-// to another.
+// Now returns the time since boot, including time during which the machine was suspended.
+// A clock that stops during suspension would keep a claim valid after the lease has been
+// granted to another client.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("quorum: clock_gettime: " + err.Error()) // every kernel since 2.6.39 has it
+		panic("quorum: clock_gettime: " + err.Error()) // supported since Linux 2.6.39
 	}
 	return time.Duration(ts.Nano())
 }
 
-// What goes over a connection is frames: the length of the rest, what it is, and that.
-// The first frame of either side is a hello.
+// Kinds of frames. A frame consists of the length of its body (4 bytes, big endian), its
+// kind (1 byte) and the body. The first frame in each direction is a FrameHello.
 const (
 	FrameHello       = 'h'
-	FrameRaftMessage = 'm' // of the engine, between voters
-	FrameRequest     = 'a' // of a client
-	FrameResponse    = 'r'
-	FrameLeaseChange = 'n' // to a client that watches
-
-	MaxFrameBytes       = 64 << 20 // of a snapshot among voters
-	MaxClientFrameBytes = 64 << 10 // of a client
-	version             = 1
+	FrameRaftMessage = 'm' // from voter to voter
+	FrameRequest     = 'a' // from a client
+	FrameResponse    = 'r' // to a client
+	FrameLeaseChange = 'n' // to a client that watches the lease
+
+	MaxFrameBytes       = 64 << 20 // between voters, and from a voter to a client
+	MaxClientFrameBytes = 64 << 10 // from a client, and for a hello
+	protocolVersion     = 1
 	HandshakeTimeout    = 5 * time.Second
 )
 
-// Voter is one of those that keep the state.
+// Voter is a member of the quorum.
 type Voter struct {
-	ID      uint64 // from 1, never used again for another
+	ID      uint64 // at least 1; the ID of a removed voter is never reused
 	Address string
 }
 
-// Status is how a voter stands.
+// Status is the state of one voter.
 type Status struct {
 	ID            uint64 `json:"id"`
 	Term          uint64 `json:"term"`
-	Leader        uint64 `json:"leader"` // 0 if it knows of none
+	Leader        uint64 `json:"leader"` // 0 if unknown
 	AppliedIndex  uint64 `json:"applied"`
 	Leases        int    `json:"leases"`
 	Clients       int    `json:"clients"`
-	SnapshotIndex uint64 `json:"snapshot"` // index
+	SnapshotIndex uint64 `json:"snapshot"`
 }
 
-// Hello is who speaks.
+// Hello identifies the sender at the start of a connection.
 type Hello struct {
 	Version int    `json:"version"`
 	Cluster string `json:"cluster"`
 	Voter   uint64 `json:"voter,omitempty"` // 0 for a client
-	Error   string `json:"error,omitempty"` // why the other side is turned away
+	Error   string `json:"error,omitempty"` // why the sender rejects the connection
 }
 
-// Ask is what a client wants to know or to have done.
+// Request is a client's request. Exactly one of Command, Watch, List and Status is set.
 type Request struct {
 	RequestID uint64         `json:"number"`
 	Command   *lease.Command `json:"command,omitempty"`
-	Watch     string         `json:"watch,omitempty"` // be told when this lease changes
-	List      bool           `json:"list,omitempty"`  // all leases, as the leader has them
+	Watch     string         `json:"watch,omitempty"` // name of a lease whose changes are to be sent
+	List      bool           `json:"list,omitempty"`  // return all leases
 	Status    bool           `json:"status,omitempty"`
 }
 
-// Answer is what has come of it. NotLeader answers say whom to ask, if that is known.
+// Response is the response to the Request with the same ID. With NotLeader, Leader is the
+// ID of the voter to ask instead, if it is known.
 type Response struct {
 	RequestID uint64                  `json:"number"`
 	Error     string                  `json:"error,omitempty"`
 	Code      string                  `json:"code,omitempty"`
 	Record    lease.Record            `json:"record"`
 	NotLeader bool                    `json:"not_leader,omitempty"`
-	Leader    uint64                  `json:"leader,omitempty"` // a voter's number: clients have their own ways to it
+	Leader    uint64                  `json:"leader,omitempty"` // an ID, as clients may reach voters at other addresses
 	Leases    map[string]lease.Record `json:"leases,omitempty"`
 	Status    *Status                 `json:"status,omitempty"`
 }
 
-// News is that a lease has changed.
+// LeaseChange notifies a watching client that a lease has a new holder or epoch, or is free.
 type LeaseChange struct {
 	Lease  string       `json:"lease"`
 	Record lease.Record `json:"record"`
 }
 
-// codes of errors that callers tell apart.
-var codes = map[string]error{"held": lease.ErrHeld, "stale": lease.ErrStale, "unknown": lease.ErrUnknown, "bounds": lease.ErrBounds}
+// errorsByCode maps Response.Code to the errors that callers distinguish.
+var errorsByCode = map[string]error{"held": lease.ErrHeld, "stale": lease.ErrStale, "unknown": lease.ErrUnknownLease, "bounds": lease.ErrInvalidCommand}
 
+// ErrorCode returns the Response.Code for err, or "" if it has none.
 func ErrorCode(err error) string {
-	for code, e := range codes {
+	for code, e := range errorsByCode {
 		if errors.Is(err, e) {
 			return code
 		}
@@ -108,88 +110,91 @@
 	return ""
 }
 
-// reply is the answer as a lease.Reply.
-func (a *Response) reply() lease.Reply {
-	r := lease.Reply{Record: a.Record}
-	if a.Error != "" {
-		if r.Err = codes[a.Code]; r.Err == nil {
-			r.Err = errors.New(a.Error)
+// result converts the response to a command into a lease.Result.
+func (r *Response) result() lease.Result {
+	res := lease.Result{Record: r.Record}
+	if r.Error != "" {
+		if res.Err = errorsByCode[r.Code]; res.Err == nil {
+			res.Err = errors.New(r.Error)
 		}
 	}
-	return r
+	return res
 }
 
-// Link is a connection with frames.
+// FrameConn is a connection that carries frames.
 type FrameConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
+// NewFrameConn returns a FrameConn on c.
 func NewFrameConn(c net.Conn) *FrameConn { return &FrameConn{c, bufio.NewReader(c)} }
 
-// ReadFrame reads a frame of at most so many bytes.
-func (l *FrameConn) ReadFrame(most int) (kind byte, body []byte, err error) {
-	var head [5]byte
-	if _, err := io.ReadFull(l.in, head[:]); err != nil {
+// ReadFrame reads one frame. A body of more than maxBytes bytes is an error.
+func (f *FrameConn) ReadFrame(maxBytes int) (kind byte, body []byte, err error) {
+	var header [5]byte
+	if _, err := io.ReadFull(f.reader, header[:]); err != nil {
 		return 0, nil, err
 	}
-	n := int(binary.BigEndian.Uint32(head[:4]))
-	if n > most {
-		return 0, nil, fmt.Errorf("a frame of %d bytes, want %d at most", n, most)
+	n := int(binary.BigEndian.Uint32(header[:4]))
+	if n > maxBytes {
+		return 0, nil, fmt.Errorf("frame of %d bytes exceeds the limit of %d", n, maxBytes)
 	}
-	// What a frame only claims to hold is not set aside before it comes.
-	body, err = io.ReadAll(io.LimitReader(l.in, int64(n)))
+	// The buffer grows with the bytes received, so that a false length allocates nothing.
+	body, err = io.ReadAll(io.LimitReader(f.reader, int64(n)))
 	if err == nil && len(body) < n {
 		err = io.ErrUnexpectedEOF
 	}
-	return head[4], body, err
+	return header[4], body, err
 }
 
-func (l *FrameConn) WriteFrame(kind byte, body []byte) error {
-	out := make([]byte, 5, 5+len(body))
-	binary.BigEndian.PutUint32(out, uint32(len(body)))
-	out[4] = kind
-	_, err := l.Conn.Write(append(out, body...))
+// WriteFrame writes one frame.
+func (f *FrameConn) WriteFrame(kind byte, body []byte) error {
+	frame := make([]byte, 5, 5+len(body))
+	binary.BigEndian.PutUint32(frame, uint32(len(body)))
+	frame[4] = kind
+	_, err := f.Conn.Write(append(frame, body...))
 	return err
 }
 
-func (l *FrameConn) WriteJSON(kind byte, v any) error {
+// WriteJSON writes one frame whose body is v encoded as JSON.
+func (f *FrameConn) WriteJSON(kind byte, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return l.WriteFrame(kind, body)
+	return f.WriteFrame(kind, body)
 }
 
-// Greet tells who we are and hears who it is. A foreign cluster is an error on both
-// sides, which names both.
-func (l *FrameConn) Handshake(own Hello) (other Hello, err error) {
-	l.SetDeadline(time.Now().Add(HandshakeTimeout))
-	defer l.SetDeadline(time.Time{})
-	own.Version = version
-	if err := l.WriteJSON(FrameHello, own); err != nil {
-		return other, err
+// Handshake sends the own hello and returns the peer's. If the protocol versions or the
+// clusters differ, it fails at both ends.
+func (f *FrameConn) Handshake(own Hello) (peer Hello, err error) {
+	f.SetDeadline(time.Now().Add(HandshakeTimeout))
+	defer f.SetDeadline(time.Time{})
+	own.Version = protocolVersion
+	if err := f.WriteJSON(FrameHello, own); err != nil {
+		return peer, err
 	}
-	kind, body, err := l.ReadFrame(MaxClientFrameBytes)
+	kind, body, err := f.ReadFrame(MaxClientFrameBytes)
 	if err != nil {
-		return other, err
+		return peer, err
 	}
 	if kind != FrameHello {
-		return other, fmt.Errorf("a frame %q before the hello", kind)
+		return peer, fmt.Errorf("received frame of kind %q, want a hello", kind)
 	}
-	if err := json.Unmarshal(body, &other); err != nil {
-		return other, fmt.Errorf("hello: %w", err)
+	if err := json.Unmarshal(body, &peer); err != nil {
+		return peer, fmt.Errorf("decode hello: %w", err)
 	}
 	switch {
-	case other.Error != "":
-		return other, fmt.Errorf("turned away: %s", other.Error)
-	case other.Version != version:
-		err = fmt.Errorf("version %d of the protocol, this one speaks %d", other.Version, version)
-	case other.Cluster != own.Cluster:
-		err = fmt.Errorf("cluster %q, this is %q", other.Cluster, own.Cluster)
+	case peer.Error != "":
+		return peer, fmt.Errorf("connection rejected by the peer: %s", peer.Error)
+	case peer.Version != protocolVersion:
+		err = fmt.Errorf("received hello with protocol version %d, want %d", peer.Version, protocolVersion)
+	case peer.Cluster != own.Cluster:
+		err = fmt.Errorf("received hello from cluster %q, want %q", peer.Cluster, own.Cluster)
 	}
 	if err != nil {
-		l.WriteJSON(FrameHello, Hello{Version: version, Cluster: own.Cluster, Error: err.Error()})
+		f.WriteJSON(FrameHello, Hello{Version: protocolVersion, Cluster: own.Cluster, Error: err.Error()})
 	}
-	return other, err
+	return peer, err
 }
--- a/internal/quorum/hold.go
+++ b/internal/quorum/hold.go
@@ -9,40 +9,46 @@
 	"gorselink/lease"
 )
 
-// Grant is what a duty has of its lease.
+// Grant is one grant of a lease, passed to the task that runs under it.
 type Grant struct {
-	Epoch lease.Epoch // all that the duty does carries it
-	Value []byte      // what the holder before has kept
+	Epoch lease.Epoch // the fencing token for all operations of the task
+	Value []byte      // stored by an earlier holder
 
-	hold *hold
+	host *holderHost
 }
 
-// Progress tells that the duty goes on. Where the lease is held with a Stall, a duty
-// that tells none for so long loses its lease.
-func (g *Grant) Progress() { g.hold.do(func(now time.Duration) { g.hold.h.Progress(now) }) }
+// ReportProgress records that the task is making progress. If HolderConfig.StallTimeout is
+// set, a task that does not call it in time is stopped and loses the lease.
+func (g *Grant) ReportProgress() {
+	g.host.withLock(func(now time.Duration) { g.host.holder.ReportProgress(now) })
+}
 
-// Keep keeps a value for the next holder, told with the release.
-func (g *Grant) Keep(value []byte) { g.hold.do(func(time.Duration) { g.hold.h.Leave(value) }) }
+// SetReleaseValue sets the value that is stored for the next holder on release.
+func (g *Grant) SetReleaseValue(value []byte) {
+	g.host.withLock(func(time.Duration) { g.host.holder.SetReleaseValue(value) })
+}
 
-// Put keeps a value now, so that it is there also if this process dies.
+// Put stores a value for the next holder at once, so that it survives a crash of this
+// process.
 func (g *Grant) Put(ctx context.Context, value []byte) error {
-	r, err := g.hold.c.Do(ctx, lease.Command{Kind: lease.Put, Lease: g.hold.cfg.Lease, Client: g.hold.cfg.Client, Epoch: g.Epoch, Value: value})
+	r, err := g.host.client.Do(ctx, lease.Command{Kind: lease.Put, Lease: g.host.cfg.Lease, Client: g.host.cfg.Client, Epoch: g.Epoch, Value: value})
 	if err != nil {
 		return err
 	}
 	return r.Err
 }
 
-// Until is when the claim ends if nothing is heard any more, by Now, and whether it is
-// held at this moment.
+// ClaimEnd returns the time, on the clock of Now, at which the claim ends unless it is
+// renewed, and whether it is valid at present.
 func (g *Grant) ClaimEnd() (at time.Duration, held bool) {
-	g.hold.mu.Lock()
-	defer g.hold.mu.Unlock()
-	e, until, ok := g.hold.h.Claims(Now())
+	g.host.mu.Lock()
+	defer g.host.mu.Unlock()
+	e, until, ok := g.host.holder.Claim(Now())
 	return until, ok && e == g.Epoch
 }
 
-// Left is for how long the claim lasts if nothing is heard any more; 0 once it is over.
+// Remaining returns the time until the claim ends unless it is renewed, or 0 if it has
+// ended.
 func (g *Grant) Remaining() time.Duration {
 	if until, held := g.ClaimEnd(); held {
 		return until - Now()
@@ -50,121 +56,122 @@
 	return 0
 }
 
-// Duty is what only the holder of a lease does. ctx ends some time before the claim does
-// (HolderConfig.Grace); the duty must have ended by then.
-type Duty func(ctx context.Context, g *Grant)
-
-// hold drives a lease.Holder by the clock and the quorum.
-type hold struct {
-	c    *Client
-	cfg  lease.HolderConfig
-	duty Duty
-	told func(why lease.Reason) // may be nil
-
-	ctx  context.Context // of all it starts
-	work sync.WaitGroup
-
-	mu    sync.Mutex // the Holder is used under it
-	h     *lease.Holder
-	timer *time.Timer
-	end   context.CancelFunc // of the duty that runs
-	idle  chan struct{}      // closed when the last duty has ended
+// Task is work that only the holder of a lease may do. ctx is cancelled HolderConfig.Grace
+// before the claim ends; the task must return before the end of the claim.
+type Task func(ctx context.Context, g *Grant)
+
+// holderHost is the lease.Host of one lease.Holder: it provides timers, requests to the
+// quorum and the goroutine of the task.
+type holderHost struct {
+	client *Client
+	cfg    lease.HolderConfig
+	task   Task
+	onStop func(reason lease.Reason) // may be nil
+
+	ctx      context.Context // parent of the contexts of requests and tasks
+	requests sync.WaitGroup
+
+	mu         sync.Mutex // guards the fields below and all calls of holder
+	holder     *lease.Holder
+	timer      *time.Timer
+	cancelTask context.CancelFunc // of the last task
+	taskDone   chan struct{}      // closed when the last task has ended
 }
 
-// Hold has the duty done whenever this process holds the lease, until ctx ends. It
-// returns once the duty has ended and the lease is given back, or its time is over. told
-// hears why a duty was ended; it may be nil.
-func (c *Client) Hold(ctx context.Context, cfg lease.HolderConfig, duty Duty, told func(why lease.Reason)) {
-	all, cancel := context.WithCancel(context.WithoutCancel(ctx))
+// Hold runs the task whenever this process holds the lease, until ctx ends. It returns
+// when the task has ended and the lease has been released or has expired. onStop is called
+// with the reason each time the task is told to stop; it may be nil.
+func (c *Client) Hold(ctx context.Context, cfg lease.HolderConfig, task Task, onStop func(reason lease.Reason)) {
+	hostCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	if cfg.Draw == nil {
-		cfg.Draw = rand.Float64
+	if cfg.Rand == nil {
+		cfg.Rand = rand.Float64
 	}
-	d := &hold{c: c, cfg: cfg, duty: duty, told: told, ctx: all}
-	d.h = lease.NewHolder(cfg, d)
-	watch, stopWatch := context.WithCancel(all)
+	h := &holderHost{client: c, cfg: cfg, task: task, onStop: onStop, ctx: hostCtx}
+	h.holder = lease.NewHolder(cfg, h)
+	watchCtx, stopWatch := context.WithCancel(hostCtx)
 	defer stopWatch()
-	news := c.Watch(watch, cfg.Lease)
-	d.do(d.h.Start)
+	changes := c.Watch(watchCtx, cfg.Lease)
+	h.withLock(h.holder.Start)
 	for {
 		select {
-		case r := <-news:
+		case r := <-changes:
 			if r.Holder == "" {
-				d.do(d.h.Freed)
+				h.withLock(h.holder.LeaseFreed)
 			}
 			continue
 		case <-ctx.Done():
 		}
 		break
 	}
-	d.do(d.h.Stop)
-	d.mu.Lock()
-	idle := d.idle
-	d.mu.Unlock()
-	if idle != nil {
-		<-idle
+	h.withLock(h.holder.Stop)
+	h.mu.Lock()
+	taskDone := h.taskDone
+	h.mu.Unlock()
+	if taskDone != nil {
+		<-taskDone
 	}
-	// The release is under way; it is worth a moment, not more than the lease itself.
+	// Wait for the release to be sent, but no longer than the lease would take to expire.
 	released := make(chan struct{})
-	go func() { d.work.Wait(); close(released) }()
-	t := time.NewTimer(cfg.Length)
-	defer t.Stop()
+	go func() { h.requests.Wait(); close(released) }()
+	timer := time.NewTimer(cfg.Length)
+	defer timer.Stop()
 	select {
 	case <-released:
-	case <-t.C:
+	case <-timer.C:
 	}
-	d.mu.Lock()
-	if d.timer != nil {
-		d.timer.Stop()
+	h.mu.Lock()
+	if h.timer != nil {
+		h.timer.Stop()
 	}
-	d.mu.Unlock()
+	h.mu.Unlock()
 }
 
-// do has the Holder do something.
-func (d *hold) do(f func(now time.Duration)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// withLock calls f with the current time while holding the lock of the Holder.
+func (h *holderHost) withLock(f func(now time.Duration)) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	f(Now())
 }
 
-// Ask is of lease.Host; d.mu is held.
-func (d *hold) Ask(number uint64, cmd lease.Command) {
-	d.work.Go(func() {
-		ctx, cancel := context.WithTimeout(d.ctx, d.cfg.Length)
+// Send implements lease.Host. The caller holds h.mu.
+func (h *holderHost) Send(requestID uint64, cmd lease.Command) {
+	h.requests.Go(func() {
+		ctx, cancel := context.WithTimeout(h.ctx, h.cfg.Length)
 		defer cancel()
-		r, err := d.c.Do(ctx, cmd)
+		r, err := h.client.Do(ctx, cmd)
 		if err == nil {
-			d.do(func(now time.Duration) { d.h.Answer(now, number, r) })
+			h.withLock(func(now time.Duration) { h.holder.HandleResult(now, requestID, r) })
 		}
 	})
 }
 
-// Begin is of lease.Host; d.mu is held.
-func (d *hold) Begin(e lease.Epoch, value []byte) {
-	ctx, cancel := context.WithCancel(d.ctx)
-	idle := make(chan struct{})
-	d.end, d.idle = cancel, idle
-	g := &Grant{Epoch: e, Value: value, hold: d}
+// StartTask implements lease.Host. The caller holds h.mu.
+func (h *holderHost) StartTask(e lease.Epoch, value []byte) {
+	ctx, cancel := context.WithCancel(h.ctx)
+	taskDone := make(chan struct{})
+	h.cancelTask, h.taskDone = cancel, taskDone
+	g := &Grant{Epoch: e, Value: value, host: h}
 	go func() {
 		defer cancel()
-		d.duty(ctx, g)
-		d.do(d.h.Ended)
-		close(idle)
+		h.task(ctx, g)
+		h.withLock(h.holder.TaskEnded)
+		close(taskDone)
 	}()
 }
 
-// End is of lease.Host; d.mu is held.
-func (d *hold) End(why lease.Reason) {
-	if d.told != nil {
-		d.told(why)
+// StopTask implements lease.Host. The caller holds h.mu.
+func (h *holderHost) StopTask(reason lease.Reason) {
+	if h.onStop != nil {
+		h.onStop(reason)
 	}
-	d.end()
+	h.cancelTask()
 }
 
-// Wake is of lease.Host; d.mu is held.
-func (d *hold) Wake(at time.Duration) {
-	if d.timer != nil {
-		d.timer.Stop()
+// WakeAt implements lease.Host. The caller holds h.mu.
+func (h *holderHost) WakeAt(at time.Duration) {
+	if h.timer != nil {
+		h.timer.Stop()
 	}
-	d.timer = time.AfterFunc(max(0, at-Now()), func() { d.do(d.h.Wake) })
+	h.timer = time.AfterFunc(max(0, at-Now()), func() { h.withLock(h.holder.Wake) })
 }
--- a/lease/clock_test.go
+++ b/lease/clock_test.go
@@ -8,116 +8,117 @@
 	clocks "gorselink/internal/clock"
 )
 
-// side is a machine with clocks of its own, and what runs there goes by its monotonic one.
-type side struct {
+// machine has a wall clock and a monotonic clock of its own. Times passed to the code under
+// test are those of the monotonic clock.
+type machine struct {
 	*clocks.Manual
 	booted time.Time
 }
 
-func newSide() side {
+func newMachine() machine {
 	m := clocks.NewManual(0)
-	return side{m, m.Clock().Now()}
+	return machine{m, m.Clock().Now()}
 }
 
-func (s side) now() time.Duration { return s.Clock().Since(s.booted) }
+func (m machine) now() time.Duration { return m.Clock().Since(m.booted) }
 
-// claimant is a Holder on a machine whose questions the quorum answers at once, or not at all.
-type claimant struct {
-	side
-	h      *Holder
-	asked  []uint64
-	asks   []Command
-	duty   bool
-	reason Reason
+// machineHolder is a Holder on its own machine. It queues the commands that the Holder
+// sends, for the test to answer or to drop.
+type machineHolder struct {
+	machine
+	holder      *Holder
+	requestIDs  []uint64
+	commands    []Command
+	taskRunning bool
+	reason      Reason
 }
 
-func newClaimant(name string, length time.Duration) *claimant {
-	c := &claimant{side: newSide()}
-	c.h = NewHolder(HolderConfig{Lease: "l", Client: name, Length: length, Grace: length / 10, RetryInterval: length / 5, Draw: func() float64 { return 0.5 }}, c)
-	return c
+func newMachineHolder(name string, length time.Duration) *machineHolder {
+	m := &machineHolder{machine: newMachine()}
+	m.holder = NewHolder(HolderConfig{Lease: "l", Client: name, Length: length, Grace: length / 10, RetryInterval: length / 5, Rand: func() float64 { return 0.5 }}, m)
+	return m
 }
 
-func (c *claimant) Ask(number uint64, cmd Command) {
-	c.asked, c.asks = append(c.asked, number), append(c.asks, cmd)
+func (m *machineHolder) Send(requestID uint64, cmd Command) {
+	m.requestIDs, m.commands = append(m.requestIDs, requestID), append(m.commands, cmd)
 }
-func (c *claimant) Begin(Epoch, []byte) { c.duty = true }
-func (c *claimant) End(why Reason)      { c.duty, c.reason = false, why }
-func (c *claimant) Wake(time.Duration)  {}
+func (m *machineHolder) StartTask(Epoch, []byte) { m.taskRunning = true }
+func (m *machineHolder) StopTask(reason Reason)  { m.taskRunning, m.reason = false, reason }
+func (m *machineHolder) WakeAt(time.Duration)    {}
 
-// Wherever the wall clocks of the holder, of the one that waits for the lease and of the
-// leader are stepped while a lease is held, its claims begin and end in the same moments as
-// if they had not been, and no two are held at once.
+// Steps of the wall clock on the holder, on the waiting client or on the leader must not
+// change when claims begin and end, and must not make two claims overlap.
 func TestWallClockStepsChangeNoClaim(t *testing.T) {
 	const length, tick, span = 3 * time.Second, 10 * time.Millisecond, 20 * time.Second
-	const cutOff = 8 * time.Second // when the first holder is heard no more
-	play := func(t *testing.T, stepAt, step time.Duration, who int) (told []string) {
-		first, second, leader := newClaimant("first", length), newClaimant("second", length), newSide()
+	const cutOff = 8 * time.Second // from then on the first client's commands are dropped
+	run := func(t *testing.T, stepAt, step time.Duration, stepped int) (transitions []string) {
+		first, second, leader := newMachineHolder("first", length), newMachineHolder("second", length), newMachine()
 		var state State
-		keeper := NewExpiryTracker(&state, leader.now())
-		sides := []side{first.side, second.side, leader}
-		first.h.Start(first.now())
+		tracker := NewExpiryTracker(&state, leader.now())
+		machines := []machine{first.machine, second.machine, leader}
+		first.holder.Start(first.now())
 		for at := time.Duration(0); at < span; at += tick {
 			if at == time.Second {
-				second.h.Start(second.now())
+				second.holder.Start(second.now())
 			}
 			if at == stepAt {
-				sides[who].Step(step)
+				machines[stepped].Step(step)
 			}
-			for _, s := range sides {
-				s.Advance(tick)
+			for _, m := range machines {
+				m.Advance(tick)
 			}
-			due, _ := keeper.Due(&state, leader.now())
+			due, _ := tracker.Due(&state, leader.now())
 			for _, c := range due {
 				state.Apply(c)
-				keeper.CommandApplied(&state, c.Lease, leader.now())
+				tracker.CommandApplied(&state, c.Lease, leader.now())
 			}
-			held := 0
-			for i, c := range []*claimant{first, second} {
-				was := c.duty
-				c.h.Wake(c.now())
-				numbers, asks := c.asked, c.asks
-				c.asked, c.asks = nil, nil
-				for k, cmd := range asks {
+			claims := 0
+			for i, m := range []*machineHolder{first, second} {
+				wasRunning := m.taskRunning
+				m.holder.Wake(m.now())
+				requestIDs, commands := m.requestIDs, m.commands
+				m.requestIDs, m.commands = nil, nil
+				for k, cmd := range commands {
 					if i == 0 && at >= cutOff {
 						continue
 					}
 					r := state.Apply(cmd)
-					keeper.CommandApplied(&state, cmd.Lease, leader.now())
-					c.h.Answer(c.now(), numbers[k], r)
+					tracker.CommandApplied(&state, cmd.Lease, leader.now())
+					m.holder.HandleResult(m.now(), requestIDs[k], r)
 				}
-				if c.duty != was {
-					told = append(told, fmt.Sprint(at, i, c.duty, c.reason))
+				if m.taskRunning != wasRunning {
+					transitions = append(transitions, fmt.Sprint(at, i, m.taskRunning, m.reason))
 				}
-				if was && !c.duty {
-					c.h.Ended(c.now())
+				if wasRunning && !m.taskRunning {
+					m.holder.TaskEnded(m.now())
 				}
-				if _, _, ok := c.h.Claims(c.now()); ok {
-					held++
+				if _, _, ok := m.holder.Claim(m.now()); ok {
+					claims++
 				}
 			}
-			if held > 1 {
-				t.Fatalf("%d claims are held at %v", held, at)
+			if claims > 1 {
+				t.Fatalf("%d claims are valid at %v, want at most 1", claims, at)
 			}
 		}
-		return told
+		return transitions
 	}
-	want := play(t, 0, 0, 0)
+	want := run(t, 0, 0, 0)
 	if len(want) < 3 {
-		t.Fatalf("%v: want the lease to be taken, lost and taken by another", want)
+		t.Fatalf("task transitions without a clock step: %v, want the first client to start and stop, and the second to start", want)
 	}
 	for name, at := range map[string]time.Duration{
-		"before it is held":             0,
-		"while it is held":              4 * time.Second,
-		"right before a renewal":        length/3 + 4*tick,
-		"once its holder is cut off":    cutOff + 500*time.Millisecond,
-		"while its time is waited out":  cutOff + length,
-		"once another has taken it":     15 * time.Second,
-		"right before it is given away": cutOff + length - tick,
+		"before the lease is acquired":     0,
+		"while the lease is held":          4 * time.Second,
+		"right before a renewal":           length/3 + 4*tick,
+		"after the holder is cut off":      cutOff + 500*time.Millisecond,
+		"while the leader waits":           cutOff + length,
+		"while the second client holds it": 15 * time.Second,
+		"right before the expiry":          cutOff + length - tick,
 	} {
 		for _, step := range []time.Duration{5 * time.Second, -5 * time.Second, time.Hour, -time.Hour} {
-			for who, side := range []string{"holder", "waiting", "leader"} {
-				if got := play(t, at, step, who); fmt.Sprint(got) != fmt.Sprint(want) {
-					t.Errorf("%s, the clock of the %s stepped by %v: %v, want %v", name, side, step, got, want)
+			for stepped, role := range []string{"holder", "waiting client", "leader"} {
+				if got := run(t, at, step, stepped); fmt.Sprint(got) != fmt.Sprint(want) {
+					t.Errorf("%s, wall clock of the %s stepped by %v: task transitions %v, want %v", name, role, step, got, want)
 				}
 			}
 		}
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -2,229 +2,231 @@
 
 import "time"
 
-// Host carries out what a Holder decides. Its methods are called from within the
-// Holder's, must not call it and must not wait.
+// Host carries out the decisions of a Holder. The Holder calls its methods from within its
+// own methods, so an implementation must neither block nor call the Holder back.
 type Host interface {
-	// Ask sends a command to the quorum; its answer, if any comes, is told by Answer with
-	// the same number.
-	Ask(number uint64, c Command)
-	// Begin begins the duty.
-	Begin(e Epoch, value []byte)
-	// End has the duty end; it must have by the time the claim does.
-	End(why Reason)
-	// Wake has Wake called at a time, or sooner.
-	Wake(at time.Duration)
-}
-
-// Reason is why a duty ends.
+	// Send sends a command to the quorum. The result, if there is one, is passed to
+	// Holder.HandleResult with the same request ID.
+	Send(requestID uint64, c Command)
+	// StartTask starts the task under a new claim.
+	StartTask(e Epoch, value []byte)
+	// StopTask tells the task to stop. The task must have stopped when the claim ends.
+	StopTask(reason Reason)
+	// WakeAt schedules a call of Holder.Wake at the given time or earlier. It replaces the
+	// call that was scheduled before.
+	WakeAt(at time.Duration)
+}
+
+// Reason tells why a task is stopped.
 type Reason uint8
 
 const (
-	Asked    Reason = iota + 1 // by its own side, in good order
-	Unheard                    // the quorum has not answered in time: cut off, or it has no majority
-	Stalled                    // it has made no progress
-	Replaced                   // the quorum says that it is no longer held
+	StopRequested Reason = iota + 1 // Holder.Stop was called, or the task returned by itself
+	QuorumTimeout                   // no renewal succeeded in time
+	Stalled                         // the task reported no progress within the stall timeout
+	Replaced                        // the quorum no longer has this claim on record
 )
 
 var reasonNames = [...]string{"none", "asked", "unheard", "stalled", "replaced"}
 
 func (r Reason) String() string { return reasonNames[min(int(r), len(reasonNames)-1)] }
 
-// HolderConfig says what a Holder wants.
+// HolderConfig configures a Holder.
 type HolderConfig struct {
 	Lease         string
-	Client        string // with its incarnation
+	Client        string // unique to this run of the process
 	Length        time.Duration
-	Grace         time.Duration  // that the duty takes to end; the claim is as much longer
-	Stall         time.Duration  // without progress after which the duty counts as stalled; 0 for never
-	RetryInterval time.Duration  // between two tries to get a lease that another has, in the mean
-	Draw          func() float64 // from 0 to 1, for jitter
+	Grace         time.Duration  // how long before the end of the claim the task is told to stop
+	StallTimeout  time.Duration  // time without progress after which the task is stopped; 0 disables the check
+	RetryInterval time.Duration  // mean interval between attempts to acquire the lease
+	Rand          func() float64 // returns a value from 0 to 1, for jitter
 }
 
-// Holder asks for one lease and knows when its claim on it ends. Its duty runs from Begin
-// to Ended; it never runs without a claim.
+// Holder acquires and renews one lease and tracks the claim on it. The task runs from
+// StartTask to TaskEnded and is only started under a claim.
 type Holder struct {
 	cfg  HolderConfig
 	host Host
 
-	on       bool // wants the lease
-	number   uint64
-	asked    map[uint64]question // without an answer yet
-	epoch    Epoch               // of the claim, 0 without one
-	until    time.Duration       // its end
-	running  bool                // the duty has begun and has not ended
-	ending   bool                // and has been told to end
-	progress time.Duration       // when it last made any
-	renewAt  time.Duration
-	tryAt    time.Duration
-	released Epoch  // the highest that was asked to be released: it is not taken up again
-	value    []byte // to leave to the next holder
-	why      Reason
+	wanted        bool // whether the lease is to be acquired and kept
+	lastRequestID uint64
+	pending       map[uint64]pendingRequest // requests without a result, by request ID
+	claimEpoch    Epoch                     // 0 without a claim
+	claimEnd      time.Duration
+	taskRunning   bool          // the task has been started and has not ended
+	taskStopping  bool          // the running task has been told to stop
+	lastProgress  time.Duration // when the task last reported progress
+	nextRenewal   time.Duration
+	nextAcquire   time.Duration
+	releasedEpoch Epoch  // highest epoch that this Holder has released
+	releaseValue  []byte // sent with the release, for the next holder
+	stopReason    Reason
 }
 
-type question struct {
-	kind Kind
-	at   time.Duration
+type pendingRequest struct {
+	kind   Kind
+	sentAt time.Duration
 }
 
-// NewHolder returns a Holder that wants nothing yet.
+// NewHolder returns a Holder that does nothing until Start is called.
 func NewHolder(cfg HolderConfig, host Host) *Holder {
-	return &Holder{cfg: cfg, host: host, asked: map[uint64]question{}}
+	return &Holder{cfg: cfg, host: host, pending: map[uint64]pendingRequest{}}
 }
 
-// Claims tells whether the lease is held, by this side's own clock, and until when.
-func (h *Holder) Claims(now time.Duration) (e Epoch, until time.Duration, ok bool) {
-	return h.epoch, h.until, h.epoch > 0 && now < h.until
+// Claim returns the epoch and the end of the current claim, and whether it is valid now.
+func (h *Holder) Claim(now time.Duration) (e Epoch, until time.Duration, ok bool) {
+	return h.claimEpoch, h.claimEnd, h.claimEpoch > 0 && now < h.claimEnd
 }
 
-// Start has it want the lease.
+// Start makes the Holder acquire the lease and keep it.
 func (h *Holder) Start(now time.Duration) {
-	h.on = true
-	h.tryAt = now
+	h.wanted = true
+	h.nextAcquire = now
 	h.Wake(now)
 }
 
-// Stop has it want the lease no longer: the duty ends, then the lease is released.
+// Stop stops the task. The lease is released when the task has ended.
 func (h *Holder) Stop(now time.Duration) {
-	h.on = false
-	h.finish(now, Asked)
+	h.wanted = false
+	h.stopTask(now, StopRequested)
 	h.Wake(now)
 }
 
-// Progress tells that the duty goes on.
-func (h *Holder) Progress(now time.Duration) { h.progress = now }
+// ReportProgress records that the task is making progress.
+func (h *Holder) ReportProgress(now time.Duration) { h.lastProgress = now }
 
-// Freed tells that the lease may be had: nobody holds it, as far as the quorum has told.
-// Many hear that at once, so they ask spread over a part of their usual wait.
-func (h *Holder) Freed(now time.Duration) {
-	if h.on && !h.running {
-		h.tryAt = min(h.tryAt, now+time.Duration(h.cfg.Draw()*float64(h.cfg.RetryInterval)/4))
+// LeaseFreed reports that the quorum has the lease as free. All waiting clients learn this
+// at once, so the next attempt is delayed at random to spread their requests.
+func (h *Holder) LeaseFreed(now time.Duration) {
+	if h.wanted && !h.taskRunning {
+		h.nextAcquire = min(h.nextAcquire, now+time.Duration(h.cfg.Rand()*float64(h.cfg.RetryInterval)/4))
 		h.Wake(now)
 	}
 }
 
-// Leave keeps a value for the next holder, told with the release.
-func (h *Holder) Leave(value []byte) { h.value = value }
+// SetReleaseValue sets the value that is stored for the next holder on release.
+func (h *Holder) SetReleaseValue(value []byte) { h.releaseValue = value }
 
-// Ended tells that the duty has ended, told to or by itself.
-func (h *Holder) Ended(now time.Duration) {
-	if !h.running {
+// TaskEnded reports that the task has ended, whether or not it was told to stop.
+func (h *Holder) TaskEnded(now time.Duration) {
+	if !h.taskRunning {
 		return
 	}
-	h.running, h.ending = false, false
-	if h.why == 0 {
-		h.why = Asked
+	h.taskRunning, h.taskStopping = false, false
+	if h.stopReason == 0 {
+		h.stopReason = StopRequested
 	}
-	if h.epoch > 0 && now < h.until && h.why != Replaced {
-		h.release(now, h.epoch, h.value)
+	if h.claimEpoch > 0 && now < h.claimEnd && h.stopReason != Replaced {
+		h.release(now, h.claimEpoch, h.releaseValue)
 	}
-	h.epoch, h.why = 0, 0
-	h.tryAt = now + h.spread(h.cfg.RetryInterval)
+	h.claimEpoch, h.stopReason = 0, 0
+	h.nextAcquire = now + h.jitter(h.cfg.RetryInterval)
 	h.Wake(now)
 }
 
-// finish tells the duty to end, once.
-func (h *Holder) finish(_ time.Duration, why Reason) {
-	if h.running && !h.ending {
-		h.ending, h.why = true, why
-		h.host.End(why)
+// stopTask tells the task to stop, unless it has been told already.
+func (h *Holder) stopTask(_ time.Duration, reason Reason) {
+	if h.taskRunning && !h.taskStopping {
+		h.taskStopping, h.stopReason = true, reason
+		h.host.StopTask(reason)
 	}
 }
 
-func (h *Holder) spread(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.5 + h.cfg.Draw()))
+// jitter returns a random duration from 0.5 to 1.5 times d.
+func (h *Holder) jitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.5 + h.cfg.Rand()))
 }
 
-func (h *Holder) ask(now time.Duration, c Command) {
-	h.number++
-	h.asked[h.number] = question{c.Kind, now}
-	h.host.Ask(h.number, c)
+func (h *Holder) send(now time.Duration, c Command) {
+	h.lastRequestID++
+	h.pending[h.lastRequestID] = pendingRequest{c.Kind, now}
+	h.host.Send(h.lastRequestID, c)
 }
 
-// release gives a grant back. What is on its way may come in any order: an answer that
-// speaks of this grant, but was given before, must not begin the duty once more.
+// release gives a grant back. Results may arrive out of order, so the epoch is recorded:
+// an older result for the same grant must not start the task again.
 func (h *Holder) release(now time.Duration, e Epoch, value []byte) {
-	h.released = max(h.released, e)
-	h.ask(now, Command{Kind: Release, Lease: h.cfg.Lease, Client: h.cfg.Client, Epoch: e, Value: value})
+	h.releasedEpoch = max(h.releasedEpoch, e)
+	h.send(now, Command{Kind: Release, Lease: h.cfg.Lease, Client: h.cfg.Client, Epoch: e, Value: value})
 }
 
-// Answer tells what a question has come to. Whatever it grants counts from when it was
-// asked, so an answer that comes late grants little or nothing, however many come at once.
-func (h *Holder) Answer(now time.Duration, number uint64, r Reply) {
-	q, ok := h.asked[number]
+// HandleResult processes the result of a request. A claim is counted from the time when
+// the request was sent, so a late result extends it by little or not at all.
+func (h *Holder) HandleResult(now time.Duration, requestID uint64, r Result) {
+	request, ok := h.pending[requestID]
 	if !ok {
-		return // of before, or twice
+		return // expired or already handled
 	}
-	delete(h.asked, number)
-	switch q.kind {
+	delete(h.pending, requestID)
+	switch request.kind {
 	case Acquire:
-		if r.Err != nil || r.Record.Holder != h.cfg.Client || r.Record.Epoch == h.epoch {
+		if r.Err != nil || r.Record.Holder != h.cfg.Client || r.Record.Epoch == h.claimEpoch {
 			break
 		}
-		// The length is the record's: an earlier acquire of ours may have set it.
-		until := q.at + r.Record.Length
-		if !h.on || h.running || r.Record.Epoch <= h.released || now+h.cfg.Grace >= until {
-			h.release(now, r.Record.Epoch, nil) // or all would wait until it is over
+		// The record's length counts: an earlier acquire of this client may have set it.
+		until := request.sentAt + r.Record.Length
+		if !h.wanted || h.taskRunning || r.Record.Epoch <= h.releasedEpoch || now+h.cfg.Grace >= until {
+			h.release(now, r.Record.Epoch, nil) // so that other clients need not wait for the expiry
 			break
 		}
-		h.epoch, h.until, h.running, h.progress = r.Record.Epoch, until, true, now
-		h.renewAt = q.at + r.Record.Length/3
-		h.host.Begin(h.epoch, r.Record.Value)
+		h.claimEpoch, h.claimEnd, h.taskRunning, h.lastProgress = r.Record.Epoch, until, true, now
+		h.nextRenewal = request.sentAt + r.Record.Length/3
+		h.host.StartTask(h.claimEpoch, r.Record.Value)
 	case Renew:
 		switch {
-		case r.Record.Epoch != h.epoch || h.epoch == 0: // of an earlier claim
-		case r.Err == nil && now < h.until: // what has ended is not brought back
-			h.until = max(h.until, q.at+r.Record.Length)
-			h.renewAt = max(h.renewAt, q.at+r.Record.Length/3)
+		case r.Record.Epoch != h.claimEpoch || h.claimEpoch == 0: // result for an earlier claim
+		case r.Err == nil && now < h.claimEnd: // a claim that has ended is not extended
+			h.claimEnd = max(h.claimEnd, request.sentAt+r.Record.Length)
+			h.nextRenewal = max(h.nextRenewal, request.sentAt+r.Record.Length/3)
 		case r.Err != nil:
-			h.finish(now, Replaced)
+			h.stopTask(now, Replaced)
 		}
 	}
 	h.Wake(now)
 }
 
-// Wake does what is due.
+// Wake performs all actions that are due and schedules the next call.
 func (h *Holder) Wake(now time.Duration) {
-	for n, q := range h.asked { // no answer is worth anything after a length
-		if now-q.at > h.cfg.Length {
-			delete(h.asked, n)
+	for id, request := range h.pending { // a result older than the lease length grants nothing
+		if now-request.sentAt > h.cfg.Length {
+			delete(h.pending, id)
 		}
 	}
-	if h.epoch > 0 && h.running && now >= h.until-h.cfg.Grace {
-		h.finish(now, Unheard)
+	if h.claimEpoch > 0 && h.taskRunning && now >= h.claimEnd-h.cfg.Grace {
+		h.stopTask(now, QuorumTimeout)
 	}
-	if h.epoch > 0 && now >= h.until {
-		h.epoch = 0 // whether the duty has heeded its end or not
+	if h.claimEpoch > 0 && now >= h.claimEnd {
+		h.claimEpoch = 0 // even if the task is still running
 	}
-	stalled := h.running && h.cfg.Stall > 0 && now-h.progress >= h.cfg.Stall
+	stalled := h.taskRunning && h.cfg.StallTimeout > 0 && now-h.lastProgress >= h.cfg.StallTimeout
 	if stalled {
-		h.finish(now, Stalled) // and no renewal: the claim runs out even if it heeds nothing
+		h.stopTask(now, Stalled) // no renewal follows, so the claim ends even if the task does not stop
 	}
 	next := now + h.cfg.Length
 	switch {
-	case h.epoch > 0 && h.running:
-		if now >= h.renewAt && !stalled && !h.ending {
-			h.ask(now, Command{Kind: Renew, Lease: h.cfg.Lease, Client: h.cfg.Client, Epoch: h.epoch})
-			h.renewAt = now + h.spread(h.cfg.Length/12)
+	case h.claimEpoch > 0 && h.taskRunning:
+		if now >= h.nextRenewal && !stalled && !h.taskStopping {
+			h.send(now, Command{Kind: Renew, Lease: h.cfg.Lease, Client: h.cfg.Client, Epoch: h.claimEpoch})
+			h.nextRenewal = now + h.jitter(h.cfg.Length/12)
 		}
-		next = min(next, h.until-h.cfg.Grace, h.until)
-		if !stalled && !h.ending {
-			next = min(next, h.renewAt)
+		next = min(next, h.claimEnd-h.cfg.Grace, h.claimEnd)
+		if !stalled && !h.taskStopping {
+			next = min(next, h.nextRenewal)
 		}
-		if h.cfg.Stall > 0 && !stalled {
-			next = min(next, h.progress+h.cfg.Stall)
+		if h.cfg.StallTimeout > 0 && !stalled {
+			next = min(next, h.lastProgress+h.cfg.StallTimeout)
 		}
-		if next <= now { // it is ending: only the end of the claim is left
-			next = h.until
+		if next <= now { // the task is stopping; only the end of the claim remains
+			next = h.claimEnd
 		}
-	case h.on && !h.running:
-		if now >= h.tryAt {
-			h.ask(now, Command{Kind: Acquire, Lease: h.cfg.Lease, Client: h.cfg.Client, Length: h.cfg.Length})
-			h.tryAt = now + h.spread(h.cfg.RetryInterval)
+	case h.wanted && !h.taskRunning:
+		if now >= h.nextAcquire {
+			h.send(now, Command{Kind: Acquire, Lease: h.cfg.Lease, Client: h.cfg.Client, Length: h.cfg.Length})
+			h.nextAcquire = now + h.jitter(h.cfg.RetryInterval)
 		}
-		next = h.tryAt
+		next = h.nextAcquire
 	default:
 		return
 	}
-	h.host.Wake(next)
+	h.host.WakeAt(next)
 }
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -7,162 +7,165 @@
 	"time"
 )
 
-// desk is a Host that writes down what a Holder does.
-type desk struct {
-	asks  []Command
-	begun []Epoch
-	ended []Reason
-	wake  time.Duration
+// recordingHost is a Host that records the calls of a Holder.
+type recordingHost struct {
+	commands []Command
+	started  []Epoch
+	stopped  []Reason
+	wakeAt   time.Duration
 }
 
-func (d *desk) Ask(_ uint64, c Command) { d.asks = append(d.asks, c) }
-func (d *desk) Begin(e Epoch, _ []byte) { d.begun = append(d.begun, e) }
-func (d *desk) End(why Reason)          { d.ended = append(d.ended, why) }
-func (d *desk) Wake(at time.Duration)   { d.wake = at }
-func (d *desk) asked(k Kind) (n int) {
-	return len(slices.DeleteFunc(slices.Clone(d.asks), func(c Command) bool { return c.Kind != k }))
+func (r *recordingHost) Send(_ uint64, c Command)    { r.commands = append(r.commands, c) }
+func (r *recordingHost) StartTask(e Epoch, _ []byte) { r.started = append(r.started, e) }
+func (r *recordingHost) StopTask(reason Reason)      { r.stopped = append(r.stopped, reason) }
+func (r *recordingHost) WakeAt(at time.Duration)     { r.wakeAt = at }
+
+// sent returns the number of commands of a kind.
+func (r *recordingHost) sent(k Kind) (n int) {
+	return len(slices.DeleteFunc(slices.Clone(r.commands), func(c Command) bool { return c.Kind != k }))
 }
-func granted(e Epoch, seq uint64) Reply {
-	return Reply{Record: Record{Holder: "me", Epoch: e, Seq: seq, Length: time.Second}}
+func granted(e Epoch, seq uint64) Result {
+	return Result{Record: Record{Holder: "me", Epoch: e, Seq: seq, Length: time.Second}}
 }
-func newDesk(stall time.Duration) (*Holder, *desk) {
-	d := &desk{}
-	return NewHolder(HolderConfig{Lease: "l", Client: "me", Length: time.Second, Grace: 100 * ms, Stall: stall, RetryInterval: 200 * ms, Draw: func() float64 { return 0.5 }}, d), d
+func newRecordedHolder(stallTimeout time.Duration) (*Holder, *recordingHost) {
+	r := &recordingHost{}
+	return NewHolder(HolderConfig{Lease: "l", Client: "me", Length: time.Second, Grace: 100 * ms, StallTimeout: stallTimeout, RetryInterval: 200 * ms, Rand: func() float64 { return 0.5 }}, r), r
 }
 
-// wakeUntil wakes the Holder whenever it has asked for it.
-func wakeUntil(h *Holder, d *desk, until time.Duration, at func(now time.Duration)) {
-	for n := 0; d.wake < until; n++ {
-		now := d.wake
-		d.wake = until
-		if at != nil {
-			at(now)
+// wakeUntil calls Wake at each scheduled time before until, and beforeWake, if not nil,
+// before each call.
+func wakeUntil(h *Holder, r *recordingHost, until time.Duration, beforeWake func(now time.Duration)) {
+	for n := 0; r.wakeAt < until; n++ {
+		now := r.wakeAt
+		r.wakeAt = until
+		if beforeWake != nil {
+			beforeWake(now)
 		}
 		if h.Wake(now); n > 1000 {
-			panic("it wakes without end")
+			panic("the Holder schedules more than 1000 wake-ups")
 		}
 	}
 }
 
-// Answers that come late grant what is left since they were asked, however many come at
-// once and in whatever order; one that comes too late gives the lease back.
-func TestLateAnswersGrantNothing(t *testing.T) {
-	h, d := newDesk(0)
+// A late result must not extend a claim beyond the length counted from its request, in
+// whatever order results arrive. A grant that arrives too late is released.
+func TestLateResultsGrantNothing(t *testing.T) {
+	h, r := newRecordedHolder(0)
 	h.Start(0)
-	wakeUntil(h, d, 950*ms, nil) // five tries without an answer
-	asks := h.number
-	if asks != 5 || d.asked(Acquire) != 5 {
-		t.Fatalf("%d tries", asks)
+	wakeUntil(h, r, 950*ms, nil) // five acquire attempts without a result
+	attempts := h.lastRequestID
+	if attempts != 5 || r.sent(Acquire) != 5 {
+		t.Fatalf("%d requests, want 5, all of them to acquire", attempts)
 	}
-	for n := range asks { // all at once, the first one asked at 0: 50 ms are left, and the grace is longer
-		h.Answer(950*ms, asks-n, granted(7, n))
+	for n := range attempts { // the claim of the request at 0 would have 50 ms left, less than the grace
+		h.HandleResult(950*ms, attempts-n, granted(7, n))
 	}
-	if len(d.begun) != 1 {
-		t.Fatalf("begun %v, want once", d.begun)
+	if len(r.started) != 1 {
+		t.Fatalf("tasks started with epochs %v, want one", r.started)
 	}
-	if _, until, ok := h.Claims(950 * ms); !ok || until > 800*ms+time.Second {
-		t.Errorf("claim until %v, want a second after the last try at 800 ms at most", until)
+	if _, until, ok := h.Claim(950 * ms); !ok || until > 800*ms+time.Second {
+		t.Errorf("claim until %v, want a valid one until 1.8 s at most, a length after the last attempt", until)
 	}
-	// Renewals that are answered after the claim's end bring nothing back.
-	wakeUntil(h, d, 1801*ms, nil)
-	last := h.number
-	if d.asked(Renew) == 0 || !slices.Equal(d.ended, []Reason{Unheard}) {
-		t.Fatalf("%d renewals asked, ended %v", d.asked(Renew), d.ended)
+	// Results of renewals that arrive after the end of the claim must not restore it.
+	wakeUntil(h, r, 1801*ms, nil)
+	last := h.lastRequestID
+	if r.sent(Renew) == 0 || !slices.Equal(r.stopped, []Reason{QuorumTimeout}) {
+		t.Fatalf("%d renewals sent, task stopped for %v", r.sent(Renew), r.stopped)
 	}
-	h.Answer(1802*ms, last, granted(7, 9))
-	if e, until, ok := h.Claims(1802 * ms); ok {
-		t.Errorf("claims %d until %v after its end", e, until)
+	h.HandleResult(1802*ms, last, granted(7, 9))
+	if e, until, ok := h.Claim(1802 * ms); ok {
+		t.Errorf("claim with epoch %d until %v is valid after its end", e, until)
 	}
-	h.Ended(1900 * ms)
-	if d.asked(Release) != 0 {
-		t.Error("a lease that was over is released")
+	h.TaskEnded(1900 * ms)
+	if r.sent(Release) != 0 {
+		t.Error("a release is sent for a claim that has ended")
 	}
-	// Too late even to begin.
-	h2, d2 := newDesk(0)
+	// With less than the grace left, the task must not start at all.
+	h2, r2 := newRecordedHolder(0)
 	h2.Start(0)
-	h2.Answer(901*ms, 1, granted(3, 1))
-	if len(d2.begun) != 0 || d2.asked(Release) != 1 {
-		t.Errorf("begun %v, %d releases, want none and one", d2.begun, d2.asked(Release))
+	h2.HandleResult(901*ms, 1, granted(3, 1))
+	if len(r2.started) != 0 || r2.sent(Release) != 1 {
+		t.Errorf("tasks started with epochs %v, %d releases, want none and one", r2.started, r2.sent(Release))
 	}
-	h2.Answer(902*ms, 1, granted(3, 1)) // twice
-	if d2.asked(Release) != 1 {
-		t.Error("an answer that came twice counts twice")
+	h2.HandleResult(902*ms, 1, granted(3, 1)) // the same result again
+	if r2.sent(Release) != 1 {
+		t.Error("a duplicate result is handled twice")
 	}
 }
 
-// A duty that makes no progress is told to end, and loses its lease even if it does not
-// heed that: the process itself is well and hears the quorum all the time.
-func TestStalledDutyGivesWay(t *testing.T) {
-	h, d := newDesk(300 * ms)
+// A stalled task must be told to stop and must lose its claim even if it keeps running,
+// although the process still gets results from the quorum.
+func TestStalledTaskLosesItsClaim(t *testing.T) {
+	h, r := newRecordedHolder(300 * ms)
 	h.Start(0)
-	h.Answer(0, 1, granted(1, 1))
-	if len(d.begun) != 1 {
-		t.Fatal("not begun")
+	h.HandleResult(0, 1, granted(1, 1))
+	if len(r.started) != 1 {
+		t.Fatal("the task is not started")
 	}
-	renewed := time.Duration(0)
-	answer := func(now time.Duration) {
+	lastRenewal := time.Duration(0)
+	respond := func(now time.Duration) {
 		if now <= 2*time.Second {
-			h.Progress(now)
+			h.ReportProgress(now)
 		}
-		for n := range h.asked {
-			if h.asked[n].kind == Renew {
-				renewed = h.asked[n].at
-				h.Answer(now, n, granted(1, 2))
+		for id := range h.pending {
+			if h.pending[id].kind == Renew {
+				lastRenewal = h.pending[id].sentAt
+				h.HandleResult(now, id, granted(1, 2))
 			}
 		}
 	}
-	wakeUntil(h, d, 5*time.Second, answer)
-	if !slices.Equal(d.ended, []Reason{Stalled}) {
-		t.Errorf("ended %v, want stalled, once", d.ended)
+	wakeUntil(h, r, 5*time.Second, respond)
+	if !slices.Equal(r.stopped, []Reason{Stalled}) {
+		t.Errorf("task stopped for %v, want stalled, once", r.stopped)
 	}
-	if _, until, ok := h.Claims(5 * time.Second); ok || until > 2*time.Second+300*ms+time.Second || renewed < time.Second {
-		t.Errorf("claim until %v, last renewed at %v, want it over a length after the stall", until, renewed)
+	if _, until, ok := h.Claim(5 * time.Second); ok || until > 2*time.Second+300*ms+time.Second || lastRenewal < time.Second {
+		t.Errorf("claim until %v, last renewed at %v, want it to end within a length after the stall", until, lastRenewal)
 	}
 }
 
-// The quorum's no ends the duty; an answer about an earlier claim does not.
-func TestReplacedOnlyByItsOwnAnswer(t *testing.T) {
-	h, d := newDesk(0)
+// A refused renewal must stop the task, but only if the refusal is for the current claim.
+func TestOnlyRefusalOfCurrentClaimStopsTask(t *testing.T) {
+	h, r := newRecordedHolder(0)
 	h.Start(0)
-	h.Answer(0, 1, granted(4, 1))
-	wakeUntil(h, d, 400*ms, nil)
-	n := h.number
-	h.Answer(400*ms, n, Reply{Err: ErrStale, Record: Record{Holder: "other", Epoch: 3}})
-	if len(d.ended) != 0 {
-		t.Error("ended by the answer about another epoch")
-	}
-	wakeUntil(h, d, 500*ms, nil)
-	h.Answer(500*ms, h.number, Reply{Err: ErrStale, Record: Record{Epoch: 4}})
-	if !slices.Equal(d.ended, []Reason{Replaced}) {
-		t.Errorf("ended %v", d.ended)
+	h.HandleResult(0, 1, granted(4, 1))
+	wakeUntil(h, r, 400*ms, nil)
+	id := h.lastRequestID
+	h.HandleResult(400*ms, id, Result{Err: ErrStale, Record: Record{Holder: "other", Epoch: 3}})
+	if len(r.stopped) != 0 {
+		t.Error("a refusal for another epoch stops the task")
+	}
+	wakeUntil(h, r, 500*ms, nil)
+	h.HandleResult(500*ms, h.lastRequestID, Result{Err: ErrStale, Record: Record{Epoch: 4}})
+	if !slices.Equal(r.stopped, []Reason{Replaced}) {
+		t.Errorf("task stopped for %v, want replaced, once", r.stopped)
 	}
 }
 
-// What the state takes and refuses.
+// The results of commands in sequence, then a snapshot and a fence.
 func TestState(t *testing.T) {
 	var s State
-	do := func(c Command) Reply { return s.Apply(c) }
+	apply := func(c Command) Result { return s.Apply(c) }
 	acquire := func(client string) Command {
 		return Command{Kind: Acquire, Lease: "l", Client: client, Length: time.Second}
 	}
-	a := do(acquire("a"))
-	if a.Err != nil || a.Record.Epoch != 1 {
-		t.Fatal(a)
+	first := apply(acquire("a"))
+	if first.Err != nil || first.Record.Epoch != 1 {
+		t.Fatal(first)
 	}
 	for _, c := range []struct {
-		do   Command
-		want error
+		command Command
+		want    error
 	}{
 		{acquire("b"), ErrHeld},
-		{acquire("a"), nil}, // its first answer was lost
+		{acquire("a"), nil}, // repeated after a lost response
 		{Command{Kind: Renew, Lease: "l", Client: "b", Epoch: 1}, ErrStale},
 		{Command{Kind: Renew, Lease: "l", Client: "a", Epoch: 2}, ErrStale},
 		{Command{Kind: Expire, Lease: "l", Epoch: 1, Seq: 1}, ErrStale}, // renewed since
 		{Command{Kind: Put, Lease: "l", Client: "a", Epoch: 1, Value: []byte("v")}, nil},
-		{Command{Kind: Renew, Lease: "m", Client: "a", Epoch: 1}, ErrUnknown},
-		{Command{Kind: Acquire, Lease: "m", Client: "a"}, ErrBounds},
-		{Command{Kind: 99, Lease: "l"}, ErrBounds},
-		{Command{Kind: Put, Lease: "l", Client: "a", Epoch: 1, Value: make([]byte, MostValue+1)}, ErrBounds},
+		{Command{Kind: Renew, Lease: "m", Client: "a", Epoch: 1}, ErrUnknownLease},
+		{Command{Kind: Acquire, Lease: "m", Client: "a"}, ErrInvalidCommand},
+		{Command{Kind: 99, Lease: "l"}, ErrInvalidCommand},
+		{Command{Kind: Put, Lease: "l", Client: "a", Epoch: 1, Value: make([]byte, MaxValueBytes+1)}, ErrInvalidCommand},
 		{Command{Kind: Evict, Lease: "l", Epoch: 1}, nil},
 		{Command{Kind: Renew, Lease: "l", Client: "a", Epoch: 1}, ErrStale},
 		{acquire("a"), ErrHeld},
@@ -170,28 +173,28 @@
 		{Command{Kind: Release, Lease: "l", Client: "a", Epoch: 1}, ErrStale},
 		{acquire("b"), nil},
 	} {
-		if r := do(c.do); !errors.Is(r.Err, c.want) {
-			t.Errorf("%+v: %v, want %v", c.do, r.Err, c.want)
+		if r := apply(c.command); !errors.Is(r.Err, c.want) {
+			t.Errorf("%+v: %v, want %v", c.command, r.Err, c.want)
 		}
 	}
 	if r, _ := s.Get("l"); r.Epoch != 2 || string(r.Value) != "v" || r.Holder != "b" {
-		t.Errorf("%+v, want epoch 2 and the value of the holder before", r)
+		t.Errorf("%+v, want holder b, epoch 2 and the value v of the previous holder", r)
 	}
-	// A snapshot keeps the last epoch also of what nobody holds.
-	do(Command{Kind: Release, Lease: "l", Client: "b", Epoch: 2})
-	text, err := s.Snapshot()
+	// A snapshot must keep the last epoch even if no lease is held.
+	apply(Command{Kind: Release, Lease: "l", Client: "b", Epoch: 2})
+	data, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var o State
-	if err := o.Restore(text); err != nil {
+	var restored State
+	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if r := o.Apply(acquire("c")); r.Record.Epoch != 3 {
+	if r := restored.Apply(acquire("c")); r.Record.Epoch != 3 {
 		t.Errorf("epoch %d after a snapshot, want 3", r.Record.Epoch)
 	}
-	if err := o.Restore([]byte(`{"last":1,"leases":{"l":{"epoch":2}}}`)); err == nil {
-		t.Error("a snapshot that has lost epochs is taken")
+	if err := restored.Restore([]byte(`{"last":1,"leases":{"l":{"epoch":2}}}`)); err == nil {
+		t.Error("a snapshot with an epoch above its last one is accepted")
 	}
 	var f Fence
 	for i, c := range []struct {
@@ -199,7 +202,7 @@
 		want bool
 	}{{0, false}, {2, true}, {2, true}, {1, false}, {5, true}, {4, false}} {
 		if f.Admit(c.e) != c.want {
-			t.Errorf("act %d with epoch %d: want %v", i, c.e, c.want)
+			t.Errorf("operation %d with epoch %d: want admitted %v", i, c.e, c.want)
 		}
 	}
 }
--- a/lease/state.go
+++ b/lease/state.go
@@ -1,16 +1,17 @@
-// Package lease decides who alone holds a duty, and for how long by whose clock. It has
-// two sides that meet only in messages: State, which a quorum keeps alike at every voter,
-// and Holder, which asks for a lease and knows when its claim ends. Nothing here reads a
-// clock, does I/O or starts a goroutine: times are those of the caller's own monotonic
-// clock, and are never sent to anybody.
+// Package lease implements leases that at most one client holds at a time. State is the
+// state machine that a quorum replicates to every voter; Holder is the client's side and
+// knows when its claim ends. The package reads no clock, does no I/O and starts no
+// goroutine: callers pass in times of their own monotonic clock, which are never sent.
 //
-// A claim lasts for the lease's length on the holder's clock, counted from before it
-// asked. The leader of the quorum gives a lease away only once the length and a margin
-// for clocks of different rate have passed on its own clock since it learnt of the last
-// renewal, or since it became leader: both are later than when the holder asked. So no
-// two claims overlap while clocks run at most 1% apart in rate (promise 1). Epochs grow
-// with each grant, over restarts and changes of leader, since they are part of the state
-// (promise 2): whoever is acted upon refuses an older one, see Fence.
+// A claim is the time during which a holder may act under its lease. It lasts for the
+// lease's length on the holder's clock, counted from before the request was sent. The
+// leader of the quorum expires a lease only after the length plus a margin for clock
+// drift, counted on its own clock from when it learnt of the last renewal or became
+// leader. Both are later than the request, so no two claims on a lease overlap while the
+// rates of the clocks differ by at most MaxClockDrift.
+//
+// Epochs are fencing tokens. They are part of the replicated state and grow with each
+// grant, also across restarts and changes of leader.
 package lease
 
 import (
@@ -22,19 +23,19 @@
 	"time"
 )
 
-// Epoch numbers grants. A later grant of any lease has a higher one.
+// Epoch numbers grants. Each grant has a higher epoch than all earlier grants of any lease.
 type Epoch uint64
 
-// Kind is what a command asks.
+// Kind is the operation that a command performs.
 type Kind uint8
 
 const (
-	Acquire Kind = iota + 1 // to hold a lease that nobody holds, or that the client holds
-	Renew                   // to go on holding it
-	Release                 // to hold it no longer
-	Put                     // to keep a value for the next holder
-	Expire                  // of the leader: the holder's time is over
-	Evict                   // of an operator: the holder is to be forgotten once its time is over
+	Acquire Kind = iota + 1 // acquires a free lease, or repeats the client's own acquire
+	Renew                   // extends the holder's claim
+	Release                 // frees the lease
+	Put                     // stores a value for the next holder
+	Expire                  // sent by the leader: frees a lease that was not renewed in time
+	Evict                   // sent by an operator: refuses further renewals by the holder
 )
 
 var kindNames = [...]string{"none", "acquire", "renew", "release", "put", "expire", "evict"}
@@ -50,66 +51,66 @@
 type Command struct {
 	Kind   Kind          `json:"kind"`
 	Lease  string        `json:"lease"`
-	Client string        `json:"client,omitempty"` // with its incarnation: a process that restarts is another client
+	Client string        `json:"client,omitempty"` // unique to one run of a process: after a restart it is another client
 	Length time.Duration `json:"length,omitempty"` // of Acquire
-	Epoch  Epoch         `json:"epoch,omitempty"`  // of all but Acquire
-	Seq    uint64        `json:"seq,omitempty"`    // of Expire: the renewal that the leader has waited out
+	Epoch  Epoch         `json:"epoch,omitempty"`  // of all kinds but Acquire
+	Seq    uint64        `json:"seq,omitempty"`    // of Expire: the last renewal that the leader has seen
 	Value  []byte        `json:"value,omitempty"`  // of Put and Release
 }
 
-// What the state takes. A command beyond these bounds changes nothing.
+// Limits of the state. A command that exceeds them is refused and changes nothing.
 const (
-	MostLeases = 100_000
-	MostName   = 200
-	MostValue  = 4 << 10
-	MinLength  = 100 * time.Millisecond
-	MaxLength  = time.Hour
+	MaxLeases     = 100_000
+	MaxNameBytes  = 200
+	MaxValueBytes = 4 << 10
+	MinLength     = 100 * time.Millisecond
+	MaxLength     = time.Hour
 )
 
-// Errors of commands. Held and Stale come with the Record as it is.
+// Errors of commands. A result with ErrHeld or ErrStale carries the unchanged record.
 var (
-	ErrHeld    = errors.New("held by another")
-	ErrStale   = errors.New("no longer held with this epoch")
-	ErrUnknown = errors.New("no such lease")
-	ErrBounds  = errors.New("out of bounds")
+	ErrHeld           = errors.New("lease is held by another client")
+	ErrStale          = errors.New("lease is not held with this epoch")
+	ErrUnknownLease   = errors.New("lease does not exist")
+	ErrInvalidCommand = errors.New("invalid command")
 )
 
-// Record is one lease.
+// Record is the replicated state of one lease.
 type Record struct {
-	Holder string        `json:"holder,omitempty"` // "" while nobody has it
-	Epoch  Epoch         `json:"epoch"`            // of the holder, or of the last one
-	Seq    uint64        `json:"seq"`              // grows with each renewal
+	Holder string        `json:"holder,omitempty"` // "" while the lease is free
+	Epoch  Epoch         `json:"epoch"`            // of the current holder, or of the last one
+	Seq    uint64        `json:"seq"`              // grows with each grant and renewal
 	Length time.Duration `json:"length"`
 	Value  []byte        `json:"value,omitempty"`
-	Evict  bool          `json:"evict,omitempty"` // the holder is not renewed any more
+	Evict  bool          `json:"evict,omitempty"` // renewals by the holder are refused
 }
 
-// State is what every voter keeps alike. The zero value is empty. It changes only by
-// Apply, in the order of the log.
+// State is the replicated state machine. The zero value has no leases. It changes only by
+// Apply, in the order of the log, and by Restore.
 type State struct {
-	leases map[string]*Record
-	last   Epoch
+	leases    map[string]*Record
+	lastEpoch Epoch
 }
 
-// Reply is what a command has come to.
-type Reply struct {
+// Result is the outcome of a command.
+type Result struct {
 	Err    error
-	Record Record // after it
+	Record Record // after the command
 }
 
-// Apply carries out a command. The same commands in the same order give the same state
-// and replies at every voter.
-func (s *State) Apply(c Command) Reply {
-	if err := c.check(); err != nil {
-		return Reply{Err: err}
+// Apply executes a command. It is deterministic: the same commands in the same order
+// produce the same state and results at every voter.
+func (s *State) Apply(c Command) Result {
+	if err := c.validate(); err != nil {
+		return Result{Err: err}
 	}
 	r := s.leases[c.Lease]
 	if r == nil {
 		if c.Kind != Acquire {
-			return Reply{Err: ErrUnknown}
+			return Result{Err: ErrUnknownLease}
 		}
-		if len(s.leases) >= MostLeases {
-			return Reply{Err: fmt.Errorf("%w: %d leases", ErrBounds, MostLeases)}
+		if len(s.leases) >= MaxLeases {
+			return Result{Err: fmt.Errorf("%w: the limit of %d leases is reached", ErrInvalidCommand, MaxLeases)}
 		}
 		if s.leases == nil {
 			s.leases = map[string]*Record{}
@@ -117,26 +118,28 @@
 		r = &Record{}
 		s.leases[c.Lease] = r
 	}
-	return Reply{Err: s.change(r, &c), Record: r.clone()}
+	return Result{Err: s.applyTo(r, &c), Record: r.clone()}
 }
 
-func (s *State) change(r *Record, c *Command) error {
-	mine := r.Holder != "" && r.Holder == c.Client && r.Epoch == c.Epoch
+func (s *State) applyTo(r *Record, c *Command) error {
+	heldByClient := r.Holder != "" && r.Holder == c.Client && r.Epoch == c.Epoch
 	switch c.Kind {
 	case Acquire:
 		switch {
 		case r.Holder == "":
-			s.last++
-			*r = Record{Holder: c.Client, Epoch: s.last, Seq: r.Seq + 1, Length: c.Length, Value: r.Value}
+			s.lastEpoch++
+			*r = Record{Holder: c.Client, Epoch: s.lastEpoch, Seq: r.Seq + 1, Length: c.Length, Value: r.Value}
 		case r.Holder == c.Client && !r.Evict:
-			r.Seq++ // its first answer was lost; the length stays, as the leader may be counting it
+			// The client repeats a request. The length stays, as the leader may already
+			// be counting it.
+			r.Seq++
 		default:
 			return ErrHeld
 		}
 		return nil
 	case Expire:
 		if r.Holder == "" || r.Epoch != c.Epoch || r.Seq != c.Seq {
-			return ErrStale // renewed in between
+			return ErrStale // renewed, released or granted again since the proposal
 		}
 		r.Holder, r.Evict = "", false
 		return nil
@@ -147,7 +150,7 @@
 		r.Evict = true
 		return nil
 	}
-	if !mine {
+	if !heldByClient {
 		return ErrStale
 	}
 	switch c.Kind {
@@ -167,18 +170,18 @@
 	return nil
 }
 
-func (c *Command) check() error {
+func (c *Command) validate() error {
 	switch {
 	case c.Kind < Acquire || c.Kind > Evict:
-		return fmt.Errorf("%w: %v", ErrBounds, c.Kind)
-	case c.Lease == "" || len(c.Lease) > MostName:
-		return fmt.Errorf("%w: a name of %d bytes, want 1 to %d", ErrBounds, len(c.Lease), MostName)
-	case len(c.Value) > MostValue:
-		return fmt.Errorf("%w: a value of %d bytes, want %d at most", ErrBounds, len(c.Value), MostValue)
+		return fmt.Errorf("%w: unknown kind %v", ErrInvalidCommand, c.Kind)
+	case c.Lease == "" || len(c.Lease) > MaxNameBytes:
+		return fmt.Errorf("%w: lease name of %d bytes, want 1 to %d", ErrInvalidCommand, len(c.Lease), MaxNameBytes)
+	case len(c.Value) > MaxValueBytes:
+		return fmt.Errorf("%w: value of %d bytes, want at most %d", ErrInvalidCommand, len(c.Value), MaxValueBytes)
 	case c.Kind == Acquire && (c.Length < MinLength || c.Length > MaxLength):
-		return fmt.Errorf("%w: a length of %v, want %v to %v", ErrBounds, c.Length, MinLength, MaxLength)
-	case c.Kind != Expire && c.Kind != Evict && (c.Client == "" || len(c.Client) > MostName):
-		return fmt.Errorf("%w: a client's name of %d bytes, want 1 to %d", ErrBounds, len(c.Client), MostName)
+		return fmt.Errorf("%w: lease length %v, want %v to %v", ErrInvalidCommand, c.Length, MinLength, MaxLength)
+	case c.Kind != Expire && c.Kind != Evict && (c.Client == "" || len(c.Client) > MaxNameBytes):
+		return fmt.Errorf("%w: client name of %d bytes, want 1 to %d", ErrInvalidCommand, len(c.Client), MaxNameBytes)
 	}
 	return nil
 }
@@ -189,7 +192,7 @@
 	return c
 }
 
-// Get is a lease as it stands.
+// Get returns a copy of a lease's record, and whether the lease exists.
 func (s *State) Get(name string) (Record, bool) {
 	r := s.leases[name]
 	if r == nil {
@@ -198,122 +201,124 @@
 	return r.clone(), true
 }
 
-// Names are all leases, in order.
+// Names returns the names of all leases, sorted.
 func (s *State) Names() []string { return slices.Sorted(maps.Keys(s.leases)) }
 
-// snapshot is a State as it is written.
+// snapshot is the encoded form of a State.
 type snapshot struct {
-	Last   Epoch             `json:"last"` // also of leases that nobody holds: an epoch must not come back
-	Leases map[string]Record `json:"leases"`
+	LastEpoch Epoch             `json:"last"` // may be higher than that of any record, and must not be granted again
+	Leases    map[string]Record `json:"leases"`
 }
 
-// Snapshot is the whole state; two that are alike have the same bytes.
+// Snapshot encodes the whole state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
-	out := snapshot{Last: s.last, Leases: map[string]Record{}}
+	out := snapshot{LastEpoch: s.lastEpoch, Leases: map[string]Record{}}
 	for name, r := range s.leases {
 		out.Leases[name] = *r
 	}
-	return json.Marshal(out) // writes maps in the order of their keys
+	return json.Marshal(out) // sorts map keys
 }
 
-// Restore replaces the state by a snapshot, or leaves it as it is with an error.
-func (s *State) Restore(text []byte) error {
+// Restore replaces the state by an encoded snapshot. On error the state is unchanged.
+func (s *State) Restore(data []byte) error {
 	var in snapshot
-	if err := json.Unmarshal(text, &in); err != nil {
-		return fmt.Errorf("lease: snapshot: %w", err)
+	if err := json.Unmarshal(data, &in); err != nil {
+		return fmt.Errorf("lease: decode snapshot: %w", err)
 	}
 	leases := make(map[string]*Record, len(in.Leases))
 	for name, r := range in.Leases {
-		if r.Epoch > in.Last {
-			return fmt.Errorf("lease: snapshot: %s has epoch %d, the last one was %d", name, r.Epoch, in.Last)
+		if r.Epoch > in.LastEpoch {
+			return fmt.Errorf("lease: invalid snapshot: lease %s has epoch %d, above the last granted epoch %d", name, r.Epoch, in.LastEpoch)
 		}
 		leases[name] = &r
 	}
-	s.leases, s.last = leases, in.Last
+	s.leases, s.lastEpoch = leases, in.LastEpoch
 	return nil
 }
 
-// Drift is how far clocks may run apart in rate. Twice of it is waited on top of a
-// length, which leaves as much again for what the system's clock adjusts meanwhile.
-const Drift = 0.01
+// MaxClockDrift is the largest difference in rate between two clocks for which claims do
+// not overlap. ExpiryDelay adds twice this share, to cover clock adjustments as well.
+const MaxClockDrift = 0.01
 
-// Patience is how long the leader waits, on its own clock, before it gives a lease of
-// this length away.
+// ExpiryDelay returns how long the leader waits on its own clock before it expires a lease
+// of the given length.
 func ExpiryDelay(length time.Duration) time.Duration {
-	return length + time.Duration(2*Drift*float64(length)) + time.Millisecond
+	return length + time.Duration(2*MaxClockDrift*float64(length)) + time.Millisecond
 }
 
-// Keeper is the leader's side: it knows when it learnt of each renewal, by its own clock,
-// and which leases are over. It lives for one term of leadership: a new leader makes a
-// new one, which counts every lease from then on.
+// ExpiryTracker is the leader's record of when it learnt of each grant and renewal, by its
+// own clock. It is valid for one term of leadership: a new leader creates a new tracker,
+// which counts every lease from then on.
 type ExpiryTracker struct {
-	seen map[string]seen
+	observed map[string]observation
 }
 
-type seen struct {
-	epoch Epoch
-	seq   uint64
-	since time.Duration
-	asked bool // to expire
+type observation struct {
+	epoch      Epoch
+	seq        uint64
+	observedAt time.Duration
+	proposed   bool // an Expire command has been proposed
 }
 
-// NewKeeper is the keeper of a term that begins now, when all that was committed before
-// has been applied to s.
+// NewExpiryTracker returns the tracker for a term that begins now. All entries committed in
+// earlier terms must have been applied to s.
 func NewExpiryTracker(s *State, now time.Duration) *ExpiryTracker {
-	k := &ExpiryTracker{seen: map[string]seen{}}
+	t := &ExpiryTracker{observed: map[string]observation{}}
 	for name, r := range s.leases {
-		k.note(name, r, now)
+		t.observe(name, r, now)
 	}
-	return k
+	return t
 }
 
-func (k *ExpiryTracker) note(name string, r *Record, now time.Duration) {
+func (t *ExpiryTracker) observe(name string, r *Record, now time.Duration) {
 	if r.Holder == "" {
-		delete(k.seen, name)
+		delete(t.observed, name)
 		return
 	}
-	if w, ok := k.seen[name]; !ok || w.epoch != r.Epoch || w.seq != r.Seq {
-		k.seen[name] = seen{epoch: r.Epoch, seq: r.Seq, since: now}
+	if o, ok := t.observed[name]; !ok || o.epoch != r.Epoch || o.seq != r.Seq {
+		t.observed[name] = observation{epoch: r.Epoch, seq: r.Seq, observedAt: now}
 	}
 }
 
-// Applied tells that a command about a lease has been applied.
-func (k *ExpiryTracker) CommandApplied(s *State, name string, now time.Duration) {
+// CommandApplied reports that a command for the named lease has been applied to s.
+func (t *ExpiryTracker) CommandApplied(s *State, name string, now time.Duration) {
 	if r := s.leases[name]; r != nil {
-		k.note(name, r, now)
+		t.observe(name, r, now)
 	}
 }
 
-// Due are the commands that are to be proposed now, each once, and when to look again.
-func (k *ExpiryTracker) Due(s *State, now time.Duration) (expire []Command, next time.Duration) {
+// Due returns the Expire commands to propose now, and when to call it again. It returns
+// each command once, unless ProposalDropped is called.
+func (t *ExpiryTracker) Due(s *State, now time.Duration) (expire []Command, next time.Duration) {
 	next = now + MaxLength
-	for _, name := range slices.Sorted(maps.Keys(k.seen)) {
-		w, r := k.seen[name], s.leases[name]
-		if at := w.since + ExpiryDelay(r.Length); at > now {
+	for _, name := range slices.Sorted(maps.Keys(t.observed)) {
+		o, r := t.observed[name], s.leases[name]
+		if at := o.observedAt + ExpiryDelay(r.Length); at > now {
 			next = min(next, at)
-		} else if !w.asked {
-			w.asked = true
-			k.seen[name] = w
-			expire = append(expire, Command{Kind: Expire, Lease: name, Epoch: w.epoch, Seq: w.seq})
+		} else if !o.proposed {
+			o.proposed = true
+			t.observed[name] = o
+			expire = append(expire, Command{Kind: Expire, Lease: name, Epoch: o.epoch, Seq: o.seq})
 		}
 	}
 	return expire, next
 }
 
-// Forget lets what was proposed be proposed again: the engine has dropped it.
-func (k *ExpiryTracker) ProposalDropped(name string) {
-	if w, ok := k.seen[name]; ok {
-		w.asked = false
-		k.seen[name] = w
+// ProposalDropped reports that the Expire command for a lease was not accepted into the
+// log. Due then returns it again.
+func (t *ExpiryTracker) ProposalDropped(name string) {
+	if o, ok := t.observed[name]; ok {
+		o.proposed = false
+		t.observed[name] = o
 	}
 }
 
-// Fence is what whoever is acted upon keeps: the highest epoch that has come. The zero
-// value has seen none.
+// Fence belongs to a resource that lease holders act on. It rejects holders with an
+// outdated epoch. The zero value has seen no epoch.
 type Fence struct{ highest Epoch }
 
-// Admit tells whether an act with this epoch may be done: none with a higher one has
-// been. It is refused otherwise, whatever the holder thinks.
+// Admit reports whether an operation with this epoch is allowed: the epoch is valid and no
+// operation with a higher one has been seen.
 func (f *Fence) Admit(e Epoch) bool {
 	ok := e > 0 && e >= f.highest
 	f.highest = max(f.highest, e)
