--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -125,7 +125,7 @@
 	var config balance.Config
 	if err == nil {
 		config = settings.Balance()
-		h.keep = upstream.KeepIdle(settings.ConnPrices())
+		h.keep = upstream.OptimalIdleTimeout(settings.ConnPrices())
 		err = settings.Err()
 	}
 	if err == nil && captures != "" {
--- a/internal/daemon/apply.go
+++ b/internal/daemon/apply.go
@@ -402,7 +402,7 @@
 	}
 	s.pool.Limit(limits(c))
 	if old.Memory != c.Memory {
-		s.pool.Conns().Limit(s.pool.Conns().Bound(), c.Memory/config.LargeShare)
+		s.pool.Conns().SetLimits(s.pool.Conns().MaxConns(), c.Memory/config.LargeShare)
 	}
 	if old.Nodes.String() != c.Nodes.String() {
 		s.pool.Move(c.Nodes.Open())
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -184,20 +184,20 @@
 	for _, s := range d.retired {
 		if !s.sharing {
 			s.pool.Conns().CloseIdle()
-			over += s.pool.Conns().Open()
+			over += s.pool.Conns().OpenConns()
 		}
 	}
 	for _, s := range d.services {
-		over += max(0, s.pool.Conns().Open()-s.cfg.Connections)
-		grown += max(0, s.cfg.Connections-s.pool.Conns().Bound())
+		over += max(0, s.pool.Conns().OpenConns()-s.cfg.Connections)
+		grown += max(0, s.cfg.Connections-s.pool.Conns().MaxConns())
 	}
 	for _, s := range d.services {
-		most, has := s.cfg.Connections, s.pool.Conns().Bound()
+		most, has := s.cfg.Connections, s.pool.Conns().MaxConns()
 		if more := most - has; more > 0 && over > 0 {
 			most = max(has, most-(over*more+grown-1)/grown)
 		}
 		if most != has {
-			s.pool.Conns().Limit(most, s.cfg.Memory/config.LargeShare)
+			s.pool.Conns().SetLimits(most, s.cfg.Memory/config.LargeShare)
 		}
 	}
 }
@@ -260,13 +260,13 @@
 
 func newConns(p *config.Pool, bound int) *upstream.Pool {
 	return upstream.New(upstream.Config{
-		DialTimeout: p.ConnectTimeout,
-		ConnIdle:    p.IdleTimeout,
-		MaxConns:    bound,
-		LargeBytes:  p.Memory / config.LargeShare,
-		MaxAnswer:   int(p.MaxAnswer),
-		AnswerTime:  p.AnswerTime,
-		AnyStatus:   true,
+		DialTimeout:          p.ConnectTimeout,
+		IdleTimeout:          p.IdleTimeout,
+		MaxConns:             bound,
+		LargeResponseBytes:   p.Memory / config.LargeShare,
+		MaxResponseBytes:     int(p.MaxAnswer),
+		ResponseStallTimeout: p.AnswerTime,
+		PassThroughStatus:    true,
 	})
 }
 
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -287,7 +287,7 @@
 	}
 	eventually(t, "40 at the node", func() bool { return a[0].Open() == 40 })
 	apply(t, d, small, poolText("b", list(b)), routeText("", "b"))
-	if n := d.Pool("b").Conns().Bound(); n > 20 {
+	if n := d.Pool("b").Conns().MaxConns(); n > 20 {
 		t.Errorf("the new pool may open %d connections beside 40 of the old one, of 60", n)
 	}
 	if r := c.get("x", "/"); r.status != 200 {
@@ -299,7 +299,7 @@
 			t.Errorf("status %d for what was open", s)
 		}
 	}
-	eventually(t, "all connections are the new pool's", func() bool { return d.Pool("b").Conns().Bound() == 60 })
+	eventually(t, "all connections are the new pool's", func() bool { return d.Pool("b").Conns().MaxConns() == 60 })
 }
 
 // Listeners come, go and change their form in place, with no moment in which
--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -16,10 +16,10 @@
 // answer is what a caller is given.
 type answer struct {
 	status     int
-	up         *upstream.Answer // a node's, passed on; without text
-	text       string           // what was wrong, for who reads logs on the other side
-	retryAfter time.Duration    // 0 for none
-	whole      bool             // Retry-After in whole seconds
+	up         *upstream.Response // a node's, passed on; without text
+	text       string             // what was wrong, for who reads logs on the other side
+	retryAfter time.Duration      // 0 for none
+	whole      bool               // Retry-After in whole seconds
 }
 
 // answerOf words what a pool says.
@@ -42,7 +42,7 @@
 }
 
 // streams tells whether the answer is written piece by piece.
-func (a *answer) streams() bool { return a.up != nil && a.up.Rest != nil }
+func (a *answer) streams() bool { return a.up != nil && a.up.Remaining != nil }
 
 // write writes the answer to a request with this method in one piece; keep
 // tells that the connection goes on.
@@ -55,10 +55,10 @@
 	head = append(head, http.StatusText(a.status)...)
 	head = append(head, "\r\n"...)
 	var body []byte
-	var rest *upstream.Rest
+	var rest *upstream.BodyStream
 	length := len(a.text)
 	if a.up != nil {
-		body, rest = a.up.Body, a.up.Rest
+		body, rest = a.up.Body, a.up.Remaining
 		length = len(body)
 		if method == http.MethodHead || a.status == http.StatusNotModified {
 			// Its length is that of the body that a GET would bring.
--- a/internal/front/http/begin_test.go
+++ b/internal/front/http/begin_test.go
@@ -65,7 +65,7 @@
 			}
 			t.Cleanup(func() { l.Close() })
 			d := newDepartures(t, long, inService("s-1", l.Addr().String()))
-			d.ready = func(n int) bool { return d.Pool.Open() == n && d.Conns().Open() == n }
+			d.ready = func(n int) bool { return d.Pool.Open() == n && d.Conns().OpenConns() == n }
 			d.open = func() {
 				if err := l.Open(); err != nil {
 					t.Fatal(err)
--- a/internal/front/http/body.go
+++ b/internal/front/http/body.go
@@ -208,9 +208,9 @@
 	}
 	state := b.of.peer.State()
 	switch {
-	case state == sock.Ended:
+	case state == sock.Closed:
 		return 0, errGone
-	case b.rest.whole(err) && (state == sock.Bytes || b.of.in.Buffered() > 0):
+	case b.rest.whole(err) && (state == sock.DataPending || b.of.in.Buffered() > 0):
 		// What should not be there may hide that the caller has left.
 		return 0, errBehind
 	}
--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -83,8 +83,8 @@
 	conn    net.Conn
 	intake  intake        // reads from conn
 	in      *bufio.Reader // reads from intake
-	look    *sock.Look
-	peer    *sock.Presence
+	look    *sock.Peeker
+	peer    *sock.Poller
 	born    time.Time
 	asked   chan struct{} // told when the place is needed, so that a pause ends
 	rejects int           // in a row
@@ -128,8 +128,8 @@
 		req:     Request{Remote: remote},
 		callers: cs,
 		conn:    nc,
-		look:    sock.New(nc),
-		peer:    sock.NewPresence(nc),
+		look:    sock.NewPeeker(nc),
+		peer:    sock.NewPoller(nc),
 		born:    time.Now(),
 		asked:   make(chan struct{}, 1),
 		watched: make(chan bool, 1),
@@ -196,7 +196,7 @@
 	c.conn.SetWriteDeadline(time.Now().Add(unread))
 	if a.write(c.conn, c.req.Method, false) == nil {
 		endSending(c.conn)
-		sock.Drop(c.conn, make([]byte, 4<<10)) // nobody else reads any more, or who does is not to be met
+		sock.Discard(c.conn, make([]byte, 4<<10)) // nobody else reads any more, or who does is not to be met
 	}
 }
 
@@ -231,7 +231,7 @@
 			// A request that has come while the time ran out is whole, and counts as
 			// taken. Under a deadline that has passed a read does not see it.
 			c.conn.SetReadDeadline(time.Now().Add(lastLook))
-			if !sock.Waiting(c.conn) {
+			if !sock.HasPendingData(c.conn) {
 				return false
 			}
 			_, err := c.in.Peek(1)
@@ -384,7 +384,7 @@
 		left = <-c.watched
 	}
 	c.watches = false
-	if quiet && c.look.State() == sock.Bytes {
+	if quiet && c.look.State() == sock.DataPending {
 		c.early.Store(true)
 	}
 	c.pool, c.request = nil, nil // an idle connection holds no body
@@ -406,7 +406,7 @@
 	p.Pool.Attempt(r)
 	a := <-r.Answer()
 	over()
-	<-u.Over // an attempt may still read from the caller
+	<-u.Done // an attempt may still read from the caller
 	c.pool, c.request = nil, nil
 	c.intake.end()
 	if a.Up != nil {
@@ -416,7 +416,7 @@
 	case err != nil:
 		c.rejectBody(err)
 		return false
-	case !u.Whole(): // its node gave it up, or there was none
+	case !u.Sent(): // its node gave it up, or there was none
 		c.rejectWith(answerOf(a, p))
 		return false
 	}
@@ -473,9 +473,9 @@
 // Left implements pool.Caller.
 func (c *caller) Left() bool {
 	switch c.peer.State() {
-	case sock.Ended:
+	case sock.Closed:
 		return true
-	case sock.Bytes:
+	case sock.DataPending:
 		return !c.streams && c.leftBehind()
 	}
 	return false
@@ -495,7 +495,7 @@
 func (c *caller) leftBehind() bool {
 	for range earlyRounds {
 		dropped, out := c.dropEarly()
-		if !out || c.peer.State() == sock.Ended {
+		if !out || c.peer.State() == sock.Closed {
 			return true
 		}
 		if dropped < earlyFew {
@@ -516,7 +516,7 @@
 	}
 	buf := scratch.Get().(*[]byte)
 	defer scratch.Put(buf)
-	if dropped = sock.Drop(c.conn, *buf); dropped > 0 {
+	if dropped = sock.Discard(c.conn, *buf); dropped > 0 {
 		c.early.Store(true)
 	}
 	return dropped, true
@@ -543,8 +543,8 @@
 			return
 		case <-tick.C:
 		}
-		if c.peer.State() == sock.Ended {
-			r.Out.Upload.Leave()
+		if c.peer.State() == sock.Closed {
+			r.Out.Upload.Abort()
 			p.Withdraw(r)
 			return
 		}
@@ -554,7 +554,7 @@
 // coming tells whether the end of the body that is being read is surely still to come:
 // nothing of it waits here. What waits may end with the last byte, or there is as much
 // behind it as the buffers on the way hold.
-func (c *caller) coming() bool { return c.in.Buffered() == 0 && !sock.Waiting(c.conn) }
+func (c *caller) coming() bool { return c.in.Buffered() == 0 && !sock.HasPendingData(c.conn) }
 
 // mostAnew bounds how often a request is judged anew: each time its pool has
 // been replaced in the moment since it was judged.
@@ -577,7 +577,7 @@
 		switch {
 		case b != nil && b.rest != nil:
 			over := make(chan struct{})
-			r.Out.Upload = &upstream.Upload{Ahead: b.data, In: &presentBody{c, b.rest}, Length: c.req.Length, Over: over, Coming: c.coming}
+			r.Out.Upload = &upstream.Upload{Buffered: b.data, Remaining: &presentBody{c, b.rest}, Length: c.req.Length, Done: over, Incomplete: c.coming}
 			r.Over = func() { b.release(); close(over) }
 		case b != nil:
 			r.Out.Body, r.Over = b.data, b.release
@@ -660,7 +660,7 @@
 		k, err := c.in.Read(*buf)
 		n += k
 		if err != nil {
-			sock.Drop(c.conn, *buf) // its place may be needed; what waits must not eat the answer
+			sock.Discard(c.conn, *buf) // its place may be needed; what waits must not eat the answer
 			return
 		}
 	}
@@ -673,7 +673,7 @@
 // bytes came before the answer, it reads on: a close on them would eat the answer.
 func (c *caller) give(req *Request, a answer, goesOn bool) bool {
 	goesOn = goesOn && !req.Close && req.Minor > 0 && c.in.Buffered() == 0 && !c.ending()
-	early := !goesOn && (c.early.Load() || c.in.Buffered() > 0 || c.peer.State() == sock.Bytes)
+	early := !goesOn && (c.early.Load() || c.in.Buffered() > 0 || c.peer.State() == sock.DataPending)
 	if c.write(a, req.Method, goesOn) != nil {
 		return false
 	}
--- a/internal/front/http/caller_test.go
+++ b/internal/front/http/caller_test.go
@@ -380,5 +380,5 @@
 	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
 	c.Close()
 	eventually(t, "nothing kept, long before the deadline", func() bool { return r.Pool.Open() == 0 })
-	eventually(t, "the connection to the endpoint closed", func() bool { return r.Conns().Open() == 0 })
+	eventually(t, "the connection to the endpoint closed", func() bool { return r.Conns().OpenConns() == 0 })
 }
--- a/internal/front/http/callers.go
+++ b/internal/front/http/callers.go
@@ -124,7 +124,7 @@
 func (cs *Callers) victim() *caller {
 	for st := range taken {
 		for e := cs.places[st].Front(); e != nil; e = cs.places[st].Next(e) {
-			if !e.Of.hurried && (st == rejected || st == reading || !sock.Waiting(e.Of.conn)) {
+			if !e.Of.hurried && (st == rejected || st == reading || !sock.HasPendingData(e.Of.conn)) {
 				return e.Of
 			}
 		}
@@ -151,7 +151,7 @@
 	full := answer{status: http.StatusServiceUnavailable, retryAfter: roomWait}
 	if full.write(nc, "", false) == nil {
 		endSending(nc)
-		sock.Drop(nc, *buf) // unread, it would take the answer along
+		sock.Discard(nc, *buf) // unread, it would take the answer along
 	}
 }
 
--- a/internal/front/http/close_test.go
+++ b/internal/front/http/close_test.go
@@ -246,7 +246,7 @@
 // client would that is late: a reset would eat what it has not read.
 func readWhole(t *testing.T, conn net.Conn) net.Conn {
 	t.Helper()
-	eventually(t, "the connection ends", func() bool { return sock.NewPresence(conn).State() == sock.Ended })
+	eventually(t, "the connection ends", func() bool { return sock.NewPoller(conn).State() == sock.Closed })
 	return conn
 }
 
--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/crossing_test.go
@@ -61,7 +61,7 @@
 	g.fail = os.ErrDeadlineExceeded
 	<-g.at
 	io.WriteString(c, view(""))
-	eventually(t, "the request in the kernel", func() bool { return sock.Waiting(g.TCPConn) })
+	eventually(t, "the request in the kernel", func() bool { return sock.HasPendingData(g.TCPConn) })
 	close(g.gate)
 	if status, _, err := get(bufio.NewReader(c)); status != 200 {
 		t.Errorf("answered %d, %v, want 200", status, err)
@@ -100,7 +100,7 @@
 			if c.reads == 0 {
 				<-judging
 			} else if c.rest != "" {
-				eventually(t, "the rest in the kernel", func() bool { return sock.Waiting(g.TCPConn) })
+				eventually(t, "the rest in the kernel", func() bool { return sock.HasPendingData(g.TCPConn) })
 			}
 			second := r.dial(t)
 			if c.want == 200 { // nothing gives way, and the new one is closed
@@ -153,7 +153,7 @@
 	eventually(t, "the rest in the kernel, and the others come", func() bool {
 		r.callers.mu.Lock()
 		defer r.callers.mu.Unlock()
-		return sock.Waiting(g.TCPConn) && r.callers.places[reading].Len() == 3
+		return sock.HasPendingData(g.TCPConn) && r.callers.places[reading].Len() == 3
 	})
 	began := time.Now()
 	r.callers.Cut()
--- a/internal/front/http/gone_test.go
+++ b/internal/front/http/gone_test.go
@@ -208,7 +208,7 @@
 		}
 		t.Cleanup(func() { l.Close() })
 		d := newDepartures(t, long, inService("s-1", l.Addr().String()))
-		d.ready = func(n int) bool { return d.Pool.Open() == n && d.Conns().Open() == n }
+		d.ready = func(n int) bool { return d.Pool.Open() == n && d.Conns().OpenConns() == n }
 		d.open = func() {
 			if err := l.Open(); err != nil {
 				t.Fatal(err)
@@ -336,7 +336,7 @@
 			k.in.Discard(len(head))
 			if c.leaves {
 				there.Close()
-				eventually(t, "the end has come", func() bool { return k.peer.State() == sock.Ended })
+				eventually(t, "the end has come", func() bool { return k.peer.State() == sock.Closed })
 			}
 			body := &presentBody{k, &restOf{in: k.in, h: &k.req.Head, most: 1 << 20}}
 			if got, err := io.ReadAll(body); !errors.Is(err, c.want) || err == nil && string(got) != "body" {
--- a/internal/front/http/left_test.go
+++ b/internal/front/http/left_test.go
@@ -85,7 +85,7 @@
 		cfg.Balance.Classes[i].Deadline = 4 * patience
 	}
 	cfg.Balance.RampTime = 0 // what comes back is not cold
-	conns := upstream.New(upstream.Config{DialTimeout: patience, ConnIdle: 5 * time.Second, MaxConns: 200, LargeBytes: 1 << 20, Stream: PlatformLongest, Rest: rest})
+	conns := upstream.New(upstream.Config{DialTimeout: patience, IdleTimeout: 5 * time.Second, MaxConns: 200, LargeResponseBytes: 1 << 20, MaxStreamBytes: PlatformLongest, ReuseDelay: rest})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{Name: "test", Zones: map[string]int{"a": 0}, Balance: cfg.Balance,
 		Known: nodes.List{Snapshot: true, Endpoints: list}, Limits: pool.Limits{BodyBytes: 8 << 20, LongBytes: long}}, conns)
--- a/internal/front/http/platform.go
+++ b/internal/front/http/platform.go
@@ -145,11 +145,11 @@
 // room for so many more.
 func outgoing(req *Request, uri, host string, semantics balance.Semantics, more int) upstream.Request {
 	out := upstream.Request{
-		Method: req.Method,
-		URI:    uri,
-		Host:   host,
-		Fields: make(framing.Fields, 0, len(req.Fields)+more),
-		Once:   semantics == balance.Unsafe,
+		Method:        req.Method,
+		URI:           uri,
+		Host:          host,
+		Fields:        make(framing.Fields, 0, len(req.Fields)+more),
+		NonIdempotent: semantics == balance.Unsafe,
 	}
 	for _, f := range req.Fields {
 		if !f.Hop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // each attempt has its own
--- a/internal/front/http/rig_test.go
+++ b/internal/front/http/rig_test.go
@@ -34,7 +34,7 @@
 
 func newPool(t *testing.T, cfg *testSettings) *pool.Pool {
 	t.Helper()
-	conns := upstream.New(upstream.Config{DialTimeout: time.Second, ConnIdle: cfg.Balance.ConnIdle, MaxConns: 32, LargeBytes: 400 << 10})
+	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: cfg.Balance.ConnIdle, MaxConns: 32, LargeResponseBytes: 400 << 10})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{
 		Name:    "test",
--- a/internal/front/http/stream.go
+++ b/internal/front/http/stream.go
@@ -26,7 +26,7 @@
 // the rest as its endpoint gives it, piece by piece. An error means that it has
 // broken off: the connection has to end, and as neither the length told nor the
 // last chunk has been reached, the caller can tell.
-func stream(w io.Writer, head, begun []byte, rest *upstream.Rest) error {
+func stream(w io.Writer, head, begun []byte, rest *upstream.BodyStream) error {
 	c, isConn := w.(net.Conn)
 	if tc, ok := w.(*net.TCPConn); ok {
 		tc.SetWriteBuffer(restBuffer)
@@ -60,7 +60,7 @@
 				return err
 			}
 			if time.Since(begun) > slowWrite {
-				rest.Spool()
+				rest.ReadAhead()
 			}
 		}
 		if err == io.EOF {
--- a/internal/front/http/stream_test.go
+++ b/internal/front/http/stream_test.go
@@ -31,7 +31,7 @@
 	t.Cleanup(srv.Close)
 	cfg := testConfig()
 	conns := upstream.New(upstream.Config{
-		DialTimeout: time.Second, ConnIdle: cfg.Balance.ConnIdle, MaxConns: 32, LargeBytes: room, Stream: PlatformLongest,
+		DialTimeout: time.Second, IdleTimeout: cfg.Balance.ConnIdle, MaxConns: 32, LargeResponseBytes: room, MaxStreamBytes: PlatformLongest,
 	})
 	t.Cleanup(conns.Close)
 	cfg.Known.Endpoints = []nodes.Endpoint{{Name: "s-1", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService}}
@@ -96,7 +96,7 @@
 							t.Fatalf("%d bytes, %v, want all %d", n, err, size)
 						}
 					}
-					eventually(t, "one connection that waits for the next", func() bool { return r.Conns().Open() == 1 && r.Pool.Open() == 0 })
+					eventually(t, "one connection that waits for the next", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.Open() == 0 })
 				})
 			}
 		}
@@ -182,7 +182,7 @@
 		if d := time.Since(start); err == nil || d > idleTime/2 { // which would end it as well
 			t.Errorf("chunked %t: %v after %d bytes and %v, want a break at once", chunked, err, n, d)
 		}
-		eventually(t, "nothing is held", func() bool { return r.Conns().Open() == 0 && r.Pool.Open() == 0 })
+		eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.Open() == 0 })
 	}
 }
 
@@ -202,7 +202,7 @@
 		time.Sleep(50 * time.Millisecond)
 		c.Close()
 	}
-	eventually(t, "nothing is held", func() bool { return r.Conns().Open() == 0 && r.Pool.Open() == 0 })
+	eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.Open() == 0 })
 }
 
 // A long body comes at the pace of a slow caller; one that stops is told off.
@@ -274,7 +274,7 @@
 					t.Fatalf("%d %q, %v, want 200 %q", status, body, err, want)
 				}
 			}
-			eventually(t, "one connection that waits for the next", func() bool { return r.Conns().Open() == 1 && r.Pool.Open() == 0 })
+			eventually(t, "one connection that waits for the next", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.Open() == 0 })
 			if left := r.Bodies().Left(); left != r.Bodies().Total() {
 				t.Errorf("%d bytes of room left of %d", left, r.Bodies().Total())
 			}
@@ -326,7 +326,7 @@
 					t.Error("the node still waits for the rest")
 				}
 			}
-			eventually(t, "nothing is held", func() bool { return r.Conns().Open() == 0 && r.Pool.Open() == 0 })
+			eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.Open() == 0 })
 		})
 	}
 }
--- a/internal/front/http/told_test.go
+++ b/internal/front/http/told_test.go
@@ -76,7 +76,7 @@
 			}
 			most := budget
 			if c.late {
-				eventually(t, "it waits for the connection", func() bool { return d.Pool.Stats().First == 1 && d.Conns().Open() == 1 })
+				eventually(t, "it waits for the connection", func() bool { return d.Pool.Stats().First == 1 && d.Conns().OpenConns() == 1 })
 				taken := time.Now()
 				time.Sleep(200 * time.Millisecond)
 				most -= time.Since(taken)
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -49,7 +49,7 @@
 			if c.first {
 				cfg.Known.Endpoints = append(cfg.Known.Endpoints, nodes.Endpoint{Name: "breaks", Address: breaks.Listener.Addr().String(), Zone: "a", Status: nodes.InService})
 			}
-			conns := upstream.New(upstream.Config{DialTimeout: patience, ConnIdle: 5 * time.Second, MaxConns: 32})
+			conns := upstream.New(upstream.Config{DialTimeout: patience, IdleTimeout: 5 * time.Second, MaxConns: 32})
 			t.Cleanup(conns.Close)
 			p, err := New(cfg, conns)
 			if err != nil {
@@ -78,7 +78,7 @@
 			if c.first {
 				<-begun
 			}
-			eventually(t, "the late connection is being dialled", func() bool { _, most := conns.Spread(); return most == 1 && (!c.first || p.Stats().Again > 0) })
+			eventually(t, "the late connection is being dialled", func() bool { _, most := conns.ConnStats(); return most == 1 && (!c.first || p.Stats().Again > 0) })
 			time.Sleep(400 * time.Millisecond) // over the shorter span
 			if c.drains {
 				p.Exclude(map[string]bool{"late": true, "breaks": true})
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -55,7 +55,7 @@
 		{Name: "sound", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService},
 		{Name: "other", Address: other, Zone: "a", Status: nodes.InService},
 	}}
-	conns := upstream.New(upstream.Config{DialTimeout: dial, ConnIdle: 5 * time.Second, MaxConns: 64})
+	conns := upstream.New(upstream.Config{DialTimeout: dial, IdleTimeout: 5 * time.Second, MaxConns: 64})
 	t.Cleanup(conns.Close)
 	p, err := New(cfg, conns)
 	if err != nil {
@@ -75,7 +75,7 @@
 // one makes a request of a class to its end.
 func one(t *testing.T, p *Pool, class int, path string) Verdict {
 	t.Helper()
-	r := &Request{Class: class, Tenant: -1, Budget: patience, Out: upstream.Request{Method: "POST", URI: path, Host: "x", Once: class == 1}}
+	r := &Request{Class: class, Tenant: -1, Budget: patience, Out: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: class == 1}}
 	if err := p.Take(r); err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 			}
 		})
 	}
-	eventually(t, "all are being dialled", func() bool { return p.conns.Open() == requests })
+	eventually(t, "all are being dialled", func() bool { return p.conns.OpenConns() == requests })
 	p.Exclude(nil)
 	all.Wait()
 	time.Sleep(250 * time.Millisecond) // 0.4 s after the first was dialled
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -76,7 +76,7 @@
 		all = append(all, n)
 		cfg.Known.Endpoints = append(cfg.Known.Endpoints, nodes.Endpoint{Name: n.Name(), Address: n.Addr(), Zone: "a", Status: nodes.InService})
 	}
-	conns := upstream.New(upstream.Config{DialTimeout: time.Second, ConnIdle: 5 * time.Second, MaxConns: 32, AnyStatus: true, Dialer: d})
+	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: 5 * time.Second, MaxConns: 32, PassThroughStatus: true, Dialer: d})
 	t.Cleanup(conns.Close)
 	p, err := New(cfg, conns)
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 	r := &Request{
 		Class: class, Tenant: -1, Budget: patience,
-		Out: upstream.Request{Method: method, URI: "/", Host: "x", Once: class == 1, Fields: framing.Fields{{Name: "X-Call-Id", Value: id}}},
+		Out: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: framing.Fields{{Name: "X-Call-Id", Value: id}}},
 	}
 	if err := p.Take(r); err != nil {
 		t.Error(err)
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -225,7 +225,7 @@
 	// gone until the Balancer knows that.
 	for _, e := range list {
 		if e.Status != nodes.Terminated {
-			p.conns.Set(e.Name, upstream.Target{Address: e.Address, Since: e.SinceMs})
+			p.conns.Set(e.Name, upstream.Target{Address: e.Address, StartMs: e.SinceMs})
 		}
 	}
 	p.members(kind, entries)
@@ -256,7 +256,7 @@
 				p.leaves(name)
 			}
 		}
-		p.conns.Keep(func(name string) bool { _, ok := p.known[name]; return ok })
+		p.conns.Retain(func(name string) bool { _, ok := p.known[name]; return ok })
 	}
 }
 
--- a/internal/pool/members_test.go
+++ b/internal/pool/members_test.go
@@ -35,7 +35,7 @@
 
 func newPool(t *testing.T, cfg Config) *Pool {
 	t.Helper()
-	conns := upstream.New(upstream.Config{DialTimeout: time.Second, ConnIdle: 5 * time.Second, MaxConns: 32, LargeBytes: 400 << 10, AnyStatus: true})
+	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: 5 * time.Second, MaxConns: 32, LargeResponseBytes: 400 << 10, PassThroughStatus: true})
 	t.Cleanup(conns.Close)
 	p, err := New(cfg, conns)
 	if err != nil {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -112,10 +112,10 @@
 	pending   int // attempts without an outcome
 	answered  bool
 	withdrawn bool
-	detached  bool             // see detach
-	own       *upstream.Answer // what the last node said that failed
-	verdict   Verdict          // once answered
-	trail     []step           // attempts, of a request that may end wrongly
+	detached  bool               // see detach
+	own       *upstream.Response // what the last node said that failed
+	verdict   Verdict            // once answered
+	trail     []step             // attempts, of a request that may end wrongly
 }
 
 // Caller is who sent a request.
@@ -138,8 +138,8 @@
 // Answer is the one answer to a Request. Who gets one must release Up.
 type Answer struct {
 	Verdict    Verdict
-	Up         *upstream.Answer // with Served and, if a node made one, with Failed
-	RetryAfter time.Duration    // with Refused; 0 for none
+	Up         *upstream.Response // with Served and, if a node made one, with Failed
+	RetryAfter time.Duration      // with Refused; 0 for none
 }
 
 // Why a Pool does not take a request; nothing was sent for it.
@@ -204,7 +204,7 @@
 func (p *Pool) LongBodies() *limit.Bytes { return &p.long }
 
 // Streams tells whether a body that finds no room is sent on while it comes.
-func (p *Pool) Streams() bool { return p.conns.Streams() }
+func (p *Pool) Streams() bool { return p.conns.StreamingEnabled() }
 
 // Limit changes the limits. What is held beyond them ends by itself.
 func (p *Pool) Limit(l Limits) {
@@ -374,7 +374,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.requests {
-		r.call.Cut()
+		r.call.Abort()
 	}
 	p.balancer.Close(p.now())
 	for _, r := range p.requests { // those that the Balancer has no say in, see detach
@@ -437,8 +437,8 @@
 // attempt makes one attempt and tells the Balancer how it ended.
 func (p *Pool) attempt(r *Request, a *attempt) {
 	if u := r.Out.Upload; u != nil {
-		u.Time = r.Budget
-		u.Begin = func() bool { return p.detach(r, a) }
+		u.ResponseTimeout = r.Budget
+		u.Commit = func() bool { return p.detach(r, a) }
 	}
 	// An instant, as this goroutine may not have got to run at once; and counted from before
 	// the Balancer read the clock, as the process may have been held up after that.
@@ -460,7 +460,7 @@
 	p.trace(r, a, result, now)
 	elapsed := now - a.sent
 	if up != nil {
-		elapsed -= up.Lost // it is none of the node's
+		elapsed -= up.LocalDelay // it is none of the node's
 	}
 	switch {
 	case up == nil:
--- a/internal/pool/release_test.go
+++ b/internal/pool/release_test.go
@@ -52,7 +52,7 @@
 			return ends
 		case <-time.After(3 * time.Millisecond):
 		}
-		r := &Request{Class: class, Tenant: -1, Budget: 2 * time.Second, Out: upstream.Request{Method: "GET", URI: "/", Host: "x", Once: class == 1}}
+		r := &Request{Class: class, Tenant: -1, Budget: 2 * time.Second, Out: upstream.Request{Method: "GET", URI: "/", Host: "x", NonIdempotent: class == 1}}
 		if err := p.Take(r); err != nil {
 			continue
 		}
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -31,7 +31,7 @@
 // closes connections that have been idle for too long. It is to be called
 // about once a second.
 func (p *Pool) Report(now time.Time) {
-	p.conns.Sweep(now)
+	p.conns.CloseExpired(now)
 	p.mu.Lock()
 	st, was, open := p.stats, p.reported, len(p.requests)
 	p.reported = st
@@ -41,7 +41,7 @@
 	if st == was && open == 0 {
 		return
 	}
-	endpoints, most := p.conns.Spread()
+	endpoints, most := p.conns.ConnStats()
 	since := func(r balance.Result) int { return st.Results[r] - was.Results[r] }
 	slog.Info("second", "pool", p.cfg.Name, "taken", st.Taken-was.Taken, "open", open,
 		"full", st.Full-was.Full, "refused", st.Refused-was.Refused, "failed", st.Failed-was.Failed, "withdrawn", st.Withdrawn-was.Withdrawn,
@@ -49,6 +49,6 @@
 		"ok", since(balance.OK), "error", since(balance.Error),
 		"overloaded", since(balance.Overloaded), "timeout", since(balance.Timeout),
 		"noconn", since(balance.ConnectError), "reset", since(balance.Reset),
-		"notsent", since(balance.NotSent), "conns", p.conns.Open(), "endpoints", endpoints, "conns_most", most,
+		"notsent", since(balance.NotSent), "conns", p.conns.OpenConns(), "endpoints", endpoints, "conns_most", most,
 		"bodies_left", p.bodies.Left(), "untold", untold)
 }
--- a/internal/pool/told_test.go
+++ b/internal/pool/told_test.go
@@ -169,9 +169,9 @@
 				t.Cleanup(func() { l.Close() })
 				cfg.Known.Endpoints = append(cfg.Known.Endpoints, in("other", l))
 			}
-			up := upstream.Config{DialTimeout: patience, ConnIdle: patience, MaxConns: 32, Stream: 1 << 20}
+			up := upstream.Config{DialTimeout: patience, IdleTimeout: patience, MaxConns: 32, MaxStreamBytes: 1 << 20}
 			if c.resting {
-				up.Rest = wait
+				up.ReuseDelay = wait
 			}
 			if c.dialled {
 				up.DialTimeout = wait
@@ -197,9 +197,9 @@
 				p.Exclude(map[string]bool{"teller": true})
 			}
 			request := func() *Request {
-				r := &Request{Tenant: -1, Budget: budget, Out: upstream.Request{Method: "POST", URI: "/", Host: "x", Once: c.once}}
+				r := &Request{Tenant: -1, Budget: budget, Out: upstream.Request{Method: "POST", URI: "/", Host: "x", NonIdempotent: c.once}}
 				if c.upload {
-					r.Out.Upload = &upstream.Upload{In: strings.NewReader("body"), Length: 4, Coming: func() bool { return c.coming }}
+					r.Out.Upload = &upstream.Upload{Remaining: strings.NewReader("body"), Length: 4, Incomplete: func() bool { return c.coming }}
 				}
 				return r
 			}
@@ -249,7 +249,7 @@
 				if c.further || c.dialled {
 					again = 1
 				}
-				eventually(t, "the late connection is being dialled", func() bool { s := p.Stats(); return conns.Open() > 0 && s.Again == again })
+				eventually(t, "the late connection is being dialled", func() bool { s := p.Stats(); return conns.OpenConns() > 0 && s.Again == again })
 				time.Sleep(wait)
 				if c.held {
 					p.mu.Lock()
--- a/internal/pool/trail_test.go
+++ b/internal/pool/trail_test.go
@@ -29,8 +29,8 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
 	defer sick.Close()
-	conns := upstream.New(upstream.Config{DialTimeout: time.Second, ConnIdle: time.Second})
-	conns.Limit(8, 1<<20)
+	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: time.Second})
+	conns.SetLimits(8, 1<<20)
 	defer conns.Close()
 	p, err := New(Config{
 		Name: "p",
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	ask := func(path string, n int) {
-		r := &Request{Budget: 10 * time.Second, Name: fmt.Sprintf("id-%d", n), Out: upstream.Request{Method: "POST", URI: path, Host: "x", Once: true}}
+		r := &Request{Budget: 10 * time.Second, Name: fmt.Sprintf("id-%d", n), Out: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: true}}
 		if err := p.Take(r); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/pool/upload.go
+++ b/internal/pool/upload.go
@@ -27,7 +27,7 @@
 
 // uploaded answers a detached request by the outcome of its one attempt; the mutex
 // is held.
-func (p *Pool) uploaded(r *Request, up *upstream.Answer, result balance.Result) {
+func (p *Pool) uploaded(r *Request, up *upstream.Response, result balance.Result) {
 	r.pending--
 	a := Answer{Up: up}
 	switch result {
--- a/internal/sidecar/crossing_test.go
+++ b/internal/sidecar/crossing_test.go
@@ -97,7 +97,7 @@
 	eventually(t, "both are there", func() bool { return p.callers.Open() == len(conns) })
 	p.finish(t)
 	for i, c := range conns {
-		if !sock.Waiting(c) { // the test outlives what would be the process
+		if !sock.HasPendingData(c) { // the test outlives what would be the process
 			t.Errorf("half a request, %d: not told before the end", i)
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/sidecar/level_test.go
+++ b/internal/sidecar/level_test.go
@@ -109,7 +109,7 @@
 	// the end of a stretch is chance, so that none is left when the heap is measured.
 	settled := func() {
 		http.DefaultClient.CloseIdleConnections()
-		eventually(t, "idle connections are closed", func() bool { return p.up.Open() == 0 })
+		eventually(t, "idle connections are closed", func() bool { return p.up.OpenConns() == 0 })
 	}
 	stretch(6000, 80, 20)
 	settled()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -115,7 +115,7 @@
 
 // thrifty is cfg with connections kept idle for no longer than upstream.KeepIdle.
 func thrifty(cfg *config.Config) *config.Config {
-	cfg.Balance.ConnIdle = min(cfg.Balance.ConnIdle, upstream.KeepIdle(cfg.HandshakePrice, cfg.ConnectionPrice))
+	cfg.Balance.ConnIdle = min(cfg.Balance.ConnIdle, upstream.OptimalIdleTimeout(cfg.HandshakePrice, cfg.ConnectionPrice))
 	return cfg
 }
 
@@ -156,11 +156,11 @@
 	defer s.listener.Close()
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	s.up = upstream.New(upstream.Config{
-		DialTimeout: cfg.DialTimeout,
-		ConnIdle:    cfg.Balance.ConnIdle,
-		Rest:        restTime,
-		LargeBytes:  s.memory() / largeShare,
-		Stream:      httpfront.PlatformLongest,
+		DialTimeout:        cfg.DialTimeout,
+		IdleTimeout:        cfg.Balance.ConnIdle,
+		ReuseDelay:         restTime,
+		LargeResponseBytes: s.memory() / largeShare,
+		MaxStreamBytes:     httpfront.PlatformLongest,
 	})
 	defer s.up.Close()
 	begin := discovery(cfg)
@@ -259,7 +259,7 @@
 	}
 	memory, conns := s.memory()/parts, max(2, s.limits.Sockets/int(parts)-config.OwnDescriptors)
 	debug.SetMemoryLimit(int64(float64(memory) * heapShare))
-	s.up.Limit(conns/2, memory/largeShare)
+	s.up.SetLimits(conns/2, memory/largeShare)
 	s.callers.Limit(conns / 2)
 	s.pool.Limit(bodyLimits(memory))
 }
--- a/internal/sidecar/thrift_test.go
+++ b/internal/sidecar/thrift_test.go
@@ -42,10 +42,10 @@
 	began, few := time.Now(), 2
 	eventually(t, "few connections left", func() bool {
 		askNew(listen)
-		return p.up.Open() <= few
+		return p.up.OpenConns() <= few
 	})
 	if took := time.Since(began); took > settings*3/4 {
-		t.Errorf("%v until %d connections were left, want about %v", took, few, upstream.KeepIdle(0, 0))
+		t.Errorf("%v until %d connections were left, want about %v", took, few, upstream.OptimalIdleTimeout(0, 0))
 	}
 	// One that is in use all the time is kept.
 	was := node.Opened()
--- a/internal/sock/interrupted_test.go
+++ b/internal/sock/interrupted_test.go
@@ -44,9 +44,9 @@
 		t.Fatal(err)
 	}
 	defer here.Close()
-	look := New(here)
-	if s := look.State(); s != Quiet || Waiting(here) || Left(here) {
-		t.Errorf("a quiet connection is in state %v, with bytes %t, left %t", s, Waiting(here), Left(here))
+	look := NewPeeker(here)
+	if s := look.State(); s != Idle || HasPendingData(here) || Left(here) {
+		t.Errorf("a quiet connection is in state %v, with bytes %t, left %t", s, HasPendingData(here), Left(here))
 	}
 	there.Write([]byte("x"))
 	there.(*net.TCPConn).CloseWrite()
@@ -58,8 +58,8 @@
 		events, err := pollOnce(int(fd), pollRead)
 		return err != nil || events&pollRead == pollRead
 	})
-	if s := look.State(); s != Bytes || !Waiting(here) || !Left(here) {
-		t.Errorf("one with a byte and an end is in state %v, with bytes %t, left %t", s, Waiting(here), Left(here))
+	if s := look.State(); s != DataPending || !HasPendingData(here) || !Left(here) {
+		t.Errorf("one with a byte and an end is in state %v, with bytes %t, left %t", s, HasPendingData(here), Left(here))
 	}
 	if interrupted == 0 {
 		t.Error("no call was interrupted")
--- a/internal/sock/look.go
+++ b/internal/sock/look.go
@@ -12,14 +12,14 @@
 type State int
 
 const (
-	Ended State = iota // closed by the other side, broken, or past its read deadline
-	Quiet              // open, and nothing has come
-	Bytes              // something has come
+	Closed      State = iota // closed by the other side, broken, or past its read deadline
+	Idle                     // open, and nothing has come
+	DataPending              // something has come
 )
 
 // Look looks at one connection, without an allocation each time. It is not safe
 // for concurrent use.
-type Look struct {
+type Peeker struct {
 	raw   syscall.RawConn
 	peek  func(fd uintptr) bool
 	state State
@@ -27,7 +27,7 @@
 
 // Waiting tells whether bytes of c wait to be read. It may be called beside a reader
 // and whatever the read deadline, and costs an allocation.
-func Waiting(c net.Conn) bool {
+func HasPendingData(c net.Conn) bool {
 	n := 0
 	control(c, func(fd int) { n, _ = peek(fd) })
 	return n > 0
@@ -90,17 +90,17 @@
 }
 
 // New returns the Look of c, which finds Ended if c is no socket.
-func New(c net.Conn) *Look {
-	l := &Look{}
+func NewPeeker(c net.Conn) *Peeker {
+	l := &Peeker{}
 	if sys, ok := c.(syscall.Conn); ok {
 		l.raw, _ = sys.SyscallConn() // nil if there is none
 	}
 	l.peek = func(fd uintptr) bool {
 		switch n, err := peek(int(fd)); {
 		case err == syscall.EAGAIN:
-			l.state = Quiet
+			l.state = Idle
 		case err == nil && n > 0:
-			l.state = Bytes
+			l.state = DataPending
 		}
 		return true
 	}
@@ -108,13 +108,13 @@
 }
 
 // State is the state of the connection just now.
-func (l *Look) State() State {
+func (l *Peeker) State() State {
 	if l.raw == nil {
-		return Ended
+		return Closed
 	}
-	l.state = Ended
+	l.state = Closed
 	if l.raw.Read(l.peek) != nil {
-		return Ended
+		return Closed
 	}
 	return l.state
 }
--- a/internal/sock/look_test.go
+++ b/internal/sock/look_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer here.Close()
-	look := New(here)
+	look := NewPeeker(here)
 	becomes := func(want State) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); look.State() != want; time.Sleep(time.Millisecond) {
@@ -31,21 +31,21 @@
 			}
 		}
 	}
-	becomes(Quiet)
-	if Waiting(here) || Left(here) {
+	becomes(Idle)
+	if HasPendingData(here) || Left(here) {
 		t.Error("a quiet connection has bytes that wait, or has been left")
 	}
 	there.Write([]byte("x"))
-	becomes(Bytes)
+	becomes(DataPending)
 	b := make([]byte, 2)
 	if n, err := here.Read(b); n != 1 || err != nil { // nothing was taken away
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	becomes(Quiet)
+	becomes(Idle)
 	here.SetReadDeadline(time.Unix(1, 0))
-	becomes(Ended)
+	becomes(Closed)
 	there.Write([]byte("y"))
-	for end := time.Now().Add(20 * time.Second); !Waiting(here); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !HasPendingData(here); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("bytes under a deadline that has passed are not seen")
 		}
@@ -57,7 +57,7 @@
 	if n, err := here.Read(b); n != 1 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	becomes(Quiet)
+	becomes(Idle)
 	if n := testing.AllocsPerRun(100, func() { look.State() }); n > 0 {
 		t.Errorf("%v allocations a look", n)
 	}
@@ -68,13 +68,13 @@
 			t.Fatal("an end behind bytes is not seen")
 		}
 	}
-	if s := look.State(); s != Bytes {
+	if s := look.State(); s != DataPending {
 		t.Errorf("state %v, want bytes", s)
 	}
 	here.Read(b)
-	becomes(Ended)
+	becomes(Closed)
 	a, _ := net.Pipe()
-	if s := New(a).State(); s != Ended || Waiting(a) || Left(a) {
+	if s := NewPeeker(a).State(); s != Closed || HasPendingData(a) || Left(a) {
 		t.Errorf("a pipe: %v", s)
 	}
 }
--- a/internal/sock/presence.go
+++ b/internal/sock/presence.go
@@ -11,7 +11,7 @@
 // Presence looks whether the other side of one connection is still there, without an
 // allocation each time. It may be used beside a reader, whatever the read deadline, and
 // from several goroutines at once.
-type Presence struct {
+type Poller struct {
 	raw  syscall.RawConn
 	poll func(fd uintptr)
 
@@ -21,8 +21,8 @@
 }
 
 // NewPresence returns the Presence of c, which finds Quiet if c is no socket.
-func NewPresence(c net.Conn) *Presence {
-	p := &Presence{}
+func NewPoller(c net.Conn) *Poller {
+	p := &Poller{}
 	if sys, ok := c.(syscall.Conn); ok {
 		p.raw, _ = sys.SyscallConn() // nil if there is none
 	}
@@ -35,9 +35,9 @@
 		switch events := p.fds[0].Revents; {
 		case err != nil || n == 0:
 		case events&unix.POLLRDHUP != 0:
-			p.state = Ended
+			p.state = Closed
 		case events&unix.POLLIN != 0:
-			p.state = Bytes
+			p.state = DataPending
 		}
 	}
 	return p
@@ -46,13 +46,13 @@
 // State is Ended if the other side has closed the connection or broken it off, even with
 // bytes before that still to be read. Bytes tells of those that wait, behind which an end
 // may be that has found no room in the buffer of the connection.
-func (p *Presence) State() State {
+func (p *Poller) State() State {
 	if p.raw == nil {
-		return Quiet
+		return Idle
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state = Quiet
+	p.state = Idle
 	p.raw.Control(p.poll) // on one that is closed here nothing is found
 	return p.state
 }
@@ -63,7 +63,7 @@
 // Drop reads what waits on c piece by piece into b, of which nobody wants anything, without
 // waiting for more. It may be called beside a reader, which then does not see those bytes,
 // and whatever the read deadline.
-func Drop(c net.Conn, b []byte) (n int) {
+func Discard(c net.Conn, b []byte) (n int) {
 	control(c, func(fd int) {
 		for range dropPieces {
 			k, _, err := syscall.Recvfrom(fd, b, syscall.MSG_DONTWAIT)
--- a/internal/sock/presence_test.go
+++ b/internal/sock/presence_test.go
@@ -27,7 +27,7 @@
 		t.Cleanup(func() { here.Close() })
 		return c.(*net.TCPConn), here
 	}
-	becomes := func(p *Presence, want State) {
+	becomes := func(p *Poller, want State) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); p.State() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
@@ -36,12 +36,12 @@
 		}
 	}
 	there, here := join()
-	p := NewPresence(here)
-	becomes(p, Quiet)
+	p := NewPoller(here)
+	becomes(p, Idle)
 	here.SetReadDeadline(time.Unix(1, 0)) // changes nothing
-	becomes(p, Quiet)
+	becomes(p, Idle)
 	there.Write([]byte("x"))
-	becomes(p, Bytes)
+	becomes(p, DataPending)
 	if n := testing.AllocsPerRun(100, func() { p.State() }); n > 0 {
 		t.Errorf("%v allocations a look", n)
 	}
@@ -56,28 +56,28 @@
 	}
 	<-done
 	<-done
-	if n := Drop(here, make([]byte, 4)); n != 1 {
+	if n := Discard(here, make([]byte, 4)); n != 1 {
 		t.Errorf("%d bytes dropped, want 1", n)
 	}
-	becomes(p, Quiet)
+	becomes(p, Idle)
 	there.Write([]byte(strings.Repeat("y", 1000)))
 	there.Close()
-	becomes(p, Ended)
-	if n := Drop(here, make([]byte, 64)); n != 1000 {
+	becomes(p, Closed)
+	if n := Discard(here, make([]byte, 64)); n != 1000 {
 		t.Errorf("%d bytes dropped, want 1000", n)
 	}
-	becomes(p, Ended)
+	becomes(p, Closed)
 	here.Close()
-	becomes(p, Quiet) // nothing is known of it any more
+	becomes(p, Idle) // nothing is known of it any more
 
 	there, here = join()
-	p = NewPresence(here)
+	p = NewPoller(here)
 	there.SetLinger(0)
 	there.Close()
-	becomes(p, Ended)
+	becomes(p, Closed)
 
 	pipe, _ := net.Pipe()
-	if s := NewPresence(pipe).State(); s != Quiet || Drop(pipe, make([]byte, 1)) != 0 {
+	if s := NewPoller(pipe).State(); s != Idle || Discard(pipe, make([]byte, 1)) != 0 {
 		t.Errorf("a pipe: %v", s)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -21,46 +21,46 @@
 
 // Request is what an attempt sends.
 type Request struct {
-	Method string
-	URI    string // path and query as they came
-	Host   string
-	Fields framing.Fields // sent but for those of the hop; not changed
-	Body   []byte
-	Upload *Upload // in the place of Body
-	Once   bool    // must not run twice, so a reset cannot be mended
+	Method        string
+	URI           string // path and query as they came
+	Host          string
+	Fields        framing.Fields // sent but for those of the hop; not changed
+	Body          []byte
+	Upload        *Upload // in the place of Body
+	NonIdempotent bool    // must not run twice, so a reset cannot be mended
 }
 
 // left is how much time there is for r when its deadline is so far away.
 func (r *Request) left(d time.Duration) time.Duration {
-	if r.Upload != nil && r.Upload.Coming != nil && r.Upload.Coming() {
-		return r.Upload.Time
+	if r.Upload != nil && r.Upload.Incomplete != nil && r.Upload.Incomplete() {
+		return r.Upload.ResponseTimeout
 	}
 	return d
 }
 
 // Answer is an endpoint's answer, whole but for what Rest still brings. Who gets
 // one must release it.
-type Answer struct {
-	Status int
-	Fields framing.Fields
-	Body   []byte
-	Rest   *Rest // nil if Body is all
+type Response struct {
+	Status    int
+	Fields    framing.Fields
+	Body      []byte
+	Remaining *BodyStream // nil if Body is all
 
 	// Lost is how long the attempt was held up before it had a connection, by failures of
 	// this machine, which say nothing of the endpoint.
-	Lost time.Duration
+	LocalDelay time.Duration
 
 	large limit.Hold
 }
 
 // Release gives back the memory of an answer that is not needed any more, and
 // its connection if the rest of it was still coming.
-func (a *Answer) Release() {
+func (a *Response) Release() {
 	a.Body = nil
 	a.large.Release()
-	if a.Rest != nil {
-		a.Rest.close()
-		a.Rest = nil
+	if a.Remaining != nil {
+		a.Remaining.close()
+		a.Remaining = nil
 	}
 }
 
@@ -114,11 +114,11 @@
 //
 // A connection may take its time to come up, and what was right to be sent need not be so
 // any more: unless it is nil, may is asked right before the first byte.
-func (p *Pool) Do(call *Call, name string, r *Request, deadline time.Time, may Confirmer) (*Answer, balance.Result) {
+func (p *Pool) Do(call *Call, name string, r *Request, deadline time.Time, may Confirmer) (*Response, balance.Result) {
 	if deadline.Sub(p.now()) < leastLeft {
 		return nil, balance.NotSent
 	}
-	c, lost, result := p.connect(call, name, r.Once, deadline)
+	c, lost, result := p.connect(call, name, r.NonIdempotent, deadline)
 	if c == nil {
 		return nil, result
 	}
@@ -149,10 +149,10 @@
 	}
 	a, again, result := c.receive(r, deadline)
 	if a != nil {
-		a.Lost = lost
+		a.LocalDelay = lost
 	}
 	c.pace = 0
-	if a != nil && a.Rest != nil {
+	if a != nil && a.Remaining != nil {
 		call.leave(me)
 		c.SetDeadline(time.Time{})
 		return a, result
@@ -353,7 +353,7 @@
 			return nil, err
 		}
 		c.begun = true
-		c.pace, c.until = c.target.pool.cfg.AnswerTime, deadline
+		c.pace, c.until = c.target.pool.cfg.ResponseStallTimeout, deadline
 		c.limit(deadline, c.pace)
 		// What cannot become an answer is not waited for.
 		if b, err := c.in.Peek(len(protocol)); err == nil && string(b) != protocol {
@@ -401,12 +401,12 @@
 
 // receive reads the answer to a request that is out, and tells whether the
 // connection can be used again.
-func (c *conn) receive(r *Request, deadline time.Time) (a *Answer, again bool, result balance.Result) {
+func (c *conn) receive(r *Request, deadline time.Time) (a *Response, again bool, result balance.Result) {
 	h, err := c.head(deadline)
 	if err != nil {
 		return nil, false, broken(err)
 	}
-	if c.target.pool.cfg.Stream > 0 && c.target.pool.serves(h.Status) && !bodiless(h, r.Method) {
+	if c.target.pool.cfg.MaxStreamBytes > 0 && c.target.pool.serves(h.Status) && !bodiless(h, r.Method) {
 		if a, again, err := c.begin(h); a != nil || err != nil {
 			return a, again, streamed(err)
 		}
@@ -421,17 +421,17 @@
 	case err != nil:
 		again, result = false, broken(err)
 	}
-	if err != nil || result != balance.OK && (result != balance.Error || !c.target.pool.cfg.AnyStatus) {
+	if err != nil || result != balance.OK && (result != balance.Error || !c.target.pool.cfg.PassThroughStatus) {
 		large.Release()
 		return nil, again, result
 	}
-	return &Answer{Status: h.Status, Fields: h.Fields, Body: body, large: large}, again, result
+	return &Response{Status: h.Status, Fields: h.Fields, Body: body, large: large}, again, result
 }
 
 // serves tells whether an answer with this status is one to the request, and
 // not a failure to answer it.
 func (p *Pool) serves(status int) bool {
-	return status == http.StatusOK || p.cfg.AnyStatus && status < 500
+	return status == http.StatusOK || p.cfg.PassThroughStatus && status < 500
 }
 
 // bodiless tells whether an answer has no body, whatever length it tells (RFC
@@ -446,7 +446,7 @@
 	if h.Length == 0 || bodiless(h, method) {
 		return nil, large, nil
 	}
-	maxLarge := c.target.pool.cfg.MaxAnswer
+	maxLarge := c.target.pool.cfg.MaxResponseBytes
 	if h.Length > int64(maxLarge) {
 		return nil, large, spoilt{fmt.Errorf("body of %d bytes, want %d at most", h.Length, maxLarge)}
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -51,7 +51,7 @@
 			}()
 		}
 	}()
-	p = New(Config{DialTimeout: 5 * time.Second, ConnIdle: time.Minute, MaxConns: 8, LargeBytes: testLarge})
+	p = New(Config{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConns: 8, LargeResponseBytes: testLarge})
 	t.Cleanup(p.Close)
 	p.Set("s-1", Target{Address: l.Addr().String()})
 	return p, func() int {
@@ -61,7 +61,7 @@
 	}
 }
 
-func send(p *Pool, timeout time.Duration) (*Answer, balance.Result) {
+func send(p *Pool, timeout time.Duration) (*Response, balance.Result) {
 	return p.Do(new(Call), "s-1", &Request{Method: "GET", URI: "/x", Host: "x"}, time.Now().Add(timeout), nil)
 }
 
@@ -186,7 +186,7 @@
 		_, result := p.Do(call, "s-1", &Request{Method: "GET", URI: "/x", Host: "x"}, time.Now().Add(10*patience), nil)
 		ended <- result
 	}()
-	for end := time.Now().Add(patience); p.Open() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); p.OpenConns() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(50 * time.Millisecond) // let it be sent; NotSent is right if it was not
@@ -199,7 +199,7 @@
 	case <-time.After(patience):
 		t.Fatal("the attempt holds its connection until the time-out")
 	}
-	if n := p.Open(); n != 0 {
+	if n := p.OpenConns(); n != 0 {
 		t.Errorf("%d connections open", n)
 	}
 }
@@ -220,7 +220,7 @@
 	try := func(once bool, want balance.Result, total int) {
 		t.Helper()
 		time.Sleep(2 * restless)
-		r := &Request{Method: "GET", URI: "/x", Host: "x", Once: once}
+		r := &Request{Method: "GET", URI: "/x", Host: "x", NonIdempotent: once}
 		if _, result := p.Do(new(Call), "s-1", r, time.Now().Add(patience), nil); result != want {
 			t.Fatalf("result %v, want %v", result, want)
 		}
@@ -233,7 +233,7 @@
 	try(true, balance.OK, 2)
 	try(true, balance.OK, 3)
 	try(false, balance.OK, 3)
-	if n := p.Open(); n != 1 {
+	if n := p.OpenConns(); n != 1 {
 		t.Errorf("%d connections open, want the last one", n)
 	}
 }
@@ -303,7 +303,7 @@
 		{"GET", "noise\r\n\r\n", balance.Error, 0, ""},
 	} {
 		p, _ := script(t, func(nc net.Conn, n int) { fmt.Fprint(nc, c.text) })
-		p.cfg.AnyStatus = true
+		p.cfg.PassThroughStatus = true
 		a, result := p.Do(new(Call), "s-1", &Request{Method: c.method, URI: "/", Host: "x"}, time.Now().Add(patience), nil)
 		status, body := 0, ""
 		if a != nil {
@@ -320,22 +320,22 @@
 func TestLimit(t *testing.T) {
 	p, conns := script(t, func(nc net.Conn, n int) { fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") })
 	send(p, patience)
-	if n := p.Open(); n != 1 || conns() != 1 {
+	if n := p.OpenConns(); n != 1 || conns() != 1 {
 		t.Fatalf("%d connections open", n)
 	}
-	p.Limit(0, 0)
-	if n := p.Open(); n != 0 {
+	p.SetLimits(0, 0)
+	if n := p.OpenConns(); n != 0 {
 		t.Errorf("%d connections open after a bound of none", n)
 	}
 	if _, result := send(p, patience); result != balance.NotSent {
 		t.Errorf("result %v with no connection to be had", result)
 	}
-	p.Limit(1, 0)
-	p.cfg.MaxAnswer = 1
+	p.SetLimits(1, 0)
+	p.cfg.MaxResponseBytes = 1
 	if _, result := send(p, patience); result != balance.Error {
 		t.Errorf("result %v for an answer that is too long", result)
 	}
-	p.cfg.MaxAnswer = 2
+	p.cfg.MaxResponseBytes = 2
 	if _, result := send(p, patience); result != balance.OK {
 		t.Errorf("result %v for an answer that is just allowed", result)
 	}
--- a/internal/upstream/broken_test.go
+++ b/internal/upstream/broken_test.go
@@ -76,7 +76,7 @@
 
 // sendBody sends a request with a body of so many bytes.
 func sendBody(p *Pool, n int) balance.Result {
-	r := &Request{Method: "POST", URI: "/x", Host: "x", Body: make([]byte, n), Once: true}
+	r := &Request{Method: "POST", URI: "/x", Host: "x", Body: make([]byte, n), NonIdempotent: true}
 	a, result := p.Do(new(Call), "s-1", r, time.Now().Add(patience), nil)
 	if a != nil {
 		a.Release()
@@ -121,13 +121,13 @@
 			t.Run(fmt.Sprint(c.name, " ", errno), func(t *testing.T) {
 				at := c.at
 				at.errno = errno
-				p := New(Config{DialTimeout: patience, ConnIdle: patience, MaxConns: 8, Dialer: &brokenDialer{as: at}})
+				p := New(Config{DialTimeout: patience, IdleTimeout: patience, MaxConns: 8, Dialer: &brokenDialer{as: at}})
 				defer p.Close()
 				p.Set("s-1", Target{Address: node.Addr()})
 				runs, opened = runs+c.runs, opened+1
 				result := sendBody(p, c.body)
-				if result != c.want || p.Open() != 0 {
-					t.Errorf("result %v, want %v; %d connections are kept", result, c.want, p.Open())
+				if result != c.want || p.OpenConns() != 0 {
+					t.Errorf("result %v, want %v; %d connections are kept", result, c.want, p.OpenConns())
 				}
 				for end := time.Now().Add(patience); node.Opened() < opened || node.Conns() > 0; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -40,7 +40,7 @@
 func (l *Call) End() { l.end(afterOver) }
 
 // Cut ends the call and all of its attempts at once, for a process that ends.
-func (l *Call) Cut() { l.end(0) }
+func (l *Call) Abort() { l.end(0) }
 
 func (l *Call) end(grace time.Duration) {
 	l.mu.Lock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -20,7 +20,7 @@
 	idleSince time.Time
 	place     ring.Link[*conn] // in Pool.idle
 	answer    framing.Head     // the last one; its fields may be held on to
-	look      *sock.Look
+	look      *sock.Peeker
 
 	// Of the answer that is coming: each read makes the next one end after pace,
 	// at until at the latest. No pace while it is 0.
@@ -45,7 +45,7 @@
 	k := &conn{
 		Conn:   c,
 		target: t,
-		look:   sock.New(c),
+		look:   sock.NewPeeker(c),
 	}
 	k.in = bufio.NewReaderSize(k, framing.MaxHead)
 	k.place.Of = k
@@ -67,5 +67,5 @@
 // an answer would be read as the next one. It guards against resets of
 // requests that a look at the socket can spare.
 func (c *conn) quiet() bool {
-	return c.in.Buffered() == 0 && c.look.State() == sock.Quiet
+	return c.in.Buffered() == 0 && c.look.State() == sock.Idle
 }
--- a/internal/upstream/keep_test.go
+++ b/internal/upstream/keep_test.go
@@ -21,7 +21,7 @@
 		{1e9, 0, time.Hour},
 		{0, 1e9, 10 * time.Millisecond},
 	} {
-		if got := KeepIdle(c.handshake, c.connection); (got - c.want).Abs() > time.Millisecond {
+		if got := OptimalIdleTimeout(c.handshake, c.connection); (got - c.want).Abs() > time.Millisecond {
 			t.Errorf("prices of %v and %v: kept for %v, want %v", c.handshake, c.connection, got, c.want)
 		}
 	}
--- a/internal/upstream/spare_test.go
+++ b/internal/upstream/spare_test.go
@@ -31,7 +31,7 @@
 			t.Parallel()
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
 			defer srv.Close()
-			p := New(Config{DialTimeout: patience, ConnIdle: c.idle, MaxConns: 50, Rest: rest})
+			p := New(Config{DialTimeout: patience, IdleTimeout: c.idle, MaxConns: 50, ReuseDelay: rest})
 			defer p.Close()
 			p.Set("s-1", Target{Address: srv.Listener.Addr().String()})
 			waits := int64(0)
@@ -47,12 +47,12 @@
 				}
 				time.Sleep(pace)
 			}
-			t.Logf("%d of the last 50 requests waited, %d connections", waits, p.Open())
-			if c.spare && (waits > 10 || p.Open() < 2) {
-				t.Errorf("%d of the last 50 requests waited, %d connections; want nearly none to wait", waits, p.Open())
+			t.Logf("%d of the last 50 requests waited, %d connections", waits, p.OpenConns())
+			if c.spare && (waits > 10 || p.OpenConns() < 2) {
+				t.Errorf("%d of the last 50 requests waited, %d connections; want nearly none to wait", waits, p.OpenConns())
 			}
-			if !c.spare && p.Open() > 1 {
-				t.Errorf("%d connections, want no spares that nobody would use", p.Open())
+			if !c.spare && p.OpenConns() > 1 {
+				t.Errorf("%d connections, want no spares that nobody would use", p.OpenConns())
 			}
 		})
 	}
@@ -65,7 +65,7 @@
 	for _, nodes := range []int{1, 4, 24, 100} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			var dialled atomic.Int64
-			p := New(Config{DialTimeout: patience, ConnIdle: 250 * time.Millisecond, MaxConns: 400, Rest: 5 * time.Millisecond})
+			p := New(Config{DialTimeout: patience, IdleTimeout: 250 * time.Millisecond, MaxConns: 400, ReuseDelay: 5 * time.Millisecond})
 			defer p.Close()
 			for i := range nodes {
 				srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
@@ -101,7 +101,7 @@
 			all.Wait()
 			b.ReportMetric(100*float64(p.waits.Load()-was)/float64(b.N), "waits/100")
 			b.ReportMetric(100*float64(dialled.Load()-before)/float64(b.N), "dialled/100")
-			b.ReportMetric(float64(p.Open()), "conns")
+			b.ReportMetric(float64(p.OpenConns()), "conns")
 		})
 	}
 }
--- a/internal/upstream/spool.go
+++ b/internal/upstream/spool.go
@@ -55,7 +55,7 @@
 // spools that are each half full free no connection. Otherwise it is taken piece
 // by piece, and without any the spool waits for its caller.
 type spool struct {
-	rest *Rest
+	rest *BodyStream
 	hold limit.Hold
 
 	mu     sync.Mutex
@@ -72,7 +72,7 @@
 const spoolLeast = 2
 
 // Spool begins to read ahead, if there is room. It tells whether it does.
-func (r *Rest) Spool() bool {
+func (r *BodyStream) ReadAhead() bool {
 	if r.spool != nil || r.done || r.left == 0 {
 		return r.spool != nil
 	}
--- a/internal/upstream/stall_test.go
+++ b/internal/upstream/stall_test.go
@@ -48,10 +48,10 @@
 	const last = 4
 	for name, request := range map[string]func() *Request{
 		"usual":     func() *Request { return &Request{} },
-		"once":      func() *Request { return &Request{Once: true} },
+		"once":      func() *Request { return &Request{NonIdempotent: true} },
 		"long body": func() *Request { return &Request{Body: make([]byte, 2*writeBuffer)} },
 		"upload": func() *Request {
-			return &Request{Upload: &Upload{Ahead: []byte("body"), Length: 4, In: eof{}, Begin: func() bool { return true }}}
+			return &Request{Upload: &Upload{Buffered: []byte("body"), Length: 4, Remaining: eof{}, Commit: func() bool { return true }}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 			defer srv.Close()
 			// attempt makes one that is held up after a read, and returns what was told.
 			attempt := func(clock *heldUp, may *asked, left time.Duration, connected bool) (time.Duration, balance.Result, time.Time) {
-				p := New(Config{DialTimeout: patience, ConnIdle: patience, MaxConns: 5})
+				p := New(Config{DialTimeout: patience, IdleTimeout: patience, MaxConns: 5})
 				defer p.Close()
 				p.Set("s-1", Target{Address: srv.Listener.Addr().String()})
 				if connected {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -20,7 +20,7 @@
 
 // Rest is what is still coming of an answer too long to be held. Reading ends
 // with io.EOF after its last byte, and with another error where it breaks off.
-type Rest struct {
+type BodyStream struct {
 	Length int64 // of the whole body in bytes; -1 where only its end will show it
 
 	c       *conn
@@ -36,16 +36,16 @@
 
 // begin begins an answer that is too long to be held. It returns nil if the
 // answer is not; nothing has been read then, or all of it.
-func (c *conn) begin(h *framing.Head) (a *Answer, again bool, err error) {
-	most := c.target.pool.cfg.Stream
+func (c *conn) begin(h *framing.Head) (a *Response, again bool, err error) {
+	most := c.target.pool.cfg.MaxStreamBytes
 	if h.Length > most {
 		return nil, false, spoilt{fmt.Errorf("body of %d bytes, want %d at most", h.Length, most)}
 	}
-	r := &Rest{Length: h.Length, c: c, chunked: h.Chunked, again: !h.Close && (h.Chunked || h.Length >= 0)}
+	r := &BodyStream{Length: h.Length, c: c, chunked: h.Chunked, again: !h.Close && (h.Chunked || h.Length >= 0)}
 	switch {
 	case h.Length > SmallAnswer:
 		r.in, r.left = c.in, h.Length
-		return &Answer{Status: h.Status, Fields: h.Fields, Rest: r}, false, nil
+		return &Response{Status: h.Status, Fields: h.Fields, Remaining: r}, false, nil
 	case h.Length >= 0:
 		return nil, false, nil
 	}
@@ -68,14 +68,14 @@
 			}
 		}
 		if err == io.EOF {
-			return &Answer{Status: h.Status, Fields: h.Fields, Body: body}, r.again && c.in.Buffered() == 0, nil
+			return &Response{Status: h.Status, Fields: h.Fields, Body: body}, r.again && c.in.Buffered() == 0, nil
 		}
 		if err != nil {
 			return nil, false, chunkError(err, h.Chunked)
 		}
 	}
 	r.left -= int64(len(body))
-	return &Answer{Status: h.Status, Fields: h.Fields, Body: body, Rest: r}, false, nil
+	return &Response{Status: h.Status, Fields: h.Fields, Body: body, Remaining: r}, false, nil
 }
 
 // streamed is the outcome of an attempt whose answer begin has begun.
@@ -87,14 +87,14 @@
 }
 
 // Read implements io.Reader.
-func (r *Rest) Read(b []byte) (int, error) {
+func (r *BodyStream) Read(b []byte) (int, error) {
 	if r.spool != nil {
 		return r.spool.read(b)
 	}
 	return r.direct(b)
 }
 
-func (r *Rest) direct(b []byte) (int, error) {
+func (r *BodyStream) direct(b []byte) (int, error) {
 	if r.done {
 		return 0, io.EOF
 	}
@@ -128,7 +128,7 @@
 }
 
 // close ends the answer, wherever it is.
-func (r *Rest) close() {
+func (r *BodyStream) close() {
 	if r.spool != nil {
 		r.spool.close()
 	}
@@ -136,7 +136,7 @@
 }
 
 // letGo lets go of the connection.
-func (r *Rest) letGo() {
+func (r *BodyStream) letGo() {
 	if r.gone {
 		return
 	}
--- a/internal/upstream/told_test.go
+++ b/internal/upstream/told_test.go
@@ -29,7 +29,7 @@
 		io.WriteString(w, "ok")
 	}))
 	defer srv.Close()
-	p := New(Config{DialTimeout: patience, ConnIdle: patience, MaxConns: 5})
+	p := New(Config{DialTimeout: patience, IdleTimeout: patience, MaxConns: 5})
 	defer p.Close()
 	p.Set("s-1", Target{Address: srv.Listener.Addr().String()})
 	ask := func(timeout time.Duration, r *Request, may Confirmer) balance.Result {
@@ -40,17 +40,17 @@
 		}
 		return result
 	}
-	if result := ask(leastLeft-1, &Request{}, nil); result != balance.NotSent || p.Open() != 0 {
-		t.Errorf("with nothing left at first: %v, %d connections; want it not sent, and none dialled", result, p.Open())
+	if result := ask(leastLeft-1, &Request{}, nil); result != balance.NotSent || p.OpenConns() != 0 {
+		t.Errorf("with nothing left at first: %v, %d connections; want it not sent, and none dialled", result, p.OpenConns())
 	}
-	upload := &Upload{Length: 4, Coming: func() bool { return false }, Begin: func() bool { t.Error("a body is begun"); return false }}
+	upload := &Upload{Length: 4, Incomplete: func() bool { return false }, Commit: func() bool { t.Error("a body is begun"); return false }}
 	const left = 500 * time.Millisecond
-	for name, r := range map[string]*Request{"usual": {}, "once": {Once: true}, "upload": {Upload: upload}} {
+	for name, r := range map[string]*Request{"usual": {}, "once": {NonIdempotent: true}, "upload": {Upload: upload}} {
 		if result := ask(left, r, confirmer(left)); result != balance.NotSent {
 			t.Errorf("%s, with nothing left in the end: %v, want it not sent", name, result)
 		}
-		if p.Open() != 1 {
-			t.Errorf("%s: %d connections, want the one that was dialled kept", name, p.Open())
+		if p.OpenConns() != 1 {
+			t.Errorf("%s: %d connections, want the one that was dialled kept", name, p.OpenConns())
 		}
 	}
 	if n := got.Load(); n != 0 {
@@ -75,12 +75,12 @@
 				io.WriteString(w, "ok")
 			}))
 			defer srv.Close()
-			p := New(Config{DialTimeout: patience, ConnIdle: patience, MaxConns: 5, Rest: rest})
+			p := New(Config{DialTimeout: patience, IdleTimeout: patience, MaxConns: 5, ReuseDelay: rest})
 			defer p.Close()
 			p.Set("s-1", Target{Address: srv.Listener.Addr().String()})
 			for i := range 3 { // the second and third on the connection of the first
 				began := time.Now()
-				a, result := p.Do(new(Call), "s-1", &Request{Method: "POST", URI: "/", Host: "x", Once: once}, time.Now().Add(patience), confirmer(held))
+				a, result := p.Do(new(Call), "s-1", &Request{Method: "POST", URI: "/", Host: "x", NonIdempotent: once}, time.Now().Add(patience), confirmer(held))
 				if result != balance.OK {
 					t.Fatalf("%v", result)
 				}
@@ -94,8 +94,8 @@
 					t.Errorf("request %d: told %v, want %v to %v", i, got, least, most)
 				}
 			}
-			if p.Open() != 1 {
-				t.Errorf("%d connections, want the one", p.Open())
+			if p.OpenConns() != 1 {
+				t.Errorf("%d connections, want the one", p.OpenConns())
 			}
 		})
 	}
--- a/internal/upstream/twice_test.go
+++ b/internal/upstream/twice_test.go
@@ -39,7 +39,7 @@
 			io.WriteString(c, text)
 		}
 	})
-	p := New(Config{DialTimeout: patience, ConnIdle: patience, MaxConns: 50, Rest: 30 * time.Millisecond})
+	p := New(Config{DialTimeout: patience, IdleTimeout: patience, MaxConns: 50, ReuseDelay: 30 * time.Millisecond})
 	defer p.Close()
 	p.Set("s-1", Target{Address: l.Addr().String()})
 	for i := range 15 {
@@ -79,7 +79,7 @@
 		}
 	})
 	const rest = 5 * time.Millisecond
-	p := New(Config{DialTimeout: patience, ConnIdle: 200 * time.Millisecond, MaxConns: 50, Rest: rest})
+	p := New(Config{DialTimeout: patience, IdleTimeout: 200 * time.Millisecond, MaxConns: 50, ReuseDelay: rest})
 	defer p.Close()
 	p.Set("s-1", Target{Address: l.Addr().String()})
 	ask := func() {
@@ -94,14 +94,14 @@
 		t.Error("one sound answer makes connections rest for longer")
 	}
 	time.Sleep(250 * time.Millisecond)
-	p.Sweep(time.Now()) // which finds the noise on the one that was idle for too long
-	if p.Open() != 0 || p.rest(time.Now()) != unrulyRest*rest {
-		t.Errorf("%d connections open, a rest of %v", p.Open(), p.rest(time.Now()))
+	p.CloseExpired(time.Now()) // which finds the noise on the one that was idle for too long
+	if p.OpenConns() != 0 || p.rest(time.Now()) != unrulyRest*rest {
+		t.Errorf("%d connections open, a rest of %v", p.OpenConns(), p.rest(time.Now()))
 	}
 	ask()
 	began := time.Now()
-	if ask(); time.Since(began) < unrulyRest*rest/2 || p.Open() != 1 {
-		t.Errorf("used again after %v, %d connections", time.Since(began), p.Open())
+	if ask(); time.Since(began) < unrulyRest*rest/2 || p.OpenConns() != 1 {
+		t.Errorf("used again after %v, %d connections", time.Since(began), p.OpenConns())
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	go srv.Serve(l)
 	defer srv.Close()
-	p := New(Config{DialTimeout: patience, ConnIdle: 10 * patience, MaxConns: 50, Rest: rest})
+	p := New(Config{DialTimeout: patience, IdleTimeout: 10 * patience, MaxConns: 50, ReuseDelay: rest})
 	defer p.Close()
 	p.Set("s-1", Target{Address: l.Addr().String()})
 	ask := func() string {
@@ -153,7 +153,7 @@
 	if took := time.Since(began); took < rest/2 {
 		t.Errorf("a connection is used again after %v", took)
 	}
-	if p.Open() != 1 {
-		t.Errorf("%d connections, want 1", p.Open())
+	if p.OpenConns() != 1 {
+		t.Errorf("%d connections, want 1", p.OpenConns())
 	}
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -14,22 +14,22 @@
 // second attempt; its node has not begun it before its last byte, so that one
 // which breaks off on the way has never run.
 type Upload struct {
-	Ahead  []byte    // what is held of it
-	In     io.Reader // the rest; one attempt reads it at a time
-	Length int64     // of all in bytes; -1 for chunked
-	Over   chan struct{}
+	Buffered  []byte    // what is held of it
+	Remaining io.Reader // the rest; one attempt reads it at a time
+	Length    int64     // of all in bytes; -1 for chunked
+	Done      chan struct{}
 
 	// Time is what the caller gives for the answer, counted from the last byte of the
 	// body, and Coming tells whether that byte is surely still to come, so that none of it
 	// has gone by; it is asked while nobody reads In. Where it says no the body may have
 	// been on this machine for as long as the request, and what is left of the attempt's
 	// own time is all that is left. Without Coming that is so always.
-	Time   time.Duration
-	Coming func() bool
+	ResponseTimeout time.Duration
+	Incomplete      func() bool
 
 	// Begin is asked once before In is read, and tells whether the request goes on;
 	// whoever says so makes no second attempt.
-	Begin func() bool
+	Commit func() bool
 
 	mu    sync.Mutex
 	err   error
@@ -38,7 +38,7 @@
 }
 
 // Leave tells that the caller has gone away: nothing more of the body is sent on.
-func (u *Upload) Leave() {
+func (u *Upload) Abort() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.left = true
@@ -58,7 +58,7 @@
 }
 
 // Whole tells whether its last byte has been sent.
-func (u *Upload) Whole() bool { return !u.WholeAt().IsZero() }
+func (u *Upload) Sent() bool { return !u.WholeAt().IsZero() }
 
 // WholeAt is when its last byte was sent, zero before.
 func (u *Upload) WholeAt() time.Time {
@@ -102,14 +102,14 @@
 		_, err := all.WriteTo(c.Conn)
 		return err
 	}
-	if err := write(head, u.Ahead); err != nil {
+	if err := write(head, u.Buffered); err != nil {
 		return err
 	}
-	if !u.Begin() {
+	if !u.Commit() {
 		return net.ErrClosed
 	}
 	for {
-		n, err := u.In.Read(*buf)
+		n, err := u.Remaining.Read(*buf)
 		if u.hasLeft() {
 			u.end(errLeft)
 			return errUpload
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -20,10 +20,10 @@
 
 // Config holds the settings of a Pool.
 type Config struct {
-	DialTimeout time.Duration
-	ConnIdle    time.Duration // endpoints close what has been idle for longer
-	MaxConns    int           // connections at most, to all endpoints
-	LargeBytes  int64         // memory for answers over SmallAnswer, all together
+	DialTimeout        time.Duration
+	IdleTimeout        time.Duration // endpoints close what has been idle for longer
+	MaxConns           int           // connections at most, to all endpoints
+	LargeResponseBytes int64         // memory for answers over SmallAnswer, all together
 
 	// Rest is how long a connection rests between an answer and the next request. An
 	// endpoint that answers twice may do so some milliseconds late; on a connection that
@@ -32,19 +32,19 @@
 	// which costs less than a new one; where one more would be used all the time, it is
 	// dialled beside. The rest is longer for a while once bytes have come that belong to no
 	// request. 0 for no rest.
-	Rest time.Duration
+	ReuseDelay time.Duration
 
-	MaxAnswer  int           // bytes of the longest body that is passed on; 0 for 1 MiB
-	AnswerTime time.Duration // that an answer may stop inside; 0 for 0.5 s
+	MaxResponseBytes     int           // bytes of the longest body that is passed on; 0 for 1 MiB
+	ResponseStallTimeout time.Duration // that an answer may stop inside; 0 for 0.5 s
 
 	// Stream is the longest answer that is passed on while it comes, in bytes:
 	// what is over SmallAnswer is not held. 0 for none; then MaxAnswer bounds it.
-	Stream int64
+	MaxStreamBytes int64
 
 	// AnyStatus makes an answer with a status under 500 a served one, and has
 	// Do return also those from 500 on, with balance.Error. Without it only a
 	// 200 serves, as the platform's protocol says.
-	AnyStatus bool
+	PassThroughStatus bool
 
 	Dialer Dialer // opens the connections; nil for a net.Dialer with DialTimeout
 }
@@ -71,7 +71,7 @@
 // problem). Prices are of first tries' worth and are turned into work by what a first try
 // takes: one open connection over a hundred endpoints' is a hundredth of what an endpoint
 // serves.
-func KeepIdle(handshakePrice, connectionPrice float64) time.Duration {
+func OptimalIdleTimeout(handshakePrice, connectionPrice float64) time.Duration {
 	anew := handshakeWork + requestWork*max(0, handshakePrice)
 	kept := placeWork + usualLoad/100*max(0, connectionPrice)
 	return time.Duration(min(max(anew/kept, leastKept), mostKept) * float64(time.Second)).Round(time.Millisecond)
@@ -84,7 +84,7 @@
 // Target is where an endpoint is reached.
 type Target struct {
 	Address string
-	Since   int64 // start of its process; a change makes old connections useless
+	StartMs int64 // start of its process; a change makes old connections useless
 }
 
 // Pool holds the connections to all endpoints. Each carries one request at a
@@ -120,20 +120,20 @@
 
 // New returns an empty Pool.
 func New(cfg Config) *Pool {
-	if cfg.MaxAnswer == 0 {
-		cfg.MaxAnswer = maxLarge
+	if cfg.MaxResponseBytes == 0 {
+		cfg.MaxResponseBytes = maxLarge
 	}
-	if cfg.AnswerTime == 0 {
-		cfg.AnswerTime = answerTime
+	if cfg.ResponseStallTimeout == 0 {
+		cfg.ResponseStallTimeout = answerTime
 	}
 	p := &Pool{cfg: cfg, now: time.Now, targets: map[string]*target{}}
-	p.large.Set(cfg.LargeBytes)
+	p.large.Set(cfg.LargeResponseBytes)
 	return p
 }
 
 // Limit changes the bounds of the Pool. Connections over a lower bound end with
 // the attempts that are out on them; idle ones are closed at once.
-func (p *Pool) Limit(maxConns int, largeBytes int64) {
+func (p *Pool) SetLimits(maxConns int, largeBytes int64) {
 	p.large.Set(largeBytes)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,10 +145,10 @@
 
 // Streams tells whether long answers, and bodies without room, are passed on while
 // they come.
-func (p *Pool) Streams() bool { return p.cfg.Stream > 0 }
+func (p *Pool) StreamingEnabled() bool { return p.cfg.MaxStreamBytes > 0 }
 
 // Bound is how many connections there may be.
-func (p *Pool) Bound() int {
+func (p *Pool) MaxConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cfg.MaxConns
@@ -179,7 +179,7 @@
 }
 
 // Keep removes all names but those that it is told to keep.
-func (p *Pool) Keep(keep func(name string) bool) {
+func (p *Pool) Retain(keep func(name string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, t := range p.targets {
@@ -205,14 +205,14 @@
 }
 
 // Open is the number of connections, those being dialled included.
-func (p *Pool) Open() int {
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
 // Spread is how many endpoints connections are open to, and the most to one.
-func (p *Pool) Spread() (endpoints, most int) {
+func (p *Pool) ConnStats() (endpoints, most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, t := range p.targets {
@@ -229,11 +229,11 @@
 const idleMargin = 0.8
 
 func (p *Pool) idleLimit() time.Duration {
-	return time.Duration(float64(p.cfg.ConnIdle) * idleMargin)
+	return time.Duration(float64(p.cfg.IdleTimeout) * idleMargin)
 }
 
 // Sweep closes the connections that have been idle for too long.
-func (p *Pool) Sweep(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	p.chunks.trim()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -271,15 +271,15 @@
 // rest is how long a connection rests now.
 func (p *Pool) rest(now time.Time) time.Duration {
 	if now.Before(p.unruly) {
-		return unrulyRest * p.cfg.Rest
+		return unrulyRest * p.cfg.ReuseDelay
 	}
-	return p.cfg.Rest
+	return p.cfg.ReuseDelay
 }
 
 // note looks whether an idle connection that is given up has brought more than it should;
 // the mutex is held.
 func (p *Pool) note(c *conn) {
-	if p.cfg.Rest > 0 && (c.in.Buffered() > 0 || c.look.State() == sock.Bytes) {
+	if p.cfg.ReuseDelay > 0 && (c.in.Buffered() > 0 || c.look.State() == sock.DataPending) {
 		p.unruly = time.Now().Add(unrulyTime)
 	}
 }
@@ -336,7 +336,7 @@
 	}
 	now := time.Now()
 	p.sweep(now)
-	if p.cfg.Rest > 0 {
+	if p.cfg.ReuseDelay > 0 {
 		t.use.count(now, p.idleLimit())
 	}
 	if len(t.idle) > 0 {
