--- a/internal/sock/interrupted_test.go
+++ b/internal/sock/interrupted_test.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Signals interrupt every call some times before it is answered: what is found is the same.
-func TestInterruptedCallsAreMadeAgain(t *testing.T) {
+// System calls interrupted by signals are repeated and give the same results.
+func TestInterruptedCallsAreRetried(t *testing.T) {
 	const times = 3
 	interrupted := 0
 	interrupt := func() bool {
 		interrupted++
 		return interrupted%(times+1) != 0
 	}
-	recvfrom = func(fd int) (int, error) {
+	peekCall = func(fd int) (int, error) {
 		if interrupt() {
 			return -1, syscall.EINTR
 		}
@@ -28,42 +28,42 @@
 		}
 		return pollOnce(fd, events)
 	}
-	defer func() { recvfrom, pollCall = peekOnce, pollOnce }()
+	defer func() { peekCall, pollCall = peekOnce, pollOnce }()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	there, err := net.Dial("tcp", l.Addr().String())
+	peer, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer there.Close()
-	here, err := l.Accept()
+	defer peer.Close()
+	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer here.Close()
-	look := NewPeeker(here)
-	if s := look.State(); s != Idle || HasPendingData(here) || Left(here) {
-		t.Errorf("a quiet connection is in state %v, with bytes %t, left %t", s, HasPendingData(here), Left(here))
+	defer conn.Close()
+	peeker := NewPeeker(conn)
+	if s := peeker.State(); s != Idle || HasPendingData(conn) || PeerClosed(conn) {
+		t.Errorf("idle connection: state %v, pending data %t, peer closed %t", s, HasPendingData(conn), PeerClosed(conn))
 	}
-	there.Write([]byte("x"))
-	there.(*net.TCPConn).CloseWrite()
-	raw, err := here.(*net.TCPConn).SyscallConn()
+	peer.Write([]byte("x"))
+	peer.(*net.TCPConn).CloseWrite()
+	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Read(func(fd uintptr) bool { // until the byte and the end are there
-		events, err := pollOnce(int(fd), pollRead)
-		return err != nil || events&pollRead == pollRead
+	raw.Read(func(fd uintptr) bool { // until the byte and the end have arrived
+		events, err := pollOnce(int(fd), pollReadable)
+		return err != nil || events&pollReadable == pollReadable
 	})
-	if s := look.State(); s != DataPending || !HasPendingData(here) || !Left(here) {
-		t.Errorf("one with a byte and an end is in state %v, with bytes %t, left %t", s, HasPendingData(here), Left(here))
+	if s := peeker.State(); s != DataPending || !HasPendingData(conn) || !PeerClosed(conn) {
+		t.Errorf("connection with unread data and an end: state %v, pending data %t, peer closed %t", s, HasPendingData(conn), PeerClosed(conn))
 	}
 	if interrupted == 0 {
 		t.Error("no call was interrupted")
 	}
 }
 
-const pollRead = unix.POLLIN | unix.POLLRDHUP
+const pollReadable = unix.POLLIN | unix.POLLRDHUP
--- a/internal/sock/look.go
+++ b/internal/sock/look.go
@@ -1,4 +1,4 @@
-// Package sock looks at sockets without waiting and without reading.
+// Package sock checks the state of sockets without blocking.
 package sock
 
 import (
@@ -8,52 +8,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a look at a connection finds.
+// State is the result of a check of a connection.
 type State int
 
 const (
-	Closed      State = iota // closed by the other side, broken, or past its read deadline
-	Idle                     // open, and nothing has come
-	DataPending              // something has come
+	Closed      State = iota // closed by the peer or broken; for a Peeker also past its read deadline
+	Idle                     // open, no unread data
+	DataPending              // unread data
 )
 
-// Look looks at one connection, without an allocation each time. It is not safe
-// for concurrent use.
+// Peeker checks one connection without allocating. It is not safe for concurrent use.
 type Peeker struct {
 	raw   syscall.RawConn
 	peek  func(fd uintptr) bool
 	state State
 }
 
-// Waiting tells whether bytes of c wait to be read. It may be called beside a reader
-// and whatever the read deadline, and costs an allocation.
+// HasPendingData reports whether c has unread data. It may be called while another goroutine
+// reads, ignores the read deadline, and allocates.
 func HasPendingData(c net.Conn) bool {
 	n := 0
-	control(c, func(fd int) { n, _ = peek(fd) })
+	withFD(c, func(fd int) { n, _ = peek(fd) })
 	return n > 0
 }
 
-// Left tells whether the other side of c has closed it or broken it off, even with bytes
-// before that still to be read. It may be called beside a reader.
-func Left(c net.Conn) (left bool) {
-	control(c, func(fd int) {
+// PeerClosed reports whether the peer has closed or reset c, even if unread data precedes the
+// end. It may be called while another goroutine reads.
+func PeerClosed(c net.Conn) (closed bool) {
+	withFD(c, func(fd int) {
 		events, err := poll(fd, unix.POLLRDHUP)
-		left = err == nil && events&unix.POLLRDHUP != 0
+		closed = err == nil && events&unix.POLLRDHUP != 0
 	})
-	return left
+	return closed
 }
 
-// The calls that this package makes itself; tests make them fail.
+// System calls, replaced in tests.
 var (
-	recvfrom = peekOnce
+	peekCall = peekOnce
 	pollCall = pollOnce
 )
 
-// peek looks for a byte that has come on the socket fd. A signal that interrupts it is no
-// answer, and the call is made again.
+// peek returns the number of bytes, at most 1, that can be read from the socket fd. A call
+// interrupted by a signal is repeated.
 func peek(fd int) (int, error) {
 	for {
-		if n, err := recvfrom(fd); err != syscall.EINTR {
+		if n, err := peekCall(fd); err != syscall.EINTR {
 			return n, err
 		}
 	}
@@ -65,7 +64,8 @@
 	return n, err
 }
 
-// poll tells which events there are on fd, without a wait. It makes the call again like peek.
+// poll returns those of events that are pending on fd, without waiting. A call interrupted by
+// a signal is repeated.
 func poll(fd int, events int16) (int16, error) {
 	for {
 		if got, err := pollCall(fd, events); err != syscall.EINTR {
@@ -80,8 +80,8 @@
 	return p[0].Revents, err
 }
 
-// control calls f with the descriptor of c, if it is a socket that is open.
-func control(c net.Conn, f func(fd int)) {
+// withFD calls f with the descriptor of c if c is an open socket.
+func withFD(c net.Conn, f func(fd int)) {
 	if sys, ok := c.(syscall.Conn); ok {
 		if raw, err := sys.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) { f(int(fd)) })
@@ -89,32 +89,32 @@
 	}
 }
 
-// New returns the Look of c, which finds Ended if c is no socket.
+// NewPeeker returns a Peeker for c. If c is not a socket, its state is Closed.
 func NewPeeker(c net.Conn) *Peeker {
-	l := &Peeker{}
+	p := &Peeker{}
 	if sys, ok := c.(syscall.Conn); ok {
-		l.raw, _ = sys.SyscallConn() // nil if there is none
+		p.raw, _ = sys.SyscallConn() // nil after an error
 	}
-	l.peek = func(fd uintptr) bool {
+	p.peek = func(fd uintptr) bool {
 		switch n, err := peek(int(fd)); {
 		case err == syscall.EAGAIN:
-			l.state = Idle
+			p.state = Idle
 		case err == nil && n > 0:
-			l.state = DataPending
+			p.state = DataPending
 		}
 		return true
 	}
-	return l
+	return p
 }
 
-// State is the state of the connection just now.
-func (l *Peeker) State() State {
-	if l.raw == nil {
+// State returns the current state of the connection.
+func (p *Peeker) State() State {
+	if p.raw == nil {
 		return Closed
 	}
-	l.state = Closed
-	if l.raw.Read(l.peek) != nil {
+	p.state = Closed
+	if p.raw.Read(p.peek) != nil {
 		return Closed
 	}
-	return l.state
+	return p.state
 }
--- a/internal/sock/look_test.go
+++ b/internal/sock/look_test.go
@@ -6,75 +6,75 @@
 	"time"
 )
 
-func TestState(t *testing.T) {
+func TestPeekerState(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	there, err := net.Dial("tcp", l.Addr().String())
+	peer, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer there.Close()
-	here, err := l.Accept()
+	defer peer.Close()
+	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer here.Close()
-	look := NewPeeker(here)
-	becomes := func(want State) {
+	defer conn.Close()
+	peeker := NewPeeker(conn)
+	waitForState := func(want State) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); look.State() != want; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); peeker.State() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("state %v, want %v", look.State(), want)
+				t.Fatalf("state %v, want %v", peeker.State(), want)
 			}
 		}
 	}
-	becomes(Idle)
-	if HasPendingData(here) || Left(here) {
-		t.Error("a quiet connection has bytes that wait, or has been left")
+	waitForState(Idle)
+	if HasPendingData(conn) || PeerClosed(conn) {
+		t.Error("idle connection has pending data or its peer has closed")
 	}
-	there.Write([]byte("x"))
-	becomes(DataPending)
+	peer.Write([]byte("x"))
+	waitForState(DataPending)
 	b := make([]byte, 2)
-	if n, err := here.Read(b); n != 1 || err != nil { // nothing was taken away
+	if n, err := conn.Read(b); n != 1 || err != nil { // the check consumed nothing
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	becomes(Idle)
-	here.SetReadDeadline(time.Unix(1, 0))
-	becomes(Closed)
-	there.Write([]byte("y"))
-	for end := time.Now().Add(20 * time.Second); !HasPendingData(here); time.Sleep(time.Millisecond) {
+	waitForState(Idle)
+	conn.SetReadDeadline(time.Unix(1, 0))
+	waitForState(Closed)
+	peer.Write([]byte("y"))
+	for end := time.Now().Add(20 * time.Second); !HasPendingData(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("bytes under a deadline that has passed are not seen")
+			t.Fatal("pending data not reported after the read deadline")
 		}
 	}
-	if Left(here) {
-		t.Error("a connection with bytes that wait has been left")
+	if PeerClosed(conn) {
+		t.Error("connection with pending data reported as closed by its peer")
 	}
-	here.SetReadDeadline(time.Time{})
-	if n, err := here.Read(b); n != 1 || err != nil {
+	conn.SetReadDeadline(time.Time{})
+	if n, err := conn.Read(b); n != 1 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	becomes(Idle)
-	if n := testing.AllocsPerRun(100, func() { look.State() }); n > 0 {
-		t.Errorf("%v allocations a look", n)
+	waitForState(Idle)
+	if n := testing.AllocsPerRun(100, func() { peeker.State() }); n > 0 {
+		t.Errorf("%v allocations per check", n)
 	}
-	there.Write([]byte("z")) // hides the end from a look that peeks
-	there.Close()
-	for end := time.Now().Add(20 * time.Second); !Left(here); time.Sleep(time.Millisecond) {
+	peer.Write([]byte("z")) // hides the end from the Peeker
+	peer.Close()
+	for end := time.Now().Add(20 * time.Second); !PeerClosed(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("an end behind bytes is not seen")
+			t.Fatal("end after unread data not reported")
 		}
 	}
-	if s := look.State(); s != DataPending {
-		t.Errorf("state %v, want bytes", s)
+	if s := peeker.State(); s != DataPending {
+		t.Errorf("state %v, want DataPending", s)
 	}
-	here.Read(b)
-	becomes(Closed)
-	a, _ := net.Pipe()
-	if s := NewPeeker(a).State(); s != Closed || HasPendingData(a) || Left(a) {
-		t.Errorf("a pipe: %v", s)
+	conn.Read(b)
+	waitForState(Closed)
+	pipe, _ := net.Pipe()
+	if s := NewPeeker(pipe).State(); s != Closed || HasPendingData(pipe) || PeerClosed(pipe) {
+		t.Errorf("pipe: state %v", s)
 	}
 }
--- a/internal/sock/presence.go
+++ b/internal/sock/presence.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Presence looks whether the other side of one connection is still there, without an
-// allocation each time. It may be used beside a reader, whatever the read deadline, and
-// from several goroutines at once.
+// Poller checks whether the peer of one connection has closed it, without allocating. It is
+// safe for concurrent use, may be used while another goroutine reads, and ignores the read
+// deadline.
 type Poller struct {
 	raw  syscall.RawConn
 	poll func(fd uintptr)
@@ -20,11 +20,11 @@
 	state State
 }
 
-// NewPresence returns the Presence of c, which finds Quiet if c is no socket.
+// NewPoller returns a Poller for c. If c is not a socket, its state is Idle.
 func NewPoller(c net.Conn) *Poller {
 	p := &Poller{}
 	if sys, ok := c.(syscall.Conn); ok {
-		p.raw, _ = sys.SyscallConn() // nil if there is none
+		p.raw, _ = sys.SyscallConn() // nil after an error
 	}
 	p.poll = func(fd uintptr) {
 		p.fds[0] = unix.PollFd{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}
@@ -43,9 +43,9 @@
 	return p
 }
 
-// State is Ended if the other side has closed the connection or broken it off, even with
-// bytes before that still to be read. Bytes tells of those that wait, behind which an end
-// may be that has found no room in the buffer of the connection.
+// State returns Closed if the peer has closed or reset the connection, even if unread data
+// precedes the end. With DataPending the peer may have closed too, if the receive buffer was
+// too full for the end to arrive.
 func (p *Poller) State() State {
 	if p.raw == nil {
 		return Idle
@@ -53,19 +53,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = Idle
-	p.raw.Control(p.poll) // on one that is closed here nothing is found
+	p.raw.Control(p.poll) // fails on a locally closed connection, which leaves Idle
 	return p.state
 }
 
-// dropPieces bounds what one call of Drop reads beside a writer that is as fast.
-const dropPieces = 32
+// maxDiscardReads bounds the reads of one Discard call against a peer that keeps writing.
+const maxDiscardReads = 32
 
-// Drop reads what waits on c piece by piece into b, of which nobody wants anything, without
-// waiting for more. It may be called beside a reader, which then does not see those bytes,
-// and whatever the read deadline.
+// Discard reads and drops the unread data of c, using b as a buffer, without waiting for more.
+// It returns the number of bytes dropped. It may be called while another goroutine reads,
+// which then misses those bytes, and ignores the read deadline.
 func Discard(c net.Conn, b []byte) (n int) {
-	control(c, func(fd int) {
-		for range dropPieces {
+	withFD(c, func(fd int) {
+		for range maxDiscardReads {
 			k, _, err := syscall.Recvfrom(fd, b, syscall.MSG_DONTWAIT)
 			if err == syscall.EINTR {
 				continue
--- a/internal/sock/presence_test.go
+++ b/internal/sock/presence_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// A look at who is there tells an end behind bytes, costs no allocation and may be taken
-// from several goroutines beside a reader.
-func TestPresence(t *testing.T) {
+// A Poller detects an end after unread data, allocates nothing and can be used from several
+// goroutines.
+func TestPoller(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	join := func() (there *net.TCPConn, here net.Conn) {
+	connect := func() (peer *net.TCPConn, conn net.Conn) {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		if here, err = l.Accept(); err != nil {
+		if conn, err = l.Accept(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { here.Close() })
-		return c.(*net.TCPConn), here
+		t.Cleanup(func() { conn.Close() })
+		return c.(*net.TCPConn), conn
 	}
-	becomes := func(p *Poller, want State) {
+	waitForState := func(p *Poller, want State) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); p.State() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
@@ -35,15 +35,15 @@
 			}
 		}
 	}
-	there, here := join()
-	p := NewPoller(here)
-	becomes(p, Idle)
-	here.SetReadDeadline(time.Unix(1, 0)) // changes nothing
-	becomes(p, Idle)
-	there.Write([]byte("x"))
-	becomes(p, DataPending)
+	peer, conn := connect()
+	p := NewPoller(conn)
+	waitForState(p, Idle)
+	conn.SetReadDeadline(time.Unix(1, 0)) // ignored by the Poller
+	waitForState(p, Idle)
+	peer.Write([]byte("x"))
+	waitForState(p, DataPending)
 	if n := testing.AllocsPerRun(100, func() { p.State() }); n > 0 {
-		t.Errorf("%v allocations a look", n)
+		t.Errorf("%v allocations per check", n)
 	}
 	done := make(chan struct{})
 	for range 2 {
@@ -56,28 +56,28 @@
 	}
 	<-done
 	<-done
-	if n := Discard(here, make([]byte, 4)); n != 1 {
-		t.Errorf("%d bytes dropped, want 1", n)
+	if n := Discard(conn, make([]byte, 4)); n != 1 {
+		t.Errorf("%d bytes discarded, want 1", n)
 	}
-	becomes(p, Idle)
-	there.Write([]byte(strings.Repeat("y", 1000)))
-	there.Close()
-	becomes(p, Closed)
-	if n := Discard(here, make([]byte, 64)); n != 1000 {
-		t.Errorf("%d bytes dropped, want 1000", n)
+	waitForState(p, Idle)
+	peer.Write([]byte(strings.Repeat("y", 1000)))
+	peer.Close()
+	waitForState(p, Closed)
+	if n := Discard(conn, make([]byte, 64)); n != 1000 {
+		t.Errorf("%d bytes discarded, want 1000", n)
 	}
-	becomes(p, Closed)
-	here.Close()
-	becomes(p, Idle) // nothing is known of it any more
+	waitForState(p, Closed)
+	conn.Close()
+	waitForState(p, Idle) // locally closed
 
-	there, here = join()
-	p = NewPoller(here)
-	there.SetLinger(0)
-	there.Close()
-	becomes(p, Closed)
+	peer, conn = connect()
+	p = NewPoller(conn)
+	peer.SetLinger(0)
+	peer.Close()
+	waitForState(p, Closed)
 
 	pipe, _ := net.Pipe()
 	if s := NewPoller(pipe).State(); s != Idle || Discard(pipe, make([]byte, 1)) != 0 {
-		t.Errorf("a pipe: %v", s)
+		t.Errorf("pipe: state %v", s)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -19,295 +19,283 @@
 	"gorselink/internal/limit"
 )
 
-// Request is what an attempt sends.
+// Request is the request that an attempt sends to an endpoint.
 type Request struct {
 	Method        string
-	URI           string // path and query as they came
+	URI           string // path and query as received from the caller
 	Host          string
-	Fields        framing.Fields // sent but for those of the hop; not changed
+	Fields        framing.Fields // hop-by-hop fields are not sent; never modified
 	Body          []byte
-	Upload        *Upload // in the place of Body
-	NonIdempotent bool    // must not run twice, so a reset cannot be mended
+	Upload        *Upload // replaces Body if it is not nil
+	NonIdempotent bool    // must not be executed twice, so it cannot be retried after a reset
 }
 
-// left is how much time there is for r when its deadline is so far away.
-func (r *Request) left(d time.Duration) time.Duration {
+// timeLeft returns the time that the endpoint has for r. untilDeadline is the time until the
+// deadline of the attempt.
+func (r *Request) timeLeft(untilDeadline time.Duration) time.Duration {
 	if r.Upload != nil && r.Upload.Incomplete != nil && r.Upload.Incomplete() {
 		return r.Upload.ResponseTimeout
 	}
-	return d
+	return untilDeadline
 }
 
-// Answer is an endpoint's answer, whole but for what Rest still brings. Who gets
-// one must release it.
+// Response is the response of an endpoint, complete except for what Remaining still has to
+// receive. Whoever gets a Response must release it.
 type Response struct {
 	Status    int
 	Fields    framing.Fields
 	Body      []byte
-	Remaining *BodyStream // nil if Body is all
+	Remaining *BodyStream // nil if Body is complete
 
-	// Lost is how long the attempt was held up before it had a connection, by failures of
-	// this machine, which say nothing of the endpoint.
+	// LocalDelay is the time for which failures of this machine delayed the connection of the
+	// attempt. It is not the endpoint's latency.
 	LocalDelay time.Duration
 
-	large limit.Hold
+	memory limit.Hold
 }
 
-// Release gives back the memory of an answer that is not needed any more, and
-// its connection if the rest of it was still coming.
-func (a *Response) Release() {
-	a.Body = nil
-	a.large.Release()
-	if a.Remaining != nil {
-		a.Remaining.close()
-		a.Remaining = nil
+// Release frees the memory of the response. If the rest of the body was still being received,
+// its connection is closed.
+func (r *Response) Release() {
+	r.Body = nil
+	r.memory.Release()
+	if r.Remaining != nil {
+		r.Remaining.close()
+		r.Remaining = nil
 	}
 }
 
 const (
-	// maxLarge is the longest body that is passed on all the same while there
-	// is room for it (Config.LargeBytes). Every answer is held until it is
-	// whole, so that a break inside it, or one that never ends, is an outcome
-	// of the attempt and no half answer to the caller. Endpoints whose data has grown past
-	// the protocol's bound all give the same long answer: turning it down
-	// loses the request, and trying again multiplies the work. It could hurt
-	// where an endpoint sends rubbish of just such a length.
-	maxLarge = 1 << 20
-
-	// answerTime is how long an answer may stop once it has begun. One that
-	// stops inside is spoilt, and waiting for the rest holds the request up; an
-	// endpoint that freezes in the middle for half a second would be misjudged.
-	answerTime = 500 * time.Millisecond
-
-	// maxInterim is how many interim answers may come first: a few are usual,
-	// no end of them is a way of never answering.
-	maxInterim = 8
-
-	// lastLook is how long an answer is awaited that an endpoint may have
-	// given before it broke the connection.
-	lastLook = 20 * time.Millisecond
-
-	// leastLeft is the least time that an endpoint can be told, and so the least that an
-	// attempt is made with.
-	leastLeft = time.Millisecond
-
-	// afterOver is how long an attempt is waited for once nobody wants its
-	// answer any more. Most come within it, and save a new connection; the
-	// others would hold a descriptor for as long as a deadline.
-	afterOver = 500 * time.Millisecond
+	// defaultMaxResponseBytes is above the platform protocol's limit (SmallResponseBytes):
+	// endpoints whose data has outgrown that limit all return the same long response, so
+	// rejecting it would only cause retries.
+	defaultMaxResponseBytes = 1 << 20
+
+	// defaultStallTimeout bounds a pause inside a response that has started.
+	defaultStallTimeout = 500 * time.Millisecond
+
+	// maxInterimResponses bounds the interim (1xx) responses before the final one.
+	maxInterimResponses = 8
+
+	// earlyResponseTimeout bounds the wait for a response that the endpoint may have sent
+	// before it broke the connection.
+	earlyResponseTimeout = 20 * time.Millisecond
+
+	// minBudget is the smallest value of X-Budget-Ms. An attempt with less time left is not
+	// sent.
+	minBudget = time.Millisecond
+
+	// endGracePeriod bounds the wait for a response after the call has ended. A response
+	// within it allows the connection to be reused.
+	endGracePeriod = 500 * time.Millisecond
 )
 
-// Confirmer tells whether an attempt may still begin.
+// Confirmer reports whether an attempt may still be sent.
 type Confirmer interface{ Confirm() bool }
 
-// Do makes one attempt at the endpoint called name and waits for its outcome
-// until the deadline. Until its last byte is written, the attempt ends
-// with its call, never having run; then it has afterOver to end. The answer
-// comes with balance.OK and, under Config.AnyStatus, with balance.Error if the
-// endpoint made one.
-//
-// The deadline is the caller's, an instant and no span, so that a process that is held up on
-// the way here takes nothing from it. The endpoint is told what is left until then as the head is
-// written, after whatever the connection took to come up, and an attempt that is left with
-// nothing to tell is not sent. An Upload has all the time that it comes in; what is left
-// counts from its end, see Upload.Time.
+// Do makes one attempt at the named endpoint and waits for its result until the deadline. A
+// response is returned with balance.OK and, if Config.PassThroughStatus is set and the
+// endpoint sent one, with balance.Error. If confirmer is not nil, it is asked right before the
+// first byte is written, because the decision to send may become invalid while a connection is
+// opened.
 //
-// A connection may take its time to come up, and what was right to be sent need not be so
-// any more: unless it is nil, may is asked right before the first byte.
-func (p *Pool) Do(call *Call, name string, r *Request, deadline time.Time, may Confirmer) (*Response, balance.Result) {
-	if deadline.Sub(p.now()) < leastLeft {
+// The deadline is a point in time, so that a delay of this process before the request is sent
+// does not extend it. The endpoint is told the time left when the request head is written;
+// with less than minBudget left, nothing is sent. For an Upload the time left counts from its
+// last byte, see Upload.ResponseTimeout.
+func (p *Pool) Do(call *Call, name string, r *Request, deadline time.Time, confirmer Confirmer) (*Response, balance.Result) {
+	if deadline.Sub(p.now()) < minBudget {
 		return nil, balance.NotSent
 	}
-	c, lost, result := p.connect(call, name, r.NonIdempotent, deadline)
+	c, localDelay, result := p.connect(call, name, r.NonIdempotent, deadline)
 	if c == nil {
 		return nil, result
 	}
 	c.SetDeadline(deadline)
-	me := out{c: c, deadline: deadline}
-	if !call.enter(me) {
-		p.giveBack(c)
+	attempt := activeAttempt{conn: c, deadline: deadline}
+	if !call.register(attempt) {
+		p.checkInUnused(c)
 		return nil, balance.NotSent
 	}
-	sent, left := c.prepare(call, r, deadline, may)
-	if left == 0 {
-		call.leave(me)
-		p.giveBack(c)
+	sentAt, budget := c.prepare(call, r, deadline, confirmer)
+	if budget == 0 {
+		call.unregister(attempt)
+		p.checkInUnused(c)
 		return nil, balance.NotSent
 	}
 	if err := c.send(call, r); err != nil {
 		result := balance.NotSent
-		if !errors.Is(err, errUpload) && faultOf(err) != ofMachine {
-			result = c.unsent(call)
+		if !errors.Is(err, errBodyIncomplete) && classifyFault(err) != localFault {
+			result = c.unsentResult(call)
 		}
-		call.leave(me)
-		p.lose(c, false)
+		call.unregister(attempt)
+		p.closeConn(c, false)
 		return nil, result
 	}
 	if r.Upload != nil {
-		deadline = r.Upload.WholeAt().Add(left)
+		deadline = r.Upload.SentAt().Add(budget)
 		c.SetDeadline(deadline)
 	}
-	a, again, result := c.receive(r, deadline)
-	if a != nil {
-		a.LocalDelay = lost
+	resp, reusable, result := c.receive(r, deadline)
+	if resp != nil {
+		resp.LocalDelay = localDelay
 	}
-	c.pace = 0
-	if a != nil && a.Remaining != nil {
-		call.leave(me)
+	c.stallTimeout = 0
+	if resp != nil && resp.Remaining != nil {
+		call.unregister(attempt)
 		c.SetDeadline(time.Time{})
-		return a, result
+		return resp, result
 	}
-	if call.leave(me) && result == balance.Timeout && time.Now().Before(deadline) {
+	if call.unregister(attempt) && result == balance.Timeout && time.Now().Before(deadline) {
 		result = balance.Cancelled
 	}
-	if result == balance.Reset && !c.begun {
-		p.suspect(c, sent)
+	if result == balance.Reset && !c.responseStarted {
+		p.noteStaleConn(c, sentAt)
 	}
-	if !again {
-		p.lose(c, result == balance.OK)
-		return a, result
+	if !reusable {
+		p.closeConn(c, result == balance.OK)
+		return resp, result
 	}
 	c.SetDeadline(time.Time{})
-	p.give(c, true)
-	return a, result
+	p.checkIn(c, true)
+	return resp, result
 }
 
-// giveBack takes back a connection that nothing is out on. Whether it still
-// stands is seen when it is taken again.
-func (p *Pool) giveBack(c *conn) {
+// checkInUnused returns a connection to the pool on which no request is in progress. Its state
+// is checked at the next checkout.
+func (p *Pool) checkInUnused(c *conn) {
 	c.SetDeadline(time.Time{})
-	p.give(c, false)
+	p.checkIn(c, false)
 }
 
-// limit makes reading end after d, or at the deadline if that is sooner.
-func (c *conn) limit(deadline time.Time, d time.Duration) {
-	if end := time.Now().Add(d); end.Before(deadline) {
+// setReadTimeout limits reads to the given timeout, or to the deadline if that is earlier.
+func (c *conn) setReadTimeout(deadline time.Time, timeout time.Duration) {
+	if end := time.Now().Add(timeout); end.Before(deadline) {
 		deadline = end
 	}
 	c.SetReadDeadline(deadline)
 }
 
-// connect returns a connection to name, or what its lack means. lost is how long it was
-// held up by failures of this machine.
-func (p *Pool) connect(call *Call, name string, once bool, deadline time.Time) (c *conn, lost time.Duration, result balance.Result) {
-	if call.Over() {
+// connect returns a connection to the named endpoint, or the result of the attempt if there is
+// none. localDelay is the time lost to dial failures of this machine.
+func (p *Pool) connect(call *Call, name string, nonIdempotent bool, deadline time.Time) (c *conn, localDelay time.Duration, result balance.Result) {
+	if call.Ended() {
 		return nil, 0, balance.NotSent
 	}
-	var d redial
+	var dials redial
 	for {
-		got := p.ready(name, once)
-		if got.c != nil {
-			return got.c, d.lost(), balance.OK
+		got := p.checkOutReusable(name, nonIdempotent)
+		if got.conn != nil {
+			return got.conn, dials.elapsed(), balance.OK
 		}
-		if got.t == nil {
+		if got.target == nil {
 			return nil, 0, balance.NotSent
 		}
-		c, again, result := p.reach(call, got.t, &d, deadline)
-		if !again {
-			return c, d.lost(), result
+		c, shouldRedial, result := p.dialTarget(call, got.target, &dials, deadline)
+		if !shouldRedial {
+			return c, dials.elapsed(), result
 		}
 	}
 }
 
-// ready returns a connection to name that may be used now, or what there is instead.
-func (p *Pool) ready(name string, once bool) taken {
-	got := p.take(name, once)
-	for got.c != nil && got.rest > 0 {
-		// An end of the call is seen before anything is sent.
-		if c := p.await(got.c, got.rest, got.fresh); c != nil {
-			return taken{c: c, t: got.t}
+// checkOutReusable checks out a connection and waits until it may be reused.
+func (p *Pool) checkOutReusable(name string, nonIdempotent bool) checkoutResult {
+	got := p.checkOut(name, nonIdempotent)
+	for got.conn != nil && got.wait > 0 {
+		// The wait ignores the end of the call, which is checked before anything is sent.
+		if c := p.awaitReuse(got.conn, got.wait, got.extra); c != nil {
+			return checkoutResult{conn: c, target: got.target}
 		}
-		got = p.take(name, once)
+		got = p.checkOut(name, nonIdempotent)
 	}
 	return got
 }
 
-// reach dials t. If this machine has failed it waits, and tells that t is to be dialled
-// again.
-func (p *Pool) reach(call *Call, t *target, d *redial, deadline time.Time) (c *conn, again bool, result balance.Result) {
+// dialTarget dials t. After a failure of this machine it waits; shouldRedial is then true,
+// unless the call has ended or the time for redials is over.
+func (p *Pool) dialTarget(call *Call, t *target, dials *redial, deadline time.Time) (c *conn, shouldRedial bool, result balance.Result) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	me := out{dial: &cancel}
-	// A dial that has no time from its beginning would be taken for one that has failed.
-	if time.Until(deadline) < leastLeft || !call.enter(me) {
-		p.forget(t)
+	attempt := activeAttempt{cancelDial: &cancel}
+	// Without time left the dial would fail and count against the endpoint.
+	if time.Until(deadline) < minBudget || !call.register(attempt) {
+		p.connClosed(t)
 		return nil, false, balance.NotSent
 	}
-	d.look(p, t)
+	dials.checkOthers(p, t)
 	c, err := p.dial(ctx, t, deadline)
 	if err != nil {
-		if again, result = d.next(p, t, err, deadline); again {
-			again = d.pause(ctx)
+		if shouldRedial, result = dials.recordFailure(p, t, err, deadline); shouldRedial {
+			shouldRedial = dials.sleep(ctx)
 		}
 	}
-	over := call.leave(me)
+	ended := call.unregister(attempt)
 	switch {
 	case err == nil:
 		return c, false, balance.OK
-	case over:
+	case ended:
 		return nil, false, balance.NotSent
 	}
-	return nil, again, result
+	return nil, shouldRedial, result
 }
 
 const (
-	// stall is how long the process has been held up at the least that is looked into: from
-	// the clock to the write there is the work of some microseconds.
-	stall = 5 * time.Millisecond
-	// mostLooks bounds how often that is done. A process that is held up each time is so
-	// before the write as well, whatever it looks at.
-	mostLooks = 3
+	// stallThreshold is the duration of prepare from which the process is taken to have been
+	// suspended meanwhile: without that, it takes microseconds.
+	stallThreshold = 5 * time.Millisecond
+	// maxPrepareRounds bounds the repetitions of prepare after stalls.
+	maxPrepareRounds = 3
 )
 
-// prepare makes the head of r ready, and tells when it was and how much time it tells the
-// endpoint; none if r is not to be sent. The process may be held up between any two steps:
-// then what the clock and may have said is old, and both are asked again.
-func (c *conn) prepare(call *Call, r *Request, deadline time.Time, may Confirmer) (at time.Time, left time.Duration) {
-	for range mostLooks {
-		began := c.target.pool.now()
-		if may != nil && !may.Confirm() || call.Over() {
-			return began, 0
+// prepare encodes the head of r and returns the time of encoding and the budget told to the
+// endpoint; a budget of 0 means that r must not be sent. It starts again if the process seems
+// to have been suspended, because the clock reading and the confirmation are then outdated.
+func (c *conn) prepare(call *Call, r *Request, deadline time.Time, confirmer Confirmer) (sentAt time.Time, budget time.Duration) {
+	for range maxPrepareRounds {
+		start := c.target.pool.now()
+		if confirmer != nil && !confirmer.Confirm() || call.Ended() {
+			return start, 0
 		}
-		at = c.target.pool.now()
-		left = r.left(deadline.Sub(at))
-		if left < leastLeft {
-			return at, 0
+		sentAt = c.target.pool.now()
+		budget = r.timeLeft(deadline.Sub(sentAt))
+		if budget < minBudget {
+			return sentAt, 0
 		}
-		c.out = c.encode(c.out[:0], r, left)
-		if c.target.pool.now().Sub(began) < stall {
+		c.writeBuf = c.appendHead(c.writeBuf[:0], r, budget)
+		if c.target.pool.now().Sub(start) < stallThreshold {
 			break
 		}
 	}
-	return at, left
+	return sentAt, budget
 }
 
-// send writes the request, whose head is ready. An error means that its last byte did not
-// go out, so that the endpoint has not begun it.
+// send writes the request, whose head has been prepared. An error means that the last byte was
+// not written, so the endpoint has not started to execute the request.
 func (c *conn) send(call *Call, r *Request) error {
 	if r.Upload != nil {
-		return c.upload(call, c.out, r.Upload)
+		return c.upload(call, c.writeBuf, r.Upload)
 	}
-	if len(r.Body) > 0 && len(c.out)+len(r.Body) > writeBuffer {
-		all := net.Buffers{c.out, r.Body}
-		_, err := all.WriteTo(c.Conn)
+	if len(r.Body) > 0 && len(c.writeBuf)+len(r.Body) > writeBufferSize {
+		buffers := net.Buffers{c.writeBuf, r.Body}
+		_, err := buffers.WriteTo(c.Conn)
 		return err
 	}
-	c.out = append(c.out, r.Body...)
-	_, err := c.Write(c.out)
+	c.writeBuf = append(c.writeBuf, r.Body...)
+	_, err := c.Write(c.writeBuf)
 	return err
 }
 
-// encode appends the head of the request, which tells how much time is left for it.
-func (c *conn) encode(b []byte, r *Request, left time.Duration) []byte {
+// appendHead appends the head of the request, including X-Budget-Ms.
+func (c *conn) appendHead(b []byte, r *Request, budget time.Duration) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.URI...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, cmp.Or(r.Host, c.target.Address)...) // HTTP/1.1 must name one
+	b = append(b, cmp.Or(r.Host, c.target.Address)...) // mandatory in HTTP/1.1
 	b = append(b, "\r\n"...)
 	b = r.Fields.Append(b)
 	b = append(b, "X-Budget-Ms: "...)
-	b = strconv.AppendInt(b, left.Milliseconds(), 10)
+	b = strconv.AppendInt(b, budget.Milliseconds(), 10)
 	if r.Upload != nil {
 		if r.Upload.Length < 0 {
 			return append(b, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)
@@ -317,7 +305,7 @@
 		return append(b, "\r\n\r\n"...)
 	}
 	switch r.Method {
-	case http.MethodPost, http.MethodPut, http.MethodPatch: // have one also where it is empty, RFC 9110, section 8.6
+	case http.MethodPost, http.MethodPut, http.MethodPatch: // Content-Length even for an empty body, RFC 9110, section 8.6
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(r.Body)), 10)
 	default:
@@ -329,193 +317,193 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// unsent tells what became of a request whose last byte did not go out. The
-// endpoint may have turned it away before it was whole.
-func (c *conn) unsent(call *Call) balance.Result {
-	if call.Over() {
+// unsentResult returns the result of an attempt whose last byte was not written. The endpoint
+// may have rejected the request before it had received all of it.
+func (c *conn) unsentResult(call *Call) balance.Result {
+	if call.Ended() {
 		return balance.NotSent
 	}
-	c.SetReadDeadline(time.Now().Add(lastLook))
-	if resp, err := c.head(time.Now().Add(lastLook)); err == nil && turnedAway(resp) {
+	c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
+	if resp, err := c.readHead(time.Now().Add(earlyResponseTimeout)); err == nil && isRejection(resp) {
 		return balance.Overloaded
 	}
 	return balance.ConnectError
 }
 
-// spoilt tells of an answer that came and cannot be used.
-type spoilt struct{ error }
+// invalidResponseError is the error of a response that arrived but cannot be used.
+type invalidResponseError struct{ error }
 
-// head reads the head of the answer, past any interim ones.
-func (c *conn) head(deadline time.Time) (*framing.Head, error) {
-	c.begun = false
-	for range maxInterim + 1 {
-		if _, err := c.in.Peek(1); err != nil {
+// readHead reads the head of the final response and skips interim responses.
+func (c *conn) readHead(deadline time.Time) (*framing.Head, error) {
+	c.responseStarted = false
+	for range maxInterimResponses + 1 {
+		if _, err := c.reader.Peek(1); err != nil {
 			return nil, err
 		}
-		c.begun = true
-		c.pace, c.until = c.target.pool.cfg.ResponseStallTimeout, deadline
-		c.limit(deadline, c.pace)
-		// What cannot become an answer is not waited for.
-		if b, err := c.in.Peek(len(protocol)); err == nil && string(b) != protocol {
-			return nil, spoilt{fmt.Errorf("begins with %q", b)}
+		c.responseStarted = true
+		c.stallTimeout, c.responseDeadline = c.target.pool.cfg.ResponseStallTimeout, deadline
+		c.setReadTimeout(deadline, c.stallTimeout)
+		// Fail on data that is not HTTP without waiting for a complete head.
+		if b, err := c.reader.Peek(len(protocolPrefix)); err == nil && string(b) != protocolPrefix {
+			return nil, invalidResponseError{fmt.Errorf("invalid response: starts with %q, want an HTTP/1 status line", b)}
 		}
-		raw, err := framing.Peek(c.in)
+		raw, err := framing.Peek(c.reader)
 		if errors.Is(err, framing.ErrLong) {
-			return nil, spoilt{err}
+			return nil, invalidResponseError{err}
 		}
 		if err != nil {
-			return nil, inside(err)
+			return nil, midResponseError(err)
 		}
-		h := &c.answer
+		h := &c.responseHead
 		if err := h.ParseResponse(raw); err != nil {
-			return nil, spoilt{err}
+			return nil, invalidResponseError{err}
 		}
-		c.in.Discard(len(raw))
+		c.reader.Discard(len(raw))
 		if h.Status == http.StatusSwitchingProtocols {
-			return nil, spoilt{errors.New("switches protocols, which nobody asked for")}
+			return nil, invalidResponseError{errors.New("invalid response: unsolicited 101 Switching Protocols")}
 		}
 		if h.Status >= 200 {
 			return h, nil
 		}
-		c.pace = 0
-		c.SetReadDeadline(deadline) // the answer may take its time after an interim one
+		c.stallTimeout = 0
+		c.SetReadDeadline(deadline) // no stall timeout between an interim response and the next one
 	}
-	return nil, spoilt{errors.New("too many interim answers")}
+	return nil, invalidResponseError{errors.New("invalid response: too many interim responses")}
 }
 
-const protocol = "HTTP/1."
+const protocolPrefix = "HTTP/1."
 
-// inside is what an error means once an answer has begun: one that stops is
-// spoilt, one whose connection breaks is not.
-func inside(err error) error {
+// midResponseError converts a read error inside a response. A timeout there makes the response
+// invalid; a broken connection does not.
+func midResponseError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return spoilt{err}
+		return invalidResponseError{err}
 	}
 	return err
 }
 
-func turnedAway(h *framing.Head) bool {
+// isRejection reports whether the endpoint rejected the request without executing it.
+func isRejection(h *framing.Head) bool {
 	return (h.Status == http.StatusServiceUnavailable || h.Status == http.StatusGatewayTimeout) &&
 		h.Fields.Get("X-Rejected") == "1"
 }
 
-// receive reads the answer to a request that is out, and tells whether the
-// connection can be used again.
-func (c *conn) receive(r *Request, deadline time.Time) (a *Response, again bool, result balance.Result) {
-	h, err := c.head(deadline)
+// receive reads the response to the request that has been sent. reusable reports whether the
+// connection can be used for another request.
+func (c *conn) receive(r *Request, deadline time.Time) (resp *Response, reusable bool, result balance.Result) {
+	h, err := c.readHead(deadline)
 	if err != nil {
-		return nil, false, broken(err)
+		return nil, false, failureResult(err)
 	}
-	if c.target.pool.cfg.MaxStreamBytes > 0 && c.target.pool.serves(h.Status) && !bodiless(h, r.Method) {
-		if a, again, err := c.begin(h); a != nil || err != nil {
-			return a, again, streamed(err)
+	if c.target.pool.cfg.MaxStreamBytes > 0 && c.target.pool.isSuccess(h.Status) && !hasNoBody(h, r.Method) {
+		if resp, reusable, err := c.startStream(h); resp != nil || err != nil {
+			return resp, reusable, streamResult(err)
 		}
 	}
-	body, large, err := c.body(h, r.Method)
-	again = err == nil && !h.Close && c.in.Buffered() == 0
+	body, memory, err := c.readBody(h, r.Method)
+	reusable = err == nil && !h.Close && c.reader.Buffered() == 0
 	switch {
-	case turnedAway(h):
+	case isRejection(h):
 		result = balance.Overloaded
-	case !c.target.pool.serves(h.Status):
+	case !c.target.pool.isSuccess(h.Status):
 		result = balance.Error
 	case err != nil:
-		again, result = false, broken(err)
+		reusable, result = false, failureResult(err)
 	}
 	if err != nil || result != balance.OK && (result != balance.Error || !c.target.pool.cfg.PassThroughStatus) {
-		large.Release()
-		return nil, again, result
+		memory.Release()
+		return nil, reusable, result
 	}
-	return &Response{Status: h.Status, Fields: h.Fields, Body: body, large: large}, again, result
+	return &Response{Status: h.Status, Fields: h.Fields, Body: body, memory: memory}, reusable, result
 }
 
-// serves tells whether an answer with this status is one to the request, and
-// not a failure to answer it.
-func (p *Pool) serves(status int) bool {
+// isSuccess reports whether a response with this status counts as a success.
+func (p *Pool) isSuccess(status int) bool {
 	return status == http.StatusOK || p.cfg.PassThroughStatus && status < 500
 }
 
-// bodiless tells whether an answer has no body, whatever length it tells (RFC
-// 9112, section 6.3).
-func bodiless(h *framing.Head, method string) bool {
+// hasNoBody reports whether a response has no body regardless of its length fields (RFC 9112,
+// section 6.3).
+func hasNoBody(h *framing.Head, method string) bool {
 	return method == http.MethodHead || h.Status == http.StatusNoContent || h.Status == http.StatusNotModified
 }
 
-// body reads the body of an answer to its end. What it holds is the caller's to
-// release, also with an error.
-func (c *conn) body(h *framing.Head, method string) (data []byte, large limit.Hold, err error) {
-	if h.Length == 0 || bodiless(h, method) {
-		return nil, large, nil
+// readBody reads the complete body of a response. The caller must release memory, also after
+// an error.
+func (c *conn) readBody(h *framing.Head, method string) (data []byte, memory limit.Hold, err error) {
+	if h.Length == 0 || hasNoBody(h, method) {
+		return nil, memory, nil
 	}
-	maxLarge := c.target.pool.cfg.MaxResponseBytes
-	if h.Length > int64(maxLarge) {
-		return nil, large, spoilt{fmt.Errorf("body of %d bytes, want %d at most", h.Length, maxLarge)}
+	maxBytes := c.target.pool.cfg.MaxResponseBytes
+	if h.Length > int64(maxBytes) {
+		return nil, memory, invalidResponseError{fmt.Errorf("response body too long: %d bytes, limit %d", h.Length, maxBytes)}
 	}
 	if h.Length > 0 {
-		if h.Length > SmallAnswer {
+		if h.Length > SmallResponseBytes {
 			var ok bool
-			if large, ok = c.target.pool.large.Reserve(h.Length); !ok {
-				return nil, large, spoilt{fmt.Errorf("no room for a body of %d bytes", h.Length)}
+			if memory, ok = c.target.pool.responseMemory.Reserve(h.Length); !ok {
+				return nil, memory, invalidResponseError{fmt.Errorf("response memory exhausted: cannot buffer a body of %d bytes", h.Length)}
 			}
 		}
 		data = make([]byte, h.Length)
-		if _, err := io.ReadFull(c.in, data); err != nil {
-			return nil, large, inside(err)
+		if _, err := io.ReadFull(c.reader, data); err != nil {
+			return nil, memory, midResponseError(err)
 		}
-		return data, large, nil
+		return data, memory, nil
 	}
-	// Without a length and without chunks it ends with its connection (RFC 9112, section 6.3),
-	// whether or not the endpoint says that it will close. A reset is no end.
-	return c.endless(h.Chunked, maxLarge)
+	// Without a length and without chunked coding the body ends with the connection (RFC 9112,
+	// section 6.3), with or without "Connection: close". A reset is an error.
+	return c.readUnsizedBody(h.Chunked, maxBytes)
 }
 
-// endless reads a body whose length shows at its end.
-func (c *conn) endless(chunked bool, maxLarge int) (data []byte, large limit.Hold, err error) {
+// readUnsizedBody reads a body whose length is known only at its end.
+func (c *conn) readUnsizedBody(chunked bool, maxBytes int) (data []byte, memory limit.Hold, err error) {
 	var body bytes.Buffer
-	var in io.Reader = c.in
+	var in io.Reader = c.reader
 	if chunked {
-		in = httputil.NewChunkedReader(c.in)
+		in = httputil.NewChunkedReader(c.reader)
 	}
-	read := func(most int) error {
-		_, err := body.ReadFrom(io.LimitReader(in, int64(most+1-body.Len())))
-		if err == nil && body.Len() <= most && chunked {
-			err = framing.SkipTrailers(c.in)
+	read := func(sizeLimit int) error {
+		_, err := body.ReadFrom(io.LimitReader(in, int64(sizeLimit+1-body.Len())))
+		if err == nil && body.Len() <= sizeLimit && chunked {
+			err = framing.SkipTrailers(c.reader)
 		}
 		if err != nil {
-			return chunkError(err, chunked)
+			return unsizedBodyError(err, chunked)
 		}
-		if body.Len() > most {
-			return spoilt{fmt.Errorf("body is over %d bytes", most)}
+		if body.Len() > sizeLimit {
+			return invalidResponseError{fmt.Errorf("response body too long: more than %d bytes", sizeLimit)}
 		}
 		return nil
 	}
-	if err := read(min(SmallAnswer, maxLarge)); err == nil || body.Len() <= SmallAnswer {
-		return body.Bytes(), large, err
+	if err := read(min(SmallResponseBytes, maxBytes)); err == nil || body.Len() <= SmallResponseBytes {
+		return body.Bytes(), memory, err
 	}
-	large, ok := c.target.pool.large.Reserve(2 * int64(maxLarge)) // as the buffer may grow
+	memory, ok := c.target.pool.responseMemory.Reserve(2 * int64(maxBytes)) // the buffer's capacity may be twice the length
 	if !ok {
-		return nil, large, spoilt{fmt.Errorf("no room for a body of up to %d bytes", maxLarge)}
+		return nil, memory, invalidResponseError{fmt.Errorf("response memory exhausted: cannot buffer a body of up to %d bytes", maxBytes)}
 	}
-	err = read(maxLarge)
-	large.Shrink(int64(body.Cap()))
-	return body.Bytes(), large, err
+	err = read(maxBytes)
+	memory.Shrink(int64(body.Cap()))
+	return body.Bytes(), memory, err
 }
 
-// chunkError is what an error inside a body without a length means.
-func chunkError(err error, chunked bool) error {
-	var ne net.Error
-	if chunked && !errors.As(err, &ne) && !errors.Is(err, io.ErrUnexpectedEOF) {
-		return spoilt{err} // a chunk that cannot be read
+// unsizedBodyError converts a read error inside a body without a length.
+func unsizedBodyError(err error, chunked bool) error {
+	var netErr net.Error
+	if chunked && !errors.As(err, &netErr) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		return invalidResponseError{err} // malformed chunk
 	}
-	return inside(err)
+	return midResponseError(err)
 }
 
-// broken is the outcome of an attempt that was sent and got no whole answer.
-// A spoilt answer is the endpoint's error: its process lives, and the request
-// may have run.
-func broken(err error) balance.Result {
-	var s spoilt
+// failureResult returns the result of an attempt that was sent and received no complete
+// response. An invalid response counts as an error of the endpoint: its process is alive, and
+// it may have executed the request.
+func failureResult(err error) balance.Result {
+	var invalid invalidResponseError
 	switch {
-	case errors.As(err, &s):
+	case errors.As(err, &invalid):
 		return balance.Error
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return balance.Timeout
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -6,94 +6,95 @@
 	"time"
 )
 
-// Call is one request of a caller, which several attempts may be made for, and
-// tells them when it is over: nothing more is sent then, and what is out is
-// waited for a while. The zero value is a call that goes on.
+// Call is one request of a caller, for which several attempts may be made. After its end
+// nothing more is sent, and attempts already sent have a grace period to finish. The zero
+// value is a call that has not ended.
 //
-// It does what a context would, without a goroutine, a channel and five
-// allocations for each request and attempt.
+// It replaces a context, which would need a goroutine, a channel and five allocations for each
+// request and attempt.
 type Call struct {
-	mu    sync.Mutex
-	over  bool
-	first out // most calls have one attempt at a time
-	more  []out
+	mu     sync.Mutex
+	ended  bool
+	first  activeAttempt // avoids an allocation: most calls have one attempt at a time
+	others []activeAttempt
 }
 
-// out is an attempt that is out on a connection, or is dialling one.
-type out struct {
-	c        *conn // nil while it is being dialled
-	deadline time.Time
-	dial     *context.CancelFunc
+// activeAttempt is an attempt that is dialling or using a connection.
+type activeAttempt struct {
+	conn       *conn // nil while dialling
+	deadline   time.Time
+	cancelDial *context.CancelFunc
 }
 
-func (o *out) end(grace time.Duration) {
-	if o.dial != nil {
-		(*o.dial)()
+// end stops writing and limits the wait for the response to the grace period. A dial is
+// cancelled.
+func (a *activeAttempt) end(grace time.Duration) {
+	if a.cancelDial != nil {
+		(*a.cancelDial)()
 		return
 	}
-	// If the request is out already its answer is waited for a while.
-	o.c.SetWriteDeadline(time.Unix(1, 0))
-	o.c.limit(o.deadline, grace)
+	a.conn.SetWriteDeadline(time.Unix(1, 0))
+	a.conn.setReadTimeout(a.deadline, grace)
 }
 
 // End ends the call. It does not wait for the attempts.
-func (l *Call) End() { l.end(afterOver) }
+func (c *Call) End() { c.end(endGracePeriod) }
 
-// Cut ends the call and all of its attempts at once, for a process that ends.
-func (l *Call) Abort() { l.end(0) }
+// Abort ends the call and all its attempts at once. It is used when the process exits.
+func (c *Call) Abort() { c.end(0) }
 
-func (l *Call) end(grace time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.over {
+func (c *Call) end(grace time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.ended {
 		return
 	}
-	l.over = true
-	if l.first != (out{}) {
-		l.first.end(grace)
+	c.ended = true
+	if c.first != (activeAttempt{}) {
+		c.first.end(grace)
 	}
-	for i := range l.more {
-		l.more[i].end(grace)
+	for i := range c.others {
+		c.others[i].end(grace)
 	}
 }
 
-// Over tells whether the call has ended.
-func (l *Call) Over() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.over
+// Ended reports whether the call has ended.
+func (c *Call) Ended() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ended
 }
 
-// enter books an attempt that the end of the call has to reach. It is false if
-// the call is over.
-func (l *Call) enter(o out) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// register adds an attempt that is to be ended with the call. It returns false if the call has
+// ended.
+func (c *Call) register(a activeAttempt) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
-	case l.over:
+	case c.ended:
 		return false
-	case l.first == (out{}):
-		l.first = o
+	case c.first == (activeAttempt{}):
+		c.first = a
 	default:
-		l.more = append(l.more, o)
+		c.others = append(c.others, a)
 	}
 	return true
 }
 
-// leave takes an attempt out again, which the end of the call does not touch
-// from here on. It tells whether the call is over.
-func (l *Call) leave(o out) (over bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.first == o {
-		l.first = out{}
-		return l.over
+// unregister removes an attempt, which the end of the call no longer affects. It reports
+// whether the call has ended.
+func (c *Call) unregister(a activeAttempt) (ended bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.first == a {
+		c.first = activeAttempt{}
+		return c.ended
 	}
-	for i := range l.more {
-		if l.more[i] == o {
-			l.more = append(l.more[:i], l.more[i+1:]...)
+	for i := range c.others {
+		if c.others[i] == a {
+			c.others = append(c.others[:i], c.others[i+1:]...)
 			break
 		}
 	}
-	return l.over
+	return c.ended
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,59 +13,56 @@
 // conn is a connection to an endpoint.
 type conn struct {
 	net.Conn
-	target    *target
-	in        *bufio.Reader
-	out       []byte // of the request that is sent
-	begun     bool   // an answer to the request that is out has begun
-	idleSince time.Time
-	place     ring.Link[*conn] // in Pool.idle
-	answer    framing.Head     // the last one; its fields may be held on to
-	look      *sock.Peeker
+	target          *target
+	reader          *bufio.Reader
+	writeBuf        []byte           // request being sent
+	responseStarted bool             // the response to the current request has started
+	idleSince       time.Time        // of the last check-in; zero before
+	idleLink        ring.Link[*conn] // element of Pool.idle
+	responseHead    framing.Head     // last head; a Response may keep its fields
+	peeker          *sock.Peeker
 
-	// Of the answer that is coming: each read makes the next one end after pace,
-	// at until at the latest. No pace while it is 0.
-	pace  time.Duration
-	until time.Time
+	// While a response is being received, each read extends the read deadline to stallTimeout
+	// from now, at most to responseDeadline. 0 disables this.
+	stallTimeout     time.Duration
+	responseDeadline time.Time
 }
 
 const (
-	// writeBuffer holds most requests whole; a longer body is written from
-	// where it is.
-	writeBuffer = 4 << 10
-	// receiveBuffer is the kernel's: whole answers fit. Left to itself it grows
-	// to megabytes under an endpoint that sends without end, out of the
-	// sidecar's memory limit.
-	receiveBuffer = 64 << 10
+	// Requests up to writeBufferSize are written in one call from one buffer; longer bodies
+	// are not copied.
+	writeBufferSize = 4 << 10
+	// receiveBufferSize is the kernel's receive buffer, which holds a usual response.
+	// Autotuning could grow it to megabytes, beyond the memory limit of the process.
+	receiveBufferSize = 64 << 10
 )
 
-func newConn(c net.Conn, t *target) *conn {
-	if tc, ok := c.(*net.TCPConn); ok {
-		tc.SetReadBuffer(receiveBuffer)
+func newConn(netConn net.Conn, t *target) *conn {
+	if tcpConn, ok := netConn.(*net.TCPConn); ok {
+		tcpConn.SetReadBuffer(receiveBufferSize)
 	}
-	k := &conn{
-		Conn:   c,
+	c := &conn{
+		Conn:   netConn,
 		target: t,
-		look:   sock.NewPeeker(c),
+		peeker: sock.NewPeeker(netConn),
 	}
-	k.in = bufio.NewReaderSize(k, framing.MaxHead)
-	k.place.Of = k
-	return k
+	c.reader = bufio.NewReaderSize(c, framing.MaxHead)
+	c.idleLink.Of = c
+	return c
 }
 
-// Read implements net.Conn. An answer that comes in small pieces is none that
-// has stopped.
+// Read implements net.Conn. Data extends the read deadline, so that a slow response is not
+// taken for a stalled one.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 0 && c.pace > 0 {
-		c.limit(c.until, c.pace)
+	if n > 0 && c.stallTimeout > 0 {
+		c.setReadTimeout(c.responseDeadline, c.stallTimeout)
 	}
 	return n, err
 }
 
-// quiet tells whether an idle connection still stands and has brought nothing:
-// an endpoint that has closed it shows as an end of file, and stray bytes after
-// an answer would be read as the next one. It guards against resets of
-// requests that a look at the socket can spare.
-func (c *conn) quiet() bool {
-	return c.in.Buffered() == 0 && c.look.State() == sock.Idle
+// reusable reports whether an idle connection is open and has received nothing. A closed
+// connection would reset the next request, and stray data would be read as its response.
+func (c *conn) reusable() bool {
+	return c.reader.Buffered() == 0 && c.peeker.State() == sock.Idle
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -15,116 +15,114 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// fault is what the failure of a dial tells.
-type fault int
+// faultSource tells what caused a dial failure.
+type faultSource int
 
 const (
-	ofEndpoint fault = iota // it has answered so, or not at all
-	ofMachine               // nothing of the endpoint: something is short, or forbidden, here
-	unclear                 // of either, see Pool.blame
+	endpointFault  faultSource = iota // refused by the endpoint, or no reply
+	localFault                        // resource shortage or restriction on this machine
+	ambiguousFault                    // either of them, see Pool.classifyDialFailure
 )
 
-// ofMachineErrors come from this machine alone, before anything is sent.
-var ofMachineErrors = [...]syscall.Errno{
+// localErrnos are errors of this machine that occur before anything is sent.
+var localErrnos = [...]syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
-	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, // no port is free
-	syscall.EPERM, syscall.EACCES, // a rule of this machine
+	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, // no free port
+	syscall.EPERM, syscall.EACCES, // firewall rule of this machine
 }
 
-// unclearErrors may mean that this machine has lost its network for a moment, or that the
-// endpoint is not to be reached. ETIMEDOUT is the system's, which waits for longer than any
-// dial here: it comes at once or not at all.
-var unclearErrors = [...]syscall.Errno{
+// ambiguousErrnos mean that this machine has lost its network or that the endpoint cannot be
+// reached. ETIMEDOUT here is the kernel's, whose timeout is longer than that of any dial: it
+// is reported at once or not at all.
+var ambiguousErrnos = [...]syscall.Errno{
 	syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EHOSTDOWN,
 	syscall.ENONET, syscall.ETIMEDOUT,
 }
 
-func faultOf(err error) fault {
-	for _, e := range ofMachineErrors {
+func classifyFault(err error) faultSource {
+	for _, e := range localErrnos {
 		if errors.Is(err, e) {
-			return ofMachine
+			return localFault
 		}
 	}
-	for _, e := range unclearErrors {
+	for _, e := range ambiguousErrnos {
 		if errors.Is(err, e) {
-			return unclear
+			return ambiguousFault
 		}
 	}
-	return ofEndpoint
+	return endpointFault
 }
 
 const (
-	// Waits before an endpoint is dialled again. A failure of the moment is over after the
-	// first ones; what lasts is not asked for without a pause.
-	leastRedial, mostRedial = 5 * time.Millisecond, 100 * time.Millisecond
+	// Backoff between dials to the same endpoint.
+	minRedialDelay, maxRedialDelay = 5 * time.Millisecond, 100 * time.Millisecond
 
-	// momentRedials is how often a dial is repeated before a failure counts as one that
-	// lasts: it takes 15 ms, which is less than going elsewhere may cost.
-	momentRedials = 2
+	// transientRedials is the number of redials before a failure counts as lasting.
+	transientRedials = 2
 
-	// sameMoment is how long after a failed dial to one endpoint that of another one
-	// counts as of the same cause.
-	sameMoment = 200 * time.Millisecond
+	// sameCauseWindow is the time within which dial failures to two endpoints are attributed
+	// to the same cause.
+	sameCauseWindow = 200 * time.Millisecond
 )
 
-// contact is what connections have told of an endpoint last.
-type contact struct {
-	of *target
-	at time.Time
+// targetEvent is the last event of one endpoint, such as a successful contact.
+type targetEvent struct {
+	target *target
+	at     time.Time
 }
 
-// contacts are the last ones of two endpoints, so that there is always one that is not a
-// given endpoint.
-type contacts [2]contact
+// recentEvents holds the last events of two different endpoints, so that one of them is always
+// another endpoint than a given one.
+type recentEvents [2]targetEvent
 
-func (k *contacts) note(t *target, now time.Time) {
-	if k[0].of != t {
-		k[1] = k[0]
+func (e *recentEvents) record(t *target, now time.Time) {
+	if e[0].target != t {
+		e[1] = e[0]
 	}
-	k[0] = contact{t, now}
+	e[0] = targetEvent{t, now}
 }
 
-// other tells whether there was contact with an endpoint that is not t since then.
-func (k *contacts) other(t *target, since time.Time) bool {
-	for _, c := range k {
-		if c.of != nil && c.of != t && !c.at.Before(since) {
+// hasOther reports whether an endpoint other than t has had an event since the given time.
+func (e *recentEvents) hasOther(t *target, since time.Time) bool {
+	for _, event := range e {
+		if event.target != nil && event.target != t && !event.at.Before(since) {
 			return true
 		}
 	}
 	return false
 }
 
-// redial is the dialling of one attempt that has failed on this machine at least once.
+// redial is the state of the repeated dials of one attempt.
 type redial struct {
-	began    time.Time // when the first dial failed
-	failures int
-	wait     time.Duration // before the next dial
-	until    time.Time     // no further dial after it
-	others   bool          // another endpoint was heard of since began, before the last dial
+	firstFailure time.Time // time of the first failed dial
+	failures     int
+	delay        time.Duration // before the next dial
+	redialUntil  time.Time     // no redial starts after it
+	otherReached bool          // another endpoint was contacted between firstFailure and the last dial
 }
 
-// look looks for others, before t is dialled again.
-func (d *redial) look(p *Pool, t *target) {
+// checkOthers updates otherReached before t is dialled again.
+func (d *redial) checkOthers(p *Pool, t *target) {
 	if d.failures > 0 {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		d.others = p.reached.other(t, d.began)
+		d.otherReached = p.contacts.hasOther(t, d.firstFailure)
 	}
 }
 
-// next books a failed dial to t and tells what it means: to wait and dial again, or else
-// the outcome of the attempt. In any case nothing has been sent.
-func (d *redial) next(p *Pool, t *target, err error, deadline time.Time) (again bool, result balance.Result) {
+// recordFailure records a failed dial to t. It reports whether to dial again after a delay, or
+// else returns the result of the attempt. Nothing has been sent in either case.
+func (d *redial) recordFailure(p *Pool, t *target, err error, deadline time.Time) (shouldRedial bool, result balance.Result) {
 	now := time.Now()
 	if d.failures++; d.failures == 1 {
-		d.began, d.wait = now, leastRedial
-		// Later attempts, at other endpoints, have to have time as well.
-		d.until = now.Add(deadline.Sub(now) / 2)
+		d.firstFailure, d.delay = now, minRedialDelay
+		// Leaves time for attempts at other endpoints.
+		d.redialUntil = now.Add(deadline.Sub(now) / 2)
 	} else {
-		d.wait = min(2*d.wait, mostRedial)
+		d.delay = min(2*d.delay, maxRedialDelay)
 	}
-	if result = p.blame(t, err, d); result == balance.OK {
-		if now.Add(d.wait).Before(d.until) {
+	if result = p.classifyDialFailure(t, err, d); result == balance.OK {
+		if now.Add(d.delay).Before(d.redialUntil) {
 			return true, balance.OK
 		}
 		result = balance.NotSent
@@ -132,40 +130,36 @@
 	return false, result
 }
 
-// blame tells what a failed dial says: balance.OK for nothing yet, so that it is repeated,
-// balance.NotSent for nothing of the endpoint, and balance.ConnectError.
-//
-// What is short or forbidden on this machine says nothing of the endpoint ever. ENETUNREACH
-// and its like are the endpoint's if another one had been heard of, since the dialling failed
-// first, when it failed again: this machine has its network then. They are this machine's if another one could not be dialled
-// in the same moment either. Where nothing is known the next attempt goes elsewhere, and
-// shows it.
-func (p *Pool) blame(t *target, err error, d *redial) balance.Result {
-	kind := faultOf(err)
-	if kind == ofEndpoint {
+// classifyDialFailure returns balance.ConnectError if the endpoint is at fault,
+// balance.NotSent if it is not, and balance.OK if the dial is to be repeated because the cause
+// is unknown. A local fault never counts against the endpoint.
+func (p *Pool) classifyDialFailure(t *target, err error, d *redial) balance.Result {
+	source := classifyFault(err)
+	if source == endpointFault {
 		return balance.ConnectError
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.undialled.note(t, time.Now())
-	if d.failures <= momentRedials || len(p.targets) < 2 {
+	p.dialFailures.record(t, time.Now())
+	if d.failures <= transientRedials || len(p.targets) < 2 {
 		return balance.OK
 	}
 	switch {
-	case d.others:
-		if kind == unclear {
+	case d.otherReached: // so this machine has a network
+		if source == ambiguousFault {
 			return balance.ConnectError
 		}
 		return balance.NotSent
-	case kind == unclear && !p.undialled.other(t, d.began.Add(-sameMoment)):
+	case source == ambiguousFault && !p.dialFailures.hasOther(t, d.firstFailure.Add(-sameCauseWindow)):
+		// The next attempt, at another endpoint, shows which side is at fault.
 		return balance.NotSent
 	}
 	return balance.OK
 }
 
-// pause waits before the next dial. It is false if ctx has ended.
-func (d *redial) pause(ctx context.Context) bool {
-	timer := time.NewTimer(d.wait)
+// sleep waits before the next dial. It returns false if ctx ended meanwhile.
+func (d *redial) sleep(ctx context.Context) bool {
+	timer := time.NewTimer(d.delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -175,33 +169,33 @@
 	}
 }
 
-// lost is how long an attempt has been held up by dials that failed on this machine.
-func (d *redial) lost() time.Duration {
+// elapsed returns the time since the first failed dial, or 0 if none has failed.
+func (d *redial) elapsed() time.Duration {
 	if d.failures == 0 {
 		return 0
 	}
-	return time.Since(d.began)
+	return time.Since(d.firstFailure)
 }
 
-// dial opens a connection to t. The place for it has been taken.
+// dial opens a connection to t, which has already been counted as open.
 func (p *Pool) dial(ctx context.Context, t *target, deadline time.Time) (*conn, error) {
-	// No TCP keep-alive: connections idle for seconds at most.
-	var d Dialer = &net.Dialer{Timeout: p.cfg.DialTimeout, Deadline: deadline, KeepAlive: -1}
+	// TCP keep-alive is not needed: connections are idle for seconds at most.
+	var dialer Dialer = &net.Dialer{Timeout: p.cfg.DialTimeout, Deadline: deadline, KeepAlive: -1}
 	if p.cfg.Dialer != nil {
-		d = p.cfg.Dialer
+		dialer = p.cfg.Dialer
 	}
-	nc, err := d.DialContext(ctx, "tcp", t.Address)
+	netConn, err := dialer.DialContext(ctx, "tcp", t.Address)
 	if err != nil {
-		p.forget(t)
+		p.connClosed(t)
 		return nil, err
 	}
-	p.hear(t)
-	return newConn(nc, t), nil
+	p.recordContact(t)
+	return newConn(netConn, t), nil
 }
 
-// hear books that t has been connected to.
-func (p *Pool) hear(t *target) {
+// recordContact records a successful dial to t.
+func (p *Pool) recordContact(t *target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reached.note(t, time.Now())
+	p.contacts.record(t, time.Now())
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -8,84 +8,85 @@
 	"gorselink/balance"
 )
 
-// What a failed dial is taken for, by its error, by how often it was repeated and by what is
-// known of other endpoints at that moment. balance.OK is for nothing yet: it is repeated.
-func TestWhoIsToBlameForAFailedDial(t *testing.T) {
-	const again = balance.OK
+// The result of a failed dial depends on its error, the number of failures and recent events
+// of other endpoints.
+func TestClassifyDialFailure(t *testing.T) {
+	const shouldRedial = balance.OK
 	for _, c := range []struct {
-		name      string
-		errno     syscall.Errno
-		failures  int
-		alone     bool // no other endpoint is known
-		reached   bool // another one was heard of since the first failure
-		undialled bool // another one could not be dialled at that moment
-		want      balance.Result
+		name         string
+		errno        syscall.Errno
+		failures     int
+		onlyTarget   bool // the Pool has no other endpoint
+		otherReached bool // another endpoint was contacted after the first failure
+		otherFailed  bool // another endpoint could not be dialled
+		want         balance.Result
 	}{
 		{"refused", syscall.ECONNREFUSED, 1, false, false, true, balance.ConnectError},
-		{"ours, for a moment", syscall.EMFILE, momentRedials, false, true, false, again},
-		{"ours, others reached", syscall.EMFILE, momentRedials + 1, false, true, false, balance.NotSent},
-		{"ours, nothing known", syscall.EMFILE, momentRedials + 1, false, false, false, again},
-		{"ours, alone", syscall.EMFILE, momentRedials + 1, true, false, false, again},
-		{"unclear, for a moment", syscall.ENETUNREACH, momentRedials, false, true, false, again},
-		{"unclear, others reached", syscall.ENETUNREACH, momentRedials + 1, false, true, false, balance.ConnectError},
-		{"unclear, some reached and some not", syscall.ENETUNREACH, momentRedials + 1, false, true, true, balance.ConnectError},
-		{"unclear, others neither", syscall.EHOSTUNREACH, momentRedials + 1, false, false, true, again},
-		{"unclear, nothing known", syscall.EHOSTUNREACH, momentRedials + 1, false, false, false, balance.NotSent},
-		{"unclear, alone", syscall.EHOSTUNREACH, momentRedials + 1, true, false, false, again},
+		{"local, transient", syscall.EMFILE, transientRedials, false, true, false, shouldRedial},
+		{"local, other reached", syscall.EMFILE, transientRedials + 1, false, true, false, balance.NotSent},
+		{"local, nothing known", syscall.EMFILE, transientRedials + 1, false, false, false, shouldRedial},
+		{"local, only target", syscall.EMFILE, transientRedials + 1, true, false, false, shouldRedial},
+		{"ambiguous, transient", syscall.ENETUNREACH, transientRedials, false, true, false, shouldRedial},
+		{"ambiguous, other reached", syscall.ENETUNREACH, transientRedials + 1, false, true, false, balance.ConnectError},
+		{"ambiguous, other reached and failed", syscall.ENETUNREACH, transientRedials + 1, false, true, true, balance.ConnectError},
+		{"ambiguous, other failed", syscall.EHOSTUNREACH, transientRedials + 1, false, false, true, shouldRedial},
+		{"ambiguous, nothing known", syscall.EHOSTUNREACH, transientRedials + 1, false, false, false, balance.NotSent},
+		{"ambiguous, only target", syscall.EHOSTUNREACH, transientRedials + 1, true, false, false, shouldRedial},
 	} {
 		p := New(Config{MaxConns: 8})
-		p.Set("it", Target{Address: "127.0.0.1:1"})
-		if !c.alone {
+		p.Set("tested", Target{Address: "127.0.0.1:1"})
+		if !c.onlyTarget {
 			p.Set("other", Target{Address: "127.0.0.1:2"})
 		}
-		it, other := p.targets["it"], p.targets["other"]
+		endpoint, other := p.targets["tested"], p.targets["other"]
 		now := time.Now()
-		d := &redial{began: now.Add(-time.Millisecond), failures: c.failures}
-		p.reached.note(it, now) // that of the endpoint itself says nothing
-		if c.reached {
-			p.reached.note(other, now)
+		d := &redial{firstFailure: now.Add(-time.Millisecond), failures: c.failures}
+		p.contacts.record(endpoint, now) // contact with the tested endpoint itself is ignored
+		if c.otherReached {
+			p.contacts.record(other, now)
 		}
-		if c.undialled {
-			p.undialled.note(other, now)
+		if c.otherFailed {
+			p.dialFailures.record(other, now)
 		}
-		d.look(p, it)
-		if got := p.blame(it, c.errno, d); got != c.want {
+		d.checkOthers(p, endpoint)
+		if got := p.classifyDialFailure(endpoint, c.errno, d); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// What was heard of others before the first failure, or long before, is no sign.
-func TestOldContactsAreNoSign(t *testing.T) {
+// Contacts before the first failure and dial failures long before it are ignored.
+func TestOldContactsAreIgnored(t *testing.T) {
 	p := New(Config{MaxConns: 8})
-	p.Set("it", Target{Address: "127.0.0.1:1"})
+	p.Set("tested", Target{Address: "127.0.0.1:1"})
 	p.Set("other", Target{Address: "127.0.0.1:2"})
-	it, other := p.targets["it"], p.targets["other"]
+	endpoint, other := p.targets["tested"], p.targets["other"]
 	now := time.Now()
-	p.reached.note(other, now.Add(-time.Millisecond))
-	p.undialled.note(other, now.Add(-2*sameMoment))
-	d := &redial{began: now, failures: momentRedials + 1}
-	d.look(p, it)
-	if got := p.blame(it, syscall.ENETUNREACH, d); got != balance.NotSent {
+	p.contacts.record(other, now.Add(-time.Millisecond))
+	p.dialFailures.record(other, now.Add(-2*sameCauseWindow))
+	d := &redial{firstFailure: now, failures: transientRedials + 1}
+	d.checkOthers(p, endpoint)
+	if got := p.classifyDialFailure(endpoint, syscall.ENETUNREACH, d); got != balance.NotSent {
 		t.Errorf("%v, want %v", got, balance.NotSent)
 	}
 }
 
-// The waits double from 5 ms to 100 ms, and end when half of the time is gone.
-func TestRedialsAreBounded(t *testing.T) {
+// The delays double from minRedialDelay to maxRedialDelay, and redials end after half of the
+// time until the deadline.
+func TestRedialDelaysAreBounded(t *testing.T) {
 	p := New(Config{MaxConns: 8})
-	p.Set("it", Target{Address: "127.0.0.1:1"})
+	p.Set("tested", Target{Address: "127.0.0.1:1"})
 	var d redial
-	want := leastRedial
-	deadline := time.Now().Add(patience)
+	want := minRedialDelay
+	deadline := time.Now().Add(testTimeout)
 	for range 10 {
-		if again, _ := d.next(p, p.targets["it"], syscall.EMFILE, deadline); !again || d.wait != want {
-			t.Fatalf("wait %v, again %t, want %v", d.wait, again, want)
+		if shouldRedial, _ := d.recordFailure(p, p.targets["tested"], syscall.EMFILE, deadline); !shouldRedial || d.delay != want {
+			t.Fatalf("delay %v, redial %t, want %v", d.delay, shouldRedial, want)
 		}
-		want = min(2*want, mostRedial)
+		want = min(2*want, maxRedialDelay)
 	}
-	d.until = time.Now().Add(d.wait)
-	if again, result := d.next(p, p.targets["it"], syscall.EMFILE, deadline); again || result != balance.NotSent {
-		t.Errorf("once half of the time is gone: again %t, %v, want it not sent", again, result)
+	d.redialUntil = time.Now().Add(d.delay)
+	if shouldRedial, result := d.recordFailure(p, p.targets["tested"], syscall.EMFILE, deadline); shouldRedial || result != balance.NotSent {
+		t.Errorf("after redialUntil: redial %t, result %v, want NotSent", shouldRedial, result)
 	}
 }
--- a/internal/upstream/spare.go
+++ b/internal/upstream/spare.go
@@ -5,95 +5,91 @@
 	"time"
 )
 
-// Where connections rest, a request that comes too soon after another waits for the one
-// connection that there is. That is right while it is rare: a new connection costs its
-// endpoint work, and may take longer to come up than the rest. To an endpoint that is asked
-// so often that one more would be used all the time, one is dialled beside the wait, and
-// the request goes on whichever is ready first.
+// minUsesPerConn is the number of requests per connection, within the time for which an idle
+// connection is kept, that justifies one more connection. A request normally waits for the reuse
+// delay of an open connection, because a new one costs the endpoint work.
+const minUsesPerConn = 2
 
-// usesKept is how often a connection has to be used in the time for which an idle one is
-// kept, for one more to be dialled: a spare is not to be gone before it was of use.
-const usesKept = 2
-
-// use is how much a target's connections are used. The zero value is of one that is not.
-type use struct {
-	since  time.Time // of the window that is counted
-	now    int       // requests in it
-	before int       // and in the one before
+// usage counts the requests to a target. The zero value is that of an unused target.
+type usage struct {
+	windowStart time.Time // start of the current window
+	current     int       // requests in the current window
+	previous    int       // requests in the previous window
 }
 
-// count books a request. Windows are as long as idle connections are kept.
-func (u *use) count(now time.Time, window time.Duration) {
-	if d := now.Sub(u.since); d >= window {
-		u.before = u.now
-		if d >= 2*window {
-			u.before = 0
+// countRequest records a request. A window is as long as idle connections are kept.
+func (u *usage) countRequest(now time.Time, window time.Duration) {
+	if elapsed := now.Sub(u.windowStart); elapsed >= window {
+		u.previous = u.current
+		if elapsed >= 2*window {
+			u.previous = 0
 		}
-		u.since, u.now = now, 0
+		u.windowStart, u.current = now, 0
 	}
-	u.now++
+	u.current++
 }
 
-// keeps tells whether so many connections are all used often enough to stay.
-func (u *use) keeps(n int) bool { return max(u.now, u.before) >= usesKept*n }
+// sustains reports whether n connections would all be used often enough to stay open.
+func (u *usage) sustains(n int) bool { return max(u.current, u.previous) >= minUsesPerConn*n }
 
-// rested is the index of the idle connection to use, of those that have rested for so long,
-// or -1: the one used last, so that those not needed go idle. Where all are needed it is the
-// one idle longest, which lets the others rest.
-func (t *target) rested(now time.Time, least time.Duration) int {
+// reusableIndex returns the index of the idle connection to use next among those idle for at
+// least minIdle, or -1. It is the most recently used one, so that surplus connections expire,
+// or the least recently used one if all are needed, so that the others complete their reuse
+// delay.
+func (t *target) reusableIndex(now time.Time, minIdle time.Duration) int {
 	i := len(t.idle) - 1
-	for i >= 0 && now.Sub(t.idle[i].idleSince) < least {
+	for i >= 0 && now.Sub(t.idle[i].idleSince) < minIdle {
 		i--
 	}
-	if i > 0 && least > 0 && t.use.keeps(t.open) {
+	if i > 0 && minIdle > 0 && t.usage.sustains(t.open) {
 		return 0
 	}
 	return i
 }
 
-// beside dials a connection for a request that waits for one that rests, if it would be
-// used, and returns where it comes, or nil; the mutex is held. While endpoints are known to
-// send more than they should every connection is suspect, and none is dialled for haste.
-func (p *Pool) beside(t *target, now time.Time) <-chan *conn {
-	if !t.use.keeps(t.open+1) || p.open >= p.cfg.MaxConns || now.Before(p.unruly) {
+// dialExtra dials another connection for a request that waits for the reuse delay of one, if
+// it would be used, and returns the channel on which it arrives, or nil. It dials none while
+// endpoints are known to send stray data. p.mu must be held.
+func (p *Pool) dialExtra(t *target, now time.Time) <-chan *conn {
+	if !t.usage.sustains(t.open+1) || p.open >= p.cfg.MaxConns || now.Before(p.strayUntil) {
 		return nil
 	}
 	p.open++
 	t.open++
-	fresh := make(chan *conn)
+	extra := make(chan *conn)
 	go func() {
 		c, err := p.dial(context.Background(), t, time.Time{})
 		if err != nil {
-			return // the request has a connection that it waits for
+			return // the request still has the connection that it waits for
 		}
 		select {
-		case fresh <- c:
-		default: // nobody waits any more
-			p.give(c, false)
+		case extra <- c:
+		default: // the request no longer waits
+			p.checkIn(c, false)
 		}
 	}()
-	return fresh
+	return extra
 }
 
-// await waits until c has rested, or until another connection is there, and returns the one
-// to use; nil if c has brought more than it should.
-func (p *Pool) await(c *conn, rest time.Duration, fresh <-chan *conn) *conn {
-	if fresh == nil {
-		time.Sleep(rest)
+// awaitReuse waits until c may be reused or the extra connection is open, and returns the one
+// to use. It returns nil if c has been closed or has received stray data.
+func (p *Pool) awaitReuse(c *conn, wait time.Duration, extra <-chan *conn) *conn {
+	if extra == nil {
+		time.Sleep(wait)
 	} else {
-		rested := time.NewTimer(rest)
-		defer rested.Stop()
+		timer := time.NewTimer(wait)
+		defer timer.Stop()
 		select {
-		case other := <-fresh:
-			p.give(c, false)
+		case other := <-extra:
+			p.checkIn(c, false)
 			return other
-		case <-rested.C:
+		case <-timer.C:
 		}
 	}
-	p.waits.Add(1)
-	if c.quiet() {
+	p.reuseWaits.Add(1)
+	if c.reusable() {
 		return c
 	}
-	p.lose(c, true)
+	p.closeConn(c, true)
 	return nil
 }
--- a/internal/upstream/spool.go
+++ b/internal/upstream/spool.go
@@ -8,173 +8,171 @@
 	"gorselink/internal/limit"
 )
 
-// spoolChunk is the piece in which a spool takes and gives back memory.
-const spoolChunk = 64 << 10
+// chunkSize is the unit in which read-ahead memory is allocated, in bytes.
+const chunkSize = 64 << 10
 
-// chunks are pieces of memory for spools that nobody uses just now. A sync.Pool
-// would keep as many again for the collector, which then, at the memory limit,
-// runs without a pause.
-type chunks struct {
-	mu    sync.Mutex
-	spare []*[]byte
+// chunkPool keeps unused chunks for later use. A sync.Pool would keep as many again for the
+// garbage collector, which runs continuously when the process is at its memory limit.
+type chunkPool struct {
+	mu   sync.Mutex
+	free []*[]byte
 }
 
-func (k *chunks) get() *[]byte {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if n := len(k.spare); n > 0 {
-		b := k.spare[n-1]
-		k.spare[n-1] = nil
-		k.spare = k.spare[:n-1]
+func (p *chunkPool) get() *[]byte {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if n := len(p.free); n > 0 {
+		b := p.free[n-1]
+		p.free[n-1] = nil
+		p.free = p.free[:n-1]
 		return b
 	}
-	b := make([]byte, spoolChunk)
+	b := make([]byte, chunkSize)
 	return &b
 }
 
-func (k *chunks) put(b *[]byte) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.spare = append(k.spare, b)
+func (p *chunkPool) put(b *[]byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.free = append(p.free, b)
 }
 
-// trim lets go of an eighth of what nobody uses. It is called about once a
-// second.
-func (k *chunks) trim() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	keep := len(k.spare) - (len(k.spare)+7)/8
-	clear(k.spare[keep:])
-	k.spare = k.spare[:keep]
+// trim frees an eighth of the unused chunks. It is called about once a second.
+func (p *chunkPool) trim() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	keep := len(p.free) - (len(p.free)+7)/8
+	clear(p.free[keep:])
+	p.free = p.free[:keep]
 }
 
-// spool reads the rest of an answer ahead of a caller that is slower than its
-// endpoint. An endpoint has few connections, and turns requests away while they
-// wait for callers; memory for what is left frees its connection at once. Where
-// the length is known, room is taken for all that is left or not at all: many
-// spools that are each half full free no connection. Otherwise it is taken piece
-// by piece, and without any the spool waits for its caller.
-type spool struct {
-	rest *BodyStream
-	hold limit.Hold
+// readAhead receives the rest of a response body into memory, so that a slow caller does not
+// occupy the connection to the endpoint. Memory for a body of known length is reserved
+// completely or not at all, because a partial read-ahead frees no connection. For other bodies
+// it is reserved chunk by chunk, and reading waits for the caller if there is none.
+type readAhead struct {
+	stream *BodyStream
+	memory limit.Hold
 
-	mu     sync.Mutex
-	more   sync.Cond // something has come, gone or ended
-	cut    bool
-	chunks []*[]byte // of which the last is being filled
-	from   int       // what has been read of the first
-	fill   int       // what there is in the last
-	err    error     // why no more comes
-	ended  chan struct{}
+	mu          sync.Mutex
+	changed     sync.Cond // signals data read, data consumed, or an end
+	aborted     bool
+	chunks      []*[]byte // the last one is being filled
+	readOffset  int       // consumed bytes of the first chunk
+	writeOffset int       // filled bytes of the last chunk
+	err         error     // why reading ended; io.EOF if the body is complete
+	done        chan struct{}
 }
 
-// spoolLeast is how many chunks a spool has at the least.
-const spoolLeast = 2
+// minReadAheadChunks is the number of chunks reserved for a body of unknown length at first,
+// and the number that a readAhead always keeps.
+const minReadAheadChunks = 2
 
-// Spool begins to read ahead, if there is room. It tells whether it does.
-func (r *BodyStream) ReadAhead() bool {
-	if r.spool != nil || r.done || r.left == 0 {
-		return r.spool != nil
+// ReadAhead starts to receive the rest of the body into memory if there is room for it. It
+// reports whether the body is being read ahead.
+func (s *BodyStream) ReadAhead() bool {
+	if s.ahead != nil || s.complete || s.remaining == 0 {
+		return s.ahead != nil
 	}
-	need := int64(spoolLeast * spoolChunk)
-	if r.Length >= 0 {
-		need = r.left + spoolChunk // the last one is taken whole
+	need := int64(minReadAheadChunks * chunkSize)
+	if s.Length >= 0 {
+		need = s.remaining + chunkSize // the last chunk is allocated whole
 	}
-	hold, ok := r.c.target.pool.large.Reserve(need)
+	memory, ok := s.conn.target.pool.responseMemory.Reserve(need)
 	if !ok {
 		return false
 	}
-	s := &spool{rest: r, hold: hold, ended: make(chan struct{})}
-	s.more.L = &s.mu
-	r.spool = s
-	go s.run()
+	ahead := &readAhead{stream: s, memory: memory, done: make(chan struct{})}
+	ahead.changed.L = &ahead.mu
+	s.ahead = ahead
+	go ahead.run()
 	return true
 }
 
-// run reads to the end.
-func (s *spool) run() {
-	defer close(s.ended)
-	var last *[]byte
-	at := spoolChunk
+// run reads until the body ends or reading fails.
+func (a *readAhead) run() {
+	defer close(a.done)
+	var chunk *[]byte
+	offset := chunkSize
 	for {
-		if at == spoolChunk {
-			if !s.room() {
+		if offset == chunkSize {
+			if !a.waitForMemory() {
 				return
 			}
-			last, at = s.rest.c.target.pool.chunks.get(), 0
-			s.mu.Lock()
-			s.chunks, s.fill = append(s.chunks, last), 0
-			s.mu.Unlock()
+			chunk, offset = a.stream.conn.target.pool.chunks.get(), 0
+			a.mu.Lock()
+			a.chunks, a.writeOffset = append(a.chunks, chunk), 0
+			a.mu.Unlock()
 		}
-		n, err := s.rest.direct((*last)[at:])
-		at += n
-		s.mu.Lock()
+		n, err := a.stream.readConn((*chunk)[offset:])
+		offset += n
+		a.mu.Lock()
 		if err == io.EOF {
-			s.rest.letGo() // the next request may have the connection
+			a.stream.releaseConn() // lets the next request use the connection
 		}
-		s.fill, s.err = at, err
-		s.more.Broadcast()
-		s.mu.Unlock()
+		a.writeOffset, a.err = offset, err
+		a.changed.Broadcast()
+		a.mu.Unlock()
 		if err != nil {
 			return
 		}
 	}
 }
 
-// room waits until there is room for one more chunk, or tells that nobody wants
-// it.
-func (s *spool) room() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for s.rest.Length < 0 && !s.hold.Grow(int64(len(s.chunks)+1)*spoolChunk) && !s.cut {
-		s.more.Wait()
+// waitForMemory waits until there is memory for one more chunk. It returns false if the stream
+// has been closed.
+func (a *readAhead) waitForMemory() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for a.stream.Length < 0 && !a.memory.Grow(int64(len(a.chunks)+1)*chunkSize) && !a.aborted {
+		a.changed.Wait()
 	}
-	return !s.cut
+	return !a.aborted
 }
 
-// read is Rest.Read.
-func (s *spool) read(b []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// read copies received data for BodyStream.Read and waits if there is none.
+func (a *readAhead) read(b []byte) (int, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	for {
-		if len(s.chunks) > 0 {
-			end := spoolChunk
-			if len(s.chunks) == 1 {
-				end = s.fill
+		if len(a.chunks) > 0 {
+			end := chunkSize
+			if len(a.chunks) == 1 {
+				end = a.writeOffset
 			}
-			if s.from < end {
-				n := copy(b, (*s.chunks[0])[s.from:end])
-				s.from += n
+			if a.readOffset < end {
+				n := copy(b, (*a.chunks[0])[a.readOffset:end])
+				a.readOffset += n
 				return n, nil
 			}
-			if len(s.chunks) > 1 {
-				s.rest.c.target.pool.chunks.put(s.chunks[0])
-				s.chunks, s.from = s.chunks[1:], 0
-				s.hold.Shrink(max(s.hold.Held()-spoolChunk, spoolLeast*spoolChunk))
-				s.more.Broadcast()
+			if len(a.chunks) > 1 {
+				a.stream.conn.target.pool.chunks.put(a.chunks[0])
+				a.chunks, a.readOffset = a.chunks[1:], 0
+				a.memory.Shrink(max(a.memory.Held()-chunkSize, minReadAheadChunks*chunkSize))
+				a.changed.Broadcast()
 				continue
 			}
 		}
-		if s.err != nil {
-			return 0, s.err
+		if a.err != nil {
+			return 0, a.err
 		}
-		s.more.Wait()
+		a.changed.Wait()
 	}
 }
 
-// close ends the spool, whoever is still to read from it.
-func (s *spool) close() {
-	s.mu.Lock()
-	if s.cut = true; s.err == nil {
-		s.rest.cut.Store(true)
-		s.rest.c.SetDeadline(time.Unix(1, 0))
+// close ends the reading at once and frees the memory.
+func (a *readAhead) close() {
+	a.mu.Lock()
+	if a.aborted = true; a.err == nil {
+		a.stream.aborted.Store(true)
+		a.stream.conn.SetDeadline(time.Unix(1, 0))
 	}
-	s.more.Broadcast()
-	s.mu.Unlock()
-	<-s.ended
-	for _, b := range s.chunks {
-		s.rest.c.target.pool.chunks.put(b)
+	a.changed.Broadcast()
+	a.mu.Unlock()
+	<-a.done
+	for _, b := range a.chunks {
+		a.stream.conn.target.pool.chunks.put(b)
 	}
-	s.chunks = nil
-	s.hold.Release()
+	a.chunks = nil
+	a.memory.Release()
 }
--- a/internal/upstream/stall_test.go
+++ b/internal/upstream/stall_test.go
@@ -12,121 +12,120 @@
 	"gorselink/balance"
 )
 
-// heldUp is a clock whose reader is held up for a while right after one of its reads.
-type heldUp struct {
-	stall time.Duration
-	after int       // which read, from 1 on; 0 for none
-	reads int       // so far
-	read  time.Time // what that one has shown
-	until time.Time // the end of the stall
+// stallingClock is a clock that blocks its reader for a while after one of its readings.
+type stallingClock struct {
+	stall      time.Duration
+	stallAfter int       // number of the reading, from 1; 0 for none
+	reads      int       // readings so far
+	stallStart time.Time // result of that reading
+	stallEnd   time.Time // time after the stall
 }
 
-func (h *heldUp) now() time.Time {
+func (c *stallingClock) now() time.Time {
 	now := time.Now()
-	if h.reads++; h.reads == h.after {
-		time.Sleep(h.stall)
-		h.read, h.until = now, time.Now()
+	if c.reads++; c.reads == c.stallAfter {
+		time.Sleep(c.stall)
+		c.stallStart, c.stallEnd = now, time.Now()
 	}
 	return now
 }
 
-// asked is a Confirmer that notes when it was asked last.
-type asked struct{ last time.Time }
+// recordingConfirmer records the time of its last call.
+type recordingConfirmer struct{ last time.Time }
 
-func (a *asked) Confirm() bool {
-	a.last = time.Now()
+func (c *recordingConfirmer) Confirm() bool {
+	c.last = time.Now()
 	return true
 }
 
-// The process is held up for 0.15 s after any of the clock's reads. What the endpoint is told
-// is what is left after that, and so is what is asked before the first byte; only behind the
-// very last read, right before the write, is the stall within the slack of what is told.
-// Where the stall leaves nothing, nothing is sent.
-func TestToldTimeHoldsAfterAStall(t *testing.T) {
-	const held = 150 * time.Millisecond
-	// The clock is read as Do begins, and before and after Confirm and behind the encoding.
-	const last = 4
+// A stall of the process after a clock reading does not extend the budget told to the
+// endpoint, and the confirmation is repeated after it. Only a stall right before the write
+// goes unnoticed.
+func TestBudgetAfterStall(t *testing.T) {
+	const stallTime = 150 * time.Millisecond
+	// Do reads the clock at its start, before and after Confirm, and after encoding the head.
+	const clockReads = 4
 	for name, request := range map[string]func() *Request{
-		"usual":     func() *Request { return &Request{} },
-		"once":      func() *Request { return &Request{NonIdempotent: true} },
-		"long body": func() *Request { return &Request{Body: make([]byte, 2*writeBuffer)} },
+		"idempotent":     func() *Request { return &Request{} },
+		"non-idempotent": func() *Request { return &Request{NonIdempotent: true} },
+		"long body":      func() *Request { return &Request{Body: make([]byte, 2*writeBufferSize)} },
 		"upload": func() *Request {
-			return &Request{Upload: &Upload{Buffered: []byte("body"), Length: 4, Remaining: eof{}, Commit: func() bool { return true }}}
+			return &Request{Upload: &Upload{Buffered: []byte("body"), Length: 4, Remaining: emptyBody{}, Commit: func() bool { return true }}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			told := make(chan string, 1)
-			var got atomic.Int64
+			budgets := make(chan string, 1)
+			var received atomic.Int64
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				got.Add(1)
-				told <- r.Header.Get("X-Budget-Ms")
+				received.Add(1)
+				budgets <- r.Header.Get("X-Budget-Ms")
 				io.WriteString(w, "ok")
 			}))
 			defer srv.Close()
-			// attempt makes one that is held up after a read, and returns what was told.
-			attempt := func(clock *heldUp, may *asked, left time.Duration, connected bool) (time.Duration, balance.Result, time.Time) {
-				p := New(Config{DialTimeout: patience, IdleTimeout: patience, MaxConns: 5})
+			// attempt makes one attempt and returns the budget told, the result and the deadline.
+			attempt := func(clock *stallingClock, confirmer *recordingConfirmer, timeout time.Duration, connected bool) (time.Duration, balance.Result, time.Time) {
+				p := New(Config{DialTimeout: testTimeout, IdleTimeout: testTimeout, MaxConns: 5})
 				defer p.Close()
 				p.Set("s-1", Target{Address: srv.Listener.Addr().String()})
 				if connected {
-					if a, result := send(p, patience); result != balance.OK {
-						t.Errorf("to be connected: %v", result)
+					if resp, result := sendGet(p, testTimeout); result != balance.OK {
+						t.Errorf("request that opens the connection: %v", result)
 					} else {
-						a.Release()
-						<-told
+						resp.Release()
+						<-budgets
 					}
 				}
 				p.now = clock.now
 				r := request()
 				r.Method, r.URI, r.Host = "POST", "/", "x"
-				deadline := time.Now().Add(left)
-				a, result := p.Do(new(Call), "s-1", r, deadline, may)
-				if a == nil {
+				deadline := time.Now().Add(timeout)
+				resp, result := p.Do(new(Call), "s-1", r, deadline, confirmer)
+				if resp == nil {
 					return 0, result, deadline
 				}
-				a.Release()
-				ms, err := strconv.Atoi(<-told)
+				resp.Release()
+				ms, err := strconv.Atoi(<-budgets)
 				if err != nil {
 					t.Error(err)
 				}
 				return time.Duration(ms) * time.Millisecond, result, deadline
 			}
-			plain := &heldUp{}
-			if _, result, _ := attempt(plain, &asked{}, patience, false); result != balance.OK || plain.reads < last {
-				t.Fatalf("with no stall: %v after %d reads, want %d or more", result, plain.reads, last)
+			noStall := &stallingClock{}
+			if _, result, _ := attempt(noStall, &recordingConfirmer{}, testTimeout, false); result != balance.OK || noStall.reads < clockReads {
+				t.Fatalf("without a stall: %v after %d clock readings, want %d or more", result, noStall.reads, clockReads)
 			}
-			for after := 1; after <= last; after++ {
-				clock, may := &heldUp{stall: held, after: after}, &asked{}
-				got, result, deadline := attempt(clock, may, patience, false)
-				most := deadline.Sub(clock.until)
-				if after == last {
-					most += clock.until.Sub(clock.read) + stall
+			for after := 1; after <= clockReads; after++ {
+				clock, confirmer := &stallingClock{stall: stallTime, stallAfter: after}, &recordingConfirmer{}
+				budget, result, deadline := attempt(clock, confirmer, testTimeout, false)
+				maxBudget := deadline.Sub(clock.stallEnd)
+				if after == clockReads {
+					maxBudget += clock.stallEnd.Sub(clock.stallStart) + stallThreshold
 				}
-				if result != balance.OK || got > most {
-					t.Errorf("held up after read %d of %d: %v, told %v, want %v at most", after, last, result, got, most)
+				if result != balance.OK || budget > maxBudget {
+					t.Errorf("stall after reading %d of %d: %v, budget %v, want %v at most", after, clockReads, result, budget, maxBudget)
 				}
-				if after < last && may.last.Before(clock.until) {
-					t.Errorf("held up after read %d of %d: not asked again after the stall", after, last)
+				if after < clockReads && confirmer.last.Before(clock.stallEnd) {
+					t.Errorf("stall after reading %d of %d: not confirmed again", after, clockReads)
 				}
 			}
-			for after := 1; after < last; after++ {
-				connected := after > 1 // else a busy machine may take all of the time for it
-				before := got.Load()
-				_, result, _ := attempt(&heldUp{stall: held, after: after}, &asked{}, held, connected)
-				n := got.Load() - before
+			for after := 1; after < clockReads; after++ {
+				connected := after > 1 // otherwise dialling could use up the time on a busy machine
+				before := received.Load()
+				_, result, _ := attempt(&stallingClock{stall: stallTime, stallAfter: after}, &recordingConfirmer{}, stallTime, connected)
+				n := received.Load() - before
 				if connected {
 					n--
 				}
 				if result != balance.NotSent || n != 0 {
-					t.Errorf("nothing left after read %d of %d: %v, %d requests at the endpoint", after, last, result, n)
+					t.Errorf("no time left after reading %d of %d: %v, %d requests at the endpoint", after, clockReads, result, n)
 				}
 			}
 		})
 	}
 }
 
-// eof is a body of which nothing is still to come.
-type eof struct{}
+// emptyBody is a body without data.
+type emptyBody struct{}
 
-func (eof) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -13,137 +13,138 @@
 	"gorselink/internal/framing"
 )
 
-// restTime is how long a long answer may stop. What its endpoint still gives must
-// reach the caller, and nothing can be tried again once it has begun; this only
-// keeps one that has stopped for good from holding a connection.
-const restTime = 10 * time.Second
+// streamStallTimeout bounds a pause inside a streamed response. It is long, because a streamed
+// response cannot be retried, and only keeps a stalled endpoint from holding the connection.
+const streamStallTimeout = 10 * time.Second
 
-// Rest is what is still coming of an answer too long to be held. Reading ends
-// with io.EOF after its last byte, and with another error where it breaks off.
+// BodyStream is the part of a response body that has not been received yet. Read returns
+// io.EOF after the last byte and another error if the body is truncated.
 type BodyStream struct {
-	Length int64 // of the whole body in bytes; -1 where only its end will show it
+	Length int64 // of the whole body in bytes; -1 if unknown
 
-	c       *conn
-	in      io.Reader
-	left    int64 // that may come at most
-	chunked bool
-	again   bool // the connection can be used again once all has come
-	done    bool
-	gone    bool        // the connection has been let go of
-	cut     atomic.Bool // nothing more is wanted
-	spool   *spool
+	conn      *conn
+	reader    io.Reader
+	remaining int64 // upper bound of the bytes still to receive
+	chunked   bool
+	reusable  bool // the connection can be reused after the body
+	complete  bool
+	released  bool        // the connection has been returned or closed
+	aborted   atomic.Bool // reading is to end at once
+	ahead     *readAhead
 }
 
-// begin begins an answer that is too long to be held. It returns nil if the
-// answer is not; nothing has been read then, or all of it.
-func (c *conn) begin(h *framing.Head) (a *Response, again bool, err error) {
-	most := c.target.pool.cfg.MaxStreamBytes
-	if h.Length > most {
-		return nil, false, spoilt{fmt.Errorf("body of %d bytes, want %d at most", h.Length, most)}
+// startStream returns a response whose body is too long to be buffered as a stream. For a body
+// of known length up to SmallResponseBytes it reads nothing and returns nil; a shorter one of
+// unknown length is returned complete.
+func (c *conn) startStream(h *framing.Head) (resp *Response, reusable bool, err error) {
+	maxBytes := c.target.pool.cfg.MaxStreamBytes
+	if h.Length > maxBytes {
+		return nil, false, invalidResponseError{fmt.Errorf("response body too long: %d bytes, limit %d", h.Length, maxBytes)}
 	}
-	r := &BodyStream{Length: h.Length, c: c, chunked: h.Chunked, again: !h.Close && (h.Chunked || h.Length >= 0)}
+	s := &BodyStream{Length: h.Length, conn: c, chunked: h.Chunked, reusable: !h.Close && (h.Chunked || h.Length >= 0)}
 	switch {
-	case h.Length > SmallAnswer:
-		r.in, r.left = c.in, h.Length
-		return &Response{Status: h.Status, Fields: h.Fields, Remaining: r}, false, nil
+	case h.Length > SmallResponseBytes:
+		s.reader, s.remaining = c.reader, h.Length
+		return &Response{Status: h.Status, Fields: h.Fields, Remaining: s}, false, nil
 	case h.Length >= 0:
 		return nil, false, nil
 	}
-	r.in, r.left = c.in, most
+	s.reader, s.remaining = c.reader, maxBytes
 	if h.Chunked {
-		r.in = httputil.NewChunkedReader(c.in)
+		s.reader = httputil.NewChunkedReader(c.reader)
 	}
-	// Most of these are short as well, and can be tried again until they are
-	// whole.
+	// Most bodies of unknown length are short too. Buffering them first keeps the request
+	// retryable until the body is complete.
 	body := make([]byte, 0, 4<<10)
-	for len(body) < SmallAnswer {
+	for len(body) < SmallResponseBytes {
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
-		n, err := r.in.Read(body[len(body):min(cap(body), SmallAnswer)])
+		n, err := s.reader.Read(body[len(body):min(cap(body), SmallResponseBytes)])
 		body = body[:len(body)+n]
 		if err == io.EOF && h.Chunked {
-			if err = framing.SkipTrailers(c.in); err == nil {
+			if err = framing.SkipTrailers(c.reader); err == nil {
 				err = io.EOF
 			}
 		}
 		if err == io.EOF {
-			return &Response{Status: h.Status, Fields: h.Fields, Body: body}, r.again && c.in.Buffered() == 0, nil
+			return &Response{Status: h.Status, Fields: h.Fields, Body: body}, s.reusable && c.reader.Buffered() == 0, nil
 		}
 		if err != nil {
-			return nil, false, chunkError(err, h.Chunked)
+			return nil, false, unsizedBodyError(err, h.Chunked)
 		}
 	}
-	r.left -= int64(len(body))
-	return &Response{Status: h.Status, Fields: h.Fields, Body: body, Remaining: r}, false, nil
+	s.remaining -= int64(len(body))
+	return &Response{Status: h.Status, Fields: h.Fields, Body: body, Remaining: s}, false, nil
 }
 
-// streamed is the outcome of an attempt whose answer begin has begun.
-func streamed(err error) balance.Result {
+// streamResult returns the result of an attempt for the error of startStream.
+func streamResult(err error) balance.Result {
 	if err != nil {
-		return broken(err)
+		return failureResult(err)
 	}
 	return balance.OK
 }
 
 // Read implements io.Reader.
-func (r *BodyStream) Read(b []byte) (int, error) {
-	if r.spool != nil {
-		return r.spool.read(b)
+func (s *BodyStream) Read(b []byte) (int, error) {
+	if s.ahead != nil {
+		return s.ahead.read(b)
 	}
-	return r.direct(b)
+	return s.readConn(b)
 }
 
-func (r *BodyStream) direct(b []byte) (int, error) {
-	if r.done {
+// readConn reads from the connection, without read-ahead.
+func (s *BodyStream) readConn(b []byte) (int, error) {
+	if s.complete {
 		return 0, io.EOF
 	}
-	if r.left == 0 {
-		if r.Length >= 0 {
-			r.done = true
+	if s.remaining == 0 {
+		if s.Length >= 0 {
+			s.complete = true
 			return 0, io.EOF
 		}
-		return 0, errors.New("the answer is longer than what is passed on")
+		return 0, errors.New("response body exceeds the maximum length of a streamed response")
 	}
-	r.c.SetReadDeadline(time.Now().Add(restTime))
-	if r.cut.Load() {
+	s.conn.SetReadDeadline(time.Now().Add(streamStallTimeout))
+	if s.aborted.Load() {
 		return 0, net.ErrClosed
 	}
-	n, err := r.in.Read(b[:min(int64(len(b)), r.left)])
-	r.left -= int64(n)
+	n, err := s.reader.Read(b[:min(int64(len(b)), s.remaining)])
+	s.remaining -= int64(n)
 	if err != io.EOF {
 		return n, err
 	}
 	switch {
-	case r.Length >= 0:
-		err = io.ErrUnexpectedEOF // its connection ended before it did
-	case r.chunked:
-		if err = framing.SkipTrailers(r.c.in); err == nil {
-			r.done, err = true, io.EOF
+	case s.Length >= 0:
+		err = io.ErrUnexpectedEOF // the connection was closed inside the body
+	case s.chunked:
+		if err = framing.SkipTrailers(s.conn.reader); err == nil {
+			s.complete, err = true, io.EOF
 		}
 	default:
-		r.done = true // the end of the connection is that of the answer
+		s.complete = true // the body ends with the connection
 	}
 	return n, err
 }
 
-// close ends the answer, wherever it is.
-func (r *BodyStream) close() {
-	if r.spool != nil {
-		r.spool.close()
+// close ends the stream, which may be incomplete.
+func (s *BodyStream) close() {
+	if s.ahead != nil {
+		s.ahead.close()
 	}
-	r.letGo()
+	s.releaseConn()
 }
 
-// letGo lets go of the connection.
-func (r *BodyStream) letGo() {
-	if r.gone {
+// releaseConn returns the connection to the pool if it can be reused, and closes it otherwise.
+func (s *BodyStream) releaseConn() {
+	if s.released {
 		return
 	}
-	r.gone = true
-	if r.done && r.again && r.c.in.Buffered() == 0 {
-		r.c.target.pool.giveBack(r.c)
+	s.released = true
+	if s.complete && s.reusable && s.conn.reader.Buffered() == 0 {
+		s.conn.target.pool.checkInUnused(s.conn)
 		return
 	}
-	r.c.target.pool.lose(r.c, false)
+	s.conn.target.pool.closeConn(s.conn, false)
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -9,97 +9,98 @@
 	"time"
 )
 
-// Upload is the body of a request that is sent on while it comes, for want of
-// room to hold it. Once any of it that is not held has been sent there is no
-// second attempt; its node has not begun it before its last byte, so that one
-// which breaks off on the way has never run.
+// Upload is the body of a request that is forwarded while it is received, because there is no
+// memory to buffer it. Once Commit has returned true there is no second attempt. An endpoint
+// does not execute a request before it has received its last byte, so an upload that fails
+// earlier has had no effect.
 type Upload struct {
-	Buffered  []byte    // what is held of it
-	Remaining io.Reader // the rest; one attempt reads it at a time
-	Length    int64     // of all in bytes; -1 for chunked
-	Done      chan struct{}
-
-	// Time is what the caller gives for the answer, counted from the last byte of the
-	// body, and Coming tells whether that byte is surely still to come, so that none of it
-	// has gone by; it is asked while nobody reads In. Where it says no the body may have
-	// been on this machine for as long as the request, and what is left of the attempt's
-	// own time is all that is left. Without Coming that is so always.
+	Buffered  []byte        // the buffered beginning of the body
+	Remaining io.Reader     // the rest; read by one attempt at a time
+	Length    int64         // of the whole body in bytes; -1 for chunked
+	Done      chan struct{} // closed once no attempt uses the Upload any more
+
+	// ResponseTimeout is the time for the response, counted from the last byte of the body. It
+	// applies if Incomplete is not nil and returns true; otherwise the remaining time of the
+	// attempt applies.
 	ResponseTimeout time.Duration
-	Incomplete      func() bool
 
-	// Begin is asked once before In is read, and tells whether the request goes on;
-	// whoever says so makes no second attempt.
+	// Incomplete reports whether the last byte of the body has certainly not arrived at this
+	// machine yet. It is called while nothing reads Remaining.
+	Incomplete func() bool
+
+	// Commit is called once before Remaining is read and reports whether the request goes on.
 	Commit func() bool
 
-	mu    sync.Mutex
-	err   error
-	whole time.Time
-	left  bool
+	mu      sync.Mutex
+	err     error
+	sentAt  time.Time
+	aborted bool
 }
 
-// Leave tells that the caller has gone away: nothing more of the body is sent on.
+// Abort records that the caller has disconnected. Nothing more of the body is forwarded.
 func (u *Upload) Abort() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.left = true
+	u.aborted = true
 }
 
-func (u *Upload) hasLeft() bool {
+func (u *Upload) isAborted() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.left
+	return u.aborted
 }
 
-// Err is why the body did not come.
+// Err returns the reason why the body could not be received.
 func (u *Upload) Err() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err
 }
 
-// Whole tells whether its last byte has been sent.
-func (u *Upload) Sent() bool { return !u.WholeAt().IsZero() }
+// Sent reports whether the last byte of the body has been sent.
+func (u *Upload) Sent() bool { return !u.SentAt().IsZero() }
 
-// WholeAt is when its last byte was sent, zero before.
-func (u *Upload) WholeAt() time.Time {
+// SentAt returns the time at which the last byte was sent, or the zero time.
+func (u *Upload) SentAt() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.whole
+	return u.sentAt
 }
 
-func (u *Upload) end(err error) {
+func (u *Upload) finish(err error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err = err; err == nil {
-		u.whole = time.Now()
+		u.sentAt = time.Now()
 	}
 }
 
-// errLeft tells of a caller that has gone away before its body was sent on.
-var errLeft = errors.New("the caller has left")
+// errCallerGone means that the caller disconnected before its body had been forwarded.
+var errCallerGone = errors.New("the caller disconnected before its request body was forwarded")
 
-// errUpload tells of a body that did not come, which is not the node's doing.
-var errUpload = errors.New("the body has not come whole")
+// errBodyIncomplete means that the body was not received completely, which is not the
+// endpoint's fault.
+var errBodyIncomplete = errors.New("request body not received completely")
 
-// pieceTime is how long a node may leave a piece of a body unread.
-const pieceTime = 10 * time.Second
+// uploadWriteTimeout bounds the write of one piece of a body to an endpoint.
+const uploadWriteTimeout = 10 * time.Second
 
-// upload sends head and body, piece by piece.
+// upload sends the head and the body piece by piece.
 func (c *conn) upload(call *Call, head []byte, u *Upload) error {
 	buf := c.target.pool.chunks.get()
 	defer c.target.pool.chunks.put(buf)
 	chunked := u.Length < 0
-	write := func(before, data []byte) error {
-		if call.Over() {
+	write := func(prefix, data []byte) error {
+		if call.Ended() {
 			return net.ErrClosed
 		}
-		c.SetWriteDeadline(time.Now().Add(pieceTime))
-		all := net.Buffers{before, data}
+		c.SetWriteDeadline(time.Now().Add(uploadWriteTimeout))
+		buffers := net.Buffers{prefix, data}
 		if chunked && len(data) > 0 {
-			before = strconv.AppendInt(before, int64(len(data)), 16)
-			all = net.Buffers{append(before, "\r\n"...), data, []byte("\r\n")}
+			prefix = strconv.AppendInt(prefix, int64(len(data)), 16)
+			buffers = net.Buffers{append(prefix, "\r\n"...), data, []byte("\r\n")}
 		}
-		_, err := all.WriteTo(c.Conn)
+		_, err := buffers.WriteTo(c.Conn)
 		return err
 	}
 	if err := write(head, u.Buffered); err != nil {
@@ -110,9 +111,9 @@
 	}
 	for {
 		n, err := u.Remaining.Read(*buf)
-		if u.hasLeft() {
-			u.end(errLeft)
-			return errUpload
+		if u.isAborted() {
+			u.finish(errCallerGone)
+			return errBodyIncomplete
 		}
 		if n > 0 {
 			if err := write(nil, (*buf)[:n]); err != nil {
@@ -123,8 +124,8 @@
 			break
 		}
 		if err != nil {
-			u.end(err)
-			return errUpload
+			u.finish(err)
+			return errBodyIncomplete
 		}
 	}
 	if chunked {
@@ -132,6 +133,6 @@
 			return err
 		}
 	}
-	u.end(nil)
+	u.finish(nil)
 	return nil
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,9 +1,8 @@
-// Package upstream carries attempts to endpoints: one attempt in, one result
-// out. It owns the connections.
+// Package upstream sends attempts to endpoints and manages the connections to them.
 //
-// It does not use http.Transport, which sends some requests again by itself,
-// dials more than it is asked to and hides whether the last byte of a request
-// went out; whether an attempt may have run hangs on that.
+// It does not use http.Transport, which retries some requests by itself, dials more
+// connections than needed and does not report whether the last byte of a request was written,
+// which decides whether an attempt may have been executed.
 package upstream
 
 import (
@@ -21,141 +20,134 @@
 // Config holds the settings of a Pool.
 type Config struct {
 	DialTimeout        time.Duration
-	IdleTimeout        time.Duration // endpoints close what has been idle for longer
-	MaxConns           int           // connections at most, to all endpoints
-	LargeResponseBytes int64         // memory for answers over SmallAnswer, all together
-
-	// Rest is how long a connection rests between an answer and the next request. An
-	// endpoint that answers twice may do so some milliseconds late; on a connection that
-	// is in use again by then, the second answer would be taken for the next request's.
-	// A request for which there is none that has rested waits for the one nearest to it,
-	// which costs less than a new one; where one more would be used all the time, it is
-	// dialled beside. The rest is longer for a while once bytes have come that belong to no
-	// request. 0 for no rest.
+	IdleTimeout        time.Duration // endpoints close connections that are idle for longer
+	MaxConns           int           // to all endpoints together
+	LargeResponseBytes int64         // memory for all responses over SmallResponseBytes
+
+	// ReuseDelay is the time between a response and the next request on the same connection; 0
+	// for none. An endpoint may send a duplicate response some milliseconds late, which would
+	// be taken for the response to the next request. After stray data has been received the
+	// delay is longer for some time.
 	ReuseDelay time.Duration
 
-	MaxResponseBytes     int           // bytes of the longest body that is passed on; 0 for 1 MiB
-	ResponseStallTimeout time.Duration // that an answer may stop inside; 0 for 0.5 s
+	MaxResponseBytes     int           // longest buffered body; 0 for 1 MiB
+	ResponseStallTimeout time.Duration // longest pause inside a response; 0 for 0.5 s
 
-	// Stream is the longest answer that is passed on while it comes, in bytes:
-	// what is over SmallAnswer is not held. 0 for none; then MaxAnswer bounds it.
+	// MaxStreamBytes is the longest response that is streamed: a response over
+	// SmallResponseBytes is then forwarded while it is received, and MaxResponseBytes does not
+	// apply. 0 disables streaming.
 	MaxStreamBytes int64
 
-	// AnyStatus makes an answer with a status under 500 a served one, and has
-	// Do return also those from 500 on, with balance.Error. Without it only a
-	// 200 serves, as the platform's protocol says.
+	// PassThroughStatus makes every response with a status below 500 a success and returns the
+	// others with balance.Error. Without it, as in the platform's protocol, only status 200 is
+	// a success, and no other response is returned.
 	PassThroughStatus bool
 
-	Dialer Dialer // opens the connections; nil for a net.Dialer with DialTimeout
+	Dialer Dialer // nil for a net.Dialer with DialTimeout
 }
 
-// What connections cost an endpoint, and a request, in seconds of one core.
+// Costs at an endpoint, in seconds of one core.
 const (
-	handshakeWork = 0.0024 // a new one: 1.8 to 3 ms
-	placeWork     = 0.0096 // a second of a place in its table, as measured, see docs/fleet.md
-	requestWork   = 0.017  // a first try, in its mean
-	usualLoad     = 0.5    // share of an endpoint that first tries take
-
-	// Bounds of what prices can make of it: what is idle between an answer and the next
-	// request of a burst is kept, and nothing for ever.
-	leastKept, mostKept = 0.01, 3600.0
+	handshakeCost = 0.0024 // of a new connection
+	openConnCost  = 0.0096 // of an open connection, per second
+	requestCost   = 0.017  // of a request's first attempt
+	typicalLoad   = 0.5    // share of an endpoint's capacity used by first attempts
+
+	// Bounds of the idle timeout, in seconds.
+	minIdleSeconds, maxIdleSeconds = 0.01, 3600.0
 )
 
-// KeepIdle is how long a sidecar keeps an idle connection to an endpoint at the most,
-// given what operators charge for new connections, by first try, and for open ones on
-// average, over a hundred times the endpoints; 0.25 s if they charge nothing.
+// OptimalIdleTimeout returns the time for which a sidecar keeps an idle connection. The prices
+// are weights in the operators' goal: handshakePrice of new connections per first attempt, and
+// connectionPrice of the average number of open connections per hundred endpoints.
 //
-// An open one costs capacity by its place in the endpoint's table, and every sidecar of a
-// large fleet keeps some; a new one costs its handshake, once. Kept for as long as that
-// weighs the same, it costs at most twice what knowing the next use would (the ski-rental
-// problem). Prices are of first tries' worth and are turned into work by what a first try
-// takes: one open connection over a hundred endpoints' is a hundredth of what an endpoint
-// serves.
+// A connection kept until its idle cost equals the cost of a new one costs at most twice as
+// much as with knowledge of its next use (ski-rental problem).
 func OptimalIdleTimeout(handshakePrice, connectionPrice float64) time.Duration {
-	anew := handshakeWork + requestWork*max(0, handshakePrice)
-	kept := placeWork + usualLoad/100*max(0, connectionPrice)
-	return time.Duration(min(max(anew/kept, leastKept), mostKept) * float64(time.Second)).Round(time.Millisecond)
+	newConnCost := handshakeCost + requestCost*max(0, handshakePrice)
+	idleConnCost := openConnCost + typicalLoad/100*max(0, connectionPrice)
+	return time.Duration(min(max(newConnCost/idleConnCost, minIdleSeconds), maxIdleSeconds) * float64(time.Second)).Round(time.Millisecond)
 }
 
-// SmallAnswer is the protocol's bound for a body, in bytes. Answers up to it
-// are not taken from LargeBytes: there are as many as attempts at the most.
-const SmallAnswer = 64 << 10
+// SmallResponseBytes is the longest response body that the platform protocol allows. Bodies up
+// to it do not count towards Config.LargeResponseBytes.
+const SmallResponseBytes = 64 << 10
 
-// Target is where an endpoint is reached.
+// Target is the address of an endpoint's process.
 type Target struct {
 	Address string
-	StartMs int64 // start of its process; a change makes old connections useless
+	StartMs int64 // start of the process; a change invalidates the open connections
 }
 
-// Pool holds the connections to all endpoints. Each carries one request at a
-// time; the one used last is used first, so that those not needed go idle.
+// Pool holds the connections to all endpoints. Each carries one request at a time. The most
+// recently used one is reused first, so that surplus connections expire.
 type Pool struct {
-	cfg    Config
-	now    func() time.Time // the clock that endpoints are told by
-	large  limit.Bytes
-	chunks chunks // of what is read ahead
-
-	waits   atomic.Int64 // attempts that waited for a connection to have rested
-	mu      sync.Mutex
-	targets map[string]*target
-	idle    ring.List[*conn] // the one idle longest in front
-	open    int              // connections dialled or being dialled
-	closed  bool
-	unruly  time.Time // until then endpoints are known to send more than they should
-	doubt   time.Time // until then a kept connection may be dead without showing it
-
-	reached   contacts // endpoints that have been connected to, or have answered
-	undialled contacts // endpoints that this machine has failed to dial
+	cfg            Config
+	now            func() time.Time // clock for the budgets told to endpoints
+	responseMemory limit.Bytes
+	chunks         chunkPool // for read-ahead and uploads
+
+	reuseWaits atomic.Int64 // attempts that waited for the reuse delay
+	mu         sync.Mutex
+	targets    map[string]*target
+	idle       ring.List[*conn] // least recently used first
+	open       int              // connections, including those being dialled
+	closed     bool
+	strayUntil time.Time // until then endpoints are known to send stray data
+	staleUntil time.Time // until then idle connections may have been closed unnoticed
+
+	contacts     recentEvents // successful dials and responses
+	dialFailures recentEvents // dials that failed on this machine or for an ambiguous cause
 }
 
-// target is an endpoint in one life of its process at one address.
+// target is one process of an endpoint at one address.
 type target struct {
 	Target
-	pool *Pool
-	idle []*conn // the one used last at the end
-	open int     // connections, those being dialled included
-	gone bool    // replaced or no longer listed: its connections are not kept
-	use  use     // where connections rest
+	pool    *Pool
+	idle    []*conn // most recently used last
+	open    int     // connections, including those being dialled
+	removed bool    // replaced or no longer listed; its connections are not reused
+	usage   usage   // counted only with a reuse delay
 }
 
 // New returns an empty Pool.
 func New(cfg Config) *Pool {
 	if cfg.MaxResponseBytes == 0 {
-		cfg.MaxResponseBytes = maxLarge
+		cfg.MaxResponseBytes = defaultMaxResponseBytes
 	}
 	if cfg.ResponseStallTimeout == 0 {
-		cfg.ResponseStallTimeout = answerTime
+		cfg.ResponseStallTimeout = defaultStallTimeout
 	}
 	p := &Pool{cfg: cfg, now: time.Now, targets: map[string]*target{}}
-	p.large.Set(cfg.LargeResponseBytes)
+	p.responseMemory.Set(cfg.LargeResponseBytes)
 	return p
 }
 
-// Limit changes the bounds of the Pool. Connections over a lower bound end with
-// the attempts that are out on them; idle ones are closed at once.
+// SetLimits changes the limits of the Pool. Surplus idle connections are closed at once, and
+// others when their attempts end.
 func (p *Pool) SetLimits(maxConns int, largeBytes int64) {
-	p.large.Set(largeBytes)
+	p.responseMemory.Set(largeBytes)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cfg.MaxConns = maxConns
 	for p.open > maxConns && p.idle.Len() > 0 {
-		p.drop(p.idle.Front().Of)
+		p.closeIdleConn(p.idle.Front().Of)
 	}
 }
 
-// Streams tells whether long answers, and bodies without room, are passed on while
-// they come.
+// StreamingEnabled reports whether long responses, and request bodies that cannot be buffered,
+// are forwarded while they are received.
 func (p *Pool) StreamingEnabled() bool { return p.cfg.MaxStreamBytes > 0 }
 
-// Bound is how many connections there may be.
+// MaxConns returns the maximum number of connections.
 func (p *Pool) MaxConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cfg.MaxConns
 }
 
-// Set makes name known under t. If it was known otherwise, the connections to
-// what it was are closed: they lead to a dead process or a former address.
+// Set adds the named endpoint or changes its target. After a change the idle connections are
+// closed, because they lead to a dead process or a former address.
 func (p *Pool) Set(name string, t Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,7 +160,7 @@
 	p.targets[name] = &target{Target: t, pool: p}
 }
 
-// Remove forgets name and closes its idle connections.
+// Remove removes the named endpoint and closes its idle connections.
 func (p *Pool) Remove(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +170,7 @@
 	}
 }
 
-// Keep removes all names but those that it is told to keep.
+// Retain removes all endpoints for which keep returns false.
 func (p *Pool) Retain(keep func(name string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,28 +182,31 @@
 	}
 }
 
+// retire closes the idle connections of a target that has been replaced or removed. p.mu must
+// be held.
 func (p *Pool) retire(t *target) {
-	t.gone = true
+	t.removed = true
 	for len(t.idle) > 0 {
-		p.drop(t.idle[len(t.idle)-1])
+		p.closeIdleConn(t.idle[len(t.idle)-1])
 	}
 }
 
-// Names are the endpoints that can be sent to, sorted.
+// Names returns the names of the endpoints, sorted.
 func (p *Pool) Names() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Sorted(maps.Keys(p.targets))
 }
 
-// Open is the number of connections, those being dialled included.
+// OpenConns returns the number of connections, including those being dialled.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Spread is how many endpoints connections are open to, and the most to one.
+// ConnStats returns the number of endpoints with open connections and the largest number of
+// connections to one of them.
 func (p *Pool) ConnStats() (endpoints, most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,207 +218,202 @@
 	return endpoints, most
 }
 
-// idleMargin is the part of the endpoints' idle limit after which a connection
-// is no longer used: a request that meets an endpoint closing it would be a
-// reset, which an unsafe request does not survive.
-const idleMargin = 0.8
+// idleTimeoutFraction is the part of Config.IdleTimeout after which a connection is no longer
+// used. A request sent while the endpoint closes the connection would be reset, and could not
+// be retried unless it is idempotent.
+const idleTimeoutFraction = 0.8
 
-func (p *Pool) idleLimit() time.Duration {
-	return time.Duration(float64(p.cfg.IdleTimeout) * idleMargin)
+func (p *Pool) idleTimeout() time.Duration {
+	return time.Duration(float64(p.cfg.IdleTimeout) * idleTimeoutFraction)
 }
 
-// Sweep closes the connections that have been idle for too long.
+// CloseExpired closes the connections that have been idle for too long and frees unused
+// read-ahead memory.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.chunks.trim()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sweep(now)
+	p.closeExpiredLocked(now)
 }
 
-func (p *Pool) sweep(now time.Time) {
+// closeExpiredLocked closes connections that have been idle for too long. p.mu must be held.
+func (p *Pool) closeExpiredLocked(now time.Time) {
 	for e := p.idle.Front(); e != nil; e = p.idle.Front() {
 		c := e.Of
-		if now.Sub(c.idleSince) < p.idleLimit() {
+		if now.Sub(c.idleSince) < p.idleTimeout() {
 			return
 		}
-		p.note(c)
-		p.drop(c)
+		p.noteStrayData(c)
+		p.closeIdleConn(c)
 	}
 }
 
 const (
-	// unrulyTime is how long bytes that belong to no request make connections rest
-	// unrulyRest times as long. Who sends them does so again, and each is a chance to
-	// give a caller another one's answer.
-	unrulyTime = 30 * time.Second
-	unrulyRest = 5
-
-	// restless is how long a connection may have been idle to be as good as in
-	// use: whatever closes idle ones on the way has longer to wait.
-	restless = 100 * time.Millisecond
-
-	// doubtTime is how long one dead connection casts doubt on the others. It
-	// is some lives of a connection, so that a trouble that goes on is met by
-	// the requests that bear it, and one that has gone is forgotten.
-	doubtTime = 10 * time.Second
+	// For strayDataPeriod after stray data, which belongs to no request, the reuse delay is
+	// multiplied by strayDelayFactor. The endpoint is likely to send more, which could be
+	// given to a caller as the response to another request.
+	strayDataPeriod  = 30 * time.Second
+	strayDelayFactor = 5
+
+	// maxTrustedIdle is the idle time up to which a connection counts as in use: devices that
+	// close idle connections wait for longer.
+	maxTrustedIdle = 100 * time.Millisecond
+
+	// stalePeriod is the time for which one stale connection makes other idle ones suspect.
+	stalePeriod = 10 * time.Second
 )
 
-// rest is how long a connection rests now.
-func (p *Pool) rest(now time.Time) time.Duration {
-	if now.Before(p.unruly) {
-		return unrulyRest * p.cfg.ReuseDelay
+// reuseDelay returns the current reuse delay.
+func (p *Pool) reuseDelay(now time.Time) time.Duration {
+	if now.Before(p.strayUntil) {
+		return strayDelayFactor * p.cfg.ReuseDelay
 	}
 	return p.cfg.ReuseDelay
 }
 
-// note looks whether an idle connection that is given up has brought more than it should;
-// the mutex is held.
-func (p *Pool) note(c *conn) {
-	if p.cfg.ReuseDelay > 0 && (c.in.Buffered() > 0 || c.look.State() == sock.DataPending) {
-		p.unruly = time.Now().Add(unrulyTime)
+// noteStrayData records stray data on an idle connection that is given up. p.mu must be held.
+func (p *Pool) noteStrayData(c *conn) {
+	if p.cfg.ReuseDelay > 0 && (c.reader.Buffered() > 0 || c.peeker.State() == sock.DataPending) {
+		p.strayUntil = time.Now().Add(strayDataPeriod)
 	}
 }
 
-// suspect books that a connection which had been idle broke under the next
-// request before any answer: its endpoint, or something on the way, had let go
-// of it unseen. For a while what must not be sent twice does not go on
-// connections that have been idle. It guards as well against idle limits
-// shorter than the settings tell, and against processes replaced behind one
-// address. Where breaks have other causes it costs those requests a new
-// connection each, a few per cent of an endpoint's work.
-func (p *Pool) suspect(c *conn, sent time.Time) {
-	if c.idleSince.IsZero() || sent.Sub(c.idleSince) < restless {
+// noteStaleConn records that a connection that had been idle broke before any response to the
+// request on it: the endpoint, or a device on the way, had closed it unnoticed. For
+// stalePeriod non-idempotent requests then avoid connections that have been idle.
+func (p *Pool) noteStaleConn(c *conn, sentAt time.Time) {
+	if c.idleSince.IsZero() || sentAt.Sub(c.idleSince) < maxTrustedIdle {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.doubt = time.Now().Add(doubtTime)
+	p.staleUntil = time.Now().Add(stalePeriod)
 }
 
-// drop closes an idle connection.
-func (p *Pool) drop(c *conn) {
+// closeIdleConn closes an idle connection. p.mu must be held.
+func (p *Pool) closeIdleConn(c *conn) {
 	for i := len(c.target.idle) - 1; i >= 0; i-- {
 		if c.target.idle[i] == c {
 			c.target.idle = append(c.target.idle[:i], c.target.idle[i+1:]...)
 			break
 		}
 	}
-	p.idle.Remove(&c.place)
-	p.ended(c.target)
+	p.idle.Remove(&c.idleLink)
+	p.connClosedLocked(c.target)
 	c.Close()
 }
 
-// taken is what there is for an attempt: an idle connection, or none and the target to
-// dial, with room made for one more connection. Both are nil if there is no such endpoint
-// or no room.
-type taken struct {
-	c    *conn
-	t    *target
-	rest time.Duration // that c still needs before it is used; it may not stand any more then
+// checkoutResult is what an attempt gets from the pool: an idle connection, or only the target
+// to dial, which has been counted as open. Both are nil if the endpoint is unknown or no
+// further connection is allowed.
+type checkoutResult struct {
+	conn   *conn
+	target *target
+	wait   time.Duration // remaining reuse delay of conn; the connection may be closed meanwhile
 
-	// fresh brings another connection meanwhile, if one is dialled beside.
-	fresh <-chan *conn
+	// extra delivers another connection during the wait, if one is being dialled.
+	extra <-chan *conn
 }
 
-// take returns an idle connection to name that still stands, or what there is instead. For
-// once, see Request.
-func (p *Pool) take(name string, once bool) taken {
+// checkOut returns an idle connection to the named endpoint, which may have to wait for its
+// reuse delay, or the target to dial. A connection that can be used at once has been checked.
+func (p *Pool) checkOut(name string, nonIdempotent bool) checkoutResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.targets[name]
 	if t == nil {
-		return taken{}
+		return checkoutResult{}
 	}
 	now := time.Now()
-	p.sweep(now)
+	p.closeExpiredLocked(now)
 	if p.cfg.ReuseDelay > 0 {
-		t.use.count(now, p.idleLimit())
+		t.usage.countRequest(now, p.idleTimeout())
 	}
 	if len(t.idle) > 0 {
-		c := t.idle[0] // the one idle longest: while it rests so do all the others
-		if rest := p.rest(now) - now.Sub(c.idleSince); rest > 0 {
+		c := t.idle[0] // idle longest: all others would wait longer
+		if wait := p.reuseDelay(now) - now.Sub(c.idleSince); wait > 0 {
 			t.idle = slices.Delete(t.idle, 0, 1)
-			p.idle.Remove(&c.place)
-			return taken{c, t, rest, p.beside(t, now)}
+			p.idle.Remove(&c.idleLink)
+			return checkoutResult{c, t, wait, p.dialExtra(t, now)}
 		}
 	}
-	for least := p.rest(now); ; {
-		i := t.rested(now, least)
+	for minIdle := p.reuseDelay(now); ; {
+		i := t.reusableIndex(now, minIdle)
 		if i < 0 {
 			break
 		}
 		c := t.idle[i]
-		// One that is doubted is closed: the new one takes its place.
-		doubted := once && now.Before(p.doubt) && now.Sub(c.idleSince) >= restless
-		if doubted || !c.quiet() {
-			p.note(c)
-			p.drop(c)
-			if doubted {
+		// A suspect connection is closed and replaced by a new one.
+		maybeStale := nonIdempotent && now.Before(p.staleUntil) && now.Sub(c.idleSince) >= maxTrustedIdle
+		if maybeStale || !c.reusable() {
+			p.noteStrayData(c)
+			p.closeIdleConn(c)
+			if maybeStale {
 				break
 			}
 			continue
 		}
 		t.idle = slices.Delete(t.idle, i, i+1)
-		p.idle.Remove(&c.place)
-		return taken{c: c, t: t}
+		p.idle.Remove(&c.idleLink)
+		return checkoutResult{conn: c, target: t}
 	}
 	if p.open >= p.cfg.MaxConns {
 		oldest := p.idle.Front()
 		if oldest == nil {
-			return taken{}
+			return checkoutResult{}
 		}
-		p.drop(oldest.Of)
+		p.closeIdleConn(oldest.Of)
 	}
 	p.open++
 	t.open++
-	return taken{t: t}
+	return checkoutResult{target: t}
 }
 
-// give takes a connection back for further use; answered tells that its endpoint has just
-// answered on it.
-func (p *Pool) give(c *conn, answered bool) {
+// checkIn returns a connection for further use. responded tells that the endpoint has just
+// responded on it.
+func (p *Pool) checkIn(c *conn, responded bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if answered {
-		p.reached.note(c.target, now)
+	if responded {
+		p.contacts.record(c.target, now)
 	}
-	if c.target.gone || p.closed || p.open > p.cfg.MaxConns {
-		p.ended(c.target)
+	if c.target.removed || p.closed || p.open > p.cfg.MaxConns {
+		p.connClosedLocked(c.target)
 		c.Close()
 		return
 	}
 	c.idleSince = now
-	p.idle.PushBack(&c.place)
+	p.idle.PushBack(&c.idleLink)
 	c.target.idle = append(c.target.idle, c)
 }
 
-// lose closes a connection that cannot be used again. What it has brought behind a sound
-// answer counts as stray.
-func (p *Pool) lose(c *conn, sound bool) {
+// closeConn closes a connection that cannot be reused. If its response was valid, data after
+// the response counts as stray.
+func (p *Pool) closeConn(c *conn, valid bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if sound {
-		p.note(c)
+	if valid {
+		p.noteStrayData(c)
 	}
 	c.Close()
-	p.ended(c.target)
+	p.connClosedLocked(c.target)
 }
 
-// forget books that a connection to t, or the dialling of one, has ended.
-func (p *Pool) forget(t *target) {
+// connClosed records that a connection to t, or the dialling of one, has ended.
+func (p *Pool) connClosed(t *target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended(t)
+	p.connClosedLocked(t)
 }
 
-// ended is forget with the mutex held.
-func (p *Pool) ended(t *target) {
+// connClosedLocked is connClosed with p.mu held.
+func (p *Pool) connClosedLocked(t *target) {
 	p.open--
 	t.open--
 }
 
-// Close closes the idle connections; those in use close when they are done.
+// Close closes the idle connections. Those in use are closed when their attempts end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -431,11 +421,11 @@
 	p.CloseIdle()
 }
 
-// CloseIdle closes the connections that no attempt is out on.
+// CloseIdle closes the connections that no attempt uses.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for e := p.idle.Front(); e != nil; e = p.idle.Front() {
-		p.drop(e.Of)
+		p.closeIdleConn(e.Of)
 	}
 }
