--- a/internal/daemon/accept_test.go
+++ b/internal/daemon/accept_test.go
@@ -11,12 +11,12 @@
 
 // A listener of the program stands after each error that an accept can fail with.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
-	callers := httpfront.NewCallers(nil, 8, httpfront.Times{})
+	callers := httpfront.NewServer(nil, 8, httpfront.Timeouts{})
 	open := func(n int) {
 		t.Helper()
-		for end := time.Now().Add(patience); callers.Open() != n; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patience); callers.OpenConns() != n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d connections, want %d", callers.Open(), n)
+				t.Fatalf("%d connections, want %d", callers.OpenConns(), n)
 			}
 		}
 	}
--- a/internal/daemon/apply.go
+++ b/internal/daemon/apply.go
@@ -84,9 +84,9 @@
 // end, takes over its door: there is no moment without one.
 func (p *plan) open(c *config.Listener, t *httpfront.Table) error {
 	l := &listener{cfg: *c}
-	l.judge = httpfront.NewRouted(t, c.Form == config.Strict, c.ClassHeader, p.d.keys, p.d.ids)
-	l.callers = httpfront.NewCallers(l.judge, c.Connections, httpfront.Times{Hello: c.Hello, Request: c.Request, Idle: c.Idle})
-	l.callers.Remote = c.Form == config.Ordinary
+	l.judge = httpfront.NewTableRouter(t, c.Form == config.Strict, c.ClassHeader, p.d.keys, p.d.ids)
+	l.callers = httpfront.NewServer(l.judge, c.Connections, httpfront.Timeouts{Hello: c.Hello, Request: c.Request, Idle: c.Idle})
+	l.callers.ForwardCallerIP = c.Form == config.Ordinary
 	if old := p.holds(c); old != nil {
 		l.door, l.takesOver = old.door, true
 	} else {
@@ -243,9 +243,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("listeners.%s: %w", name, err)
 	}
-	t := &httpfront.Table{Routes: routes, Named: map[string]bool{}, Pool: p.d.Pool}
+	t := &httpfront.Table{Routes: routes, ClassNames: map[string]bool{}, FindPool: p.d.Pool}
 	for i := range p.cfg.Classes {
-		t.Named[p.cfg.Classes[i].Name] = true
+		t.ClassNames[p.cfg.Classes[i].Name] = true
 	}
 	named := map[string]map[string]*httpfront.Class{} // by pool
 	for _, r := range p.cfg.Routes {
@@ -264,10 +264,10 @@
 			}
 		}
 		t.Targets = append(t.Targets, httpfront.Target{
-			Pool:    s.pool,
-			Class:   named[r.Pool][r.Class],
-			Named:   named[r.Pool],
-			MaxBody: p.poolConfig(r.Pool).MaxBody,
+			Pool:        s.pool,
+			Class:       named[r.Pool][r.Class],
+			ClassByName: named[r.Pool],
+			MaxBody:     p.poolConfig(r.Pool).MaxBody,
 		})
 	}
 	return t, nil
@@ -298,8 +298,8 @@
 		return c, nil
 	}
 	def := p.cfg.Class(name)
-	c := &httpfront.Class{Name: name, ByMethod: def.ByMethod, Forms: forms(def)}
-	for i, form := range c.Forms {
+	c := &httpfront.Class{Name: name, ByMethod: def.ByMethod, Variants: forms(def)}
+	for i, form := range c.Variants {
 		var err error
 		if c.Numbers[i], err = to.Class(form); err != nil {
 			return nil, fmt.Errorf("classes.%s: %w", name, err)
@@ -314,18 +314,18 @@
 // table leads there: whoever meets a retired pool finds the new table.
 func (p *plan) commit() []string {
 	d, span := p.d, keySpan(p.cfg)
-	d.keys.SetSpan(span)
-	d.ids.SetLongest(p.cfg.LongestDeadline())
+	d.keys.SetRetention(span)
+	d.ids.SetLongestDeadline(p.cfg.LongestDeadline())
 	left := p.commitServices(time.Now().Add(span))
 	for i := range p.cfg.Listeners {
 		c := &p.cfg.Listeners[i]
 		if l := d.listeners[c.Name]; l != nil && sameListener(&l.cfg, c) {
 			if l.cfg.Connections != c.Connections {
 				p.say("listener %s: %d connections, had %d", c.Name, c.Connections, l.cfg.Connections)
-				l.callers.Limit(c.Connections)
+				l.callers.SetMaxConns(c.Connections)
 			}
 			l.cfg = *c
-			l.judge.Set(p.tables[c.Name], span)
+			l.judge.SetTable(p.tables[c.Name], span)
 		}
 	}
 	p.commitListeners()
@@ -433,7 +433,7 @@
 		p.say("listener %s: %s is let go of", name, old.cfg.Address)
 		if t := p.tables[name]; t != nil { // in another form
 			last := *t
-			old.judge.Set(&last, keySpan(p.cfg)) // for the last requests that come there
+			old.judge.SetTable(&last, keySpan(p.cfg)) // for the last requests that come there
 		}
 		go old.callers.Drain(time.Now().Add(d.cfg.LongestDeadline() + time.Minute))
 	}
--- a/internal/daemon/close_test.go
+++ b/internal/daemon/close_test.go
@@ -50,7 +50,7 @@
 			eventually(t, "all are there", func() bool {
 				d.mu.Lock()
 				defer d.mu.Unlock()
-				return d.listeners["inner"].callers.Open() == 4
+				return d.listeners["inner"].callers.OpenConns() == 4
 			})
 			if next != "" {
 				next = fmt.Sprintf(next, addr)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,8 +25,8 @@
 type Daemon struct {
 	ctx    context.Context // ends what works in the background
 	cancel context.CancelFunc
-	keys   *httpfront.Keys
-	ids    *httpfront.IDs
+	keys   *httpfront.KeyBindings
+	ids    *httpfront.SeenIDs
 
 	mu        sync.Mutex
 	cfg       *config.Product // the one in force
@@ -52,8 +52,8 @@
 type listener struct {
 	cfg     config.Listener
 	door    *door
-	judge   *httpfront.Routed
-	callers *httpfront.Callers
+	judge   *httpfront.TableRouter
+	callers *httpfront.Server
 
 	takesOver bool // the door of the listener that had its address
 }
@@ -64,8 +64,8 @@
 	d := &Daemon{
 		ctx:       ctx,
 		cancel:    cancel,
-		keys:      httpfront.NewKeys(keySpan(cfg)),
-		ids:       httpfront.NewIDs(cfg.LongestDeadline()),
+		keys:      httpfront.NewKeyBindings(keySpan(cfg)),
+		ids:       httpfront.NewSeenIDs(cfg.LongestDeadline()),
 		cfg:       &config.Product{},
 		services:  map[string]*service{},
 		listeners: map[string]*listener{},
@@ -211,8 +211,8 @@
 	listeners := slices.Collect(maps.Values(d.listeners))
 	d.mu.Unlock()
 	for _, l := range listeners {
-		l.judge.Drain()
-		l.callers.Bound(deadline.Add(-answerMargin))
+		l.judge.MarkDraining()
+		l.callers.SetResponseDeadline(deadline.Add(-answerMargin))
 	}
 	time.Sleep(min(coming, time.Until(deadline)))
 	var wg sync.WaitGroup
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -21,10 +21,10 @@
 	l net.Listener
 
 	mu sync.Mutex
-	to *httpfront.Callers
+	to *httpfront.Server
 }
 
-func newDoor(addr string, to *httpfront.Callers) (*door, error) {
+func newDoor(addr string, to *httpfront.Server) (*door, error) {
 	l, err := listen(addr)
 	if err != nil {
 		return nil, err
@@ -42,11 +42,11 @@
 func (d *door) take(nc net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.to.Take(nc)
+	d.to.HandleConn(nc)
 }
 
 // leadTo makes all connections from now on go to cs.
-func (d *door) leadTo(cs *httpfront.Callers) {
+func (d *door) leadTo(cs *httpfront.Server) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.to = cs
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -18,21 +18,21 @@
 // MaxHead is the size that a reader given to Peek should have: the longest
 // head. Heads of the protocol have some hundred bytes; every connection holds
 // one such buffer, so it is kept near to them.
-const MaxHead = 8 << 10
+const MaxHeadBytes = 8 << 10
 
 // maxDigits bounds a Content-Length, so that it fits 63 bits.
 const maxDigits = 18
 
 // ErrLong tells of a head that does not fit the reader.
-var ErrLong = errors.New("head is too long")
+var ErrHeadTooLong = errors.New("head is too long")
 
 // Peek waits until br holds a whole head and returns it unread.
-func Peek(br *bufio.Reader) ([]byte, error) {
+func PeekHead(br *bufio.Reader) ([]byte, error) {
 	from := 0 // where the end may begin
 	for n := 1; ; {
 		_, err := br.Peek(n)
 		if errors.Is(err, bufio.ErrBufferFull) {
-			return nil, ErrLong
+			return nil, ErrHeadTooLong
 		}
 		if err != nil {
 			if err == io.EOF && br.Buffered() > 0 {
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -45,7 +45,7 @@
 func TestPeek(t *testing.T) {
 	read := func(text string, size int) (string, *bufio.Reader, error) {
 		br := bufio.NewReaderSize(io.MultiReader(strings.NewReader(text[:len(text)/2]), strings.NewReader(text[len(text)/2:])), size)
-		head, err := Peek(br)
+		head, err := PeekHead(br)
 		return string(head), br, err
 	}
 	head, br, err := read("A\r\nB: c\r\n\r\nbody", 64)
@@ -55,7 +55,7 @@
 	if all, _ := io.ReadAll(br); string(all) != "A\r\nB: c\r\n\r\nbody" {
 		t.Errorf("Peek took bytes away: left is %q", all)
 	}
-	if _, _, err := read(strings.Repeat("p", 64), 32); !errors.Is(err, ErrLong) {
+	if _, _, err := read(strings.Repeat("p", 64), 32); !errors.Is(err, ErrHeadTooLong) {
 		t.Errorf("a head without end: %v, want ErrLong", err)
 	}
 	if _, _, err := read("half a he", 32); !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/framing/head.go
+++ b/internal/framing/head.go
@@ -29,7 +29,7 @@
 	Chunked bool
 	// Close tells that the connection ends with this message, by its word or
 	// by its version. Told is that it says so itself.
-	Close, Told bool
+	Close, ExplicitClose bool
 }
 
 // Field is one line of a head.
@@ -37,7 +37,7 @@
 	Name, Value string
 	// Hop tells that it concerns this connection only or is written anew on the
 	// next one: it is not passed on (RFC 9110, section 7.6.1).
-	Hop bool
+	HopByHop bool
 }
 
 // Fields are the lines of a head in their order.
@@ -46,12 +46,12 @@
 // Get is the value of the first field of a name, in whatever case; "" if there
 // is none.
 func (fs Fields) Get(name string) string {
-	v, _ := fs.Find(name)
+	v, _ := fs.Lookup(name)
 	return v
 }
 
 // Find is Get, and tells how many fields of the name there are.
-func (fs Fields) Find(name string) (value string, n int) {
+func (fs Fields) Lookup(name string) (value string, n int) {
 	for i := range fs {
 		if len(fs[i].Name) == len(name) && strings.EqualFold(fs[i].Name, name) {
 			if n++; n == 1 {
@@ -63,9 +63,9 @@
 }
 
 // Append appends those that are passed on, as lines.
-func (fs Fields) Append(b []byte) []byte {
+func (fs Fields) AppendForwarded(b []byte) []byte {
 	for i := range fs {
-		if !fs[i].Hop {
+		if !fs[i].HopByHop {
 			b = append(b, fs[i].Name...)
 			b = append(b, ": "...)
 			b = append(b, fs[i].Value...)
@@ -224,7 +224,7 @@
 				h.Chunked = true
 			}
 		}
-		f.Hop = isHop(name)
+		f.HopByHop = isHop(name)
 		h.Fields = append(h.Fields, f)
 	}
 	switch {
@@ -235,7 +235,7 @@
 	case codings > 0 && h.Minor == 0:
 		return errors.New("Transfer-Encoding in HTTP/1.0") // section 6.1
 	}
-	h.Told, h.Close = told, told || h.Minor == 0 && !keep
+	h.ExplicitClose, h.Close = told, told || h.Minor == 0 && !keep
 	if names {
 		h.markNamed()
 	}
@@ -245,14 +245,14 @@
 // markNamed marks the fields that the Connection field names.
 func (h *Head) markNamed() {
 	for _, f := range h.Fields {
-		if !f.Hop || !strings.EqualFold(f.Name, "Connection") {
+		if !f.HopByHop || !strings.EqualFold(f.Name, "Connection") {
 			continue
 		}
 		for option := range strings.SplitSeq(f.Value, ",") {
 			option = strings.Trim(option, " \t")
 			for i := range h.Fields {
 				if strings.EqualFold(h.Fields[i].Name, option) {
-					h.Fields[i].Hop = true
+					h.Fields[i].HopByHop = true
 				}
 			}
 		}
--- a/internal/framing/head_test.go
+++ b/internal/framing/head_test.go
@@ -71,7 +71,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		raw, err := Peek(bufio.NewReaderSize(bytes.NewReader(text), MaxHead))
+		raw, err := PeekHead(bufio.NewReaderSize(bytes.NewReader(text), MaxHeadBytes))
 		if err != nil {
 			return
 		}
@@ -83,7 +83,7 @@
 		if err != nil || h.Method == http.MethodConnect { // neither is passed on
 			return
 		}
-		req, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(raw), MaxHead))
+		req, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(raw), MaxHeadBytes))
 		if err != nil {
 			t.Fatalf("%q was taken, and net/http says: %v", raw, err)
 		}
@@ -96,12 +96,12 @@
 		if why := same(h, req.Header, req.ContentLength, req.TransferEncoding); why != "" {
 			t.Fatalf("%q: %s", raw, why)
 		}
-		on := h.Fields.Append([]byte(h.Method + " " + h.Target + " HTTP/1.1\r\nHost: " + h.Host + "\r\n"))
+		on := h.Fields.AppendForwarded([]byte(h.Method + " " + h.Target + " HTTP/1.1\r\nHost: " + h.Host + "\r\n"))
 		again, err := parse(append(on, "\r\n"...))
 		if err != nil {
 			t.Fatalf("%q was sent on as %q: %v", raw, on, err)
 		}
-		kept := slices.DeleteFunc(slices.Clone(h.Fields), func(f Field) bool { return f.Hop })
+		kept := slices.DeleteFunc(slices.Clone(h.Fields), func(f Field) bool { return f.HopByHop })
 		if again.Target != h.Target || again.Host != h.Host || again.Length != 0 || again.Chunked || !slices.Equal(linesOf(kept), linesOf(again.Fields)) {
 			t.Fatalf("%q was sent on as %q", raw, on)
 		}
@@ -117,7 +117,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		raw, err := Peek(bufio.NewReaderSize(bytes.NewReader(text), MaxHead))
+		raw, err := PeekHead(bufio.NewReaderSize(bytes.NewReader(text), MaxHeadBytes))
 		if err != nil {
 			return
 		}
@@ -126,7 +126,7 @@
 		if err != nil || h.Status < 200 || h.Status == 204 || h.Status == 304 {
 			return // without a body, and without a length as net/http has it
 		}
-		resp, err := http.ReadResponse(bufio.NewReaderSize(bytes.NewReader(raw), MaxHead), nil)
+		resp, err := http.ReadResponse(bufio.NewReaderSize(bytes.NewReader(raw), MaxHeadBytes), nil)
 		if err != nil {
 			t.Fatalf("%q was taken, and net/http says: %v", raw, err)
 		}
@@ -149,10 +149,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := string(h.Fields.Append(nil)); got != "X-A: 1\r\nx-a: 4\r\n" {
+	if got := string(h.Fields.AppendForwarded(nil)); got != "X-A: 1\r\nx-a: 4\r\n" {
 		t.Errorf("goes on: %q", got)
 	}
-	if v, n := h.Fields.Find("X-a"); v != "1" || n != 2 || !h.Close || !h.Told {
+	if v, n := h.Fields.Lookup("X-a"); v != "1" || n != 2 || !h.Close || !h.ExplicitClose {
 		t.Errorf("%q, %d of them; %+v", v, n, h)
 	}
 }
@@ -183,7 +183,7 @@
 		{"\r\nrest", true}, {"A: b\r\nC: d\r\n\r\nrest", true}, {"\nrest", false}, {"no field\r\n\r\nrest", false}, {"A: b\r\n", false}, {"", false},
 		{strings.Repeat("A: "+strings.Repeat("b", 1000)+"\r\n", 20) + "\r\nrest", false},
 	} {
-		br := bufio.NewReaderSize(strings.NewReader(c.text), MaxHead)
+		br := bufio.NewReaderSize(strings.NewReader(c.text), MaxHeadBytes)
 		err := SkipTrailers(br)
 		rest, _ := io.ReadAll(br)
 		if (err == nil) != c.ok || c.ok && string(rest) != "rest" {
--- a/internal/front/http/accept_test.go
+++ b/internal/front/http/accept_test.go
@@ -10,7 +10,7 @@
 
 // A client's connection is taken after each error that an accept can fail with.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
-	callers := NewCallers(nil, 8, Times{})
+	callers := NewServer(nil, 8, Timeouts{})
 	for _, errno := range standin.AcceptErrors {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -23,12 +23,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, "a connection after "+errno.Error(), func() bool { return callers.Open() == 1 })
+		eventually(t, "a connection after "+errno.Error(), func() bool { return callers.OpenConns() == 1 })
 		c.Close()
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || l.Failed() != 1 {
 			t.Errorf("%v: ended by %v, %d accepts failed, want the close, 1", errno, err, l.Failed())
 		}
-		eventually(t, "its end", func() bool { return callers.Open() == 0 })
+		eventually(t, "its end", func() bool { return callers.OpenConns() == 0 })
 	}
 }
--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -66,7 +66,7 @@
 				length = n
 			}
 		}
-		head = a.up.Fields.Append(head)
+		head = a.up.Fields.AppendForwarded(head)
 	} else if a.text != "" {
 		head = append(head, "Content-Type: text/plain; charset=utf-8\r\n"...)
 	}
--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -24,7 +24,7 @@
 
 // Times bound how long a connection may do nothing. The zero value has the
 // platform's.
-type Times struct {
+type Timeouts struct {
 	// Hello is how long a connection may stand before its first request; who
 	// says nothing is owed a close within 3 s. 2 s by default.
 	Hello time.Duration
@@ -45,8 +45,8 @@
 	idleTime    = 10 * time.Second
 )
 
-func (t Times) orDefault() Times {
-	return Times{Hello: cmp.Or(t.Hello, helloTime), Request: cmp.Or(t.Request, requestTime), Idle: cmp.Or(t.Idle, idleTime)}
+func (t Timeouts) orDefault() Timeouts {
+	return Timeouts{Hello: cmp.Or(t.Hello, helloTime), Request: cmp.Or(t.Request, requestTime), Idle: cmp.Or(t.Idle, idleTime)}
 }
 
 const (
@@ -79,7 +79,7 @@
 
 // caller is one connection of a caller.
 type caller struct {
-	callers *Callers
+	callers *Server
 	conn    net.Conn
 	intake  intake        // reads from conn
 	in      *bufio.Reader // reads from intake
@@ -89,7 +89,7 @@
 	asked   chan struct{} // told when the place is needed, so that a pause ends
 	rejects int           // in a row
 	resumed bool          // it was another process's, and has brought requests there
-	pass    Pass          // that of the Callers at the last move
+	pass    Handover      // that of the Callers at the last move
 	req     Request       // the one that is being read or is out
 
 	// Of the request that was read last.
@@ -116,16 +116,16 @@
 	settled chan struct{}
 }
 
-func newCaller(cs *Callers, nc net.Conn) *caller {
+func newCaller(cs *Server, nc net.Conn) *caller {
 	if tc, ok := nc.(*net.TCPConn); ok {
 		tc.SetReadBuffer(callerBuffer)
 	}
 	remote := ""
-	if cs.Remote {
+	if cs.ForwardCallerIP {
 		remote, _, _ = net.SplitHostPort(nc.RemoteAddr().String())
 	}
 	c := &caller{
-		req:     Request{Remote: remote},
+		req:     Request{CallerIP: remote},
 		callers: cs,
 		conn:    nc,
 		look:    sock.NewPeeker(nc),
@@ -136,7 +136,7 @@
 		reply:   make(chan pool.Answer, 1),
 	}
 	c.intake.conn = nc
-	c.in = bufio.NewReaderSize(&c.intake, framing.MaxHead)
+	c.in = bufio.NewReaderSize(&c.intake, framing.MaxHeadBytes)
 	c.place.Of = c
 	c.watch = time.AfterFunc(time.Hour, c.watchOut)
 	c.watch.Stop()
@@ -247,10 +247,10 @@
 func (c *caller) one(end time.Time) (served, goesOn bool) {
 	c.move(reading, end)
 	c.sent = false
-	head, err := framing.Peek(c.in)
+	head, err := framing.PeekHead(c.in)
 	if err != nil {
 		switch {
-		case errors.Is(err, framing.ErrLong):
+		case errors.Is(err, framing.ErrHeadTooLong):
 			c.reject(http.StatusRequestHeaderFieldsTooLarge, err)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.reject(http.StatusRequestTimeout, errors.New("the head did not come in time"))
@@ -271,9 +271,9 @@
 	}
 	j := c.callers.judge
 	if path == readyPath && req.Length == 0 {
-		return false, c.give(req, answer{status: j.Ready()}, true)
+		return false, c.give(req, answer{status: j.ReadyStatus()}, true)
 	}
-	p, wrong := j.Judge(req)
+	p, wrong := j.Route(req)
 	if wrong != nil {
 		return false, c.turnAway(req, wrong.Status, wrong.Err)
 	}
@@ -568,8 +568,8 @@
 			Class:  p.Class,
 			Tenant: p.Tenant,
 			Budget: c.callers.left(p.Budget),
-			Again:  p.Again,
-			Out:    p.Out,
+			Again:  p.Repeat,
+			Out:    p.Upstream,
 			Name:   p.id,
 			Reply:  c.reply,
 			Caller: c,
--- a/internal/front/http/caller_test.go
+++ b/internal/front/http/caller_test.go
@@ -19,8 +19,8 @@
 // rig is a sidecar between a test's callers and one endpoint of its own.
 type rig struct {
 	*pool.Pool
-	judge    *Platform
-	callers  *Callers
+	judge    *PlatformRouter
+	callers  *Server
 	addr     string
 	requests atomic.Int64 // that reached the endpoint
 	hold     chan struct{}
@@ -69,8 +69,8 @@
 		}
 	}
 	r.Pool = newPool(t, cfg)
-	r.judge = NewPlatform(r.Pool, testForm(cfg))
-	r.callers = NewCallers(r.judge, most, Times{})
+	r.judge = NewPlatformRouter(r.Pool, testForm(cfg))
+	r.callers = NewServer(r.judge, most, Timeouts{})
 	l := listen()
 	r.addr = l.Addr().String()
 	go r.callers.Serve(l)
@@ -260,7 +260,7 @@
 }
 
 func TestSeenIDsForget(t *testing.T) {
-	s := IDs{span: time.Second}
+	s := SeenIDs{span: time.Second}
 	for i := range 5 * seenMost {
 		if !s.add(fmt.Sprint(i), 0) {
 			t.Fatalf("id %d taken for one seen", i)
@@ -351,7 +351,7 @@
 	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
 	done := make(chan struct{})
 	go func() {
-		r.judge.Drain()
+		r.judge.MarkDraining()
 		r.callers.Drain(time.Now().Add(patience))
 		close(done)
 	}()
--- a/internal/front/http/callers.go
+++ b/internal/front/http/callers.go
@@ -22,11 +22,11 @@
 // against running out of descriptors, which would keep requests that were
 // taken from reaching an endpoint, and against whoever takes connections and
 // does nothing with them, for whatever reason.
-type Callers struct {
-	Remote bool // requests are judged with their callers' address
+type Server struct {
+	ForwardCallerIP bool // requests are judged with their callers' address
 
-	judge Judge
-	times Times
+	judge Router
+	times Timeouts
 
 	mu      sync.Mutex
 	max     int
@@ -34,7 +34,7 @@
 	places  [states]ring.List[*caller] // the one longest in that state in front
 	closing bool                       // connections end once no request is open on them
 	ebbing  bool                       // so do those that have brought a request, for now
-	pass    Pass                       // takes connections on which no request is open; nil for none
+	pass    Handover                   // takes connections on which no request is open; nil for none
 	last    time.Time                  // answers are given by then; zero for no bound
 	cut     bool                       // no request is read any more
 	empty   chan struct{}              // told when closing and nothing is open
@@ -56,33 +56,33 @@
 
 // NewCallers returns Callers that hold at most so many connections, whose
 // requests judge assigns.
-func NewCallers(judge Judge, most int, times Times) *Callers {
-	return &Callers{judge: judge, max: most, times: times.orDefault(), empty: make(chan struct{}, 1)}
+func NewServer(judge Router, most int, times Timeouts) *Server {
+	return &Server{judge: judge, max: most, times: times.orDefault(), empty: make(chan struct{}, 1)}
 }
 
 // Limit changes how many connections there may be. Those over a lower bound
 // give way as new ones come.
-func (cs *Callers) Limit(most int) {
+func (cs *Server) SetMaxConns(most int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.max = most
 }
 
 // Open is how many connections there are.
-func (cs *Callers) Open() int {
+func (cs *Server) OpenConns() int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return cs.open
 }
 
 // Serve takes connections from l until it is closed.
-func (cs *Callers) Serve(l net.Listener) error { return Accept(l, cs.Take) }
+func (cs *Server) Serve(l net.Listener) error { return Accept(l, cs.HandleConn) }
 
 // Accept hands each connection that comes to l to take, until l is closed.
 func Accept(l net.Listener, take func(net.Conn)) error { return acceptloop.Serve(l, take) }
 
 // Take takes one connection and serves it.
-func (cs *Callers) Take(nc net.Conn) {
+func (cs *Server) HandleConn(nc net.Conn) {
 	if c := cs.admit(nc, nil); c != nil {
 		go c.serve()
 	}
@@ -94,7 +94,7 @@
 // admit books a new connection, of which ahead has been read already, or shuts it and
 // returns nil. Another one that gives way for it is ended by its own goroutine, which
 // alone knows what it has read: a request that has come meanwhile is served or told off.
-func (cs *Callers) admit(nc net.Conn, ahead []byte) *caller {
+func (cs *Server) admit(nc net.Conn, ahead []byte) *caller {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for cs.open >= cs.max {
@@ -121,7 +121,7 @@
 
 // victim is the connection to give up, or nil; the mutex is held. One on which a request
 // has come that nobody has read yet is none, unless it has had its last answer.
-func (cs *Callers) victim() *caller {
+func (cs *Server) victim() *caller {
 	for st := range taken {
 		for e := cs.places[st].Front(); e != nil; e = cs.places[st].Next(e) {
 			if !e.Of.hurried && (st == rejected || st == reading || !sock.HasPendingData(e.Of.conn)) {
@@ -165,7 +165,7 @@
 // Drain lets go of all connections as soon as no request is open on them, and
 // waits until none is left. What is still taken is answered by last. New ones go on
 // being taken; once no more can come, Drain again tells that the last has gone.
-func (cs *Callers) Drain(last time.Time) {
+func (cs *Server) Drain(last time.Time) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.closing = true
@@ -191,7 +191,7 @@
 // Ebb makes connections that have brought a request end once none is open on
 // them, or takes that back. New ones go on being taken, and one that only asks
 // whether the sidecar is ready is answered.
-func (cs *Callers) Ebb(on bool) {
+func (cs *Server) SetCloseIdle(on bool) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.ebbing = on
@@ -202,14 +202,14 @@
 
 // wake makes the connections in a state look what has come already and end; the
 // mutex is held.
-func (cs *Callers) wake(st state) {
+func (cs *Server) wake(st state) {
 	for e := cs.places[st].Front(); e != nil; e = cs.places[st].Next(e) {
 		e.Of.conn.SetReadDeadline(past)
 	}
 }
 
 // ends tells whether connections in a state are to end; the mutex is held.
-func (cs *Callers) ends(st state) bool {
+func (cs *Server) ends(st state) bool {
 	if cs.pass != nil {
 		return false
 	}
@@ -217,11 +217,11 @@
 }
 
 // Pass takes a caller's connection over, and what has been read of it already.
-type Pass func(c net.Conn, ahead []byte) error
+type Handover func(c net.Conn, ahead []byte) error
 
 // PassOn makes each connection go to pass as soon as no request is open on it.
 // What pass does not take stays as it is, and so do all if pass is nil.
-func (cs *Callers) PassOn(pass Pass) {
+func (cs *Server) SetHandover(pass Handover) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.pass = pass
@@ -240,14 +240,14 @@
 	ahead, _ := c.in.Peek(c.in.Buffered())
 	if err := c.pass(c.conn, ahead); err != nil {
 		slog.Warn("callers stay, as they are not taken over", "error", err)
-		c.callers.PassOn(nil)
+		c.callers.SetHandover(nil)
 		return false
 	}
 	return true
 }
 
 // Resume serves a connection that another Callers has passed on.
-func (cs *Callers) Resume(nc net.Conn, ahead []byte) {
+func (cs *Server) Resume(nc net.Conn, ahead []byte) {
 	if c := cs.admit(nc, ahead); c != nil {
 		if len(ahead) > 0 {
 			c.in.Reset(io.MultiReader(bytes.NewReader(ahead), &c.intake))
@@ -258,14 +258,14 @@
 }
 
 // Bound makes all that is taken from now on end by last.
-func (cs *Callers) Bound(last time.Time) {
+func (cs *Server) SetResponseDeadline(last time.Time) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.last = last
 }
 
 // left is how much of budget there is until the bound, if one is set.
-func (cs *Callers) left(budget time.Duration) time.Duration {
+func (cs *Server) left(budget time.Duration) time.Duration {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if cs.last.IsZero() {
@@ -345,7 +345,7 @@
 
 // Cut ends the reading of requests: what has not come whole by now is told so, and the
 // kernel keeps nothing of it unanswered. Who has had its last answer is not read on.
-func (cs *Callers) Cut() {
+func (cs *Server) StopReading() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.cut = true
@@ -384,7 +384,7 @@
 
 // tellEmpty tells who waits for the end that there is none left; the mutex is
 // held.
-func (cs *Callers) tellEmpty() {
+func (cs *Server) tellEmpty() {
 	if !cs.closing || cs.open > 0 {
 		return
 	}
--- a/internal/front/http/close_test.go
+++ b/internal/front/http/close_test.go
@@ -129,15 +129,15 @@
 		"the end as it has been read": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
 			conn, free := r.readAndHeld(t, 1)
-			r.callers.Bound(time.Now())
-			r.callers.Cut()
+			r.callers.SetResponseDeadline(time.Now())
+			r.callers.StopReading()
 			free()
 			return conn, 503
 		},
 		"a handover as it has been read": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
 			conn, free := r.readAndHeld(t, 2)
-			r.callers.PassOn(func(_ net.Conn, ahead []byte) error {
+			r.callers.SetHandover(func(_ net.Conn, ahead []byte) error {
 				if len(ahead) > 0 {
 					t.Errorf("passed on with %d bytes that have been read", len(ahead))
 				}
@@ -148,7 +148,7 @@
 		},
 		"its wait ends as it has been read": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			r.callers.times = Times{Hello: some / 2, Request: requestTime, Idle: some / 2}
+			r.callers.times = Timeouts{Hello: some / 2, Request: requestTime, Idle: some / 2}
 			conn, free := r.readAndHeld(t, 2)
 			time.Sleep(some)
 			free()
@@ -238,7 +238,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.callers.Take(here)
+	r.callers.HandleConn(here)
 	return c
 }
 
@@ -253,9 +253,9 @@
 // faultyJudge fails on every request.
 type faultyJudge struct{}
 
-func (faultyJudge) Ready() int { return 200 }
+func (faultyJudge) ReadyStatus() int { return 200 }
 
-func (faultyJudge) Judge(*Request) (*Plan, *Rejection) { panic("a planted fault") }
+func (faultyJudge) Route(*Request) (*Plan, *Rejection) { panic("a planted fault") }
 
 // faultyWriter fails on the first write.
 type faultyWriter struct {
--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/crossing_test.go
@@ -48,7 +48,7 @@
 func (r *rig) join(t *testing.T, wrap func(net.Conn) net.Conn) net.Conn {
 	t.Helper()
 	c, there := connected(t)
-	r.callers.Take(wrap(there))
+	r.callers.HandleConn(wrap(there))
 	return c
 }
 
@@ -126,16 +126,16 @@
 
 // slowJudge judges once it is let.
 type slowJudge struct {
-	of           Judge
+	of           Router
 	judging, let chan struct{}
 }
 
-func (j slowJudge) Ready() int { return j.of.Ready() }
+func (j slowJudge) ReadyStatus() int { return j.of.ReadyStatus() }
 
-func (j slowJudge) Judge(req *Request) (*Plan, *Rejection) {
+func (j slowJudge) Route(req *Request) (*Plan, *Rejection) {
 	close(j.judging)
 	<-j.let
-	return j.of.Judge(req)
+	return j.of.Route(req)
 }
 
 // The end of the process finds a request whose last byte has come and was not read, and
@@ -156,7 +156,7 @@
 		return sock.HasPendingData(g.TCPConn) && r.callers.places[reading].Len() == 3
 	})
 	began := time.Now()
-	r.callers.Cut()
+	r.callers.StopReading()
 	close(g.gate)
 	for name, c := range map[string]net.Conn{"a whole one": whole, "half a head": half, "half a body": body} {
 		if status, _, err := get(bufio.NewReader(c)); status != 408 {
@@ -187,7 +187,7 @@
 		}
 	}()
 	r.callers.Drain(time.Now().Add(patience))
-	if n := r.callers.Open(); n > 0 {
+	if n := r.callers.OpenConns(); n > 0 {
 		t.Errorf("%d connections are open after a drain", n)
 	}
 	select {
@@ -208,11 +208,11 @@
 			t.Fatalf("answered %d, %v, want 200", status, err)
 		}
 	}
-	r.callers.PassOn(func(net.Conn, []byte) error { return errors.New("nobody there") })
+	r.callers.SetHandover(func(net.Conn, []byte) error { return errors.New("nobody there") })
 	began := time.Now()
 	r.callers.Drain(time.Now().Add(patience))
-	if took := time.Since(began); took > idleTime/2 || r.callers.Open() > 0 {
-		t.Errorf("%d connections open after %v", r.callers.Open(), took)
+	if took := time.Since(began); took > idleTime/2 || r.callers.OpenConns() > 0 {
+		t.Errorf("%d connections open after %v", r.callers.OpenConns(), took)
 	}
 }
 
@@ -230,7 +230,7 @@
 		class.Deadline = 10 * time.Millisecond
 		form.Classes[name] = class
 	}
-	r.judge.Set(form)
+	r.judge.SetConfig(form)
 	for range 3 { // other ids, each more than two of the new deadlines later
 		time.Sleep(30 * time.Millisecond)
 		other := r.dial(t)
--- a/internal/front/http/gone_test.go
+++ b/internal/front/http/gone_test.go
@@ -167,7 +167,7 @@
 	if resume {
 		d.callers.Resume(wrap(there), []byte(ahead))
 	} else {
-		d.callers.Take(wrap(there))
+		d.callers.HandleConn(wrap(there))
 	}
 	return c
 }
@@ -324,9 +324,9 @@
 				t.Fatal(err)
 			}
 			defer here.Close()
-			k := newCaller(NewCallers(nil, 1, Times{}), here)
+			k := newCaller(NewServer(nil, 1, Timeouts{}), here)
 			fmt.Fprintf(there, "POST /pay HTTP/1.1\r\nHost: x\r\n%s\r\n\r\n%s%s", c.coding, c.text, c.behind)
-			head, err := framing.Peek(k.in)
+			head, err := framing.PeekHead(k.in)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/front/http/judge.go
+++ b/internal/front/http/judge.go
@@ -9,29 +9,29 @@
 )
 
 // Judge says what a request is and which pool it belongs to.
-type Judge interface {
+type Router interface {
 	// Judge reads the head of a request. The Plan is nil if there is none, and
 	// the Rejection is nil if there is one. Neither has reached a pool.
-	Judge(req *Request) (*Plan, *Rejection)
+	Route(req *Request) (*Plan, *Rejection)
 	// Ready is the status that tells whether callers may be sent here.
-	Ready() int
+	ReadyStatus() int
 }
 
 // Request is the head of a request, and whose it is.
 type Request struct {
 	framing.Head
-	Remote string // the caller's address, if that is told on
+	CallerIP string // the caller's address, if that is told on
 }
 
 // Plan is how a request is to be served.
 type Plan struct {
-	Pool    *pool.Pool
-	Class   int // the pool's number of it
-	Tenant  int // -1 for none
-	Budget  time.Duration
-	MaxBody int64            // bytes
-	Out     upstream.Request // all but the body
-	Again   bool             // may be a repeat of one that the pool has had
+	Pool     *pool.Pool
+	Class    int // the pool's number of it
+	Tenant   int // -1 for none
+	Budget   time.Duration
+	MaxBody  int64            // bytes
+	Upstream upstream.Request // all but the body
+	Repeat   bool             // may be a repeat of one that the pool has had
 
 	// Ordinary tells that the caller is a plain HTTP client: Retry-After has
 	// whole seconds, as RFC 9110, section 10.2.3, has it.
@@ -42,7 +42,7 @@
 	judged *judged
 	id     string
 	made   bool // the id was made here; another must not have come before
-	seen   *IDs
+	seen   *SeenIDs
 }
 
 // Rejection is why a request cannot be used.
--- a/internal/front/http/keys.go
+++ b/internal/front/http/keys.go
@@ -16,7 +16,7 @@
 //
 // Under more keys than keysMost in a span it remembers less; Bind tells then
 // that it cannot be sure.
-type Keys struct {
+type KeyBindings struct {
 	span  time.Duration
 	seeds [2]maphash.Seed
 	start time.Time
@@ -28,15 +28,15 @@
 }
 
 // NewKeys returns Keys for the longest time that any node remembers a key.
-func NewKeys(span time.Duration) *Keys {
-	return &Keys{span: span, start: time.Now(), seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, new: map[[2]uint64]string{}}
+func NewKeyBindings(span time.Duration) *KeyBindings {
+	return &KeyBindings{span: span, start: time.Now(), seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, new: map[[2]uint64]string{}}
 }
 
 // now is the time of Bind.
-func (k *Keys) now() time.Duration { return time.Since(k.start) }
+func (k *KeyBindings) now() time.Duration { return time.Since(k.start) }
 
 // SetSpan changes the span from now on.
-func (k *Keys) SetSpan(span time.Duration) {
+func (k *KeyBindings) SetRetention(span time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.span = span
@@ -44,7 +44,7 @@
 
 // keyOf is what a key is remembered by: it belongs to the resource that it was
 // sent to. Two hashes leave no chance for two keys to be taken for one.
-func (k *Keys) keyOf(host, path, key string) (sum [2]uint64) {
+func (k *KeyBindings) keyOf(host, path, key string) (sum [2]uint64) {
 	for i, seed := range k.seeds {
 		var h maphash.Hash
 		h.SetSeed(seed)
@@ -60,7 +60,7 @@
 // Bind returns the pool that a key belongs to: the one it was bound to within
 // the span, or else the given one from now on. It is sure unless the key may
 // have been bound before and forgotten.
-func (k *Keys) Bind(sum [2]uint64, pool string, now time.Duration) (bound string, sure bool) {
+func (k *KeyBindings) Bind(sum [2]uint64, pool string, now time.Duration) (bound string, sure bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if early := len(k.new) >= keysMost; early || now-k.since >= k.span {
--- a/internal/front/http/left_test.go
+++ b/internal/front/http/left_test.go
@@ -85,7 +85,7 @@
 		cfg.Balance.Classes[i].Deadline = 4 * patience
 	}
 	cfg.Balance.RampTime = 0 // what comes back is not cold
-	conns := upstream.New(upstream.Config{DialTimeout: patience, IdleTimeout: 5 * time.Second, MaxConns: 200, LargeResponseBytes: 1 << 20, MaxStreamBytes: PlatformLongest, ReuseDelay: rest})
+	conns := upstream.New(upstream.Config{DialTimeout: patience, IdleTimeout: 5 * time.Second, MaxConns: 200, LargeResponseBytes: 1 << 20, MaxStreamBytes: PlatformMaxBytes, ReuseDelay: rest})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{Name: "test", Zones: map[string]int{"a": 0}, Balance: cfg.Balance,
 		Known: nodes.List{Snapshot: true, Endpoints: list}, Limits: pool.Limits{BodyBytes: 8 << 20, LongBytes: long}}, conns)
@@ -93,9 +93,9 @@
 		t.Fatal(err)
 	}
 	d := &departures{rig: rig{Pool: p}, t: t, ids: map[net.Conn]string{}}
-	d.judge = NewPlatform(p, testForm(cfg))
-	d.callers = NewCallers(d.judge, 200, Times{})
-	d.via = d.callers.Take
+	d.judge = NewPlatformRouter(p, testForm(cfg))
+	d.callers = NewServer(d.judge, 200, Timeouts{})
+	d.via = d.callers.HandleConn
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -254,7 +254,7 @@
 				}
 				conn.Close()
 			}
-			eventually(t, "all are gone", func() bool { return d.callers.Open() == 0 })
+			eventually(t, "all are gone", func() bool { return d.callers.OpenConns() == 0 })
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if len(w.ids) > 0 {
--- a/internal/front/http/platform.go
+++ b/internal/front/http/platform.go
@@ -25,23 +25,23 @@
 	transit = 20 * time.Millisecond
 
 	// PlatformLongest bounds bodies and answers, in bytes; they go up to 32 MB.
-	PlatformLongest = 33 << 20
+	PlatformMaxBytes = 33 << 20
 )
 
 // Platform judges requests in the platform's form: one service, the class is
 // the first part of the path, the id is the client's and the method follows
 // from the class. The path goes on as it came.
-type Platform struct {
+type PlatformRouter struct {
 	Pool *pool.Pool
 
-	form     atomic.Pointer[Form]
-	seen     *IDs
+	form     atomic.Pointer[PlatformConfig]
+	seen     *SeenIDs
 	draining atomic.Bool
 	away     atomic.Bool
 }
 
 // Form is what the requests of a platform are judged by.
-type Form struct {
+type PlatformConfig struct {
 	Classes map[string]PlatformClass // by the first part of the path
 	Tenants map[string]int           // by X-Caller
 }
@@ -54,19 +54,19 @@
 
 // NewPlatform returns a Platform in front of p. Ids are remembered for two of
 // the longest deadlines.
-func NewPlatform(p *pool.Pool, form *Form) *Platform {
-	j := &Platform{Pool: p, seen: NewIDs(form.longest())}
+func NewPlatformRouter(p *pool.Pool, form *PlatformConfig) *PlatformRouter {
+	j := &PlatformRouter{Pool: p, seen: NewSeenIDs(form.longest())}
 	j.form.Store(form)
 	return j
 }
 
 // Set makes all requests be judged by form from now on.
-func (j *Platform) Set(form *Form) {
-	j.seen.SetLongest(form.longest())
+func (j *PlatformRouter) SetConfig(form *PlatformConfig) {
+	j.seen.SetLongestDeadline(form.longest())
 	j.form.Store(form)
 }
 
-func (f *Form) longest() (d time.Duration) {
+func (f *PlatformConfig) longest() (d time.Duration) {
 	for _, c := range f.Classes {
 		d = max(d, c.Deadline)
 	}
@@ -74,13 +74,13 @@
 }
 
 // Drain makes Ready say no; requests go on being served.
-func (j *Platform) Drain() { j.draining.Store(true) }
+func (j *PlatformRouter) MarkDraining() { j.draining.Store(true) }
 
 // SendAway makes Ready say no, or takes that back; requests go on being served.
-func (j *Platform) SendAway(on bool) { j.away.Store(on) }
+func (j *PlatformRouter) SetDrained(on bool) { j.away.Store(on) }
 
 // Ready implements Judge.
-func (j *Platform) Ready() int {
+func (j *PlatformRouter) ReadyStatus() int {
 	if !j.Pool.Listed() || j.draining.Load() || j.away.Load() {
 		return http.StatusServiceUnavailable
 	}
@@ -88,7 +88,7 @@
 }
 
 // Judge implements Judge.
-func (j *Platform) Judge(req *Request) (*Plan, *Rejection) {
+func (j *PlatformRouter) Route(req *Request) (*Plan, *Rejection) {
 	uri, host, err := target(req)
 	if err != nil || host == "" {
 		return reject(http.StatusBadRequest, cmp.Or(err, errors.New("want a Host")))
@@ -106,14 +106,14 @@
 		return reject(http.StatusNotFound, fmt.Errorf("no class %q", name))
 	}
 	c := &class.Class
-	p := &Plan{Pool: j.Pool, Class: class.Number, Tenant: -1, MaxBody: PlatformLongest, seen: j.seen}
+	p := &Plan{Pool: j.Pool, Class: class.Number, Tenant: -1, MaxBody: PlatformMaxBytes, seen: j.seen}
 	if err := p.form(req, c); err != nil {
 		return reject(http.StatusBadRequest, err)
 	}
 	if i, ok := form.Tenants[req.Fields.Get("X-Caller")]; ok {
 		p.Tenant = i
 	}
-	p.Out = outgoing(req, uri, host, c.Semantics, 0)
+	p.Upstream = outgoing(req, uri, host, c.Semantics, 0)
 	return p, nil
 }
 
@@ -131,7 +131,7 @@
 
 // budget is the time that the client gives, and most at the most.
 func budget(req *Request, most time.Duration) (time.Duration, error) {
-	if text, n := req.Fields.Find("X-Budget-Ms"); n > 0 {
+	if text, n := req.Fields.Lookup("X-Budget-Ms"); n > 0 {
 		ms, err := strconv.ParseUint(text, 10, 32)
 		if err != nil || ms == 0 || n > 1 {
 			return 0, fmt.Errorf("X-Budget-Ms %.40q, %d of them, want whole milliseconds above 0, once", text, n)
@@ -152,7 +152,7 @@
 		NonIdempotent: semantics == balance.Unsafe,
 	}
 	for _, f := range req.Fields {
-		if !f.Hop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // each attempt has its own
+		if !f.HopByHop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // each attempt has its own
 			out.Fields = append(out.Fields, f)
 		}
 	}
@@ -166,7 +166,7 @@
 // callID reads the id of a request. One without an id, or with several, cannot
 // be told from another, and no endpoint may see it.
 func callID(req *Request) (string, error) {
-	id, n := req.Fields.Find("X-Call-Id")
+	id, n := req.Fields.Lookup("X-Call-Id")
 	if n != 1 || id == "" || len(id) > maxCallID {
 		return "", fmt.Errorf("X-Call-Id %.80q, %d of them, want one id", id, n)
 	}
@@ -187,7 +187,7 @@
 	if semantics == balance.Safe {
 		method = http.MethodGet
 	}
-	idem, keys := req.Fields.Find("Idempotency-Key")
+	idem, keys := req.Fields.Lookup("Idempotency-Key")
 	hasKey := keys > 0
 	if req.Method != method {
 		return fmt.Errorf("method %s, want %s for this class", req.Method, method)
--- a/internal/front/http/rig_test.go
+++ b/internal/front/http/rig_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-func testForm(cfg *testSettings) *Form {
-	return &Form{Classes: map[string]PlatformClass{
+func testForm(cfg *testSettings) *PlatformConfig {
+	return &PlatformConfig{Classes: map[string]PlatformClass{
 		"view": {Class: cfg.Balance.Classes[0], Number: 0},
 		"pay":  {Class: cfg.Balance.Classes[1], Number: 1},
 	}}
--- a/internal/front/http/routed.go
+++ b/internal/front/http/routed.go
@@ -20,10 +20,10 @@
 
 // Table is what a Routed judges by. It is made once and read by all.
 type Table struct {
-	Routes  *route.Table
-	Targets []Target                // what Routes finds
-	Named   map[string]bool         // the classes that a request may name
-	Pool    func(string) *pool.Pool // that serves or still drains, by name; nil if there is none
+	Routes     *route.Table
+	Targets    []Target                // what Routes finds
+	ClassNames map[string]bool         // the classes that a request may name
+	FindPool   func(string) *pool.Pool // that serves or still drains, by name; nil if there is none
 
 	past []former // those that were replaced within the span of the keys
 }
@@ -37,34 +37,34 @@
 
 // Target is a pool and what the requests to it are.
 type Target struct {
-	Pool    *pool.Pool
-	Class   *Class
-	Named   map[string]*Class // by the name that a request gives
-	MaxBody int64
+	Pool        *pool.Pool
+	Class       *Class
+	ClassByName map[string]*Class // by the name that a request gives
+	MaxBody     int64
 }
 
 // Class is a class of requests in one pool.
 type Class struct {
 	Name     string
 	ByMethod bool             // the semantics follow from the request
-	Forms    [3]balance.Class // by Semantics, all the same unless ByMethod
+	Variants [3]balance.Class // by Semantics, all the same unless ByMethod
 	Numbers  [3]int           // of Forms, in the pool
 }
 
 // Routed judges requests by a routing table that can be replaced as a whole.
-type Routed struct {
-	Strict      bool   // the platform's form: id, budget, method by class, class in the path
-	ClassHeader string // names the class in the ordinary form; "" for none
-	Keys        *Keys
-	IDs         *IDs // of the strict form
+type TableRouter struct {
+	PlatformForm bool   // the platform's form: id, budget, method by class, class in the path
+	ClassHeader  string // names the class in the ordinary form; "" for none
+	Keys         *KeyBindings
+	SeenIDs      *SeenIDs // of the strict form
 
 	table    atomic.Pointer[Table]
 	draining atomic.Bool
 }
 
 // NewRouted returns a Routed with its first table.
-func NewRouted(t *Table, strict bool, classHeader string, keys *Keys, ids *IDs) *Routed {
-	j := &Routed{Strict: strict, ClassHeader: http.CanonicalHeaderKey(classHeader), Keys: keys, IDs: ids}
+func NewTableRouter(t *Table, strict bool, classHeader string, keys *KeyBindings, ids *SeenIDs) *TableRouter {
+	j := &TableRouter{PlatformForm: strict, ClassHeader: http.CanonicalHeaderKey(classHeader), Keys: keys, SeenIDs: ids}
 	j.table.Store(t)
 	return j
 }
@@ -76,7 +76,7 @@
 // Set makes t, which nobody else may have, the table for all requests that are
 // judged from now on. Where the one before led is remembered over the span of
 // the keys.
-func (j *Routed) Set(t *Table, span time.Duration) {
+func (j *TableRouter) SetTable(t *Table, span time.Duration) {
 	before, now := j.table.Load(), time.Now()
 	for _, p := range before.past {
 		if now.Before(p.until) {
@@ -93,10 +93,10 @@
 }
 
 // Drain makes Ready say no; requests go on being served.
-func (j *Routed) Drain() { j.draining.Store(true) }
+func (j *TableRouter) MarkDraining() { j.draining.Store(true) }
 
 // Ready implements Judge: it says yes once any pool has a node.
-func (j *Routed) Ready() int {
+func (j *TableRouter) ReadyStatus() int {
 	if !j.draining.Load() {
 		for _, t := range j.table.Load().Targets {
 			if t.Pool != nil && t.Pool.Listed() {
@@ -108,7 +108,7 @@
 }
 
 // Judge implements Judge.
-func (j *Routed) Judge(req *Request) (*Plan, *Rejection) {
+func (j *TableRouter) Route(req *Request) (*Plan, *Rejection) {
 	uri, name, err := target(req)
 	if err != nil {
 		return reject(http.StatusBadRequest, err)
@@ -131,13 +131,13 @@
 	if r.Class, err = j.named(req, path); err != nil {
 		return reject(http.StatusBadRequest, err)
 	}
-	judged := &judged{Routed: j, req: req, r: r, uri: path + query, host: host + port}
+	judged := &judged{TableRouter: j, req: req, r: r, uri: path + query, host: host + port}
 	return judged.plan()
 }
 
 // judged is a request in its normal form.
 type judged struct {
-	*Routed
+	*TableRouter
 	req  *Request
 	r    route.Request
 	uri  string // as it is sent on
@@ -148,15 +148,15 @@
 }
 
 // named is the class that the request names, if any.
-func (j *Routed) named(req *Request, path string) (string, error) {
-	if j.Strict {
+func (j *TableRouter) named(req *Request, path string) (string, error) {
+	if j.PlatformForm {
 		name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 		return name, nil
 	}
 	if j.ClassHeader == "" {
 		return "", nil
 	}
-	name, n := req.Fields.Find(j.ClassHeader)
+	name, n := req.Fields.Lookup(j.ClassHeader)
 	if n > 1 {
 		return "", fmt.Errorf("%s %.80q, %d of them, want one class", j.ClassHeader, name, n)
 	}
@@ -166,10 +166,10 @@
 // plan finds the request's target in the present table.
 func (j *judged) plan() (*Plan, *Rejection) {
 	t := j.table.Load()
-	if j.Strict && !t.Named[j.r.Class] {
+	if j.PlatformForm && !t.ClassNames[j.r.Class] {
 		return reject(http.StatusNotFound, fmt.Errorf("no class %.80q", j.r.Class))
 	}
-	if j.r.Class != "" && !t.Named[j.r.Class] {
+	if j.r.Class != "" && !t.ClassNames[j.r.Class] {
 		return reject(http.StatusBadRequest, fmt.Errorf("%s: no class %.80q", j.ClassHeader, j.r.Class))
 	}
 	i, ok := t.Routes.Find(&j.r)
@@ -178,14 +178,14 @@
 	}
 	to := &t.Targets[i]
 	class := to.Class
-	if c := to.Named[j.r.Class]; c != nil {
+	if c := to.ClassByName[j.r.Class]; c != nil {
 		class = c
 	}
 	semantics, err := j.semantics(class)
 	if err != nil {
 		return reject(http.StatusBadRequest, err)
 	}
-	c := &class.Forms[semantics]
+	c := &class.Variants[semantics]
 	p := &j.first
 	if j.planned {
 		p = &Plan{}
@@ -196,11 +196,11 @@
 		Class:    class.Numbers[semantics],
 		Tenant:   -1,
 		MaxBody:  to.MaxBody,
-		Ordinary: !j.Strict,
+		Ordinary: !j.PlatformForm,
 		judged:   j,
-		seen:     j.IDs,
+		seen:     j.SeenIDs,
 	}
-	if j.Strict {
+	if j.PlatformForm {
 		err = p.form(j.req, c)
 	} else {
 		p.Budget, err = budget(j.req, c.Deadline)
@@ -213,14 +213,14 @@
 			return nil, wrong
 		}
 	}
-	p.Out = outgoing(j.req, j.uri, j.host, semantics, 2)
-	if !j.Strict {
+	p.Upstream = outgoing(j.req, j.uri, j.host, semantics, 2)
+	if !j.PlatformForm {
 		// The id is ours: one from outside could be another request's.
-		p.Out.Fields = slices.DeleteFunc(p.Out.Fields, func(f framing.Field) bool { return strings.EqualFold(f.Name, "X-Call-Id") })
+		p.Upstream.Fields = slices.DeleteFunc(p.Upstream.Fields, func(f framing.Field) bool { return strings.EqualFold(f.Name, "X-Call-Id") })
 		p.id, p.made = madeID(), true
-		p.Out.Fields = append(p.Out.Fields, framing.Field{Name: "X-Call-Id", Value: p.id})
-		if addr := j.req.Remote; addr != "" {
-			p.Out.Fields = append(p.Out.Fields, framing.Field{Name: "X-Forwarded-For", Value: addr})
+		p.Upstream.Fields = append(p.Upstream.Fields, framing.Field{Name: "X-Call-Id", Value: p.id})
+		if addr := j.req.CallerIP; addr != "" {
+			p.Upstream.Fields = append(p.Upstream.Fields, framing.Field{Name: "X-Forwarded-For", Value: addr})
 		}
 	}
 	return p, nil
@@ -238,13 +238,13 @@
 
 // semantics tells what repeating the request does.
 func (j *judged) semantics(class *Class) (balance.Semantics, error) {
-	key, n := j.req.Fields.Find("Idempotency-Key")
+	key, n := j.req.Fields.Lookup("Idempotency-Key")
 	has := n > 0
 	if has && (n != 1 || key == "" || len(key) > maxKey) {
 		return 0, fmt.Errorf("Idempotency-Key %.80q, %d of them, want one of 1 to %d bytes", key, n, maxKey)
 	}
 	if !class.ByMethod {
-		s := class.Forms[0].Semantics
+		s := class.Variants[0].Semantics
 		if s == balance.Keyed && !has {
 			return 0, fmt.Errorf("Idempotency-Key: missing, want one for class %s", class.Name)
 		}
@@ -274,7 +274,7 @@
 		}
 		return nil
 	}
-	was := t.Pool(bound)
+	was := t.FindPool(bound)
 	if was == nil {
 		return &Rejection{Status: http.StatusConflict, Err: errors.New("Idempotency-Key: the request may have run in a service that is gone")}
 	}
@@ -282,7 +282,7 @@
 	if err != nil {
 		return &Rejection{Status: http.StatusConflict, Err: err}
 	}
-	p.Pool, p.Class, p.Again = was, number, true
+	p.Pool, p.Class, p.Repeat = was, number, true
 	return nil
 }
 
--- a/internal/front/http/routed_test.go
+++ b/internal/front/http/routed_test.go
@@ -19,7 +19,7 @@
 
 // newRouted judges by two pools without nodes: /open and all else of
 // donate.example.org, and /closed there.
-func newRouted(t testing.TB) (j *Routed, open, closed *pool.Pool) {
+func newRouted(t testing.TB) (j *TableRouter, open, closed *pool.Pool) {
 	t.Helper()
 	cfg := testConfig()
 	makePool := func(name string) *pool.Pool {
@@ -38,15 +38,15 @@
 		t.Fatal(err)
 	}
 	class := &Class{Name: "default", ByMethod: true}
-	for i := range class.Forms {
-		class.Forms[i] = balance.Class{Deadline: time.Second, Semantics: balance.Semantics(i)}
+	for i := range class.Variants {
+		class.Variants[i] = balance.Class{Deadline: time.Second, Semantics: balance.Semantics(i)}
 	}
-	table := &Table{Routes: routes, Pool: func(string) *pool.Pool { return nil }, Targets: []Target{{Pool: open, Class: class}, {Pool: closed, Class: class}}}
-	return NewRouted(table, false, "", NewKeys(time.Minute), NewIDs(time.Second)), open, closed
+	table := &Table{Routes: routes, FindPool: func(string) *pool.Pool { return nil }, Targets: []Target{{Pool: open, Class: class}, {Pool: closed, Class: class}}}
+	return NewTableRouter(table, false, "", NewKeyBindings(time.Minute), NewSeenIDs(time.Second)), open, closed
 }
 
 func parseHead(text string) (*Request, error) {
-	raw, err := framing.Peek(bufio.NewReaderSize(strings.NewReader(text), framing.MaxHead))
+	raw, err := framing.PeekHead(bufio.NewReaderSize(strings.NewReader(text), framing.MaxHeadBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 		if err != nil {
 			return
 		}
-		p, wrong := j.Judge(req)
+		p, wrong := j.Route(req)
 		if (p == nil) != (wrong != nil) {
 			t.Fatalf("plan %v, rejection %v", p, wrong)
 		}
@@ -83,28 +83,28 @@
 			}
 			return
 		}
-		again, err := parseHead(p.Out.Method + " " + p.Out.URI + " HTTP/1.1\r\nHost: " + p.Out.Host + "\r\n\r\n")
+		again, err := parseHead(p.Upstream.Method + " " + p.Upstream.URI + " HTTP/1.1\r\nHost: " + p.Upstream.Host + "\r\n\r\n")
 		if err != nil {
-			t.Fatalf("%q %q went on as %q %q, which cannot be read: %v", target, host, p.Out.URI, p.Out.Host, err)
+			t.Fatalf("%q %q went on as %q %q, which cannot be read: %v", target, host, p.Upstream.URI, p.Upstream.Host, err)
 		}
-		p2, wrong := j.Judge(again)
-		if wrong != nil || p2.Pool != p.Pool || p2.Out.URI != p.Out.URI || p2.Out.Host != p.Out.Host {
-			t.Fatalf("%q %q went on as %q %q, which is judged otherwise: %+v %v", target, host, p.Out.URI, p.Out.Host, p2, wrong)
+		p2, wrong := j.Route(again)
+		if wrong != nil || p2.Pool != p.Pool || p2.Upstream.URI != p.Upstream.URI || p2.Upstream.Host != p.Upstream.Host {
+			t.Fatalf("%q %q went on as %q %q, which is judged otherwise: %+v %v", target, host, p.Upstream.URI, p.Upstream.Host, p2, wrong)
 		}
 		// What net/http's own reading of it names is on the same side.
 		node, err := http.ReadRequest(bufio.NewReader(strings.NewReader(again.Method + " " + again.Target + " HTTP/1.1\r\nHost: " + again.Host + "\r\n\r\n")))
 		if err != nil {
-			t.Fatalf("%q %q went on as %q %q, which a node cannot read: %v", target, host, p.Out.URI, p.Out.Host, err)
+			t.Fatalf("%q %q went on as %q %q, which a node cannot read: %v", target, host, p.Upstream.URI, p.Upstream.Host, err)
 		}
 		first, _, _ := strings.Cut(strings.TrimPrefix(node.URL.Path, "/"), "/")
 		if (first == "closed") != (p.Pool == closed) {
-			t.Fatalf("%q went to pool %s as %q, whose first segment a node reads as %q", target, p.Pool.Name(), p.Out.URI, first)
+			t.Fatalf("%q went to pool %s as %q, whose first segment a node reads as %q", target, p.Pool.Name(), p.Upstream.URI, first)
 		}
 	})
 }
 
 func TestKeysBind(t *testing.T) {
-	k := NewKeys(time.Second)
+	k := NewKeyBindings(time.Second)
 	key := func(s string) [2]uint64 { return k.keyOf("h", "/p", s) }
 	if first, again := key("a"), key("a"); first == key("b") || first != again || k.keyOf("h", "/pa", "") == k.keyOf("h", "/p", "a") {
 		t.Fatal("keys are not told apart")
@@ -138,14 +138,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return j.Judge(req)
+		return j.Route(req)
 	}
 	if p, wrong := ask("k"); wrong != nil || p.Pool != open {
 		t.Fatalf("%v %v", p, wrong)
 	}
 	moved := *j.table.Load()
 	moved.Targets = []Target{moved.Targets[1], moved.Targets[1]}
-	j.Set(&moved, time.Minute)
+	j.SetTable(&moved, time.Minute)
 	if p, wrong := ask("new"); wrong != nil || p.Pool != closed {
 		t.Fatalf("a new key after the move: %v %v", p, wrong)
 	}
@@ -182,8 +182,8 @@
 		{"many chunks and no room", 100 + 128<<10, 1 << 20, "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("c", 4096)+"\r\n", 60) + "0\r\n\r\n", "", errBodyRoom},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			in := bufio.NewReaderSize(strings.NewReader("POST / HTTP/1.1\r\nHost: x\r\n"+c.text), framing.MaxHead)
-			raw, err := framing.Peek(in)
+			in := bufio.NewReaderSize(strings.NewReader("POST / HTTP/1.1\r\nHost: x\r\n"+c.text), framing.MaxHeadBytes)
+			raw, err := framing.PeekHead(in)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/front/http/stops_test.go
+++ b/internal/front/http/stops_test.go
@@ -142,7 +142,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t)
-			r.callers.Limit(128)
+			r.callers.SetMaxConns(128)
 			type told struct {
 				text   string
 				ms     int
--- a/internal/front/http/stream_test.go
+++ b/internal/front/http/stream_test.go
@@ -31,7 +31,7 @@
 	t.Cleanup(srv.Close)
 	cfg := testConfig()
 	conns := upstream.New(upstream.Config{
-		DialTimeout: time.Second, IdleTimeout: cfg.Balance.ConnIdle, MaxConns: 32, LargeResponseBytes: room, MaxStreamBytes: PlatformLongest,
+		DialTimeout: time.Second, IdleTimeout: cfg.Balance.ConnIdle, MaxConns: 32, LargeResponseBytes: room, MaxStreamBytes: PlatformMaxBytes,
 	})
 	t.Cleanup(conns.Close)
 	cfg.Known.Endpoints = []nodes.Endpoint{{Name: "s-1", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService}}
@@ -43,8 +43,8 @@
 		t.Fatal(err)
 	}
 	r := &rig{Pool: p}
-	r.judge = NewPlatform(p, testForm(cfg))
-	r.callers = NewCallers(r.judge, 32, Times{})
+	r.judge = NewPlatformRouter(p, testForm(cfg))
+	r.callers = NewServer(r.judge, 32, Timeouts{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/load/lane.go
+++ b/internal/load/lane.go
@@ -247,7 +247,7 @@
 	l.conn, l.used = c, 0
 	l.r.opened.Add(1)
 	if l.in == nil {
-		l.in = bufio.NewReaderSize(c, framing.MaxHead)
+		l.in = bufio.NewReaderSize(c, framing.MaxHeadBytes)
 	} else {
 		l.in.Reset(c)
 	}
@@ -279,7 +279,7 @@
 		l.conn.SetReadDeadline(time.Now().Add(earlyAnswer))
 	}
 	for interim := 0; ; interim++ {
-		raw, herr := framing.Peek(l.in)
+		raw, herr := framing.PeekHead(l.in)
 		if herr != nil {
 			if err != nil {
 				herr = err
--- a/internal/sidecar/crossing_test.go
+++ b/internal/sidecar/crossing_test.go
@@ -94,7 +94,7 @@
 		io.WriteString(c, text)
 		conns = append(conns, c)
 	}
-	eventually(t, "both are there", func() bool { return p.callers.Open() == len(conns) })
+	eventually(t, "both are there", func() bool { return p.callers.OpenConns() == len(conns) })
 	p.finish(t)
 	for i, c := range conns {
 		if !sock.HasPendingData(c) { // the test outlives what would be the process
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -33,12 +33,12 @@
 	}
 	s.away = said.Drained
 	slog.Info("drained by hand", "on", s.away)
-	s.judge.SendAway(s.away)
+	s.judge.SetDrained(s.away)
 	if s.ebb != nil {
 		s.ebb.Stop()
 	}
 	if !s.away {
-		s.callers.Ebb(false)
+		s.callers.SetCloseIdle(false)
 		return
 	}
 	// New connections go on coming until the front has heard of it.
@@ -46,7 +46,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.away {
-			s.callers.Ebb(true)
+			s.callers.SetCloseIdle(true)
 		}
 	})
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -86,8 +86,8 @@
 	listener net.Listener
 	up       *upstream.Pool
 	pool     *pool.Pool
-	judge    *httpfront.Platform
-	callers  *httpfront.Callers
+	judge    *httpfront.PlatformRouter
+	callers  *httpfront.Server
 	marks    *fleet.Marks
 
 	mu      sync.Mutex
@@ -160,7 +160,7 @@
 		IdleTimeout:        cfg.Balance.ConnIdle,
 		ReuseDelay:         restTime,
 		LargeResponseBytes: s.memory() / largeShare,
-		MaxStreamBytes:     httpfront.PlatformLongest,
+		MaxStreamBytes:     httpfront.PlatformMaxBytes,
 	})
 	defer s.up.Close()
 	begin := discovery(cfg)
@@ -188,8 +188,8 @@
 	if s.before != nil {
 		s.pool.Recall(was.Memory)
 	}
-	s.judge = httpfront.NewPlatform(s.pool, form)
-	s.callers = httpfront.NewCallers(s.judge, 1, httpfront.Times{})
+	s.judge = httpfront.NewPlatformRouter(s.pool, form)
+	s.callers = httpfront.NewServer(s.judge, 1, httpfront.Timeouts{})
 	s.share()
 	if s.marks, err = fleet.OpenMarks(dir, s.heed); err != nil {
 		slog.Error("what operators say cannot be kept, and is refused", "error", err)
@@ -260,7 +260,7 @@
 	memory, conns := s.memory()/parts, max(2, s.limits.Sockets/int(parts)-config.OwnDescriptors)
 	debug.SetMemoryLimit(int64(float64(memory) * heapShare))
 	s.up.SetLimits(conns/2, memory/largeShare)
-	s.callers.Limit(conns / 2)
+	s.callers.SetMaxConns(conns / 2)
 	s.pool.Limit(bodyLimits(memory))
 }
 
@@ -365,8 +365,8 @@
 }
 
 // form is how requests are judged by cfg, whose classes the pool learns of.
-func (s *Sidecar) form(cfg *config.Config) (*httpfront.Form, error) {
-	f := &httpfront.Form{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
+func (s *Sidecar) form(cfg *config.Config) (*httpfront.PlatformConfig, error) {
+	f := &httpfront.PlatformConfig{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
 	for name, i := range cfg.Classes {
 		class := cfg.Balance.Classes[i]
 		number, err := s.pool.Class(class)
@@ -415,7 +415,7 @@
 	if err := s.pool.Retune(cfg.Balance); err != nil {
 		return err
 	}
-	s.judge.Set(form)
+	s.judge.SetConfig(form)
 	s.mu.Lock()
 	s.cfg, s.longest = cfg, min(s.longest, cfg.LongestDeadline())
 	s.mu.Unlock()
@@ -439,24 +439,24 @@
 	kill := began.Add(min(longest, killLongest) + killTime)
 	last := began.Add(max(kill.Sub(began)-killMargin, comingTime))
 	exit := kill.Add(-exitMargin)
-	s.callers.Bound(last.Add(-answerMargin))
+	s.callers.SetResponseDeadline(last.Add(-answerMargin))
 	// What came before the bound was set may have longer than this process has, and what
 	// is still coming may be whole in the moment that the process ends.
 	defer time.AfterFunc(time.Until(last)-answerMargin, func() {
-		s.callers.Cut()
+		s.callers.StopReading()
 		s.pool.Close()
 	}).Stop()
 	if next != nil {
-		slog.Info("handing over", "callers", s.callers.Open())
+		slog.Info("handing over", "callers", s.callers.OpenConns())
 		s.listener.Close()
 		<-served
-		s.callers.PassOn(next.Pass)
+		s.callers.SetHandover(next.Pass)
 		s.callers.Drain(exit)
 		next.Close()
 		return
 	}
 	slog.Info("draining", "left", time.Until(last), "open", s.pool.Open())
-	s.judge.Drain()
+	s.judge.MarkDraining()
 	coming := min(comingTime, last.Sub(began)-drainLeast)
 	// Where requests may take long, fewer of those that come late end in time.
 	time.Sleep(max(coming, time.Until(last)-max(windDown, longest/2)))
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -293,7 +293,7 @@
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, cmp.Or(r.Host, c.target.Address)...) // mandatory in HTTP/1.1
 	b = append(b, "\r\n"...)
-	b = r.Fields.Append(b)
+	b = r.Fields.AppendForwarded(b)
 	b = append(b, "X-Budget-Ms: "...)
 	b = strconv.AppendInt(b, budget.Milliseconds(), 10)
 	if r.Upload != nil {
@@ -347,8 +347,8 @@
 		if b, err := c.reader.Peek(len(protocolPrefix)); err == nil && string(b) != protocolPrefix {
 			return nil, invalidResponseError{fmt.Errorf("invalid response: starts with %q, want an HTTP/1 status line", b)}
 		}
-		raw, err := framing.Peek(c.reader)
-		if errors.Is(err, framing.ErrLong) {
+		raw, err := framing.PeekHead(c.reader)
+		if errors.Is(err, framing.ErrHeadTooLong) {
 			return nil, invalidResponseError{err}
 		}
 		if err != nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -46,7 +46,7 @@
 		target: t,
 		peeker: sock.NewPeeker(netConn),
 	}
-	c.reader = bufio.NewReaderSize(c, framing.MaxHead)
+	c.reader = bufio.NewReaderSize(c, framing.MaxHeadBytes)
 	c.idleLink.Of = c
 	return c
 }
