--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,11 +1,10 @@
-// Package framing reads the heads of HTTP/1.1 messages, and takes none that
-// can be read in two ways.
+// Package framing parses the heads of HTTP/1.1 messages and rejects every head that can
+// be read in two ways.
 //
-// net/http mends what it reads: of Content-Length and Transfer-Encoding it
-// drops the first without a word, of equal lengths all but one. Where two
-// sides mend differently one message can stand inside the body of another
-// (request smuggling), so whatever leaves a doubt about where a message ends
-// is refused here, on both sides: what is judged is what is sent on.
+// net/http repairs ambiguous heads, for example by ignoring Content-Length beside
+// Transfer-Encoding. If two programs repair a message differently, one message can hide
+// in the body of another (request smuggling). Heads of requests and responses are
+// therefore parsed strictly, and what is forwarded is what was checked.
 package framing
 
 import (
@@ -15,20 +14,19 @@
 	"io"
 )
 
-// MaxHead is the size that a reader given to Peek should have: the longest
-// head. Heads of the protocol have some hundred bytes; every connection holds
-// one such buffer, so it is kept near to them.
+// MaxHeadBytes is the length of the longest head. It is the buffer size of a reader for
+// PeekHead, of which every connection has one.
 const MaxHeadBytes = 8 << 10
 
-// maxDigits bounds a Content-Length, so that it fits 63 bits.
-const maxDigits = 18
+// maxLengthDigits bounds a Content-Length, so that it fits 63 bits.
+const maxLengthDigits = 18
 
-// ErrLong tells of a head that does not fit the reader.
+// ErrHeadTooLong is returned for a head that does not fit the reader's buffer.
 var ErrHeadTooLong = errors.New("head is too long")
 
-// Peek waits until br holds a whole head and returns it unread.
+// PeekHead waits until br holds a whole head and returns it without consuming it.
 func PeekHead(br *bufio.Reader) ([]byte, error) {
-	from := 0 // where the end may begin
+	searchFrom := 0 // where the end of the head may begin
 	for n := 1; ; {
 		_, err := br.Peek(n)
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -41,16 +39,16 @@
 			return nil, err
 		}
 		buf, _ := br.Peek(br.Buffered())
-		if i := bytes.Index(buf[from:], []byte("\r\n\r\n")); i >= 0 {
-			return buf[:from+i+4], nil
+		if i := bytes.Index(buf[searchFrom:], []byte("\r\n\r\n")); i >= 0 {
+			return buf[:searchFrom+i+4], nil
 		}
-		from = max(0, len(buf)-3)
+		searchFrom = max(0, len(buf)-3)
 		n = len(buf) + 1
 	}
 }
 
-func digits(s string) bool {
-	if s == "" || len(s) > maxDigits {
+func isDigits(s string) bool {
+	if s == "" || len(s) > maxLengthDigits {
 		return false
 	}
 	for _, c := range []byte(s) {
@@ -61,22 +59,22 @@
 	return true
 }
 
-// token tells whether s can name a field. A space before the colon or at the
-// start of a line (a folded one) is the classic way to hide a length.
-func token(s string) bool {
+// isToken reports whether s can be a field name. A space before the colon or at the
+// start of a line (line folding) could hide a Content-Length.
+func isToken(s string) bool {
 	if s == "" {
 		return false
 	}
 	for i := range len(s) {
-		if !tokens[s[i]] {
+		if !tokenBytes[s[i]] {
 			return false
 		}
 	}
 	return true
 }
 
-// tokens are the bytes of a token (RFC 9110, section 5.6.2).
-var tokens = func() (t [256]bool) {
+// tokenBytes are the bytes of a token (RFC 9110, section 5.6.2).
+var tokenBytes = func() (t [256]bool) {
 	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
 		t[c] = true
 	}
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -14,7 +14,7 @@
 		ok           bool
 	}{
 		{"plain", "Host: a\r\nX-Call-Id: 1", true},
-		{"a length", "Content-Length: 12", true},
+		{"one length", "Content-Length: 12", true},
 		{"chunked", "Transfer-Encoding: Chunked", true},
 		{"empty value", "X-Empty:", true},
 		{"length and coding", "Content-Length: 12\r\nTransfer-Encoding: chunked", false},
@@ -24,14 +24,14 @@
 		{"a list of lengths", "Content-Length: 4, 4", false},
 		{"negative", "Content-Length: -4", false},
 		{"signed", "Content-Length: +4", false},
-		{"no number", "Content-Length: ten", false},
+		{"not a number", "Content-Length: ten", false},
 		{"no value", "Content-Length:", false},
 		{"over 63 bits", "Content-Length: 99999999999999999999", false},
 		{"other coding", "Transfer-Encoding: gzip, chunked", false},
 		{"obscured coding", "Transfer-Encoding: xchunked", false},
 		{"space before the colon", "Content-Length : 4", false},
 		{"folded line", "X-A: b\r\n Content-Length: 4", false},
-		{"no colon", "a line with no colon", false},
+		{"no colon", "a line without a colon", false},
 		{"bare LF", "X-A: b\nContent-Length: 4", false},
 		{"bare CR", "X-A: b\rContent-Length: 4", false},
 	} {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestPeek(t *testing.T) {
+func TestPeekHead(t *testing.T) {
 	read := func(text string, size int) (string, *bufio.Reader, error) {
 		br := bufio.NewReaderSize(io.MultiReader(strings.NewReader(text[:len(text)/2]), strings.NewReader(text[len(text)/2:])), size)
 		head, err := PeekHead(br)
@@ -53,12 +53,12 @@
 		t.Fatalf("head %q, %v", head, err)
 	}
 	if all, _ := io.ReadAll(br); string(all) != "A\r\nB: c\r\n\r\nbody" {
-		t.Errorf("Peek took bytes away: left is %q", all)
+		t.Errorf("PeekHead consumed bytes, %q is left", all)
 	}
 	if _, _, err := read(strings.Repeat("p", 64), 32); !errors.Is(err, ErrHeadTooLong) {
-		t.Errorf("a head without end: %v, want ErrLong", err)
+		t.Errorf("unterminated head: %v, want ErrHeadTooLong", err)
 	}
 	if _, _, err := read("half a he", 32); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("half a head: %v, want an unexpected end", err)
+		t.Errorf("truncated head: %v, want io.ErrUnexpectedEOF", err)
 	}
 }
--- a/internal/framing/head_test.go
+++ b/internal/framing/head_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-func parse(raw []byte) (*Head, error) {
+func parseRequest(raw []byte) (*Head, error) {
 	h := &Head{}
 	return h, h.ParseRequest(raw)
 }
 
-// linesOf are fields as net/http sorts them, name and value.
-func linesOf(fs Fields) (all []string) {
+// sortedFields returns the lines of fields, with names in net/http's canonical case.
+func sortedFields(fs Fields) (all []string) {
 	for _, f := range fs {
 		all = append(all, textproto.CanonicalMIMEHeaderKey(f.Name)+": "+f.Value)
 	}
@@ -26,7 +26,7 @@
 	return all
 }
 
-func linesOfHeader(h http.Header) (all []string) {
+func sortedHeader(h http.Header) (all []string) {
 	for name, values := range h {
 		for _, v := range values {
 			all = append(all, name+": "+v)
@@ -36,18 +36,18 @@
 	return all
 }
 
-// same tells how net/http's reading of a head differs from ours, "" if it does
-// not. What frames the body it keeps apart from the header.
-func same(h *Head, header http.Header, length int64, codings []string) string {
-	ours := slices.DeleteFunc(slices.Clone(h.Fields), func(f Field) bool {
+// diffFromNetHTTP describes how net/http's reading of a head differs from h, or returns
+// an empty string. net/http removes the fields that frame the body from the header.
+func diffFromNetHTTP(h *Head, header http.Header, length int64, codings []string) string {
+	fields := slices.DeleteFunc(slices.Clone(h.Fields), func(f Field) bool {
 		return strings.EqualFold(f.Name, "Transfer-Encoding") || strings.EqualFold(f.Name, "Trailer")
 	})
 	header = header.Clone()
 	header.Del("Trailer")
 	if strings.EqualFold(h.Fields.Get("Pragma"), "no-cache") {
-		return "" // net/http adds a Cache-Control to it
+		return "" // net/http adds a Cache-Control field
 	}
-	if a, b := linesOf(ours), linesOfHeader(header); !slices.Equal(a, b) {
+	if a, b := sortedFields(fields), sortedHeader(header); !slices.Equal(a, b) {
 		return fmt.Sprintf("fields %q, net/http has %q", a, b)
 	}
 	if h.Chunked != (len(codings) > 0) || !h.Chunked && h.Length != length {
@@ -56,8 +56,8 @@
 	return ""
 }
 
-// FuzzParseRequest: whatever we take net/http takes, and reads the same in it;
-// and what is sent on reads the same once more.
+// FuzzParseRequest checks that net/http accepts every accepted head and reads it alike,
+// and that the forwarded head is read alike once more.
 func FuzzParseRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -75,17 +75,17 @@
 		if err != nil {
 			return
 		}
-		h, err := parse(raw)
+		h, err := parseRequest(raw)
 		if err != nil {
 			return
 		}
 		path, err := h.Path()
-		if err != nil || h.Method == http.MethodConnect { // neither is passed on
+		if err != nil || h.Method == http.MethodConnect { // neither is forwarded
 			return
 		}
 		req, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(raw), MaxHeadBytes))
 		if err != nil {
-			t.Fatalf("%q was taken, and net/http says: %v", raw, err)
+			t.Fatalf("%q was accepted, net/http rejects it: %v", raw, err)
 		}
 		if h.Method != req.Method || h.Target != req.RequestURI || path != req.URL.Path || h.Close != req.Close {
 			t.Fatalf("%q: %s %q %q close %t, net/http has %s %q %q close %t", raw, h.Method, h.Target, path, h.Close, req.Method, req.RequestURI, req.URL.Path, req.Close)
@@ -93,22 +93,23 @@
 		if req.URL.Host == "" && h.Host != req.Host {
 			t.Fatalf("%q: host %q, net/http has %q", raw, h.Host, req.Host)
 		}
-		if why := same(h, req.Header, req.ContentLength, req.TransferEncoding); why != "" {
-			t.Fatalf("%q: %s", raw, why)
+		if diff := diffFromNetHTTP(h, req.Header, req.ContentLength, req.TransferEncoding); diff != "" {
+			t.Fatalf("%q: %s", raw, diff)
 		}
-		on := h.Fields.AppendForwarded([]byte(h.Method + " " + h.Target + " HTTP/1.1\r\nHost: " + h.Host + "\r\n"))
-		again, err := parse(append(on, "\r\n"...))
+		forwarded := h.Fields.AppendForwarded([]byte(h.Method + " " + h.Target + " HTTP/1.1\r\nHost: " + h.Host + "\r\n"))
+		again, err := parseRequest(append(forwarded, "\r\n"...))
 		if err != nil {
-			t.Fatalf("%q was sent on as %q: %v", raw, on, err)
+			t.Fatalf("%q was forwarded as %q, which is rejected: %v", raw, forwarded, err)
 		}
 		kept := slices.DeleteFunc(slices.Clone(h.Fields), func(f Field) bool { return f.HopByHop })
-		if again.Target != h.Target || again.Host != h.Host || again.Length != 0 || again.Chunked || !slices.Equal(linesOf(kept), linesOf(again.Fields)) {
-			t.Fatalf("%q was sent on as %q", raw, on)
+		if again.Target != h.Target || again.Host != h.Host || again.Length != 0 || again.Chunked || !slices.Equal(sortedFields(kept), sortedFields(again.Fields)) {
+			t.Fatalf("%q was forwarded as %q, which is read otherwise", raw, forwarded)
 		}
 	})
 }
 
-// FuzzParseResponse: the same of answers.
+// FuzzParseResponse checks that net/http accepts every accepted response head and reads
+// it alike.
 func FuzzParseResponse(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.0 200 OK\r\n\r\nabc", "HTTP/1.1 204\r\nX: y\r\n\r\n",
@@ -124,53 +125,53 @@
 		h := &Head{}
 		err = h.ParseResponse(raw)
 		if err != nil || h.Status < 200 || h.Status == 204 || h.Status == 304 {
-			return // without a body, and without a length as net/http has it
+			return // has no body; net/http reports another length
 		}
 		resp, err := http.ReadResponse(bufio.NewReaderSize(bytes.NewReader(raw), MaxHeadBytes), nil)
 		if err != nil {
-			t.Fatalf("%q was taken, and net/http says: %v", raw, err)
+			t.Fatalf("%q was accepted, net/http rejects it: %v", raw, err)
 		}
 		if h.Status != resp.StatusCode {
 			t.Fatalf("%q: status %d, net/http has %d", raw, h.Status, resp.StatusCode)
 		}
 		if h.Close && !resp.Close {
-			t.Fatalf("%q: closes, net/http keeps it", raw)
+			t.Fatalf("%q: closes the connection, net/http keeps it open", raw)
 		}
-		if why := same(h, resp.Header, resp.ContentLength, resp.TransferEncoding); why != "" {
-			t.Fatalf("%q: %s", raw, why)
+		if diff := diffFromNetHTTP(h, resp.Header, resp.ContentLength, resp.TransferEncoding); diff != "" {
+			t.Fatalf("%q: %s", raw, diff)
 		}
 	})
 }
 
-// Fields that concern one connection, or that are written anew, do not go on;
-// those that Connection names are such.
-func TestHopByHop(t *testing.T) {
-	h, err := parse([]byte("GET / HTTP/1.1\r\nHost: a\r\nX-A: 1\r\nconnection: close, x-b ,X-C\r\nX-B: 2\r\nx-c: 3\r\nKeep-Alive: 5\r\nTE: trailers\r\nUpgrade: h2c\r\nExpect: 100-continue\r\nContent-Length: 0\r\nx-a: 4\r\n\r\n"))
+// Fields that concern one connection or are generated anew are not forwarded, including
+// those that Connection names.
+func TestHopByHopFieldsAreNotForwarded(t *testing.T) {
+	h, err := parseRequest([]byte("GET / HTTP/1.1\r\nHost: a\r\nX-A: 1\r\nconnection: close, x-b ,X-C\r\nX-B: 2\r\nx-c: 3\r\nKeep-Alive: 5\r\nTE: trailers\r\nUpgrade: h2c\r\nExpect: 100-continue\r\nContent-Length: 0\r\nx-a: 4\r\n\r\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := string(h.Fields.AppendForwarded(nil)); got != "X-A: 1\r\nx-a: 4\r\n" {
-		t.Errorf("goes on: %q", got)
+		t.Errorf("forwarded: %q, want X-A and x-a", got)
 	}
 	if v, n := h.Fields.Lookup("X-a"); v != "1" || n != 2 || !h.Close || !h.ExplicitClose {
-		t.Errorf("%q, %d of them; %+v", v, n, h)
+		t.Errorf("X-a is %q, in %d fields; head %+v", v, n, h)
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsMalformedHeads(t *testing.T) {
 	for _, s := range []string{
 		"GET /\r\n\r\n", "GET / HTTP/2.0\r\n\r\n", "GET / HTTP/1.11\r\n\r\n", "G(T / HTTP/1.1\r\n\r\n", " / HTTP/1.1\r\n\r\n", "GET  / HTTP/1.1\r\n\r\n",
 		"GET /a b HTTP/1.1\r\n\r\n", "GET /\x01 HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nHost: a b\r\n\r\n", "GET / HTTP/1.1\r\nHost: a/b\r\n\r\n",
 		"GET / HTTP/1.1\r\nHost: a\r\nhost: a\r\n\r\n", "GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", "GET / HTTP/1.1\r\nX: \x00\r\n\r\n", "GET / HTTP/1.1\r\nX: a\rb\r\n\r\n",
 	} {
-		if h, err := parse([]byte(s)); err == nil {
-			t.Errorf("%q was taken: %+v", s, h)
+		if h, err := parseRequest([]byte(s)); err == nil {
+			t.Errorf("%q was accepted: %+v", s, h)
 		}
 	}
 	for _, s := range []string{"HTTP/1.1\r\n\r\n", "HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "HTTP/2 200 OK\r\n\r\n", "HTTP/1.1 200 O\x00K\r\n\r\n", "HTTP/1.1 +20 OK\r\n\r\n", "\x00noise\r\n\r\n"} {
 		h := &Head{}
 		if err := h.ParseResponse([]byte(s)); err == nil {
-			t.Errorf("%q was taken: %+v", s, h)
+			t.Errorf("%q was accepted: %+v", s, h)
 		}
 	}
 }
@@ -187,14 +188,14 @@
 		err := SkipTrailers(br)
 		rest, _ := io.ReadAll(br)
 		if (err == nil) != c.ok || c.ok && string(rest) != "rest" {
-			t.Errorf("%.40q: %v, left is %.20q", c.text, err, rest)
+			t.Errorf("%.40q: %v, %.20q is left", c.text, err, rest)
 		}
 	}
 }
 
 const benchHead = "GET /receipt/12345 HTTP/1.1\r\nHost: receipts.example.org\r\nUser-Agent: curl/8.5.0\r\nAccept: */*\r\nAccept-Encoding: gzip, deflate, br\r\nX-Call-Id: 0123456789abcdef\r\nX-Budget-Ms: 1500\r\nCookie: session=0123456789abcdef0123456789abcdef\r\n\r\n"
 
-// BenchmarkParseRequest beside net/http's reading of the same head.
+// BenchmarkParseRequest compares this package with net/http on the same head.
 func BenchmarkParseRequest(b *testing.B) {
 	b.Run("framing", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/front/http/body.go
+++ b/internal/front/http/body.go
@@ -13,125 +13,127 @@
 )
 
 var (
-	errBodyLong = errors.New("body is too long")
-	errBodyRoom = errors.New("no room for the body")
-	errBehind   = errors.New("bytes behind the request")
-	errGone     = errors.New("the caller has left")
+	errBodyTooLong     = errors.New("request body too long")
+	errNoBodyMemory    = errors.New("no memory available for the request body")
+	errUnexpectedBytes = errors.New("unexpected bytes after the request")
+	errCallerLeft      = errors.New("the caller closed its connection")
 )
 
-// firstChunk is what a body without a length is given room for at first; it
-// grows to twice as much, and again, up to what is allowed.
-const firstChunk = 64 << 10
-
-// body is the body of a request: whole, or with a rest that is still to come and
-// finds no room; nil if there is none.
-type body struct {
-	data []byte
-	rest *restOf
-	room limit.Hold
-	long *limit.Bytes // where room for more than firstChunk is; without any, it is where the first is
+// initialBodyBytes is the memory first reserved for a body of unknown length. The
+// reservation doubles as needed, up to the allowed length.
+const initialBodyBytes = 64 << 10
+
+// requestBody is the body of a request. If there is no memory for all of it, the rest is
+// read from the connection while it is forwarded. It is nil for a request without a
+// body.
+type requestBody struct {
+	data       []byte
+	rest       *bodyReader // nil if data is the whole body
+	reserved   limit.Hold
+	longBudget *limit.Bytes // for more than initialBodyBytes, unless its total is 0
 }
 
-// grow makes room for n bytes, which are more than firstChunk.
-func (b *body) grow(n int64) bool {
-	if b.long.Total() == 0 || b.room.Of(b.long) {
-		return b.room.Grow(n)
+// grow extends the reservation to n bytes, more than initialBodyBytes, and reports
+// whether there was enough memory.
+func (b *requestBody) grow(n int64) bool {
+	if b.longBudget.Total() == 0 || b.reserved.Of(b.longBudget) {
+		return b.reserved.Grow(n)
 	}
-	more, ok := b.long.Reserve(n)
+	more, ok := b.longBudget.Reserve(n)
 	if ok {
-		b.room.Release()
-		b.room = more
+		b.reserved.Release()
+		b.reserved = more
 	}
 	return ok
 }
 
-// release gives the memory back.
-func (b *body) release() {
+// release returns the reserved memory to its budget.
+func (b *requestBody) release() {
 	if b == nil {
 		return
 	}
 	b.data = nil
-	b.room.Release()
+	b.reserved.Release()
 }
 
-// room is where bodies are held.
-type room struct {
-	short, long *limit.Bytes // long is for those over firstChunk, and may have no size
-	streams     bool         // what finds no room is to be sent on while it comes
+// bodyMemory is the memory that request bodies are reserved from.
+type bodyMemory struct {
+	shortBudget, longBudget *limit.Bytes // longBudget is for bodies over initialBodyBytes and may have a total of 0
+	canStream               bool         // a body without memory is forwarded while it arrives
 }
 
-// most is the longest body that can be held.
-func (r *room) most() int64 {
-	if r.long.Total() > 0 {
-		return r.long.Total()
+// maxHeld returns the length of the longest body that can be held in memory.
+func (m *bodyMemory) maxHeld() int64 {
+	if m.longBudget.Total() > 0 {
+		return m.longBudget.Total()
 	}
-	return r.short.Total()
+	return m.shortBudget.Total()
 }
 
-// readBody reads the body that the head h tells of, to its end if there is room.
-// One that is longer than most is not read. Short bodies have room of their own,
-// which long ones cannot use up. Where nothing streams, one that could never find
-// room is too long.
-func readBody(in *bufio.Reader, h *framing.Head, at room, most int64) (*body, error) {
-	if !at.streams {
-		most = min(most, at.most())
+// readBody reads the body announced by head, which may have maxBytes at most. A body for
+// which there is no memory is left to be streamed if memory.canStream is set, and is an
+// error otherwise. Short bodies have a budget of their own, which long ones cannot
+// exhaust.
+func readBody(in *bufio.Reader, head *framing.Head, memory bodyMemory, maxBytes int64) (*requestBody, error) {
+	if !memory.canStream {
+		maxBytes = min(maxBytes, memory.maxHeld())
 	}
-	n := h.Length
+	n := head.Length
 	switch {
 	case n == 0:
 		return nil, nil
-	case n > most:
-		return nil, fmt.Errorf("%w: %d bytes, want %d at most", errBodyLong, n, most)
-	case n < 0: // chunked: how long shows at its end
-		n = min(firstChunk, most)
+	case n > maxBytes:
+		return nil, fmt.Errorf("%w: %d bytes, at most %d allowed", errBodyTooLong, n, maxBytes)
+	case n < 0: // chunked: the length is known only at the end
+		n = min(initialBodyBytes, maxBytes)
 	}
-	b := &body{long: at.long}
-	budget := at.short
-	if n > firstChunk && at.long.Total() > 0 {
-		budget = at.long
+	b := &requestBody{longBudget: memory.longBudget}
+	budget := memory.shortBudget
+	if n > initialBodyBytes && memory.longBudget.Total() > 0 {
+		budget = memory.longBudget
 	}
 	var ok bool
-	if b.room, ok = budget.Reserve(n); !ok {
-		if !at.streams {
-			return nil, errBodyRoom
+	if b.reserved, ok = budget.Reserve(n); !ok {
+		if !memory.canStream {
+			return nil, errNoBodyMemory
 		}
-		b.rest = &restOf{in: in, h: h, most: most}
+		b.rest = &bodyReader{in: in, head: head, maxBytes: maxBytes}
 		return b, nil
 	}
 	var err error
-	if h.Length > 0 {
+	if head.Length > 0 {
 		b.data = make([]byte, n)
 		if _, err = io.ReadFull(in, b.data); err != nil {
-			err = fmt.Errorf("body: %w", err)
+			err = fmt.Errorf("read request body: %w", err)
 		}
 	} else {
-		err = b.readChunks(&restOf{in: in, h: h, most: most}, n, at.streams)
+		err = b.readChunks(&bodyReader{in: in, head: head, maxBytes: maxBytes}, n, memory.canStream)
 	}
 	if err != nil {
 		b.release()
 		return nil, err
 	}
-	b.room.Shrink(int64(len(b.data)))
+	b.reserved.Shrink(int64(len(b.data)))
 	return b, nil
 }
 
-// readChunks reads to the end of in, with room for n bytes at first.
-func (b *body) readChunks(in *restOf, n int64, streams bool) error {
+// readChunks reads a chunked body to its end, with n bytes reserved at first.
+func (b *requestBody) readChunks(in *bodyReader, n int64, canStream bool) error {
 	b.data = make([]byte, 0, n)
 	for {
 		into := b.data[len(b.data):n]
 		if len(into) == 0 {
-			if n == in.most {
-				into = make([]byte, 1) // one more is too much
-			} else if more := min(2*n, in.most); b.grow(more) {
+			if n == in.maxBytes {
+				into = make([]byte, 1) // detects a body longer than allowed
+			} else if more := min(2*n, in.maxBytes); b.grow(more) {
 				n = more
 				b.data = append(make([]byte, 0, n), b.data...)
 				continue
-			} else if streams {
+			} else if canStream {
 				b.rest = in
 				return nil
 			} else {
-				return errBodyRoom
+				return errNoBodyMemory
 			}
 		}
 		k, err := in.Read(into)
@@ -147,33 +149,33 @@
 	}
 }
 
-// restOf reads a body that the head h tells of as it comes.
-type restOf struct {
-	in     *bufio.Reader
-	h      *framing.Head
-	most   int64
-	chunks io.Reader
-	got    int64
+// bodyReader reads the body announced by head while it arrives.
+type bodyReader struct {
+	in       *bufio.Reader
+	head     *framing.Head
+	maxBytes int64
+	chunked  io.Reader
+	received int64 // bytes
 }
 
-// Read implements io.Reader. It ends with io.EOF after the last byte of the body.
-func (r *restOf) Read(b []byte) (n int, err error) {
-	if r.h.Length > 0 {
-		if r.got == r.h.Length {
+// Read implements io.Reader. It returns io.EOF after the last byte of the body.
+func (r *bodyReader) Read(b []byte) (n int, err error) {
+	if r.head.Length > 0 {
+		if r.received == r.head.Length {
 			return 0, io.EOF
 		}
-		n, err = r.in.Read(b[:min(int64(len(b)), r.h.Length-r.got)])
-		r.got += int64(n)
+		n, err = r.in.Read(b[:min(int64(len(b)), r.head.Length-r.received)])
+		r.received += int64(n)
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
 	} else {
-		if r.chunks == nil {
-			r.chunks = httputil.NewChunkedReader(r.in)
+		if r.chunked == nil {
+			r.chunked = httputil.NewChunkedReader(r.in)
 		}
-		n, err = r.chunks.Read(b)
-		if r.got += int64(n); r.got > r.most {
-			return 0, fmt.Errorf("%w: over %d bytes", errBodyLong, r.most)
+		n, err = r.chunked.Read(b)
+		if r.received += int64(n); r.received > r.maxBytes {
+			return 0, fmt.Errorf("%w: more than %d bytes", errBodyTooLong, r.maxBytes)
 		}
 		if err == io.EOF {
 			if err = framing.SkipTrailers(r.in); err == nil {
@@ -182,37 +184,37 @@
 		}
 	}
 	if err != nil {
-		err = fmt.Errorf("body: %w", err)
+		err = fmt.Errorf("read request body: %w", err)
 	}
 	return n, err
 }
 
-// whole tells whether the last byte of the body has been read, once a read has ended with err.
-func (r *restOf) whole(err error) bool {
-	return err == io.EOF || r.h.Length > 0 && r.got == r.h.Length
+// complete reports whether the whole body has been read, after a Read that returned err.
+func (r *bodyReader) complete(err error) bool {
+	return err == io.EOF || r.head.Length > 0 && r.received == r.head.Length
 }
 
-// presentBody is the rest of a body that is sent on while it comes, for as long as its
-// caller is there. A read may be of bytes that lay here for long, while the process did not
-// get to run, and what it brings is sent on at once: the last of it begins the request.
-type presentBody struct {
-	of   *caller
-	rest *restOf
+// checkedBody reads the rest of a streamed body and fails once the caller has closed its
+// connection. It checks after each read, because the bytes may have arrived long before,
+// while the process was not scheduled, and the last of them lets the request run.
+type checkedBody struct {
+	conn *callerConn
+	rest *bodyReader
 }
 
 // Read implements io.Reader.
-func (b *presentBody) Read(p []byte) (int, error) {
+func (b *checkedBody) Read(p []byte) (int, error) {
 	n, err := b.rest.Read(p)
 	if err != nil && err != io.EOF {
 		return n, err
 	}
-	state := b.of.peer.State()
+	state := b.conn.peer.State()
 	switch {
 	case state == sock.Closed:
-		return 0, errGone
-	case b.rest.whole(err) && (state == sock.DataPending || b.of.in.Buffered() > 0):
-		// What should not be there may hide that the caller has left.
-		return 0, errBehind
+		return 0, errCallerLeft
+	case b.rest.complete(err) && (state == sock.DataPending || b.conn.in.Buffered() > 0):
+		// Unexpected bytes may hide that the caller has closed its connection.
+		return 0, errUnexpectedBytes
 	}
 	return n, err
 }
--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -22,202 +22,199 @@
 	"gorselink/internal/upstream"
 )
 
-// Times bound how long a connection may do nothing. The zero value has the
-// platform's.
+// Timeouts bound how long a connection may be inactive. A zero field selects its
+// default.
 type Timeouts struct {
-	// Hello is how long a connection may stand before its first request; who
-	// says nothing is owed a close within 3 s. 2 s by default.
+	// Hello bounds the wait for the first request on a connection. The platform expects
+	// a silent connection to be closed within 3 s. The default is 2 s.
 	Hello time.Duration
-	// Request is what a request gets from its first byte to its last, for the
-	// first one counted from when the connection came. By default it is what
-	// is owed, 3 s, less time to answer; it bounds slow heads and stalled
-	// bodies alike. 2.5 s by default.
+	// Request bounds the time from the first byte of a request to its last, and so
+	// limits slow heads and stalled bodies. For the first request it starts when the
+	// connection is accepted. The default is 2.5 s, which leaves time to answer within
+	// the 3 s that the platform expects.
 	Request time.Duration
-	// Idle is how long a connection may stand between requests. Callers may be
-	// closed on after 2 s; most come again sooner, and a new connection costs
-	// both sides more than an old one that waits. 10 s by default.
+	// Idle bounds the time between two requests. A waiting connection costs both sides
+	// less than a new one. The default is 10 s.
 	Idle time.Duration
 }
 
 const (
-	helloTime   = 2 * time.Second
-	requestTime = 2500 * time.Millisecond
-	idleTime    = 10 * time.Second
+	helloTimeout   = 2 * time.Second
+	requestTimeout = 2500 * time.Millisecond
+	idleTimeout    = 10 * time.Second
 )
 
-func (t Timeouts) orDefault() Timeouts {
-	return Timeouts{Hello: cmp.Or(t.Hello, helloTime), Request: cmp.Or(t.Request, requestTime), Idle: cmp.Or(t.Idle, idleTime)}
+func (t Timeouts) withDefaults() Timeouts {
+	return Timeouts{Hello: cmp.Or(t.Hello, helloTimeout), Request: cmp.Or(t.Request, requestTimeout), Idle: cmp.Or(t.Idle, idleTimeout)}
 }
 
 const (
-	// unread is how long a caller may leave its answer unread. It guards
-	// against callers that stop reading, each of which would hold its
-	// connection for good.
-	unread = 3 * time.Second
-
-	// lingerTime and lingerBytes bound the reading after a rejection. Closing
-	// on bytes that still come would reset the connection and eat the answer;
-	// a caller with 60 MB to send gets 6 s in all.
-	lingerTime  = 3 * time.Second
-	lingerBytes = 80 << 20
-
-	// rejectPause slows a caller whose requests are turned away on one
-	// connection again and again: it is answered in time, and leaves the
-	// processor to the others. It would slow an honest caller that has been
-	// given a wrong configuration, which has nothing to win from haste.
-	rejectPause = 100 * time.Millisecond
-
-	// roomWait is when a request may find room for its body again: most are
-	// answered within it, and give theirs back.
-	roomWait = 300 * time.Millisecond
-
-	// callerBuffer is the kernel's receive buffer of a connection. Whole
-	// bodies fit; left to itself it grows to megabytes under a caller that
-	// sends at full speed, out of the same memory limit.
-	callerBuffer = 64 << 10
+	// writeTimeout bounds the write of a response. Without it, a caller that stops
+	// reading would hold its connection forever.
+	writeTimeout = 3 * time.Second
+
+	// lingerTimeout and maxLingerBytes bound what is read after the last response.
+	// Closing a connection with unread input resets it, and the caller may lose the
+	// response.
+	lingerTimeout  = 3 * time.Second
+	maxLingerBytes = 80 << 20
+
+	// rejectionDelay slows down a caller whose requests are rejected repeatedly on one
+	// connection, so that it leaves the processor to other callers.
+	rejectionDelay = 100 * time.Millisecond
+
+	// overloadRetryAfter is the Retry-After of a request that is rejected for lack of
+	// memory or connections; most open requests end within it.
+	overloadRetryAfter = 300 * time.Millisecond
+
+	// receiveBufferBytes is the size of the kernel's receive buffer of a connection.
+	// Without a limit it grows to megabytes, which count against the process's memory
+	// limit.
+	receiveBufferBytes = 64 << 10
 )
 
-// caller is one connection of a caller.
-type caller struct {
-	callers *Server
-	conn    net.Conn
-	intake  intake        // reads from conn
-	in      *bufio.Reader // reads from intake
-	look    *sock.Peeker
-	peer    *sock.Poller
-	born    time.Time
-	asked   chan struct{} // told when the place is needed, so that a pause ends
-	rejects int           // in a row
-	resumed bool          // it was another process's, and has brought requests there
-	pass    Handover      // that of the Callers at the last move
-	req     Request       // the one that is being read or is out
-
-	// Of the request that was read last.
-	owed bool // its head has been read whole, and it has no answer yet
-	sent bool // its pool has taken it, so that it may run
-
-	// Of the request that is out.
-	watch   *time.Timer // begins watchOut, which tells watched
-	watches bool        // it has been set
-	watched chan bool   // whether the caller has left
-	early   atomic.Bool // bytes came before the answer, so that the connection ends with it
-	streams bool        // its body is sent on while it comes
-	outMu   sync.Mutex
-	out     bool // what comes belongs to no request; guarded by outMu
-	pool    *pool.Pool
-	request *pool.Request
-	reply   chan pool.Answer
-
-	state state // guarded by Callers.mu, as are
-	place ring.Link[*caller]
-
-	// Who needs the place has asked for it, and settled is closed when the state changes.
-	hurried bool
-	settled chan struct{}
+// callerConn is one connection of a caller.
+type callerConn struct {
+	server          *Server
+	conn            net.Conn
+	paced           pacedReader   // reads from conn
+	in              *bufio.Reader // reads from paced
+	socket          *sock.Peeker
+	peer            *sock.Poller
+	acceptedAt      time.Time
+	closeSignal     chan struct{} // receives a value when the connection is asked to close
+	rejectionsInRow int           // since a pool last took a request
+	resumed         bool          // handed over by another process, where it has served requests
+	handover        Handover      // the server's when the state was last set
+	req             Request       // the request that is being read or is open
+
+	// State of the request that was read last.
+	responseDue bool // its head has been read and no response has been written
+	mayHaveRun  bool // a pool has taken it, so an endpoint may run it
+
+	// State of the open request.
+	watchTimer   *time.Timer // starts watchCaller, which sends on callerLeft
+	watchStarted bool        // watchTimer has been started
+	callerLeft   chan bool   // whether the caller has closed its connection
+	earlyBytes   atomic.Bool // bytes arrived before the response; the connection closes after it
+	streamsBody  bool        // its body is forwarded while it arrives
+	discardMu    sync.Mutex
+	discardInput bool // input belongs to no request; guarded by discardMu
+	pool         *pool.Pool
+	request      *pool.Request
+	reply        chan pool.Answer
+
+	state connState // guarded by server.mu, as are the fields below
+	entry ring.Link[*callerConn]
+
+	// closeRequested is set by requestClose; closeHandled is closed when the state
+	// changes.
+	closeRequested bool
+	closeHandled   chan struct{}
 }
 
-func newCaller(cs *Server, nc net.Conn) *caller {
+func newCallerConn(s *Server, nc net.Conn) *callerConn {
 	if tc, ok := nc.(*net.TCPConn); ok {
-		tc.SetReadBuffer(callerBuffer)
-	}
-	remote := ""
-	if cs.ForwardCallerIP {
-		remote, _, _ = net.SplitHostPort(nc.RemoteAddr().String())
-	}
-	c := &caller{
-		req:     Request{CallerIP: remote},
-		callers: cs,
-		conn:    nc,
-		look:    sock.NewPeeker(nc),
-		peer:    sock.NewPoller(nc),
-		born:    time.Now(),
-		asked:   make(chan struct{}, 1),
-		watched: make(chan bool, 1),
-		reply:   make(chan pool.Answer, 1),
-	}
-	c.intake.conn = nc
-	c.in = bufio.NewReaderSize(&c.intake, framing.MaxHeadBytes)
-	c.place.Of = c
-	c.watch = time.AfterFunc(time.Hour, c.watchOut)
-	c.watch.Stop()
+		tc.SetReadBuffer(receiveBufferBytes)
+	}
+	callerIP := ""
+	if s.ForwardCallerIP {
+		callerIP, _, _ = net.SplitHostPort(nc.RemoteAddr().String())
+	}
+	c := &callerConn{
+		req:         Request{CallerIP: callerIP},
+		server:      s,
+		conn:        nc,
+		socket:      sock.NewPeeker(nc),
+		peer:        sock.NewPoller(nc),
+		acceptedAt:  time.Now(),
+		closeSignal: make(chan struct{}, 1),
+		callerLeft:  make(chan bool, 1),
+		reply:       make(chan pool.Answer, 1),
+	}
+	c.paced.conn = nc
+	c.in = bufio.NewReaderSize(&c.paced, framing.MaxHeadBytes)
+	c.entry.Of = c
+	c.watchTimer = time.AfterFunc(time.Hour, c.watchCaller)
+	c.watchTimer.Stop()
 	return c
 }
 
-// serve reads requests one by one and answers each.
-func (c *caller) serve() {
-	defer c.end()
-	defer c.answerOwed()
-	times := &c.callers.times
-	wait, until, end := unproven, c.born.Add(times.Hello), c.born.Add(times.Request)
+// serve reads and answers requests until the connection closes.
+func (c *callerConn) serve() {
+	defer c.close()
+	defer c.respondOnExit()
+	timeouts := &c.server.timeouts
+	waitState, waitDeadline, requestDeadline := stateUnproven, c.acceptedAt.Add(timeouts.Hello), c.acceptedAt.Add(timeouts.Request)
 	if c.resumed {
-		wait, until = idle, c.born.Add(times.Idle)
+		waitState, waitDeadline = stateIdle, c.acceptedAt.Add(timeouts.Idle)
 	}
-	for first := true; c.await(wait, until); first = false {
+	for first := true; c.awaitRequest(waitState, waitDeadline); first = false {
 		if !first || c.resumed {
-			end = time.Now().Add(times.Request) // from its first byte on, also behind what was not served
+			requestDeadline = time.Now().Add(timeouts.Request) // from the first byte on
 		}
-		served, goesOn := c.one(end)
-		if !goesOn {
+		served, keepAlive := c.serveRequest(requestDeadline)
+		if !keepAlive {
 			return
 		}
 		if served {
-			wait = idle
+			waitState = stateIdle
 		}
-		// One that only asked whether the sidecar is ready, or was turned
-		// away, is no better than one that says nothing.
-		until = time.Now().Add(times.Hello)
-		if wait == idle {
-			until = time.Now().Add(times.Idle)
+		// A connection that brought only readiness checks and rejected requests is
+		// limited like one without requests.
+		waitDeadline = time.Now().Add(timeouts.Hello)
+		if waitState == stateIdle {
+			waitDeadline = time.Now().Add(timeouts.Idle)
 		}
 	}
 }
 
-// answerOwed is what every connection ends by, whatever ends it: a request whose head has
-// been read whole is answered first. One request that meets a fault does not take all others
-// with it, and has an answer too.
-func (c *caller) answerOwed() {
-	fault := recover()
-	if fault != nil {
-		slog.Error("a connection ended by a fault", "error", fault, "stack", string(debug.Stack()))
+// respondOnExit runs whenever a connection ends. If a request head has been read and not
+// answered, it writes an error response. It recovers from a panic, so that a panic on
+// one connection does not end the process.
+func (c *callerConn) respondOnExit() {
+	cause := recover()
+	if cause != nil {
+		slog.Error("panic while serving a connection; closing it after an error response if one is due", "error", cause, "stack", string(debug.Stack()))
 		defer func() {
-			if again := recover(); again != nil {
-				slog.Error("no answer after a fault", "error", again)
+			if second := recover(); second != nil {
+				slog.Error("panic while handling an earlier panic on a connection; closing it without a response", "error", second)
 			}
 		}()
-		c.abandon()
+		c.withdrawRequest()
 	}
-	if !c.owed {
+	if !c.responseDue {
 		return
 	}
-	a := answer{status: http.StatusServiceUnavailable, retryAfter: roomWait} // nothing was done for it
-	if c.sent {
-		a = answer{status: http.StatusInternalServerError}
+	resp := response{status: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter} // no endpoint has received it
+	if c.mayHaveRun {
+		resp = response{status: http.StatusInternalServerError}
 	}
-	c.conn.SetWriteDeadline(time.Now().Add(unread))
-	if a.write(c.conn, c.req.Method, false) == nil {
-		endSending(c.conn)
-		sock.Discard(c.conn, make([]byte, 4<<10)) // nobody else reads any more, or who does is not to be met
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if resp.write(c.conn, c.req.Method, false) == nil {
+		closeWrite(c.conn)
+		sock.Discard(c.conn, make([]byte, 4<<10)) // unread input would make the close a reset
 	}
 }
 
-// abandon ends the request that is out as a fault ends the connection.
-func (c *caller) abandon() {
+// withdrawRequest withdraws the open request from its pool after a panic.
+func (c *callerConn) withdrawRequest() {
 	if c.request == nil {
 		return
 	}
-	c.setOut(false)
-	if c.watches && !c.watch.Stop() {
-		c.conn.SetReadDeadline(past)
-		<-c.watched
+	c.setDiscardInput(false)
+	if c.watchStarted && !c.watchTimer.Stop() {
+		c.conn.SetReadDeadline(expiredDeadline)
+		<-c.callerLeft
 	}
 	c.pool.Withdraw(c.request)
 }
 
-// await waits for the first byte of a request and tells whether it has come.
-func (c *caller) await(st state, until time.Time) bool {
+// awaitRequest waits for the first byte of a request and reports whether it has arrived.
+func (c *callerConn) awaitRequest(st connState, deadline time.Time) bool {
 	for {
-		ends := c.move(st, until)
-		if c.passOn() {
+		closes := c.setState(st, deadline)
+		if c.handOver() {
 			return false
 		}
 		_, err := c.in.Peek(1)
@@ -227,37 +224,38 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return false
 		}
-		if ends || !c.woken(st) {
-			// A request that has come while the time ran out is whole, and counts as
-			// taken. Under a deadline that has passed a read does not see it.
-			c.conn.SetReadDeadline(time.Now().Add(lastLook))
+		if closes || !c.wasWoken(st) {
+			// A request may have arrived just before the deadline. It must be served,
+			// but a read after the deadline does not return it.
+			c.conn.SetReadDeadline(time.Now().Add(finalReadTimeout))
 			if !sock.HasPendingData(c.conn) {
 				return false
 			}
 			_, err := c.in.Peek(1)
 			return err == nil
 		}
-		// Woken by Drain or Ebb before its time, it has one last look, and by
-		// PassOn it goes on elsewhere. Nothing of a request has been read then.
+		// Drain, SetCloseIdle or SetHandover has interrupted the wait. No byte of a
+		// request has been read, so the next round makes a final read or hands the
+		// connection over.
 	}
 }
 
-// one reads and answers one request. It tells whether the request was taken
+// serveRequest reads and answers one request. It reports whether a pool took the request
 // and whether another may follow on the connection.
-func (c *caller) one(end time.Time) (served, goesOn bool) {
-	c.move(reading, end)
-	c.sent = false
+func (c *callerConn) serveRequest(deadline time.Time) (served, keepAlive bool) {
+	c.setState(stateReading, deadline)
+	c.mayHaveRun = false
 	head, err := framing.PeekHead(c.in)
 	if err != nil {
 		switch {
 		case errors.Is(err, framing.ErrHeadTooLong):
 			c.reject(http.StatusRequestHeaderFieldsTooLarge, err)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.reject(http.StatusRequestTimeout, errors.New("the head did not come in time"))
+			c.reject(http.StatusRequestTimeout, errors.New("the request head did not arrive in time"))
 		}
 		return false, false
 	}
-	c.owed = true
+	c.responseDue = true
 	req := &c.req
 	if err := req.ParseRequest(head); err != nil {
 		c.reject(http.StatusBadRequest, err)
@@ -269,146 +267,146 @@
 		c.reject(http.StatusBadRequest, err)
 		return false, false
 	}
-	j := c.callers.judge
+	router := c.server.router
 	if path == readyPath && req.Length == 0 {
-		return false, c.give(req, answer{status: j.ReadyStatus()}, true)
+		return false, c.respond(req, response{status: router.ReadyStatus()}, true)
 	}
-	p, wrong := j.Route(req)
-	if wrong != nil {
-		return false, c.turnAway(req, wrong.Status, wrong.Err)
+	p, rejection := router.Route(req)
+	if rejection != nil {
+		return false, c.rejectRequest(req, rejection.Status, rejection.Err)
 	}
 	if p.Pool.Full() {
 		p.Pool.NoteFull()
-		return false, c.full(req, p)
+		return false, c.rejectFull(req, p)
 	}
-	if err := c.expected(req, p.MaxBody); err != nil {
+	if err := c.handleExpect(req, p.MaxBody); err != nil {
 		c.reject(http.StatusExpectationFailed, err)
 		return false, false
 	}
 	if req.Length < 0 || req.Length > int64(c.in.Buffered()) {
-		c.intake.begin()
+		c.paced.startBody()
 	}
-	body, err := readBody(c.in, &req.Head, room{p.Pool.Bodies(), p.Pool.LongBodies(), p.Pool.Streams()}, p.MaxBody)
+	body, err := readBody(c.in, &req.Head, bodyMemory{p.Pool.Bodies(), p.Pool.LongBodies(), p.Pool.Streams()}, p.MaxBody)
 	if err != nil {
-		c.intake.end()
+		c.paced.endBody()
 		c.rejectBody(err)
 		return false, false
 	}
 	if body != nil && body.rest != nil {
-		return c.carry(req, p, body)
+		return c.forward(req, p, body)
 	}
-	c.intake.end()
+	c.paced.endBody()
 	if c.in.Buffered() > 0 {
-		// Callers send one request at a time. What comes all at once is a
-		// burst, or stood hidden behind the body of the first.
+		// Callers must not pipeline requests. Further bytes may be a request hidden
+		// behind the body of this one.
 		body.release()
-		c.reject(http.StatusBadRequest, errBehind)
+		c.reject(http.StatusBadRequest, errUnexpectedBytes)
 		return false, false
 	}
-	return c.carry(req, p, body)
+	return c.forward(req, p, body)
 }
 
 // rejectBody answers a request whose body could not be read.
-func (c *caller) rejectBody(err error) {
+func (c *callerConn) rejectBody(err error) {
 	switch {
-	case errors.Is(err, errBodyLong):
+	case errors.Is(err, errBodyTooLong):
 		c.reject(http.StatusRequestEntityTooLarge, err)
-	case errors.Is(err, errBodyRoom):
-		// Nothing has been sent for it, so trying again is harmless.
+	case errors.Is(err, errNoBodyMemory):
+		// No endpoint has received the request, so a retry is harmless.
 		c.reject(http.StatusServiceUnavailable, err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.reject(http.StatusRequestTimeout, errors.New("the body did not come in time"))
+		c.reject(http.StatusRequestTimeout, errors.New("the request body did not arrive in time"))
 	default:
 		c.reject(http.StatusBadRequest, err)
 	}
 }
 
-// full answers a request to a pool that has no room for it, at once: whoever
-// waited here would hold a connection that another pool's callers may need.
-func (c *caller) full(req *Request, p *Plan) (goesOn bool) {
-	a := answer{status: http.StatusServiceUnavailable, text: pool.ErrFull.Error(), retryAfter: p.Pool.RetryAfter(), whole: p.Ordinary}
+// rejectFull answers a request to a pool that has no capacity for it. The request does
+// not wait, because callers of another pool may need its connection.
+func (c *callerConn) rejectFull(req *Request, p *Plan) (keepAlive bool) {
+	resp := response{status: http.StatusServiceUnavailable, text: pool.ErrFull.Error(), retryAfter: p.Pool.RetryAfter(), wholeSeconds: p.Ordinary}
 	if req.Length != 0 {
-		c.rejectWith(a)
+		c.rejectWith(resp)
 		return false
 	}
-	return c.give(req, a, true)
+	return c.respond(req, resp, true)
 }
 
-// expected answers an Expect field.
-func (c *caller) expected(req *Request, maxBody int64) error {
+// handleExpect checks the Expect field and sends 100 Continue if the body is wanted.
+func (c *callerConn) handleExpect(req *Request, maxBody int64) error {
 	want := req.Fields.Get("Expect")
 	if want == "" {
 		return nil
 	}
 	if !strings.EqualFold(want, "100-continue") {
-		return errors.New("Expect: want 100-continue or nothing")
+		return errors.New("Expect: only 100-continue is supported")
 	}
 	if req.Length == 0 || req.Length > maxBody {
 		return nil
 	}
-	c.conn.SetWriteDeadline(time.Now().Add(unread))
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	return err
 }
 
-// carry hands a whole request to its pool and gives the answer.
-func (c *caller) carry(req *Request, p *Plan, b *body) (served, goesOn bool) {
-	c.move(taken, time.Time{})
-	if !p.isNew() {
+// forward hands a request to its pool and writes the response.
+func (c *callerConn) forward(req *Request, p *Plan, b *requestBody) (served, keepAlive bool) {
+	c.setState(stateActive, time.Time{})
+	if !p.recordID() {
 		b.release()
-		return false, c.turnAway(req, http.StatusConflict, errSeen)
+		return false, c.rejectRequest(req, http.StatusConflict, errDuplicateID)
 	}
-	c.streams = b != nil && b.rest != nil
-	c.setOut(!c.streams)
-	p, r, wrong := c.take(p, b)
-	if wrong != nil {
-		c.setOut(false)
+	c.streamsBody = b != nil && b.rest != nil
+	c.setDiscardInput(!c.streamsBody)
+	p, r, failure := c.submit(p, b)
+	if failure != nil {
+		c.setDiscardInput(false)
 		b.release()
-		return false, c.give(req, *wrong, true)
+		return false, c.respond(req, *failure, true)
 	}
 	defer p.Pool.Done(r)
-	c.rejects, c.sent = 0, true
-	c.pool, c.request, c.watches = p.Pool, r, false
+	c.rejectionsInRow, c.mayHaveRun = 0, true
+	c.pool, c.request, c.watchStarted = p.Pool, r, false
 	if r.Out.Upload != nil {
-		return true, c.upload(req, p, r)
+		return true, c.forwardUpload(req, p, r)
 	}
-	c.watches = true
-	c.watch.Reset(watchAfter)
+	c.watchStarted = true
+	c.watchTimer.Reset(watchDelay)
 	p.Pool.Attempt(r)
 	a := <-r.Answer()
 	left := false
-	c.setOut(false)
-	quiet := c.watch.Stop() // nobody has watched
-	if !quiet {
-		c.conn.SetReadDeadline(past)
-		left = <-c.watched
+	c.setDiscardInput(false)
+	unwatched := c.watchTimer.Stop() // watchCaller has not started
+	if !unwatched {
+		c.conn.SetReadDeadline(expiredDeadline)
+		left = <-c.callerLeft
 	}
-	c.watches = false
-	if quiet && c.look.State() == sock.DataPending {
-		c.early.Store(true)
+	c.watchStarted = false
+	if unwatched && c.socket.State() == sock.DataPending {
+		c.earlyBytes.Store(true)
 	}
 	c.pool, c.request = nil, nil // an idle connection holds no body
-	goesOn = c.give(req, answerOf(a, p), !left && !c.early.Load())
+	keepAlive = c.respond(req, responseFor(a, p), !left && !c.earlyBytes.Load())
 	if a.Up != nil {
 		a.Up.Release()
 	}
-	return true, goesOn
+	return true, keepAlive
 }
 
-// upload carries a request whose body is sent on while it comes, and tells
-// whether another may follow on the connection.
-func (c *caller) upload(req *Request, p *Plan, r *pool.Request) (goesOn bool) {
+// forwardUpload forwards a request whose body is sent while it arrives. It reports
+// whether another request may follow on the connection.
+func (c *callerConn) forwardUpload(req *Request, p *Plan, r *pool.Request) (keepAlive bool) {
 	u := r.Out.Upload
 	answered := make(chan struct{})
-	over := sync.OnceFunc(func() { close(answered) })
-	defer over()
+	stopWatching := sync.OnceFunc(func() { close(answered) })
+	defer stopWatching()
 	go c.watchUpload(p.Pool, r, answered)
 	p.Pool.Attempt(r)
 	a := <-r.Answer()
-	over()
+	stopWatching()
 	<-u.Done // an attempt may still read from the caller
 	c.pool, c.request = nil, nil
-	c.intake.end()
+	c.paced.endBody()
 	if a.Up != nil {
 		defer a.Up.Release()
 	}
@@ -416,54 +414,51 @@
 	case err != nil:
 		c.rejectBody(err)
 		return false
-	case !u.Sent(): // its node gave it up, or there was none
-		c.rejectWith(answerOf(a, p))
+	case !u.Sent(): // the endpoint stopped reading it, or none was available
+		c.rejectWith(responseFor(a, p))
 		return false
 	}
-	return c.give(req, answerOf(a, p), true)
+	return c.respond(req, responseFor(a, p), true)
 }
 
-// watchAfter is how long a request may be out before its caller is watched for
-// leaving. Most are answered within it and cost no wait of their own; what is
-// lost is that much of the time in which a request whose caller has gone could
-// be spared another attempt.
-const watchAfter = 5 * time.Millisecond
-
-// watchOut waits for the caller to go away while its request is out. Nothing should come
-// before the answer. What does is of no use, as callers send one request at a time, and
-// hides a close behind it: it is read and dropped, or one early byte would keep a request
-// going whose caller has left. The answer ends the wait.
-func (c *caller) watchOut() {
-	left := c.awaitLeave()
+// watchDelay is how long a request is open before its caller is watched for a
+// disconnect. Most requests are answered within it and need no watching goroutine.
+const watchDelay = 5 * time.Millisecond
+
+// watchCaller waits for the caller to disconnect while its request is open. Input that
+// arrives before the response is discarded, because a close may follow it. The response
+// ends the wait.
+func (c *callerConn) watchCaller() {
+	left := c.awaitDisconnect()
 	if left {
 		c.pool.Withdraw(c.request)
 	}
-	c.watched <- left
+	c.callerLeft <- left
 }
 
 const (
-	// dropBurst is what of a caller's early bytes is dropped without a pause, and
-	// dropPiece what is between two pauses then: a caller that floods costs some per
-	// cent of a core, and one that has filled its socket's buffers and left is seen to
-	// have in a moment.
-	dropBurst  = 1 << 20
-	dropPiece  = 64 << 10
-	earlyPause = time.Millisecond
+	// Input that arrives before the response is discarded at full speed up to
+	// discardBurst bytes; from then on a discardPause follows every discardStep bytes.
+	// This bounds the processor time that a flooding caller costs.
+	discardBurst = 1 << 20
+	discardStep  = 64 << 10
+	discardPause = time.Millisecond
 )
 
-// awaitLeave tells whether the caller has left before a read deadline ends the wait.
-func (c *caller) awaitLeave() bool {
+// awaitDisconnect waits for the caller to disconnect or a read deadline to expire, and
+// reports whether the caller has disconnected.
+func (c *callerConn) awaitDisconnect() bool {
 	_, err := c.in.Peek(1)
 	if err == nil {
-		c.early.Store(true)
-		buf := scratch.Get().(*[]byte)
-		defer scratch.Put(buf)
-		for n, next := 0, dropBurst; err == nil; {
+		c.earlyBytes.Store(true)
+		buf := copyBuffers.Get().(*[]byte)
+		defer copyBuffers.Put(buf)
+		for n, next := 0, discardBurst; err == nil; {
 			var k int
 			k, err = c.in.Read(*buf)
 			if n += k; n >= next {
-				next = n + dropPiece
-				time.Sleep(earlyPause)
+				next = n + discardStep
+				time.Sleep(discardPause)
 			}
 		}
 	}
@@ -471,71 +466,74 @@
 }
 
 // Left implements pool.Caller.
-func (c *caller) Left() bool {
+func (c *callerConn) Left() bool {
 	switch c.peer.State() {
 	case sock.Closed:
 		return true
 	case sock.DataPending:
-		return !c.streams && c.leftBehind()
+		return !c.streamsBody && c.leftAfterEarlyBytes()
 	}
 	return false
 }
 
 const (
-	// earlyFew is how many early bytes surely left room for an end behind them.
-	earlyFew = 4 << 10
-	// earlyRounds bounds how often early bytes are dropped before who goes on sending
-	// them is given up: 32 MB or more, in half a second or more.
-	earlyRounds = 500
+	// closeVisibleBytes is a number of unread bytes that leaves room in the receive
+	// buffer for a close behind them.
+	closeVisibleBytes = 4 << 10
+	// maxDiscardRounds bounds how often early input is discarded before a caller that
+	// goes on sending counts as disconnected.
+	maxDiscardRounds = 500
 )
 
-// leftBehind tells whether the caller has left behind bytes that came too early. An end
-// behind more than the buffer of the connection holds does not show before they are read.
-// They are dropped here, as who watches for the end may not have got to run.
-func (c *caller) leftBehind() bool {
-	for range earlyRounds {
-		dropped, out := c.dropEarly()
-		if !out || c.peer.State() == sock.Closed {
+// leftAfterEarlyBytes reports whether the caller has disconnected after sending bytes
+// before the response. A close behind a full receive buffer is visible only once the
+// bytes have been read. They are discarded here, because watchCaller may not have run.
+func (c *callerConn) leftAfterEarlyBytes() bool {
+	for range maxDiscardRounds {
+		discarded, requestOpen := c.discardEarlyBytes()
+		if !requestOpen || c.peer.State() == sock.Closed {
 			return true
 		}
-		if dropped < earlyFew {
+		if discarded < closeVisibleBytes {
 			return false
 		}
-		time.Sleep(earlyPause) // for what the room that there is now lets come
+		time.Sleep(discardPause) // for input that now fits the receive buffer
 	}
 	return true
 }
 
-// dropEarly reads what has come too early, unless the request is not out any more and
-// what comes may be the next one.
-func (c *caller) dropEarly() (dropped int, out bool) {
-	c.outMu.Lock()
-	defer c.outMu.Unlock()
-	if !c.out {
+// discardEarlyBytes discards input that has arrived before the response. If no request
+// is open, it discards nothing, because the input may be the next request.
+func (c *callerConn) discardEarlyBytes() (discarded int, requestOpen bool) {
+	c.discardMu.Lock()
+	defer c.discardMu.Unlock()
+	if !c.discardInput {
 		return 0, false
 	}
-	buf := scratch.Get().(*[]byte)
-	defer scratch.Put(buf)
-	if dropped = sock.Discard(c.conn, *buf); dropped > 0 {
-		c.early.Store(true)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
+	if discarded = sock.Discard(c.conn, *buf); discarded > 0 {
+		c.earlyBytes.Store(true)
 	}
-	return dropped, true
+	return discarded, true
 }
 
-// setOut tells whether a request is out whose body has come whole.
-func (c *caller) setOut(out bool) {
-	c.outMu.Lock()
-	defer c.outMu.Unlock()
-	c.out = out
+// setDiscardInput sets whether input belongs to no request. This is the case while a
+// request is open and its whole body has been read.
+func (c *callerConn) setDiscardInput(discard bool) {
+	c.discardMu.Lock()
+	defer c.discardMu.Unlock()
+	c.discardInput = discard
 }
 
-// uploadLook is how often a caller is looked at whose body waits to be sent on, or is.
-const uploadLook = 25 * time.Millisecond
+// uploadPollInterval is how often a caller is checked for a disconnect while its body is
+// forwarded.
+const uploadPollInterval = 25 * time.Millisecond
 
-// watchUpload withdraws a request that streams once its caller has left, until it is
-// answered. Its bytes are the attempt's to read, so that only a look at the socket tells.
-func (c *caller) watchUpload(p *pool.Pool, r *pool.Request, answered <-chan struct{}) {
-	tick := time.NewTicker(uploadLook)
+// watchUpload withdraws a streamed request if its caller disconnects before the
+// response. It polls the socket, because only an attempt may read from it.
+func (c *callerConn) watchUpload(p *pool.Pool, r *pool.Request, answered <-chan struct{}) {
+	tick := time.NewTicker(uploadPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -551,34 +549,35 @@
 	}
 }
 
-// coming tells whether the end of the body that is being read is surely still to come:
-// nothing of it waits here. What waits may end with the last byte, or there is as much
-// behind it as the buffers on the way hold.
-func (c *caller) coming() bool { return c.in.Buffered() == 0 && !sock.HasPendingData(c.conn) }
+// bodyEndPending reports whether the end of the body has certainly not arrived, because
+// no unread input is waiting. Unread input could include the end.
+func (c *callerConn) bodyEndPending() bool {
+	return c.in.Buffered() == 0 && !sock.HasPendingData(c.conn)
+}
 
-// mostAnew bounds how often a request is judged anew: each time its pool has
-// been replaced in the moment since it was judged.
-const mostAnew = 4
+// maxReroutes bounds how often a request is routed again because its pool was replaced
+// in the meantime.
+const maxReroutes = 4
 
-// take hands the request to its pool, or to the one that has taken its place
-// meanwhile. It tells how the request is answered if none takes it.
-func (c *caller) take(p *Plan, b *body) (*Plan, *pool.Request, *answer) {
+// submit hands the request to its pool, or to the pool that has replaced it in the
+// meantime. If no pool takes the request, it returns the response to write.
+func (c *callerConn) submit(p *Plan, b *requestBody) (*Plan, *pool.Request, *response) {
 	for tries := 0; ; tries++ {
 		r := &pool.Request{
 			Class:  p.Class,
 			Tenant: p.Tenant,
-			Budget: c.callers.left(p.Budget),
+			Budget: c.server.remainingBudget(p.Budget),
 			Again:  p.Repeat,
 			Out:    p.Upstream,
-			Name:   p.id,
+			Name:   p.callID,
 			Reply:  c.reply,
 			Caller: c,
 		}
 		switch {
 		case b != nil && b.rest != nil:
-			over := make(chan struct{})
-			r.Out.Upload = &upstream.Upload{Buffered: b.data, Remaining: &presentBody{c, b.rest}, Length: c.req.Length, Done: over, Incomplete: c.coming}
-			r.Over = func() { b.release(); close(over) }
+			done := make(chan struct{})
+			r.Out.Upload = &upstream.Upload{Buffered: b.data, Remaining: &checkedBody{c, b.rest}, Length: c.req.Length, Done: done, Incomplete: c.bodyEndPending}
+			r.Over = func() { b.release(); close(done) }
 		case b != nil:
 			r.Out.Body, r.Over = b.data, b.release
 		}
@@ -586,99 +585,101 @@
 		if err == nil {
 			return p, r, nil
 		}
-		if !errors.Is(err, pool.ErrRetired) || p.judged == nil || tries == mostAnew {
-			return nil, nil, &answer{status: http.StatusServiceUnavailable, text: err.Error(), retryAfter: p.Pool.RetryAfter(), whole: p.Ordinary}
+		if !errors.Is(err, pool.ErrRetired) || p.routed == nil || tries == maxReroutes {
+			return nil, nil, &response{status: http.StatusServiceUnavailable, text: err.Error(), retryAfter: p.Pool.RetryAfter(), wholeSeconds: p.Ordinary}
 		}
-		next, wrong := p.judged.plan()
-		if wrong != nil {
-			return nil, nil, &answer{status: wrong.Status, text: wrong.Err.Error()}
+		next, rejection := p.routed.plan()
+		if rejection != nil {
+			return nil, nil, &response{status: rejection.Status, text: rejection.Err.Error()}
 		}
 		p = next
 	}
 }
 
-// turnAway answers a request that cannot be used. If nothing else comes with
-// it the connection goes on.
-func (c *caller) turnAway(req *Request, status int, why error) (goesOn bool) {
+// rejectRequest answers a request that cannot be served. The connection stays open
+// unless more input follows the request.
+func (c *callerConn) rejectRequest(req *Request, status int, reason error) (keepAlive bool) {
 	if req.Length != 0 || c.in.Buffered() > 0 || req.Close {
-		c.reject(status, why)
+		c.reject(status, reason)
 		return false
 	}
-	goesOn = c.pause()
-	return c.give(req, answer{status: status, text: why.Error()}, goesOn)
+	keepAlive = c.delayRejection()
+	return c.respond(req, response{status: status, text: reason.Error()}, keepAlive)
 }
 
-// pause holds back the answer to the second and later of a row of rejections. It tells
-// whether the connection may go on, which it does not where its place is needed.
-func (c *caller) pause() (goesOn bool) {
-	c.rejects++
-	if c.rejects < 2 {
+// delayRejection delays the second and later of consecutive rejections. It reports
+// whether the connection may stay open, which it may not once it has been asked to
+// close.
+func (c *callerConn) delayRejection() (keepAlive bool) {
+	c.rejectionsInRow++
+	if c.rejectionsInRow < 2 {
 		return true
 	}
-	c.move(rejected, time.Time{})
+	c.setState(stateRejected, time.Time{})
 	select {
-	case <-c.asked:
+	case <-c.closeSignal:
 		return false
-	case <-time.After(rejectPause):
+	case <-time.After(rejectionDelay):
 		return true
 	}
 }
 
-// reject answers what cannot be read further; the connection ends.
-func (c *caller) reject(status int, why error) {
-	a := answer{status: status, text: why.Error()}
+// reject answers a request that cannot be read further, and ends the connection.
+func (c *callerConn) reject(status int, reason error) {
+	resp := response{status: status, text: reason.Error()}
 	if status == http.StatusServiceUnavailable {
-		a.retryAfter = roomWait
+		resp.retryAfter = overloadRetryAfter
 	}
-	c.rejectWith(a)
+	c.rejectWith(resp)
 }
 
-func (c *caller) rejectWith(a answer) {
-	if c.write(a, "", false) == nil {
+func (c *callerConn) rejectWith(resp response) {
+	if c.write(resp, "", false) == nil {
 		c.linger()
 	}
 }
 
-// write writes the one answer that the request has.
-func (c *caller) write(a answer, method string, keep bool) error {
-	if a.streams() {
-		c.owed = false // from the first piece on
+// write writes the one response to the request.
+func (c *callerConn) write(resp response, method string, keepAlive bool) error {
+	if resp.streams() {
+		c.responseDue = false // a response that has begun cannot be replaced
 	}
-	c.conn.SetWriteDeadline(time.Now().Add(unread))
-	err := a.write(c.conn, method, keep)
-	c.owed = false
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	err := resp.write(c.conn, method, keepAlive)
+	c.responseDue = false
 	return err
 }
 
-// linger reads on until the caller had time to see the last answer.
-func (c *caller) linger() {
-	c.move(rejected, time.Now().Add(lingerTime))
-	endSending(c.conn)
-	buf := scratch.Get().(*[]byte)
-	defer scratch.Put(buf)
-	for n := 0; n < lingerBytes; {
+// linger discards input until the caller has had time to read the last response.
+func (c *callerConn) linger() {
+	c.setState(stateRejected, time.Now().Add(lingerTimeout))
+	closeWrite(c.conn)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
+	for n := 0; n < maxLingerBytes; {
 		k, err := c.in.Read(*buf)
 		n += k
 		if err != nil {
-			sock.Discard(c.conn, *buf) // its place may be needed; what waits must not eat the answer
+			sock.Discard(c.conn, *buf) // unread input would make the close a reset and lose the response
 			return
 		}
 	}
 }
 
-// scratch holds buffers for bytes that nobody wants.
-var scratch = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
+// copyBuffers holds buffers for discarded input and streamed responses.
+var copyBuffers = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
 
-// give writes an answer and tells whether another request may follow. Where none may, and
-// bytes came before the answer, it reads on: a close on them would eat the answer.
-func (c *caller) give(req *Request, a answer, goesOn bool) bool {
-	goesOn = goesOn && !req.Close && req.Minor > 0 && c.in.Buffered() == 0 && !c.ending()
-	early := !goesOn && (c.early.Load() || c.in.Buffered() > 0 || c.peer.State() == sock.DataPending)
-	if c.write(a, req.Method, goesOn) != nil {
+// respond writes a response and reports whether another request may follow. If none may
+// and there is unread input, it lingers, because closing would reset the connection and
+// lose the response.
+func (c *callerConn) respond(req *Request, resp response, keepAlive bool) bool {
+	keepAlive = keepAlive && !req.Close && req.Minor > 0 && c.in.Buffered() == 0 && !c.shouldCloseIdle()
+	early := !keepAlive && (c.earlyBytes.Load() || c.in.Buffered() > 0 || c.peer.State() == sock.DataPending)
+	if c.write(resp, req.Method, keepAlive) != nil {
 		return false
 	}
 	if early {
 		c.linger()
 	}
-	return goesOn
+	return keepAlive
 }
--- a/internal/front/http/caller_test.go
+++ b/internal/front/http/caller_test.go
@@ -226,7 +226,7 @@
 			if text != "" && !strings.HasPrefix(string(all), "HTTP/1.1 408 ") {
 				t.Errorf("answer %q, want 408", all)
 			}
-			if d := time.Since(start); d < helloTime/2 {
+			if d := time.Since(start); d < helloTimeout/2 {
 				t.Errorf("closed after %v, too soon for a slow caller", d)
 			}
 		})
@@ -260,17 +260,17 @@
 }
 
 func TestSeenIDsForget(t *testing.T) {
-	s := SeenIDs{span: time.Second}
-	for i := range 5 * seenMost {
-		if !s.add(fmt.Sprint(i), 0) {
+	s := SeenIDs{retention: time.Second}
+	for i := range 5 * maxIDsPerGeneration {
+		if !s.recordAt(fmt.Sprint(i), 0) {
 			t.Fatalf("id %d taken for one seen", i)
 		}
-		if n := len(s.new) + len(s.old); n > 2*seenMost {
+		if n := len(s.current) + len(s.previous); n > 2*maxIDsPerGeneration {
 			t.Fatalf("%d ids held", n)
 		}
 	}
-	last := fmt.Sprint(5*seenMost - 1)
-	if s.add(last, time.Second) || !s.add(last, 3*time.Second) {
+	last := fmt.Sprint(5*maxIDsPerGeneration - 1)
+	if s.recordAt(last, time.Second) || !s.recordAt(last, 3*time.Second) {
 		t.Error("want an id known within the span and forgotten after two")
 	}
 }
--- a/internal/front/http/callers.go
+++ b/internal/front/http/callers.go
@@ -1,5 +1,6 @@
-// Package httpfront takes the callers of HTTP/1.1: it reads, bounds and turns
-// away, hands what is good to the pool that a Judge names, and answers once.
+// Package httpfront accepts HTTP/1.1 connections from callers. It reads and checks
+// requests, forwards each valid one to the pool that a Router selects, and writes
+// exactly one response.
 package httpfront
 
 import (
@@ -16,115 +17,114 @@
 	"gorselink/internal/sock"
 )
 
-// Callers holds the connections of callers, a given number at most. At the
-// bound it closes one on which no request is open, or, where there is none,
-// the one that has just come: a wait would keep out everybody. It guards
-// against running out of descriptors, which would keep requests that were
-// taken from reaching an endpoint, and against whoever takes connections and
-// does nothing with them, for whatever reason.
+// Server holds the connections of callers, up to a maximum. At the maximum it closes a
+// connection without an open request to make room, or else refuses the new one. This
+// keeps file descriptors available for connections to endpoints.
 type Server struct {
-	ForwardCallerIP bool // requests are judged with their callers' address
-
-	judge Router
-	times Timeouts
-
-	mu      sync.Mutex
-	max     int
-	open    int
-	places  [states]ring.List[*caller] // the one longest in that state in front
-	closing bool                       // connections end once no request is open on them
-	ebbing  bool                       // so do those that have brought a request, for now
-	pass    Handover                   // takes connections on which no request is open; nil for none
-	last    time.Time                  // answers are given by then; zero for no bound
-	cut     bool                       // no request is read any more
-	empty   chan struct{}              // told when closing and nothing is open
+	ForwardCallerIP bool // requests carry their caller's IP address
+
+	router   Router
+	timeouts Timeouts
+
+	mu               sync.Mutex
+	maxConns         int
+	openConns        int
+	conns            [stateCount]ring.List[*callerConn] // by state, the longest in that state first
+	draining         bool                               // connections close once no request is open on them
+	closeIdle        bool                               // connections that have served a request close when idle
+	handover         Handover                           // takes over connections without an open request; nil for none
+	responseDeadline time.Time                          // every response is due by then; zero for none
+	readingStopped   bool                               // no further requests are read
+	drained          chan struct{}                      // receives a value when draining and no connection is left
 }
 
-// state is what a caller's connection is used for.
-type state int
+// connState is what a caller's connection is used for.
+type connState int
 
-// The states in the order in which connections are given up for others. One in
-// the state taken is never closed from outside.
+// The states, in the order in which connections are closed to make room. A connection in
+// stateActive is never closed to make room.
 const (
-	rejected state = iota // told off, and read until it ends
-	unproven              // has brought no request that was taken, and none is coming
-	idle                  // between requests
-	reading               // a request is coming
-	taken                 // a request is open
-	states
+	stateRejected connState = iota // a rejection is delayed, or input after the last response is discarded
+	stateUnproven                  // no pool has taken a request from it, and none is arriving
+	stateIdle                      // between requests
+	stateReading                   // a request is arriving
+	stateActive                    // a request is open
+	stateCount
 )
 
-// NewCallers returns Callers that hold at most so many connections, whose
-// requests judge assigns.
-func NewServer(judge Router, most int, times Timeouts) *Server {
-	return &Server{judge: judge, max: most, times: times.orDefault(), empty: make(chan struct{}, 1)}
+// NewServer returns a Server for at most maxConns connections, whose requests router
+// routes.
+func NewServer(router Router, maxConns int, timeouts Timeouts) *Server {
+	return &Server{router: router, maxConns: maxConns, timeouts: timeouts.withDefaults(), drained: make(chan struct{}, 1)}
 }
 
-// Limit changes how many connections there may be. Those over a lower bound
-// give way as new ones come.
-func (cs *Server) SetMaxConns(most int) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.max = most
+// SetMaxConns changes the maximum number of connections. Excess connections close as new
+// ones arrive.
+func (s *Server) SetMaxConns(maxConns int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.maxConns = maxConns
 }
 
-// Open is how many connections there are.
-func (cs *Server) OpenConns() int {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	return cs.open
+// OpenConns returns the number of open connections.
+func (s *Server) OpenConns() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.openConns
 }
 
-// Serve takes connections from l until it is closed.
-func (cs *Server) Serve(l net.Listener) error { return Accept(l, cs.HandleConn) }
+// Serve accepts connections from l until l is closed.
+func (s *Server) Serve(l net.Listener) error { return Accept(l, s.HandleConn) }
 
-// Accept hands each connection that comes to l to take, until l is closed.
-func Accept(l net.Listener, take func(net.Conn)) error { return acceptloop.Serve(l, take) }
+// Accept passes each connection accepted from l to handle, until l is closed.
+func Accept(l net.Listener, handle func(net.Conn)) error { return acceptloop.Serve(l, handle) }
 
-// Take takes one connection and serves it.
-func (cs *Server) HandleConn(nc net.Conn) {
-	if c := cs.admit(nc, nil); c != nil {
+// HandleConn admits a connection and serves it in a new goroutine.
+func (s *Server) HandleConn(nc net.Conn) {
+	if c := s.admit(nc, nil); c != nil {
 		go c.serve()
 	}
 }
 
-// hurryTime is how long a connection that is asked to give way may take to.
-const hurryTime = 50 * time.Millisecond
-
-// admit books a new connection, of which ahead has been read already, or shuts it and
-// returns nil. Another one that gives way for it is ended by its own goroutine, which
-// alone knows what it has read: a request that has come meanwhile is served or told off.
-func (cs *Server) admit(nc net.Conn, ahead []byte) *caller {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	for cs.open >= cs.max {
-		victim := cs.victim()
-		if victim == nil {
-			cs.mu.Unlock()
-			shut(nc, ahead)
-			cs.mu.Lock()
+// evictionTimeout bounds the wait for a connection that has been asked to close.
+const evictionTimeout = 50 * time.Millisecond
+
+// admit registers a new connection, of which ahead has already been read, or refuses it
+// and returns nil. To make room it asks another connection to close. That connection's
+// own goroutine closes it, because only that goroutine knows whether a request has
+// arrived.
+func (s *Server) admit(nc net.Conn, ahead []byte) *callerConn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for s.openConns >= s.maxConns {
+		candidate := s.evictionCandidate()
+		if candidate == nil {
+			s.mu.Unlock()
+			refuse(nc, ahead)
+			s.mu.Lock()
 			return nil
 		}
-		settled := victim.hurry()
-		cs.mu.Unlock()
+		handled := candidate.requestClose()
+		s.mu.Unlock()
 		select {
-		case <-settled:
-		case <-time.After(hurryTime): // it cannot write; another one may give way
+		case <-handled:
+		case <-time.After(evictionTimeout): // it is blocked in a write; another connection may close instead
 		}
-		cs.mu.Lock()
+		s.mu.Lock()
 	}
-	c := newCaller(cs, nc)
-	cs.open++
-	c.enter(unproven)
+	c := newCallerConn(s, nc)
+	s.openConns++
+	c.enterState(stateUnproven)
 	return c
 }
 
-// victim is the connection to give up, or nil; the mutex is held. One on which a request
-// has come that nobody has read yet is none, unless it has had its last answer.
-func (cs *Server) victim() *caller {
-	for st := range taken {
-		for e := cs.places[st].Front(); e != nil; e = cs.places[st].Next(e) {
-			if !e.Of.hurried && (st == rejected || st == reading || !sock.HasPendingData(e.Of.conn)) {
+// evictionCandidate returns the connection to close next to make room, or nil; s.mu must
+// be held. It skips a connection that waits for a request and has unread input, which
+// may be one.
+func (s *Server) evictionCandidate() *callerConn {
+	for st := range stateActive {
+		for e := s.conns[st].Front(); e != nil; e = s.conns[st].Next(e) {
+			if !e.Of.closeRequested && (st == stateRejected || st == stateReading || !sock.HasPendingData(e.Of.conn)) {
 				return e.Of
 			}
 		}
@@ -132,264 +132,266 @@
 	return nil
 }
 
-// shutLook is what a connection for which there is no place gets to bring its request.
-const shutLook = 5 * time.Millisecond
+// refusalTimeout bounds the read and the write on a connection that is refused.
+const refusalTimeout = 5 * time.Millisecond
 
-// shut ends a connection for which there is no place. Who has sent something is told so, as
-// a request that is whole may not be closed on; nothing has been done for it.
-func shut(nc net.Conn, ahead []byte) {
+// refuse closes a connection for which there is no room. If the caller has sent
+// anything, it gets a 503 response first, because every complete request must be
+// answered.
+func refuse(nc net.Conn, ahead []byte) {
 	defer nc.Close()
-	buf := scratch.Get().(*[]byte)
-	defer scratch.Put(buf)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
 	if len(ahead) == 0 {
-		nc.SetReadDeadline(time.Now().Add(shutLook))
+		nc.SetReadDeadline(time.Now().Add(refusalTimeout))
 		if n, _ := nc.Read(*buf); n == 0 {
 			return
 		}
 	}
-	nc.SetWriteDeadline(time.Now().Add(shutLook))
-	full := answer{status: http.StatusServiceUnavailable, retryAfter: roomWait}
-	if full.write(nc, "", false) == nil {
-		endSending(nc)
-		sock.Discard(nc, *buf) // unread, it would take the answer along
+	nc.SetWriteDeadline(time.Now().Add(refusalTimeout))
+	unavailable := response{status: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter}
+	if unavailable.write(nc, "", false) == nil {
+		closeWrite(nc)
+		sock.Discard(nc, *buf) // unread input would make the close a reset and lose the response
 	}
 }
 
-// endSending closes the sending side of c.
-func endSending(c net.Conn) {
+// closeWrite closes the sending side of c.
+func closeWrite(c net.Conn) {
 	if tc, ok := c.(interface{ CloseWrite() error }); ok {
 		tc.CloseWrite()
 	}
 }
 
-// Drain lets go of all connections as soon as no request is open on them, and
-// waits until none is left. What is still taken is answered by last. New ones go on
-// being taken; once no more can come, Drain again tells that the last has gone.
-func (cs *Server) Drain(last time.Time) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.closing = true
-	cs.wake(unproven)
-	cs.wake(idle)
-	late := time.NewTimer(time.Until(last))
-	defer late.Stop()
-	for cs.open > 0 {
-		cs.mu.Unlock()
-		over := false
+// Drain closes connections once no request is open on them, and waits until none is left
+// or the deadline has passed. New connections are still served; call Drain again after
+// the listener is closed to wait for the last of them.
+func (s *Server) Drain(deadline time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = true
+	s.wake(stateUnproven)
+	s.wake(stateIdle)
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
+	for s.openConns > 0 {
+		s.mu.Unlock()
+		timedOut := false
 		select {
-		case <-cs.empty:
-		case <-late.C:
-			over = true
+		case <-s.drained:
+		case <-timer.C:
+			timedOut = true
 		}
-		cs.mu.Lock()
-		if over {
+		s.mu.Lock()
+		if timedOut {
 			return
 		}
 	}
 }
 
-// Ebb makes connections that have brought a request end once none is open on
-// them, or takes that back. New ones go on being taken, and one that only asks
-// whether the sidecar is ready is answered.
-func (cs *Server) SetCloseIdle(on bool) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.ebbing = on
+// SetCloseIdle sets whether connections that have served a request close when idle. New
+// connections are still accepted, and readiness checks are answered.
+func (s *Server) SetCloseIdle(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closeIdle = on
 	if on {
-		cs.wake(idle)
+		s.wake(stateIdle)
 	}
 }
 
-// wake makes the connections in a state look what has come already and end; the
-// mutex is held.
-func (cs *Server) wake(st state) {
-	for e := cs.places[st].Front(); e != nil; e = cs.places[st].Next(e) {
-		e.Of.conn.SetReadDeadline(past)
+// wake interrupts the waits of connections in a state, so that they read what has
+// arrived and close; s.mu must be held.
+func (s *Server) wake(st connState) {
+	for e := s.conns[st].Front(); e != nil; e = s.conns[st].Next(e) {
+		e.Of.conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
-// ends tells whether connections in a state are to end; the mutex is held.
-func (cs *Server) ends(st state) bool {
-	if cs.pass != nil {
+// shouldClose reports whether connections in a state are to close; s.mu must be held.
+func (s *Server) shouldClose(st connState) bool {
+	if s.handover != nil {
 		return false
 	}
-	return st == idle && (cs.closing || cs.ebbing) || st == unproven && cs.closing
+	return st == stateIdle && (s.draining || s.closeIdle) || st == stateUnproven && s.draining
 }
 
-// Pass takes a caller's connection over, and what has been read of it already.
+// Handover takes over a caller's connection and the bytes already read from it.
 type Handover func(c net.Conn, ahead []byte) error
 
-// PassOn makes each connection go to pass as soon as no request is open on it.
-// What pass does not take stays as it is, and so do all if pass is nil.
-func (cs *Server) SetHandover(pass Handover) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.pass = pass
-	if pass != nil || cs.closing {
-		cs.wake(unproven)
-		cs.wake(idle)
+// SetHandover hands each connection to handover once no request is open on it.
+// Connections stay if handover fails or is nil.
+func (s *Server) SetHandover(handover Handover) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.handover = handover
+	if handover != nil || s.draining {
+		s.wake(stateUnproven)
+		s.wake(stateIdle)
 	}
 }
 
-// passOn gives c, which is between two requests, away if it is to go, and tells
-// whether it has gone.
-func (c *caller) passOn() bool {
-	if c.pass == nil {
+// handOver hands over c, which is between two requests, if a handover is set. It reports
+// whether c has been taken over.
+func (c *callerConn) handOver() bool {
+	if c.handover == nil {
 		return false
 	}
 	ahead, _ := c.in.Peek(c.in.Buffered())
-	if err := c.pass(c.conn, ahead); err != nil {
-		slog.Warn("callers stay, as they are not taken over", "error", err)
-		c.callers.SetHandover(nil)
+	if err := c.handover(c.conn, ahead); err != nil {
+		slog.Warn("handing over a caller connection failed; all remaining connections stay in this process", "error", err)
+		c.server.SetHandover(nil)
 		return false
 	}
 	return true
 }
 
-// Resume serves a connection that another Callers has passed on.
-func (cs *Server) Resume(nc net.Conn, ahead []byte) {
-	if c := cs.admit(nc, ahead); c != nil {
+// Resume serves a connection that another Server has handed over.
+func (s *Server) Resume(nc net.Conn, ahead []byte) {
+	if c := s.admit(nc, ahead); c != nil {
 		if len(ahead) > 0 {
-			c.in.Reset(io.MultiReader(bytes.NewReader(ahead), &c.intake))
+			c.in.Reset(io.MultiReader(bytes.NewReader(ahead), &c.paced))
 		}
 		c.resumed = true
 		go c.serve()
 	}
 }
 
-// Bound makes all that is taken from now on end by last.
-func (cs *Server) SetResponseDeadline(last time.Time) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.last = last
+// SetResponseDeadline sets the time by which requests taken from now on must be
+// answered.
+func (s *Server) SetResponseDeadline(deadline time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.responseDeadline = deadline
 }
 
-// left is how much of budget there is until the bound, if one is set.
-func (cs *Server) left(budget time.Duration) time.Duration {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	if cs.last.IsZero() {
+// remainingBudget returns budget, limited to the time until the response deadline if one
+// is set.
+func (s *Server) remainingBudget(budget time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.responseDeadline.IsZero() {
 		return budget
 	}
-	return max(0, min(budget, time.Until(cs.last)))
+	return max(0, min(budget, time.Until(s.responseDeadline)))
 }
 
-// past is a deadline that ends a read at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that ends a read at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// enter puts c into a state; the mutex is held.
-func (c *caller) enter(st state) {
-	c.callers.places[st].PushBack(&c.place)
+// enterState puts c into a state; server.mu must be held.
+func (c *callerConn) enterState(st connState) {
+	c.server.conns[st].PushBack(&c.entry)
 	c.state = st
 }
 
-// leave takes c out of its state; the mutex is held.
-func (c *caller) leave() { c.callers.places[c.state].Remove(&c.place) }
-
-// move changes the state of c and sets until when it may read. It tells whether c is to
-// end; then it has lastLook.
-func (c *caller) move(st state, until time.Time) (ends bool) {
-	cs := c.callers
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	c.pass = cs.pass
-	if ends = cs.ends(st); ends {
-		until = time.Now().Add(lastLook)
+// leaveState removes c from its state; server.mu must be held.
+func (c *callerConn) leaveState() { c.server.conns[c.state].Remove(&c.entry) }
+
+// setState changes the state of c and sets its read deadline. It reports whether c is to
+// close, in which case reads end after finalReadTimeout.
+func (c *callerConn) setState(st connState, deadline time.Time) (closes bool) {
+	s := c.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.handover = s.handover
+	if closes = s.shouldClose(st); closes {
+		deadline = time.Now().Add(finalReadTimeout)
 	}
-	c.settle()
-	c.leave()
-	c.enter(st)
-	stopped := st == reading && cs.cut
-	c.intake.stopped.Store(stopped)
+	c.clearCloseRequest()
+	c.leaveState()
+	c.enterState(st)
+	stopped := st == stateReading && s.readingStopped
+	c.paced.stopped.Store(stopped)
 	switch {
 	case stopped:
-		until = past
-	case st == rejected && cs.cut:
-		until = time.Now().Add(lastLook)
+		deadline = expiredDeadline
+	case st == stateRejected && s.readingStopped:
+		deadline = time.Now().Add(finalReadTimeout)
 	}
-	c.conn.SetReadDeadline(until)
-	return ends
+	c.conn.SetReadDeadline(deadline)
+	return closes
 }
 
-// lastLook is how long a connection that is to end is read for a request that
-// its caller may have written already: one that came before the end of the
-// connection was sent is served, not lost.
-const lastLook = 20 * time.Millisecond
+// finalReadTimeout is how long a connection that is to close is still read, so that a
+// request which the caller has already sent is served.
+const finalReadTimeout = 20 * time.Millisecond
 
-// ending tells whether the connection is to end once no request is open on it.
-func (c *caller) ending() bool {
-	c.callers.mu.Lock()
-	defer c.callers.mu.Unlock()
-	return c.callers.ends(idle)
+// shouldCloseIdle reports whether the connection is to close once no request is open on
+// it.
+func (c *callerConn) shouldCloseIdle() bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	return c.server.shouldClose(stateIdle)
 }
 
-// woken tells whether a wait in the state st may have been cut short, and c goes on. It does
-// not where its place is needed.
-func (c *caller) woken(st state) bool {
-	c.callers.mu.Lock()
-	defer c.callers.mu.Unlock()
-	return !c.hurried && (c.callers.ends(st) || c.callers.pass != nil)
+// wasWoken reports whether a wait in state st may have been interrupted and c is to go
+// on. It is not if c was asked to close.
+func (c *callerConn) wasWoken(st connState) bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	return !c.closeRequested && (c.server.shouldClose(st) || c.server.handover != nil)
 }
 
-// end closes c, on which nothing is owed any more, and books that.
-func (c *caller) end() {
-	cs := c.callers
+// close closes c, for which no response is due, and removes it from its server.
+func (c *callerConn) close() {
+	s := c.server
 	c.conn.Close()
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	c.settle()
-	c.leave()
-	cs.open--
-	cs.tellEmpty()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.clearCloseRequest()
+	c.leaveState()
+	s.openConns--
+	s.signalDrained()
 }
 
-// Cut ends the reading of requests: what has not come whole by now is told so, and the
-// kernel keeps nothing of it unanswered. Who has had its last answer is not read on.
-func (cs *Server) StopReading() {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.cut = true
-	for _, st := range []state{rejected, reading} {
-		for e := cs.places[st].Front(); e != nil; e = cs.places[st].Next(e) {
-			e.Of.hurry()
+// StopReading ends the reading of requests. A request that has not fully arrived gets an
+// error response, and input after a last response is no longer discarded.
+func (s *Server) StopReading() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.readingStopped = true
+	for _, st := range []connState{stateRejected, stateReading} {
+		for e := s.conns[st].Front(); e != nil; e = s.conns[st].Next(e) {
+			e.Of.requestClose()
 		}
 	}
 }
 
-// hurry asks c to give way, and returns what is closed when it is not what it was; the
-// mutex is held.
-func (c *caller) hurry() (settled <-chan struct{}) {
-	if !c.hurried {
-		c.hurried, c.settled = true, make(chan struct{})
+// requestClose asks c to close and returns a channel that is closed when its state
+// changes; server.mu must be held.
+func (c *callerConn) requestClose() (handled <-chan struct{}) {
+	if !c.closeRequested {
+		c.closeRequested, c.closeHandled = true, make(chan struct{})
 	}
-	c.intake.stop()
+	c.paced.stop()
 	select {
-	case c.asked <- struct{}{}:
-	default: // has been asked
+	case c.closeSignal <- struct{}{}:
+	default: // already asked
 	}
-	return c.settled
+	return c.closeHandled
 }
 
-// settle tells who waits for c that it is not what it was; the mutex is held.
-func (c *caller) settle() {
-	if c.hurried {
-		c.hurried = false
-		close(c.settled)
+// clearCloseRequest ends a request to close and notifies its waiters; server.mu must be
+// held.
+func (c *callerConn) clearCloseRequest() {
+	if c.closeRequested {
+		c.closeRequested = false
+		close(c.closeHandled)
 	}
 	select {
-	case <-c.asked:
+	case <-c.closeSignal:
 	default:
 	}
 }
 
-// tellEmpty tells who waits for the end that there is none left; the mutex is
-// held.
-func (cs *Server) tellEmpty() {
-	if !cs.closing || cs.open > 0 {
+// signalDrained notifies Drain if no connection is left; s.mu must be held.
+func (s *Server) signalDrained() {
+	if !s.draining || s.openConns > 0 {
 		return
 	}
 	select {
-	case cs.empty <- struct{}{}:
-	default: // has been told
+	case s.drained <- struct{}{}:
+	default: // already notified
 	}
 }
--- a/internal/front/http/close_test.go
+++ b/internal/front/http/close_test.go
@@ -48,7 +48,7 @@
 			eventually(t, "the answer waits", func() bool {
 				r.callers.mu.Lock()
 				defer r.callers.mu.Unlock()
-				return r.callers.places[rejected].Len() == 1
+				return r.callers.conns[stateRejected].Len() == 1
 			})
 			r.dial(t)
 			return conn, 404
@@ -75,7 +75,7 @@
 		},
 		"meets a fault before it is sent on": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			r.callers.judge = faultyJudge{}
+			r.callers.router = faultyJudge{}
 			conn := r.dial(t)
 			io.WriteString(conn, view(""))
 			return conn, 503
@@ -92,7 +92,7 @@
 			conn := r.join(t, func(c net.Conn) net.Conn { return &faultyWriter{TCPConn: c.(*net.TCPConn)} })
 			io.WriteString(conn, view(""))
 			eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
-			time.Sleep(2 * watchAfter)
+			time.Sleep(2 * watchDelay)
 			close(hold)
 			return conn, 500
 		},
@@ -148,7 +148,7 @@
 		},
 		"its wait ends as it has been read": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			r.callers.times = Timeouts{Hello: some / 2, Request: requestTime, Idle: some / 2}
+			r.callers.timeouts = Timeouts{Hello: some / 2, Request: requestTimeout, Idle: some / 2}
 			conn, free := r.readAndHeld(t, 2)
 			time.Sleep(some)
 			free()
@@ -208,8 +208,8 @@
 	eventually(t, "it is asked to give way", func() bool {
 		r.callers.mu.Lock()
 		defer r.callers.mu.Unlock()
-		for st := range taken {
-			if e := r.callers.places[st].Front(); e != nil && e.Of.hurried {
+		for st := range stateActive {
+			if e := r.callers.conns[st].Front(); e != nil && e.Of.closeRequested {
 				return true
 			}
 		}
--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/crossing_test.go
@@ -88,7 +88,7 @@
 			r := newRig(t, 1, nil)
 			judging, judge := make(chan struct{}), make(chan struct{})
 			if c.reads == 0 {
-				r.callers.judge = slowJudge{r.callers.judge, judging, judge}
+				r.callers.router = slowJudge{r.callers.router, judging, judge}
 			}
 			var g *gated
 			first := r.join(t, func(c2 net.Conn) net.Conn { g = newGated(c2, c.reads); return g })
@@ -111,8 +111,8 @@
 				eventually(t, "the first one is asked to give way", func() bool {
 					r.callers.mu.Lock()
 					defer r.callers.mu.Unlock()
-					e := r.callers.places[reading].Front()
-					return e == nil || e.Of.hurried
+					e := r.callers.conns[stateReading].Front()
+					return e == nil || e.Of.closeRequested
 				})
 			}
 			close(g.gate)
@@ -153,7 +153,7 @@
 	eventually(t, "the rest in the kernel, and the others come", func() bool {
 		r.callers.mu.Lock()
 		defer r.callers.mu.Unlock()
-		return sock.HasPendingData(g.TCPConn) && r.callers.places[reading].Len() == 3
+		return sock.HasPendingData(g.TCPConn) && r.callers.conns[stateReading].Len() == 3
 	})
 	began := time.Now()
 	r.callers.StopReading()
@@ -163,7 +163,7 @@
 			t.Errorf("%s is answered %d, %v, want 408", name, status, err)
 		}
 	}
-	if took := time.Since(began); took > requestTime*3/4 {
+	if took := time.Since(began); took > requestTimeout*3/4 {
 		t.Errorf("told after %v, want it at once", took)
 	}
 }
@@ -211,7 +211,7 @@
 	r.callers.SetHandover(func(net.Conn, []byte) error { return errors.New("nobody there") })
 	began := time.Now()
 	r.callers.Drain(time.Now().Add(patience))
-	if took := time.Since(began); took > idleTime/2 || r.callers.OpenConns() > 0 {
+	if took := time.Since(began); took > idleTimeout/2 || r.callers.OpenConns() > 0 {
 		t.Errorf("%d connections open after %v", r.callers.OpenConns(), took)
 	}
 }
--- a/internal/front/http/gone_test.go
+++ b/internal/front/http/gone_test.go
@@ -301,12 +301,12 @@
 		want                       error
 	}{
 		{"stays", "Content-Length: 4", "body", "", false, nil},
-		{"leaves", "Content-Length: 4", "body", "", true, errGone},
-		{"leaves behind more", "Content-Length: 4", "body", "x", true, errGone},
-		{"more", "Content-Length: 4", "body", "x", false, errBehind},
+		{"leaves", "Content-Length: 4", "body", "", true, errCallerLeft},
+		{"leaves behind more", "Content-Length: 4", "body", "x", true, errCallerLeft},
+		{"more", "Content-Length: 4", "body", "x", false, errUnexpectedBytes},
 		{"chunked, stays", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", false, nil},
-		{"chunked, leaves", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", true, errGone},
-		{"chunked, more", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "x", false, errBehind},
+		{"chunked, leaves", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", true, errCallerLeft},
+		{"chunked, more", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "x", false, errUnexpectedBytes},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -324,7 +324,7 @@
 				t.Fatal(err)
 			}
 			defer here.Close()
-			k := newCaller(NewServer(nil, 1, Timeouts{}), here)
+			k := newCallerConn(NewServer(nil, 1, Timeouts{}), here)
 			fmt.Fprintf(there, "POST /pay HTTP/1.1\r\nHost: x\r\n%s\r\n\r\n%s%s", c.coding, c.text, c.behind)
 			head, err := framing.PeekHead(k.in)
 			if err != nil {
@@ -338,7 +338,7 @@
 				there.Close()
 				eventually(t, "the end has come", func() bool { return k.peer.State() == sock.Closed })
 			}
-			body := &presentBody{k, &restOf{in: k.in, h: &k.req.Head, most: 1 << 20}}
+			body := &checkedBody{k, &bodyReader{in: k.in, head: &k.req.Head, maxBytes: 1 << 20}}
 			if got, err := io.ReadAll(body); !errors.Is(err, c.want) || err == nil && string(got) != "body" {
 				t.Errorf("%q, %v, want %v", got, err, c.want)
 			}
--- a/internal/front/http/intake.go
+++ b/internal/front/http/intake.go
@@ -7,49 +7,48 @@
 )
 
 const (
-	// bodyStall is how long a body may stop, and bodyGrace how long it may come
-	// more slowly than bodyRate, in bytes a second. A caller on a thin line that
-	// goes on sending is served; one that brings half a body is told off in
-	// the 3 s that it is owed a word in.
-	bodyStall = 2 * time.Second
-	bodyGrace = 2500 * time.Millisecond
-	bodyRate  = 32 << 10
+	// bodyStallTimeout bounds each pause within a body. After bodyRateGrace a body must
+	// also have arrived at minBodyRate, in bytes per second. Both times are below 3 s,
+	// within which the platform expects an error for an incomplete body.
+	bodyStallTimeout = 2 * time.Second
+	bodyRateGrace    = 2500 * time.Millisecond
+	minBodyRate      = 32 << 10
 )
 
-// intake reads what a caller sends. While a body comes, each read may last as
-// long as the pace of what has come allows; otherwise the deadline of the
-// connection holds.
-type intake struct {
-	conn  net.Conn
-	begun time.Time // of the body; zero for none
-	got   int64     // bytes of it
+// pacedReader reads what a caller sends. While a body arrives, its progress determines
+// the deadline of each read; otherwise the deadline of the connection applies.
+type pacedReader struct {
+	conn      net.Conn
+	bodyStart time.Time // zero outside a body
+	bodyBytes int64     // received of the body
 
-	stopped atomic.Bool // nothing more is read of the request that is coming
+	stopped atomic.Bool // the arriving request is not read further
 }
 
-// stop ends the reading of the request that is coming, from another goroutine.
-func (k *intake) stop() {
-	k.stopped.Store(true)
-	k.conn.SetReadDeadline(past)
+// stop ends the reading of the arriving request. It may be called from another
+// goroutine.
+func (r *pacedReader) stop() {
+	r.stopped.Store(true)
+	r.conn.SetReadDeadline(expiredDeadline)
 }
 
-func (k *intake) begin() { k.begun, k.got = time.Now(), 0 }
-func (k *intake) end()   { k.begun = time.Time{} }
+func (r *pacedReader) startBody() { r.bodyStart, r.bodyBytes = time.Now(), 0 }
+func (r *pacedReader) endBody()   { r.bodyStart = time.Time{} }
 
 // Read implements io.Reader.
-func (k *intake) Read(b []byte) (int, error) {
-	if k.begun.IsZero() {
-		return k.conn.Read(b)
+func (r *pacedReader) Read(b []byte) (int, error) {
+	if r.bodyStart.IsZero() {
+		return r.conn.Read(b)
 	}
-	until := k.begun.Add(bodyGrace + time.Duration(k.got)*time.Second/bodyRate)
-	if stall := time.Now().Add(bodyStall); stall.Before(until) {
-		until = stall
+	deadline := r.bodyStart.Add(bodyRateGrace + time.Duration(r.bodyBytes)*time.Second/minBodyRate)
+	if stall := time.Now().Add(bodyStallTimeout); stall.Before(deadline) {
+		deadline = stall
 	}
-	k.conn.SetReadDeadline(until)
-	if k.stopped.Load() { // meanwhile, or before
-		k.conn.SetReadDeadline(past)
+	r.conn.SetReadDeadline(deadline)
+	if r.stopped.Load() { // stop may have run before the deadline was set
+		r.conn.SetReadDeadline(expiredDeadline)
 	}
-	n, err := k.conn.Read(b)
-	k.got += int64(n)
+	n, err := r.conn.Read(b)
+	r.bodyBytes += int64(n)
 	return n, err
 }
--- a/internal/front/http/judge.go
+++ b/internal/front/http/judge.go
@@ -8,52 +8,52 @@
 	"gorselink/internal/upstream"
 )
 
-// Judge says what a request is and which pool it belongs to.
+// Router selects the pool for each request.
 type Router interface {
-	// Judge reads the head of a request. The Plan is nil if there is none, and
-	// the Rejection is nil if there is one. Neither has reached a pool.
+	// Route returns the plan for a request from its head, or the reason for its
+	// rejection. Exactly one of them is nil, and no pool has received the request.
 	Route(req *Request) (*Plan, *Rejection)
-	// Ready is the status that tells whether callers may be sent here.
+	// ReadyStatus returns the HTTP status that answers a readiness check.
 	ReadyStatus() int
 }
 
-// Request is the head of a request, and whose it is.
+// Request is the head of a request and the address of its caller.
 type Request struct {
 	framing.Head
-	CallerIP string // the caller's address, if that is told on
+	CallerIP string // empty unless it is forwarded
 }
 
-// Plan is how a request is to be served.
+// Plan describes how a request is served.
 type Plan struct {
 	Pool     *pool.Pool
-	Class    int // the pool's number of it
+	Class    int // number of the class in the pool
 	Tenant   int // -1 for none
 	Budget   time.Duration
 	MaxBody  int64            // bytes
-	Upstream upstream.Request // all but the body
-	Repeat   bool             // may be a repeat of one that the pool has had
+	Upstream upstream.Request // without the body
+	Repeat   bool             // may repeat a request that the pool has already received
 
-	// Ordinary tells that the caller is a plain HTTP client: Retry-After has
-	// whole seconds, as RFC 9110, section 10.2.3, has it.
+	// Ordinary is set if the caller is a plain HTTP client, for which Retry-After has
+	// whole seconds (RFC 9110, section 10.2.3).
 	Ordinary bool
 
-	// judged judges the request once more after its pool has been replaced, nil
-	// if that cannot happen.
-	judged *judged
-	id     string
-	made   bool // the id was made here; another must not have come before
-	seen   *SeenIDs
+	// routed routes the request again after its pool has been replaced. It is nil if the
+	// pool is never replaced.
+	routed      *routedRequest
+	callID      string
+	generatedID bool // callID was generated here, so it cannot be a duplicate
+	seenIDs     *SeenIDs
 }
 
-// Rejection is why a request cannot be used.
+// Rejection is the reason why a request cannot be served.
 type Rejection struct {
 	Status int
 	Err    error
 }
 
-func reject(status int, err error) (*Plan, *Rejection) {
+func rejection(status int, err error) (*Plan, *Rejection) {
 	return nil, &Rejection{Status: status, Err: err}
 }
 
-// isNew tells whether the request's id has not come before, and books it.
-func (p *Plan) isNew() bool { return p.made || p.seen.isNew(p.id) }
+// recordID records the request's id and reports whether it is new.
+func (p *Plan) recordID() bool { return p.generatedID || p.seenIDs.record(p.callID) }
--- a/internal/front/http/keys.go
+++ b/internal/front/http/keys.go
@@ -6,78 +6,77 @@
 	"time"
 )
 
-// keysMost bounds the keys of one span: some megabytes.
-const keysMost = 32 << 10
+// maxKeysPerGeneration limits the memory for keys to a few megabytes.
+const maxKeysPerGeneration = 32 << 10
 
-// Keys remembers which pool a keyed request went to, for as long as a repeat
-// may come. The nodes of another pool have never heard of the key: a repeat
-// that a new routing table led there would run a second time. All listeners of
-// a process share one Keys.
-//
-// Under more keys than keysMost in a span it remembers less; Bind tells then
-// that it cannot be sure.
+// KeyBindings, shared by all listeners of a process, remembers which pool each
+// idempotency key was sent to. Endpoints of another pool do not know the key, so a
+// repeat that a new routing table sent there would run twice. If more than
+// maxKeysPerGeneration keys arrive within the retention time, keys are forgotten early
+// and Bind reports uncertainty.
 type KeyBindings struct {
-	span  time.Duration
-	seeds [2]maphash.Seed
-	start time.Time
+	retention time.Duration
+	seeds     [2]maphash.Seed
+	start     time.Time
 
-	mu       sync.Mutex
-	new, old map[[2]uint64]string // pool by key, in two halves of which the older is dropped whole
-	since    time.Duration        // of new
-	gap      time.Duration        // until then keys may have been forgotten too soon
+	mu                sync.Mutex
+	current, previous map[[2]uint64]string // pool by key hash; previous is dropped as a whole
+	generationStart   time.Duration        // when current was started
+	uncertainUntil    time.Duration        // until then, a key may have been forgotten early
 }
 
-// NewKeys returns Keys for the longest time that any node remembers a key.
-func NewKeyBindings(span time.Duration) *KeyBindings {
-	return &KeyBindings{span: span, start: time.Now(), seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, new: map[[2]uint64]string{}}
+// NewKeyBindings returns KeyBindings for the longest time that any endpoint remembers a
+// key.
+func NewKeyBindings(retention time.Duration) *KeyBindings {
+	return &KeyBindings{retention: retention, start: time.Now(), seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, current: map[[2]uint64]string{}}
 }
 
-// now is the time of Bind.
+// now returns the current time for Bind.
 func (k *KeyBindings) now() time.Duration { return time.Since(k.start) }
 
-// SetSpan changes the span from now on.
-func (k *KeyBindings) SetRetention(span time.Duration) {
+// SetRetention changes the retention time.
+func (k *KeyBindings) SetRetention(retention time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.span = span
+	k.retention = retention
 }
 
-// keyOf is what a key is remembered by: it belongs to the resource that it was
-// sent to. Two hashes leave no chance for two keys to be taken for one.
-func (k *KeyBindings) keyOf(host, path, key string) (sum [2]uint64) {
+// hash returns the value by which a key is remembered. A key belongs to the resource
+// that it was sent to. Two hashes rule out collisions in practice.
+func (k *KeyBindings) hash(host, path, key string) (sum [2]uint64) {
 	for i, seed := range k.seeds {
 		var h maphash.Hash
 		h.SetSeed(seed)
 		for _, s := range [...]string{host, path, key} {
 			h.WriteString(s)
-			h.WriteByte(0) // can stand in none of them
+			h.WriteByte(0) // separator that occurs in none of the parts
 		}
 		sum[i] = h.Sum64()
 	}
 	return sum
 }
 
-// Bind returns the pool that a key belongs to: the one it was bound to within
-// the span, or else the given one from now on. It is sure unless the key may
-// have been bound before and forgotten.
-func (k *KeyBindings) Bind(sum [2]uint64, pool string, now time.Duration) (bound string, sure bool) {
+// Bind returns the pool that a key was bound to within the retention time; a new key is
+// bound to the given pool. It is not certain if the key may have been bound before and
+// forgotten.
+func (k *KeyBindings) Bind(keyHash [2]uint64, pool string, now time.Duration) (bound string, certain bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if early := len(k.new) >= keysMost; early || now-k.since >= k.span {
-		if early && now-k.since < k.span && len(k.old) > 0 {
-			k.gap = now + k.span
+	if full := len(k.current) >= maxKeysPerGeneration; full || now-k.generationStart >= k.retention {
+		if full && now-k.generationStart < k.retention && len(k.previous) > 0 {
+			k.uncertainUntil = now + k.retention
 		}
-		if now-k.since >= 2*k.span {
-			k.new = nil // all of it is out of date
+		if now-k.generationStart >= 2*k.retention {
+			k.current = nil // all keys have expired
 		}
-		k.old, k.new, k.since = k.new, map[[2]uint64]string{}, now
+		k.previous, k.current, k.generationStart = k.current, map[[2]uint64]string{}, now
 	}
-	if bound, ok := k.new[sum]; ok {
+	if bound, ok := k.current[keyHash]; ok {
 		return bound, true
 	}
-	if bound, ok := k.old[sum]; ok {
+	if bound, ok := k.previous[keyHash]; ok {
 		return bound, true
 	}
-	k.new[sum] = pool
-	return pool, now >= k.gap
+	k.current[keyHash] = pool
+	return pool, now >= k.uncertainUntil
 }
--- a/internal/front/http/left_test.go
+++ b/internal/front/http/left_test.go
@@ -70,7 +70,7 @@
 	ready func(n int) bool    // n requests wait
 	open  func()              // the way, for those that still wait
 	ids   map[net.Conn]string // of who is there
-	via   func(net.Conn)      // how connections come, Callers.Take unless it is set
+	via   func(net.Conn)      // how connections come, Server.HandleConn unless it is set
 	serve func()              // from the first call on
 }
 
@@ -194,7 +194,7 @@
 					}
 				}
 				eventually(t, "all requests wait", func() bool { return d.ready(n) })
-				time.Sleep(50 * time.Millisecond) // past watchAfter, and a write that was still under way
+				time.Sleep(50 * time.Millisecond) // past watchDelay, and a write that was still under way
 				for i, conn := range gone {       // a burst, as ends and as resets
 					if c.more && i%3 == 1 {
 						io.WriteString(conn, "x")
--- a/internal/front/http/platform.go
+++ b/internal/front/http/platform.go
@@ -19,195 +19,198 @@
 const (
 	readyPath = "/-/ready"
 
-	// transit is held back from the client's time for the way to it and for
-	// waking up: an answer a moment after its deadline is a lost request, one
-	// a moment before it costs nothing.
-	transit = 20 * time.Millisecond
+	// transitMargin is the part of a client's time limit that is reserved for
+	// transmission and scheduling, because a late response is lost.
+	transitMargin = 20 * time.Millisecond
 
-	// PlatformLongest bounds bodies and answers, in bytes; they go up to 32 MB.
+	// PlatformMaxBytes bounds the bodies of requests and responses, which are up to 32 MB
+	// long.
 	PlatformMaxBytes = 33 << 20
 )
 
-// Platform judges requests in the platform's form: one service, the class is
-// the first part of the path, the id is the client's and the method follows
-// from the class. The path goes on as it came.
+// PlatformRouter routes requests in the platform's form, all to one pool. The first path
+// segment names the class, which determines the method, and the client provides the
+// request id. The path is forwarded unchanged.
 type PlatformRouter struct {
 	Pool *pool.Pool
 
-	form     atomic.Pointer[PlatformConfig]
-	seen     *SeenIDs
+	config   atomic.Pointer[PlatformConfig]
+	seenIDs  *SeenIDs
 	draining atomic.Bool
-	away     atomic.Bool
+	drained  atomic.Bool // by an operator
 }
 
-// Form is what the requests of a platform are judged by.
+// PlatformConfig lists the classes and tenants that a PlatformRouter knows.
 type PlatformConfig struct {
-	Classes map[string]PlatformClass // by the first part of the path
+	Classes map[string]PlatformClass // by first path segment
 	Tenants map[string]int           // by X-Caller
 }
 
 // PlatformClass is a class of requests.
 type PlatformClass struct {
 	balance.Class
-	Number int // the pool's
+	Number int // number of the class in the pool
 }
 
-// NewPlatform returns a Platform in front of p. Ids are remembered for two of
-// the longest deadlines.
-func NewPlatformRouter(p *pool.Pool, form *PlatformConfig) *PlatformRouter {
-	j := &PlatformRouter{Pool: p, seen: NewSeenIDs(form.longest())}
-	j.form.Store(form)
-	return j
+// NewPlatformRouter returns a PlatformRouter in front of p. It remembers request ids for
+// twice the longest deadline.
+func NewPlatformRouter(p *pool.Pool, config *PlatformConfig) *PlatformRouter {
+	r := &PlatformRouter{Pool: p, seenIDs: NewSeenIDs(config.longestDeadline())}
+	r.config.Store(config)
+	return r
 }
 
-// Set makes all requests be judged by form from now on.
-func (j *PlatformRouter) SetConfig(form *PlatformConfig) {
-	j.seen.SetLongestDeadline(form.longest())
-	j.form.Store(form)
+// SetConfig replaces the configuration for all later requests.
+func (r *PlatformRouter) SetConfig(config *PlatformConfig) {
+	r.seenIDs.SetLongestDeadline(config.longestDeadline())
+	r.config.Store(config)
 }
 
-func (f *PlatformConfig) longest() (d time.Duration) {
-	for _, c := range f.Classes {
+func (pc *PlatformConfig) longestDeadline() (d time.Duration) {
+	for _, c := range pc.Classes {
 		d = max(d, c.Deadline)
 	}
 	return d
 }
 
-// Drain makes Ready say no; requests go on being served.
-func (j *PlatformRouter) MarkDraining() { j.draining.Store(true) }
+// MarkDraining makes ReadyStatus report that the sidecar is not ready; requests are
+// still served.
+func (r *PlatformRouter) MarkDraining() { r.draining.Store(true) }
 
-// SendAway makes Ready say no, or takes that back; requests go on being served.
-func (j *PlatformRouter) SetDrained(on bool) { j.away.Store(on) }
+// SetDrained sets whether ReadyStatus reports that an operator has drained the sidecar;
+// requests are still served.
+func (r *PlatformRouter) SetDrained(on bool) { r.drained.Store(on) }
 
-// Ready implements Judge.
-func (j *PlatformRouter) ReadyStatus() int {
-	if !j.Pool.Listed() || j.draining.Load() || j.away.Load() {
+// ReadyStatus implements Router.
+func (r *PlatformRouter) ReadyStatus() int {
+	if !r.Pool.Listed() || r.draining.Load() || r.drained.Load() {
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
 }
 
-// Judge implements Judge.
-func (j *PlatformRouter) Route(req *Request) (*Plan, *Rejection) {
-	uri, host, err := target(req)
+// Route implements Router.
+func (r *PlatformRouter) Route(req *Request) (*Plan, *Rejection) {
+	uri, host, err := requestTarget(req)
 	if err != nil || host == "" {
-		return reject(http.StatusBadRequest, cmp.Or(err, errors.New("want a Host")))
+		return rejection(http.StatusBadRequest, cmp.Or(err, errors.New("Host is missing")))
 	}
 	path, err := req.Path()
 	if err != nil {
-		return reject(http.StatusBadRequest, err)
+		return rejection(http.StatusBadRequest, err)
 	}
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	form := j.form.Load()
-	class, ok := form.Classes[name]
-	// With two slashes the first part would be read as a host, and the path
-	// sent on would not be the one that was judged.
+	config := r.config.Load()
+	class, ok := config.Classes[name]
+	// A target with two leading slashes would be parsed as a host, and the forwarded
+	// path would differ from the one that was routed.
 	if !ok || strings.HasPrefix(req.Target, "//") {
-		return reject(http.StatusNotFound, fmt.Errorf("no class %q", name))
+		return rejection(http.StatusNotFound, fmt.Errorf("unknown class %q", name))
 	}
 	c := &class.Class
-	p := &Plan{Pool: j.Pool, Class: class.Number, Tenant: -1, MaxBody: PlatformMaxBytes, seen: j.seen}
-	if err := p.form(req, c); err != nil {
-		return reject(http.StatusBadRequest, err)
+	p := &Plan{Pool: r.Pool, Class: class.Number, Tenant: -1, MaxBody: PlatformMaxBytes, seenIDs: r.seenIDs}
+	if err := p.parsePlatformFields(req, c); err != nil {
+		return rejection(http.StatusBadRequest, err)
 	}
-	if i, ok := form.Tenants[req.Fields.Get("X-Caller")]; ok {
+	if i, ok := config.Tenants[req.Fields.Get("X-Caller")]; ok {
 		p.Tenant = i
 	}
-	p.Upstream = outgoing(req, uri, host, c.Semantics, 0)
+	p.Upstream = outgoingRequest(req, uri, host, c.Semantics, 0)
 	return p, nil
 }
 
-// form reads what the platform's form asks of a request of class c.
-func (p *Plan) form(req *Request, c *balance.Class) (err error) {
-	if err := checkMethod(c.Semantics, req); err != nil {
+// parsePlatformFields reads the fields that the platform's form requires of a request of
+// class c.
+func (p *Plan) parsePlatformFields(req *Request, c *balance.Class) (err error) {
+	if err := checkSemantics(c.Semantics, req); err != nil {
 		return err
 	}
-	if p.id, err = callID(req); err != nil {
+	if p.callID, err = parseCallID(req); err != nil {
 		return err
 	}
-	p.Budget, err = budget(req, c.Deadline)
+	p.Budget, err = requestBudget(req, c.Deadline)
 	return err
 }
 
-// budget is the time that the client gives, and most at the most.
-func budget(req *Request, most time.Duration) (time.Duration, error) {
+// requestBudget returns the time for a request: X-Budget-Ms or limit, whichever is less,
+// minus transitMargin.
+func requestBudget(req *Request, limit time.Duration) (time.Duration, error) {
 	if text, n := req.Fields.Lookup("X-Budget-Ms"); n > 0 {
 		ms, err := strconv.ParseUint(text, 10, 32)
 		if err != nil || ms == 0 || n > 1 {
-			return 0, fmt.Errorf("X-Budget-Ms %.40q, %d of them, want whole milliseconds above 0, once", text, n)
+			return 0, fmt.Errorf("X-Budget-Ms %.40q (%d fields): want one field with a positive whole number of milliseconds", text, n)
 		}
-		most = min(most, time.Duration(ms)*time.Millisecond)
+		limit = min(limit, time.Duration(ms)*time.Millisecond)
 	}
-	return max(0, most-transit), nil
+	return max(0, limit-transitMargin), nil
 }
 
-// outgoing is what is sent on of a request, but for the body. Its fields have
-// room for so many more.
-func outgoing(req *Request, uri, host string, semantics balance.Semantics, more int) upstream.Request {
+// outgoingRequest returns the request to forward, without its body. Its Fields have
+// capacity for extraFields more.
+func outgoingRequest(req *Request, uri, host string, semantics balance.Semantics, extraFields int) upstream.Request {
 	out := upstream.Request{
 		Method:        req.Method,
 		URI:           uri,
 		Host:          host,
-		Fields:        make(framing.Fields, 0, len(req.Fields)+more),
+		Fields:        make(framing.Fields, 0, len(req.Fields)+extraFields),
 		NonIdempotent: semantics == balance.Unsafe,
 	}
 	for _, f := range req.Fields {
-		if !f.HopByHop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // each attempt has its own
+		if !f.HopByHop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // set anew for each attempt
 			out.Fields = append(out.Fields, f)
 		}
 	}
 	return out
 }
 
-// Ids have 16 hexadecimal digits; others are let through as far as they can
-// stand in a log and in a table of bounded size.
-const maxCallID = 64
+// maxCallIDLength bounds ids, which are logged and remembered. The platform's ids have
+// 16 hexadecimal digits; other ids are accepted.
+const maxCallIDLength = 64
 
-// callID reads the id of a request. One without an id, or with several, cannot
-// be told from another, and no endpoint may see it.
-func callID(req *Request) (string, error) {
+// parseCallID returns the id of a request. A request without an id or with several
+// cannot be identified, and no endpoint may receive it.
+func parseCallID(req *Request) (string, error) {
 	id, n := req.Fields.Lookup("X-Call-Id")
-	if n != 1 || id == "" || len(id) > maxCallID {
-		return "", fmt.Errorf("X-Call-Id %.80q, %d of them, want one id", id, n)
+	if n != 1 || id == "" || len(id) > maxCallIDLength {
+		return "", fmt.Errorf("X-Call-Id %.80q (%d fields): want one field with a short, nonempty id", id, n)
 	}
 	for _, c := range []byte(id) {
 		switch {
 		case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c == '-', c == '_':
 		default:
-			return "", fmt.Errorf("X-Call-Id %.80q, want letters and digits", id)
+			return "", fmt.Errorf("X-Call-Id %.80q: want only letters, digits, '-' and '_'", id)
 		}
 	}
 	return id, nil
 }
 
-// checkMethod tells whether a request comes in the form of its class. One that
-// does not may not mean what the settings say of repeating it.
-func checkMethod(semantics balance.Semantics, req *Request) error {
-	method, key := http.MethodPost, semantics == balance.Keyed
+// checkSemantics checks that a request has the method, body and key that its class
+// requires. Any other request may not be as safe to repeat as the class promises.
+func checkSemantics(semantics balance.Semantics, req *Request) error {
+	method, needsKey := http.MethodPost, semantics == balance.Keyed
 	if semantics == balance.Safe {
 		method = http.MethodGet
 	}
-	idem, keys := req.Fields.Lookup("Idempotency-Key")
-	hasKey := keys > 0
+	value, count := req.Fields.Lookup("Idempotency-Key")
+	hasKey := count > 0
 	if req.Method != method {
-		return fmt.Errorf("method %s, want %s for this class", req.Method, method)
+		return fmt.Errorf("method %s: this class requires %s", req.Method, method)
 	}
 	if semantics == balance.Safe && req.Length != 0 {
-		return errors.New("a body, want none for this class")
+		return errors.New("unexpected body: requests of this class have none")
 	}
-	if keys > 1 || keys == 1 && idem == "" {
-		return fmt.Errorf("Idempotency-Key %.80q, %d of them, want one", idem, keys)
+	if count > 1 || count == 1 && value == "" {
+		return fmt.Errorf("Idempotency-Key %.80q (%d fields): want one nonempty field", value, count)
 	}
-	if semantics != balance.Safe && hasKey != key {
-		return fmt.Errorf("Idempotency-Key: given is %t, want %t for this class", hasKey, key)
+	if semantics != balance.Safe && hasKey != needsKey {
+		return fmt.Errorf("Idempotency-Key: present is %t, this class requires %t", hasKey, needsKey)
 	}
 	return nil
 }
 
-// target is what a request is for: its path and query as they came, and its
-// host. The absolute form names the host, whatever Host says (RFC 9112, section
-// 3.2.2).
-func target(req *Request) (uri, host string, err error) {
+// requestTarget returns the path and query of a request as received, and its host. An
+// absolute target overrides the Host field (RFC 9112, section 3.2.2).
+func requestTarget(req *Request) (uri, host string, err error) {
 	if strings.HasPrefix(req.Target, "/") {
 		return req.Target, req.Host, nil
 	}
@@ -216,7 +219,7 @@
 		return "", "", err
 	}
 	if u.Scheme != "http" || u.User != nil || u.Opaque != "" || u.Host == "" {
-		return "", "", fmt.Errorf("target %.80q, want a path or an http URI", req.Target)
+		return "", "", fmt.Errorf("request target %.80q: want a path or an absolute http URI", req.Target)
 	}
 	return u.RequestURI(), u.Host, nil
 }
--- a/internal/front/http/routed.go
+++ b/internal/front/http/routed.go
@@ -18,87 +18,88 @@
 	"gorselink/route"
 )
 
-// Table is what a Routed judges by. It is made once and read by all.
+// Table is the routing table of a TableRouter. It must not be changed once it is in use.
 type Table struct {
 	Routes     *route.Table
-	Targets    []Target                // what Routes finds
+	Targets    []Target                // by the index that Routes finds
 	ClassNames map[string]bool         // the classes that a request may name
-	FindPool   func(string) *pool.Pool // that serves or still drains, by name; nil if there is none
+	FindPool   func(string) *pool.Pool // returns the pool with this name, also one that drains, or nil
 
-	past []former // those that were replaced within the span of the keys
+	replaced []replacedTable // within the retention time of keys
 }
 
-// former is what a Table was that has been replaced.
-type former struct {
+// replacedTable is what is remembered of a replaced Table.
+type replacedTable struct {
 	routes *route.Table
-	pools  []string // of its targets
+	pools  []string // names, by target
 	until  time.Time
 }
 
-// Target is a pool and what the requests to it are.
+// Target is a pool and the properties of the requests to it.
 type Target struct {
 	Pool        *pool.Pool
 	Class       *Class
-	ClassByName map[string]*Class // by the name that a request gives
+	ClassByName map[string]*Class // by the class name that a request gives
 	MaxBody     int64
 }
 
 // Class is a class of requests in one pool.
 type Class struct {
 	Name     string
-	ByMethod bool             // the semantics follow from the request
-	Variants [3]balance.Class // by Semantics, all the same unless ByMethod
-	Numbers  [3]int           // of Forms, in the pool
+	ByMethod bool             // the semantics follow from the request's method and key
+	Variants [3]balance.Class // by Semantics; all the same unless ByMethod
+	Numbers  [3]int           // numbers of the Variants in the pool
 }
 
-// Routed judges requests by a routing table that can be replaced as a whole.
+// TableRouter routes requests by a routing table that can be replaced as a whole.
 type TableRouter struct {
-	PlatformForm bool   // the platform's form: id, budget, method by class, class in the path
-	ClassHeader  string // names the class in the ordinary form; "" for none
+	PlatformForm bool   // requests have the platform's form: id, budget, method by class, class in the path
+	ClassHeader  string // field that names the class in the ordinary form; empty for none
 	Keys         *KeyBindings
-	SeenIDs      *SeenIDs // of the strict form
+	SeenIDs      *SeenIDs // of the platform's form
 
 	table    atomic.Pointer[Table]
 	draining atomic.Bool
 }
 
-// NewRouted returns a Routed with its first table.
-func NewTableRouter(t *Table, strict bool, classHeader string, keys *KeyBindings, ids *SeenIDs) *TableRouter {
-	j := &TableRouter{PlatformForm: strict, ClassHeader: http.CanonicalHeaderKey(classHeader), Keys: keys, SeenIDs: ids}
-	j.table.Store(t)
-	return j
+// NewTableRouter returns a TableRouter with its initial table.
+func NewTableRouter(t *Table, platformForm bool, classHeader string, keys *KeyBindings, ids *SeenIDs) *TableRouter {
+	r := &TableRouter{PlatformForm: platformForm, ClassHeader: http.CanonicalHeaderKey(classHeader), Keys: keys, SeenIDs: ids}
+	r.table.Store(t)
+	return r
 }
 
-// mostFormer bounds the tables that are remembered under one reload after the
-// other.
-const mostFormer = 64
+// maxReplacedTables bounds the tables that are remembered if reloads follow each other
+// quickly.
+const maxReplacedTables = 64
 
-// Set makes t, which nobody else may have, the table for all requests that are
-// judged from now on. Where the one before led is remembered over the span of
-// the keys.
-func (j *TableRouter) SetTable(t *Table, span time.Duration) {
-	before, now := j.table.Load(), time.Now()
-	for _, p := range before.past {
-		if now.Before(p.until) {
-			t.past = append(t.past, p)
+// SetTable makes t, which no other goroutine may use yet, the table for all later
+// requests. The routes of the replaced table are remembered for the retention time of
+// keys.
+func (r *TableRouter) SetTable(t *Table, retention time.Duration) {
+	old, now := r.table.Load(), time.Now()
+	for _, table := range old.replaced {
+		if now.Before(table.until) {
+			t.replaced = append(t.replaced, table)
 		}
 	}
-	was := former{routes: before.Routes, until: now.Add(span)}
-	for _, to := range before.Targets {
-		was.pools = append(was.pools, to.Pool.Name())
+	entry := replacedTable{routes: old.Routes, until: now.Add(retention)}
+	for _, target := range old.Targets {
+		entry.pools = append(entry.pools, target.Pool.Name())
 	}
-	t.past = append(t.past, was)
-	t.past = t.past[max(0, len(t.past)-mostFormer):]
-	j.table.Store(t)
+	t.replaced = append(t.replaced, entry)
+	t.replaced = t.replaced[max(0, len(t.replaced)-maxReplacedTables):]
+	r.table.Store(t)
 }
 
-// Drain makes Ready say no; requests go on being served.
-func (j *TableRouter) MarkDraining() { j.draining.Store(true) }
+// MarkDraining makes ReadyStatus report that the process is not ready; requests are
+// still served.
+func (r *TableRouter) MarkDraining() { r.draining.Store(true) }
 
-// Ready implements Judge: it says yes once any pool has a node.
-func (j *TableRouter) ReadyStatus() int {
-	if !j.draining.Load() {
-		for _, t := range j.table.Load().Targets {
+// ReadyStatus implements Router. It reports readiness once any pool knows its endpoints.
+func (r *TableRouter) ReadyStatus() int {
+	if !r.draining.Load() {
+		for _, t := range r.table.Load().Targets {
 			if t.Pool != nil && t.Pool.Listed() {
 				return http.StatusOK
 			}
@@ -107,190 +108,191 @@
 	return http.StatusServiceUnavailable
 }
 
-// Judge implements Judge.
-func (j *TableRouter) Route(req *Request) (*Plan, *Rejection) {
-	uri, name, err := target(req)
+// Route implements Router.
+func (r *TableRouter) Route(req *Request) (*Plan, *Rejection) {
+	uri, name, err := requestTarget(req)
 	if err != nil {
-		return reject(http.StatusBadRequest, err)
+		return rejection(http.StatusBadRequest, err)
 	}
 	var host, port string
-	if name != "" || req.Minor > 0 { // HTTP/1.0 need not say
+	if name != "" || req.Minor > 0 { // Host is optional in HTTP/1.0
 		if host, port, err = route.Host(name); err != nil {
-			return reject(http.StatusBadRequest, err)
+			return rejection(http.StatusBadRequest, err)
 		}
 	}
 	path, query, err := route.Target(uri)
 	if err != nil {
-		return reject(http.StatusBadRequest, err)
+		return rejection(http.StatusBadRequest, err)
 	}
 	switch req.Method {
 	case http.MethodConnect, http.MethodTrace:
-		return reject(http.StatusMethodNotAllowed, fmt.Errorf("method %s is not passed on", req.Method))
+		return rejection(http.StatusMethodNotAllowed, fmt.Errorf("method %s is not passed on", req.Method))
 	}
-	r := route.Request{Host: host, Path: path, Method: req.Method}
-	if r.Class, err = j.named(req, path); err != nil {
-		return reject(http.StatusBadRequest, err)
+	match := route.Request{Host: host, Path: path, Method: req.Method}
+	if match.Class, err = r.requestedClass(req, path); err != nil {
+		return rejection(http.StatusBadRequest, err)
 	}
-	judged := &judged{TableRouter: j, req: req, r: r, uri: path + query, host: host + port}
-	return judged.plan()
+	routed := &routedRequest{TableRouter: r, req: req, match: match, uri: path + query, host: host + port}
+	return routed.plan()
 }
 
-// judged is a request in its normal form.
-type judged struct {
+// routedRequest is a request in its normal form.
+type routedRequest struct {
 	*TableRouter
-	req  *Request
-	r    route.Request
-	uri  string // as it is sent on
-	host string // with the port
+	req   *Request
+	match route.Request
+	uri   string // as forwarded
+	host  string // with the port
 
-	first   Plan // in one piece with it: most requests are judged once
-	planned bool
+	firstPlan     Plan // avoids an allocation, as most requests are routed once
+	firstPlanUsed bool
 }
 
-// named is the class that the request names, if any.
-func (j *TableRouter) named(req *Request, path string) (string, error) {
-	if j.PlatformForm {
+// requestedClass returns the class that the request names, or an empty string.
+func (r *TableRouter) requestedClass(req *Request, path string) (string, error) {
+	if r.PlatformForm {
 		name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 		return name, nil
 	}
-	if j.ClassHeader == "" {
+	if r.ClassHeader == "" {
 		return "", nil
 	}
-	name, n := req.Fields.Lookup(j.ClassHeader)
+	name, n := req.Fields.Lookup(r.ClassHeader)
 	if n > 1 {
-		return "", fmt.Errorf("%s %.80q, %d of them, want one class", j.ClassHeader, name, n)
+		return "", fmt.Errorf("%s %.80q (%d fields): want one class", r.ClassHeader, name, n)
 	}
 	return name, nil
 }
 
-// plan finds the request's target in the present table.
-func (j *judged) plan() (*Plan, *Rejection) {
-	t := j.table.Load()
-	if j.PlatformForm && !t.ClassNames[j.r.Class] {
-		return reject(http.StatusNotFound, fmt.Errorf("no class %.80q", j.r.Class))
+// plan finds the request's target in the current table.
+func (rr *routedRequest) plan() (*Plan, *Rejection) {
+	t := rr.table.Load()
+	if rr.PlatformForm && !t.ClassNames[rr.match.Class] {
+		return rejection(http.StatusNotFound, fmt.Errorf("unknown class %.80q", rr.match.Class))
 	}
-	if j.r.Class != "" && !t.ClassNames[j.r.Class] {
-		return reject(http.StatusBadRequest, fmt.Errorf("%s: no class %.80q", j.ClassHeader, j.r.Class))
+	if rr.match.Class != "" && !t.ClassNames[rr.match.Class] {
+		return rejection(http.StatusBadRequest, fmt.Errorf("%s: unknown class %.80q", rr.ClassHeader, rr.match.Class))
 	}
-	i, ok := t.Routes.Find(&j.r)
+	i, ok := t.Routes.Find(&rr.match)
 	if !ok {
-		return reject(http.StatusNotFound, fmt.Errorf("no route for %s %.80s%.80s", j.r.Method, j.r.Host, j.r.Path))
+		return rejection(http.StatusNotFound, fmt.Errorf("no route for %s %.80s%.80s", rr.match.Method, rr.match.Host, rr.match.Path))
 	}
-	to := &t.Targets[i]
-	class := to.Class
-	if c := to.ClassByName[j.r.Class]; c != nil {
+	target := &t.Targets[i]
+	class := target.Class
+	if c := target.ClassByName[rr.match.Class]; c != nil {
 		class = c
 	}
-	semantics, err := j.semantics(class)
+	semantics, err := rr.semantics(class)
 	if err != nil {
-		return reject(http.StatusBadRequest, err)
+		return rejection(http.StatusBadRequest, err)
 	}
 	c := &class.Variants[semantics]
-	p := &j.first
-	if j.planned {
+	p := &rr.firstPlan
+	if rr.firstPlanUsed {
 		p = &Plan{}
 	}
-	j.planned = true
+	rr.firstPlanUsed = true
 	*p = Plan{
-		Pool:     to.Pool,
+		Pool:     target.Pool,
 		Class:    class.Numbers[semantics],
 		Tenant:   -1,
-		MaxBody:  to.MaxBody,
-		Ordinary: !j.PlatformForm,
-		judged:   j,
-		seen:     j.SeenIDs,
+		MaxBody:  target.MaxBody,
+		Ordinary: !rr.PlatformForm,
+		routed:   rr,
+		seenIDs:  rr.SeenIDs,
 	}
-	if j.PlatformForm {
-		err = p.form(j.req, c)
+	if rr.PlatformForm {
+		err = p.parsePlatformFields(rr.req, c)
 	} else {
-		p.Budget, err = budget(j.req, c.Deadline)
+		p.Budget, err = requestBudget(rr.req, c.Deadline)
 	}
 	if err != nil {
-		return reject(http.StatusBadRequest, err)
+		return rejection(http.StatusBadRequest, err)
 	}
 	if semantics == balance.Keyed {
-		if wrong := j.bind(t, p, class, c); wrong != nil {
-			return nil, wrong
+		if conflict := rr.bindKey(t, p, class, c); conflict != nil {
+			return nil, conflict
 		}
 	}
-	p.Upstream = outgoing(j.req, j.uri, j.host, semantics, 2)
-	if !j.PlatformForm {
-		// The id is ours: one from outside could be another request's.
+	p.Upstream = outgoingRequest(rr.req, rr.uri, rr.host, semantics, 2)
+	if !rr.PlatformForm {
+		// The id is generated here: one from outside could be another request's.
 		p.Upstream.Fields = slices.DeleteFunc(p.Upstream.Fields, func(f framing.Field) bool { return strings.EqualFold(f.Name, "X-Call-Id") })
-		p.id, p.made = madeID(), true
-		p.Upstream.Fields = append(p.Upstream.Fields, framing.Field{Name: "X-Call-Id", Value: p.id})
-		if addr := j.req.CallerIP; addr != "" {
+		p.callID, p.generatedID = newCallID(), true
+		p.Upstream.Fields = append(p.Upstream.Fields, framing.Field{Name: "X-Call-Id", Value: p.callID})
+		if addr := rr.req.CallerIP; addr != "" {
 			p.Upstream.Fields = append(p.Upstream.Fields, framing.Field{Name: "X-Forwarded-For", Value: addr})
 		}
 	}
 	return p, nil
 }
 
-// madeID is an id of 16 hexadecimal digits.
-func madeID() string {
+// newCallID returns a random id of 16 hexadecimal digits.
+func newCallID() string {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], rand.Uint64())
 	return hex.EncodeToString(b[:])
 }
 
-// maxKey bounds an Idempotency-Key; those in use have some dozen bytes.
-const maxKey = 255
+// maxKeyLength bounds an Idempotency-Key, in bytes.
+const maxKeyLength = 255
 
-// semantics tells what repeating the request does.
-func (j *judged) semantics(class *Class) (balance.Semantics, error) {
-	key, n := j.req.Fields.Lookup("Idempotency-Key")
-	has := n > 0
-	if has && (n != 1 || key == "" || len(key) > maxKey) {
-		return 0, fmt.Errorf("Idempotency-Key %.80q, %d of them, want one of 1 to %d bytes", key, n, maxKey)
+// semantics returns how the request may be repeated.
+func (rr *routedRequest) semantics(class *Class) (balance.Semantics, error) {
+	key, n := rr.req.Fields.Lookup("Idempotency-Key")
+	hasKey := n > 0
+	if hasKey && (n != 1 || key == "" || len(key) > maxKeyLength) {
+		return 0, fmt.Errorf("Idempotency-Key %.80q (%d fields): want one field of 1 to %d bytes", key, n, maxKeyLength)
 	}
 	if !class.ByMethod {
 		s := class.Variants[0].Semantics
-		if s == balance.Keyed && !has {
-			return 0, fmt.Errorf("Idempotency-Key: missing, want one for class %s", class.Name)
+		if s == balance.Keyed && !hasKey {
+			return 0, fmt.Errorf("Idempotency-Key is missing: class %s requires it", class.Name)
 		}
 		return s, nil
 	}
-	switch j.req.Method {
+	switch rr.req.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions: // RFC 9110, section 9.2.1
 		return balance.Safe, nil
 	}
-	if has {
+	if hasKey {
 		return balance.Keyed, nil
 	}
-	// PUT and DELETE are idempotent by themselves, but not beside others: a
-	// late repeat would undo what came in between.
+	// PUT and DELETE are idempotent, but a late repeat would undo another client's
+	// change in between.
 	return balance.Unsafe, nil
 }
 
-// bind keeps a repeat with the pool that has had its key, even if the table
-// now leads elsewhere.
-func (j *judged) bind(t *Table, p *Plan, class *Class, c *balance.Class) *Rejection {
-	key := j.req.Fields.Get("Idempotency-Key")
-	bound, sure := j.Keys.Bind(j.Keys.keyOf(j.r.Host, j.r.Path, key), p.Pool.Name(), j.Keys.now())
+// bindKey sends a repeat to the pool that its key is bound to, even if the table now
+// selects another one.
+func (rr *routedRequest) bindKey(t *Table, p *Plan, class *Class, c *balance.Class) *Rejection {
+	key := rr.req.Fields.Get("Idempotency-Key")
+	bound, certain := rr.Keys.Bind(rr.Keys.hash(rr.match.Host, rr.match.Path, key), p.Pool.Name(), rr.Keys.now())
 	if bound == p.Pool.Name() {
-		if !sure && j.movedWithin(t, bound) {
-			// It may have run where it went before.
-			return &Rejection{Status: http.StatusConflict, Err: errors.New("Idempotency-Key: too many to tell whether this one has come before its route moved")}
+		if !certain && rr.recentlyRoutedElsewhere(t, bound) {
+			// The request may have run in the pool that its route led to before.
+			return &Rejection{Status: http.StatusConflict, Err: errors.New("Idempotency-Key: too many keys in use to tell whether this one was used before its route changed")}
 		}
 		return nil
 	}
-	was := t.FindPool(bound)
-	if was == nil {
-		return &Rejection{Status: http.StatusConflict, Err: errors.New("Idempotency-Key: the request may have run in a service that is gone")}
+	previous := t.FindPool(bound)
+	if previous == nil {
+		return &Rejection{Status: http.StatusConflict, Err: errors.New("Idempotency-Key: the request may have run in a pool that no longer exists")}
 	}
-	number, err := was.Class(*c)
+	number, err := previous.Class(*c)
 	if err != nil {
 		return &Rejection{Status: http.StatusConflict, Err: err}
 	}
-	p.Pool, p.Class, p.Repeat = was, number, true
+	p.Pool, p.Class, p.Repeat = previous, number, true
 	return nil
 }
 
-// movedWithin tells whether a table of the span led the request elsewhere.
-func (j *judged) movedWithin(t *Table, name string) bool {
+// recentlyRoutedElsewhere reports whether a table that was replaced within the retention
+// time routed the request to another pool.
+func (rr *routedRequest) recentlyRoutedElsewhere(t *Table, pool string) bool {
 	now := time.Now()
-	for _, p := range t.past {
-		if i, ok := p.routes.Find(&j.r); ok && p.pools[i] != name && now.Before(p.until) {
+	for _, table := range t.replaced {
+		if i, ok := table.routes.Find(&rr.match); ok && table.pools[i] != pool && now.Before(table.until) {
 			return true
 		}
 	}
--- a/internal/front/http/routed_test.go
+++ b/internal/front/http/routed_test.go
@@ -105,8 +105,8 @@
 
 func TestKeysBind(t *testing.T) {
 	k := NewKeyBindings(time.Second)
-	key := func(s string) [2]uint64 { return k.keyOf("h", "/p", s) }
-	if first, again := key("a"), key("a"); first == key("b") || first != again || k.keyOf("h", "/pa", "") == k.keyOf("h", "/p", "a") {
+	key := func(s string) [2]uint64 { return k.hash("h", "/p", s) }
+	if first, again := key("a"), key("a"); first == key("b") || first != again || k.hash("h", "/pa", "") == k.hash("h", "/p", "a") {
 		t.Fatal("keys are not told apart")
 	}
 	at := func(s, pool, want string, now time.Duration, wantSure bool) {
@@ -119,10 +119,10 @@
 	at("a", "two", "one", time.Second-1, true)
 	at("a", "two", "one", time.Second, true) // the older half holds it
 	at("a", "two", "two", 3*time.Second, true)
-	for i := range 3 * keysMost {
+	for i := range 3 * maxKeysPerGeneration {
 		k.Bind(key(fmt.Sprint(i)), "many", 4*time.Second)
 	}
-	if n := len(k.new) + len(k.old); n > 2*keysMost {
+	if n := len(k.current) + len(k.previous); n > 2*maxKeysPerGeneration {
 		t.Errorf("%d keys held", n)
 	}
 	at("a", "one", "one", 4*time.Second, false) // forgotten too soon, and it says so
@@ -152,8 +152,8 @@
 	if _, wrong := ask("k"); wrong == nil || wrong.Status != http.StatusConflict {
 		t.Errorf("a key of a pool that is gone: %v", wrong)
 	}
-	for i := range 3 * keysMost {
-		j.Keys.Bind(j.Keys.keyOf("h", "/p", fmt.Sprint(i)), "many", j.Keys.now())
+	for i := range 3 * maxKeysPerGeneration {
+		j.Keys.Bind(j.Keys.hash("h", "/p", fmt.Sprint(i)), "many", j.Keys.now())
 	}
 	if _, wrong := ask("k2"); wrong == nil || wrong.Status != http.StatusConflict {
 		t.Errorf("a key that may have been forgotten: %v", wrong)
@@ -171,15 +171,15 @@
 	}{
 		{"a length", 1000, 100, "Content-Length: 5\r\n\r\nhello", "hello", nil},
 		{"just as long as allowed", 1000, 5, "Content-Length: 5\r\n\r\nhello", "hello", nil},
-		{"too long", 1000, 4, "Content-Length: 5\r\n\r\nhello", "", errBodyLong},
-		{"longer than all the room", 4, 100, "Content-Length: 5\r\n\r\nhello", "", errBodyLong},
-		{"no room left", 100, 100, "Content-Length: 60\r\n\r\n" + strings.Repeat("b", 60), "", errBodyRoom},
+		{"too long", 1000, 4, "Content-Length: 5\r\n\r\nhello", "", errBodyTooLong},
+		{"longer than all the room", 4, 100, "Content-Length: 5\r\n\r\nhello", "", errBodyTooLong},
+		{"no room left", 100, 100, "Content-Length: 60\r\n\r\n" + strings.Repeat("b", 60), "", errNoBodyMemory},
 		{"chunks", 1000, 100, "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n", "hello!", nil},
 		{"chunks just as long", 1000, 6, "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n", "hello!", nil},
-		{"chunks too long", 1000, 5, "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n", "", errBodyLong},
+		{"chunks too long", 1000, 5, "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n1\r\n!\r\n0\r\n\r\n", "", errBodyTooLong},
 		{"half a chunk", 1000, 100, "Transfer-Encoding: chunked\r\n\r\n5\r\nhe", "", io.ErrUnexpectedEOF},
 		{"many chunks", 1 << 20, 1 << 20, "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("c", 4096)+"\r\n", 60) + "0\r\n\r\n", strings.Repeat("c", 60*4096), nil},
-		{"many chunks and no room", 100 + 128<<10, 1 << 20, "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("c", 4096)+"\r\n", 60) + "0\r\n\r\n", "", errBodyRoom},
+		{"many chunks and no room", 100 + 128<<10, 1 << 20, "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("c", 4096)+"\r\n", 60) + "0\r\n\r\n", "", errNoBodyMemory},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			in := bufio.NewReaderSize(strings.NewReader("POST / HTTP/1.1\r\nHost: x\r\n"+c.text), framing.MaxHeadBytes)
@@ -195,11 +195,11 @@
 			var b limit.Bytes
 			b.Set(c.budget)
 			other, _ := b.Reserve(min(100, c.budget/2))
-			if c.err == nil || c.err == errBodyLong || c.err == io.ErrUnexpectedEOF {
+			if c.err == nil || c.err == errBodyTooLong || c.err == io.ErrUnexpectedEOF {
 				other.Release()
 			}
 			before := b.Left()
-			got, err := readBody(in, &h, room{short: &b, long: new(limit.Bytes)}, c.most)
+			got, err := readBody(in, &h, bodyMemory{shortBudget: &b, longBudget: new(limit.Bytes)}, c.most)
 			if c.err != nil {
 				if err == nil || !strings.Contains(err.Error(), c.err.Error()) {
 					t.Errorf("error %v, want %v", err, c.err)
--- a/internal/front/http/seen.go
+++ b/internal/front/http/seen.go
@@ -6,57 +6,55 @@
 	"time"
 )
 
-// seenMost bounds the ids of one span, whatever their number a second: some
-// hundred kilobytes.
-const seenMost = 8 << 10
-
-// IDs remembers the ids of requests for at least its span, in two halves of
-// which the older is dropped whole. Every request has an id of its own, also a
-// repeat, so one that has come before belongs to somebody else, who may still
-// wait for its answer; sent on, it would run twice under one name. Under more
-// ids than seenMost in a span it remembers less, and forgets the oldest first.
+// maxIDsPerGeneration limits the memory for ids to a few hundred kilobytes.
+const maxIDsPerGeneration = 8 << 10
+
+// SeenIDs remembers the ids of requests for at least the retention time. Every request
+// has its own id, also a repeat, so a duplicate belongs to another request that may
+// still be running. If more than maxIDsPerGeneration ids arrive within the retention
+// time, the oldest are forgotten early.
 type SeenIDs struct {
 	start time.Time
 
-	mu       sync.Mutex
-	span     time.Duration
-	new, old map[string]struct{}
-	since    time.Duration
+	mu                sync.Mutex
+	retention         time.Duration
+	current, previous map[string]struct{} // previous is dropped as a whole
+	generationStart   time.Duration       // when current was started
 }
 
-// NewIDs remembers ids for two of the longest deadlines, within which a
-// request may still run.
+// NewSeenIDs returns SeenIDs that remembers ids for twice the longest deadline, within
+// which a request may still run.
 func NewSeenIDs(longest time.Duration) *SeenIDs {
-	return &SeenIDs{span: 2 * longest, start: time.Now()}
+	return &SeenIDs{retention: 2 * longest, start: time.Now()}
 }
 
-// SetLongest tells the longest deadline of the requests that come from now on. Those that
-// are open may have longer, so that the span never becomes shorter.
+// SetLongestDeadline sets the longest deadline of later requests. The retention time is
+// never shortened, because open requests may have longer deadlines.
 func (s *SeenIDs) SetLongestDeadline(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.span = max(s.span, 2*d)
+	s.retention = max(s.retention, 2*d)
 }
 
-// isNew tells whether id has not come before, and books it.
-func (s *SeenIDs) isNew(id string) bool { return s.add(id, time.Since(s.start)) }
+// record records id and reports whether it is new.
+func (s *SeenIDs) record(id string) bool { return s.recordAt(id, time.Since(s.start)) }
 
-// errSeen tells of a request whose id is not its own.
-var errSeen = errors.New("X-Call-Id: a request with this id has come before")
+// errDuplicateID is the reason to reject a request whose id is not its own.
+var errDuplicateID = errors.New("X-Call-Id: another request has already used this id")
 
-// add remembers id and tells whether it is new.
-func (s *SeenIDs) add(id string, now time.Duration) bool {
+// recordAt is record at the time now.
+func (s *SeenIDs) recordAt(id string, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.new == nil || now-s.since >= s.span || len(s.new) >= seenMost {
-		s.old, s.new, s.since = s.new, map[string]struct{}{}, now
+	if s.current == nil || now-s.generationStart >= s.retention || len(s.current) >= maxIDsPerGeneration {
+		s.previous, s.current, s.generationStart = s.current, map[string]struct{}{}, now
 	}
-	if _, ok := s.new[id]; ok {
+	if _, ok := s.current[id]; ok {
 		return false
 	}
-	if _, ok := s.old[id]; ok {
+	if _, ok := s.previous[id]; ok {
 		return false
 	}
-	s.new[id] = struct{}{}
+	s.current[id] = struct{}{}
 	return true
 }
--- a/internal/front/http/stops_test.go
+++ b/internal/front/http/stops_test.go
@@ -183,7 +183,7 @@
 				if want := http.StatusBadRequest; a.ms == 0 && a.status != want {
 					t.Errorf("%s with 0 ms: %d, want %d", a.text, a.status, want)
 				}
-				if want := http.StatusServiceUnavailable; a.ms > 0 && a.ms <= int(transit.Milliseconds()) && a.status != want {
+				if want := http.StatusServiceUnavailable; a.ms > 0 && a.ms <= int(transitMargin.Milliseconds()) && a.status != want {
 					t.Errorf("%s with %d ms: %d, want %d", a.text, a.ms, a.status, want)
 				}
 			}
--- a/internal/front/http/stream.go
+++ b/internal/front/http/stream.go
@@ -10,56 +10,57 @@
 )
 
 const (
-	// restUnread is how long a caller may leave a piece of a long answer unread.
-	restUnread = 10 * time.Second
+	// streamWriteTimeout bounds each write of a streamed response.
+	streamWriteTimeout = 10 * time.Second
 
-	// restBuffer is the kernel's send buffer under a long answer. Left to itself
-	// it grows to megabytes a connection, out of the process's memory limit.
-	restBuffer = 128 << 10
+	// streamSendBufferBytes is the size of the kernel's send buffer of a streamed
+	// response. Without a limit it grows to megabytes, which count against the process's
+	// memory limit.
+	streamSendBufferBytes = 128 << 10
 
-	// slowWrite is how long a piece takes to be written to a caller that is
-	// slower than most endpoints; what is left is read ahead of it.
-	slowWrite = 20 * time.Millisecond
+	// slowWriteThreshold is the duration of a write from which on a caller counts as
+	// slow. The rest of its response is then read ahead, which frees the endpoint.
+	slowWriteThreshold = 20 * time.Millisecond
 )
 
-// stream writes an answer as it comes: its head, what there is of its body, and
-// the rest as its endpoint gives it, piece by piece. An error means that it has
-// broken off: the connection has to end, and as neither the length told nor the
-// last chunk has been reached, the caller can tell.
-func stream(w io.Writer, head, begun []byte, rest *upstream.BodyStream) error {
+// writeStream writes a response while it arrives: its head, the available part of its
+// body, and the rest as the endpoint sends it. After an error the connection must close.
+// The caller can tell that the response is incomplete, because neither its length nor
+// its last chunk is reached.
+func writeStream(w io.Writer, head, available []byte, rest *upstream.BodyStream) error {
 	c, isConn := w.(net.Conn)
 	if tc, ok := w.(*net.TCPConn); ok {
-		tc.SetWriteBuffer(restBuffer)
+		tc.SetWriteBuffer(streamSendBufferBytes)
 	}
-	buf := scratch.Get().(*[]byte)
-	defer scratch.Put(buf)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
 	chunked := rest.Length < 0
 	write := func(pieces ...[]byte) error {
 		if isConn {
-			c.SetWriteDeadline(time.Now().Add(restUnread))
+			c.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
 		}
-		all := net.Buffers(pieces)
-		_, err := all.WriteTo(w)
+		buffers := net.Buffers(pieces)
+		_, err := buffers.WriteTo(w)
 		return err
 	}
-	piece := func(before, data []byte) error {
+	piece := func(prefix, data []byte) error {
 		if chunked && len(data) > 0 {
-			before = strconv.AppendInt(before, int64(len(data)), 16)
-			return write(append(before, "\r\n"...), data, []byte("\r\n"))
+			prefix = strconv.AppendInt(prefix, int64(len(data)), 16)
+			return write(append(prefix, "\r\n"...), data, []byte("\r\n"))
 		}
-		return write(before, data)
+		return write(prefix, data)
 	}
-	if err := piece(head, begun); err != nil {
+	if err := piece(head, available); err != nil {
 		return err
 	}
 	for {
 		n, err := rest.Read(*buf)
 		if n > 0 {
-			begun := time.Now()
+			start := time.Now()
 			if err := piece(nil, (*buf)[:n]); err != nil {
 				return err
 			}
-			if time.Since(begun) > slowWrite {
+			if time.Since(start) > slowWriteThreshold {
 				rest.ReadAhead()
 			}
 		}
--- a/internal/front/http/stream_test.go
+++ b/internal/front/http/stream_test.go
@@ -179,7 +179,7 @@
 		}
 		start := time.Now()
 		n, err := io.Copy(io.Discard, resp.Body)
-		if d := time.Since(start); err == nil || d > idleTime/2 { // which would end it as well
+		if d := time.Since(start); err == nil || d > idleTimeout/2 { // which would end it as well
 			t.Errorf("chunked %t: %v after %d bytes and %v, want a break at once", chunked, err, n, d)
 		}
 		eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.Open() == 0 })
@@ -313,8 +313,8 @@
 			if status, _, err := get(bufio.NewReader(conn)); err != nil || status != c.status {
 				t.Errorf("status %d, %v, want %d", status, err, c.status)
 			}
-			if d := time.Since(start); d > 4*bodyStall {
-				t.Errorf("told off after %v, want about %v", d, bodyStall)
+			if d := time.Since(start); d > 4*bodyStallTimeout {
+				t.Errorf("told off after %v, want about %v", d, bodyStallTimeout)
 			}
 			if !c.away {
 				select {
--- a/internal/front/http/told_test.go
+++ b/internal/front/http/told_test.go
@@ -67,7 +67,7 @@
 			if c.chunked {
 				coding, data = "Transfer-Encoding: chunked", strconv.FormatInt(size, 16)+"\r\n"+data+"\r\n0\r\n\r\n"
 			}
-			head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\nX-Budget-Ms: " + strconv.Itoa(int((budget + transit).Milliseconds())) + "\r\n" + coding + "\r\n\r\n"
+			head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\nX-Budget-Ms: " + strconv.Itoa(int((budget + transitMargin).Milliseconds())) + "\r\n" + coding + "\r\n\r\n"
 			began := time.Now()
 			if c.coming {
 				io.WriteString(conn, head)
