--- a/internal/daemon/age_test.go
+++ b/internal/daemon/age_test.go
@@ -31,7 +31,7 @@
 	if next == old {
 		t.Fatal("the pool goes on, want one that starts anew")
 	}
-	lives := next.Ages().Lives
+	lives := next.Ages().Incarnations
 	if age := lives["n-2"].Age; age <= 0 || age > wrong/2 {
 		t.Errorf("taken for %v old, want some seconds", age)
 	}
--- a/internal/daemon/apply.go
+++ b/internal/daemon/apply.go
@@ -166,7 +166,7 @@
 
 // goesOn tells whether a pool can go on under c.
 func (p *plan) goesOn(s *service, c *config.Pool) bool {
-	return sameBalance(&s.cfg, c) && s.pool.Classes() < mostClasses+3*len(p.cfg.Classes)
+	return sameBalance(&s.cfg, c) && s.pool.ClassCount() < mostClasses+3*len(p.cfg.Classes)
 }
 
 // sameBalance tells whether what differs between a and b can be changed while
@@ -301,7 +301,7 @@
 	c := &httpfront.Class{Name: name, ByMethod: def.ByMethod, Variants: forms(def)}
 	for i, form := range c.Variants {
 		var err error
-		if c.Numbers[i], err = to.Class(form); err != nil {
+		if c.Numbers[i], err = to.ClassNumber(form); err != nil {
 			return nil, fmt.Errorf("classes.%s: %w", name, err)
 		}
 	}
@@ -346,7 +346,7 @@
 	d := p.d
 	for _, s := range p.revived {
 		d.retired = slices.DeleteFunc(d.retired, func(o *service) bool { return o == s })
-		s.pool.Revive()
+		s.pool.Reactivate()
 		d.services[s.cfg.Name] = s
 		p.say("pool %s: back before it had drained", s.cfg.Name)
 	}
@@ -362,7 +362,7 @@
 		} else {
 			p.say("pool %s: starts anew, the old one drains", name)
 			old.sharing = next.pool.Conns() == old.pool.Conns()
-			old.pool.Move(next.cfg.Nodes.Open()) // it must hear of drains to the end
+			old.pool.SetSource(next.cfg.Nodes.Open()) // it must hear of drains to the end
 		}
 		left = append(left, old)
 	}
@@ -400,12 +400,12 @@
 			p.say("pool %s: %s %v, had %v", c.Name, n.what, n.has, n.had)
 		}
 	}
-	s.pool.Limit(limits(c))
+	s.pool.SetLimits(limits(c))
 	if old.Memory != c.Memory {
 		s.pool.Conns().SetLimits(s.pool.Conns().MaxConns(), c.Memory/config.LargeShare)
 	}
 	if old.Nodes.String() != c.Nodes.String() {
-		s.pool.Move(c.Nodes.Open())
+		s.pool.SetSource(c.Nodes.Open())
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -157,7 +157,7 @@
 // come; the mutex is held.
 func (d *Daemon) letGo(now time.Time) {
 	d.retired = slices.DeleteFunc(d.retired, func(s *service) bool {
-		if s.pool.Open() > 0 || now.Before(s.until) {
+		if s.pool.OpenRequests() > 0 || now.Before(s.until) {
 			return false
 		}
 		s.end()
--- a/internal/daemon/nodes_test.go
+++ b/internal/daemon/nodes_test.go
@@ -68,7 +68,7 @@
 				}
 				return true
 			})
-			eventually(t, "all that is open is at the node", func() bool { return d.Pool("a").Open() == all[0].Open() })
+			eventually(t, "all that is open is at the node", func() bool { return d.Pool("a").OpenRequests() == all[0].Open() })
 			before := all[0].Total() + all[0].Open()
 			for range 100 {
 				if r := cl.get("x", "/"); r.status != 200 {
@@ -126,7 +126,7 @@
 			t.Fatalf("status %d %q", status, body)
 		}
 	}
-	if n := d.Pool("a").Open(); n > 24 {
+	if n := d.Pool("a").OpenRequests(); n > 24 {
 		t.Errorf("%d requests open in a pool, want 24 at most", n)
 	}
 }
--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -30,11 +30,11 @@
 		resp.status = http.StatusServiceUnavailable
 	case pool.Failed:
 		resp.status = http.StatusBadGateway
-	case pool.Late, pool.Left:
+	case pool.TimedOut, pool.CallerGone:
 		resp.status = http.StatusGatewayTimeout
 	}
-	if a.Up != nil {
-		resp.endpoint, resp.status = a.Up, a.Up.Status
+	if a.Upstream != nil {
+		resp.endpoint, resp.status = a.Upstream, a.Upstream.Status
 	} else if p.Ordinary {
 		resp.text = http.StatusText(resp.status) + "\n"
 	}
--- a/internal/front/http/begin_test.go
+++ b/internal/front/http/begin_test.go
@@ -52,9 +52,9 @@
 	}
 	held := func(t *testing.T) *departures {
 		d := served(t)
-		d.Exclude(map[string]bool{"s-1": true})
-		d.ready = func(n int) bool { return d.Pool.Open() == n }
-		d.open = func() { d.Exclude(nil) }
+		d.SetDisabled(map[string]bool{"s-1": true})
+		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
+		d.open = func() { d.SetDisabled(nil) }
 		return d
 	}
 	dialling := func(long int64) func(*testing.T) *departures {
@@ -65,7 +65,7 @@
 			}
 			t.Cleanup(func() { l.Close() })
 			d := newDepartures(t, long, inService("s-1", l.Addr().String()))
-			d.ready = func(n int) bool { return d.Pool.Open() == n && d.Conns().OpenConns() == n }
+			d.ready = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
 			d.open = func() {
 				if err := l.Open(); err != nil {
 					t.Fatal(err)
@@ -162,7 +162,7 @@
 					t.Errorf("the witness has seen %d requests of one who stays, want 1", n)
 				}
 			}
-			eventually(t, "all requests are over", func() bool { return d.Pool.Open() == 0 })
+			eventually(t, "all requests are over", func() bool { return d.Pool.OpenRequests() == 0 })
 			sent := 0
 			for _, conn := range gone {
 				sent += d.seen.saw(d.ids[conn])
--- a/internal/front/http/body.go
+++ b/internal/front/http/body.go
@@ -29,14 +29,14 @@
 type requestBody struct {
 	data       []byte
 	rest       *bodyReader // nil if data is the whole body
-	reserved   limit.Hold
+	reserved   limit.Reservation
 	longBudget *limit.Bytes // for more than initialBodyBytes, unless its total is 0
 }
 
 // grow extends the reservation to n bytes, more than initialBodyBytes, and reports
 // whether there was enough memory.
 func (b *requestBody) grow(n int64) bool {
-	if b.longBudget.Total() == 0 || b.reserved.Of(b.longBudget) {
+	if b.longBudget.Total() == 0 || b.reserved.BelongsTo(b.longBudget) {
 		return b.reserved.Grow(n)
 	}
 	more, ok := b.longBudget.Reserve(n)
--- a/internal/front/http/caller.go
+++ b/internal/front/http/caller.go
@@ -134,7 +134,7 @@
 	}
 	c.paced.conn = nc
 	c.in = bufio.NewReaderSize(&c.paced, framing.MaxHeadBytes)
-	c.entry.Of = c
+	c.entry.Value = c
 	c.watchTimer = time.AfterFunc(time.Hour, c.watchCaller)
 	c.watchTimer.Stop()
 	return c
@@ -276,7 +276,7 @@
 		return false, c.rejectRequest(req, rejection.Status, rejection.Err)
 	}
 	if p.Pool.Full() {
-		p.Pool.NoteFull()
+		p.Pool.CountFull()
 		return false, c.rejectFull(req, p)
 	}
 	if err := c.handleExpect(req, p.MaxBody); err != nil {
@@ -367,12 +367,12 @@
 	defer p.Pool.Done(r)
 	c.rejectionsInRow, c.mayHaveRun = 0, true
 	c.pool, c.request, c.watchStarted = p.Pool, r, false
-	if r.Out.Upload != nil {
+	if r.Outgoing.Upload != nil {
 		return true, c.forwardUpload(req, p, r)
 	}
 	c.watchStarted = true
 	c.watchTimer.Reset(watchDelay)
-	p.Pool.Attempt(r)
+	p.Pool.RunFirstAttempt(r)
 	a := <-r.Answer()
 	left := false
 	c.setDiscardInput(false)
@@ -387,8 +387,8 @@
 	}
 	c.pool, c.request = nil, nil // an idle connection holds no body
 	keepAlive = c.respond(req, responseFor(a, p), !left && !c.earlyBytes.Load())
-	if a.Up != nil {
-		a.Up.Release()
+	if a.Upstream != nil {
+		a.Upstream.Release()
 	}
 	return true, keepAlive
 }
@@ -396,19 +396,19 @@
 // forwardUpload forwards a request whose body is sent while it arrives. It reports
 // whether another request may follow on the connection.
 func (c *callerConn) forwardUpload(req *Request, p *Plan, r *pool.Request) (keepAlive bool) {
-	u := r.Out.Upload
+	u := r.Outgoing.Upload
 	answered := make(chan struct{})
 	stopWatching := sync.OnceFunc(func() { close(answered) })
 	defer stopWatching()
 	go c.watchUpload(p.Pool, r, answered)
-	p.Pool.Attempt(r)
+	p.Pool.RunFirstAttempt(r)
 	a := <-r.Answer()
 	stopWatching()
 	<-u.Done // an attempt may still read from the caller
 	c.pool, c.request = nil, nil
 	c.paced.endBody()
-	if a.Up != nil {
-		defer a.Up.Release()
+	if a.Upstream != nil {
+		defer a.Upstream.Release()
 	}
 	switch err := u.Err(); {
 	case err != nil:
@@ -466,7 +466,7 @@
 }
 
 // Left implements pool.Caller.
-func (c *callerConn) Left() bool {
+func (c *callerConn) Disconnected() bool {
 	switch c.peer.State() {
 	case sock.Closed:
 		return true
@@ -542,7 +542,7 @@
 		case <-tick.C:
 		}
 		if c.peer.State() == sock.Closed {
-			r.Out.Upload.Abort()
+			r.Outgoing.Upload.Abort()
 			p.Withdraw(r)
 			return
 		}
@@ -564,24 +564,24 @@
 func (c *callerConn) submit(p *Plan, b *requestBody) (*Plan, *pool.Request, *response) {
 	for tries := 0; ; tries++ {
 		r := &pool.Request{
-			Class:  p.Class,
-			Tenant: p.Tenant,
-			Budget: c.server.remainingBudget(p.Budget),
-			Again:  p.Repeat,
-			Out:    p.Upstream,
-			Name:   p.callID,
-			Reply:  c.reply,
-			Caller: c,
+			Class:       p.Class,
+			Tenant:      p.Tenant,
+			Budget:      c.server.remainingBudget(p.Budget),
+			Resubmitted: p.Repeat,
+			Outgoing:    p.Upstream,
+			CallID:      p.callID,
+			Reply:       c.reply,
+			Caller:      c,
 		}
 		switch {
 		case b != nil && b.rest != nil:
 			done := make(chan struct{})
-			r.Out.Upload = &upstream.Upload{Buffered: b.data, Remaining: &checkedBody{c, b.rest}, Length: c.req.Length, Done: done, Incomplete: c.bodyEndPending}
-			r.Over = func() { b.release(); close(done) }
+			r.Outgoing.Upload = &upstream.Upload{Buffered: b.data, Remaining: &checkedBody{c, b.rest}, Length: c.req.Length, Done: done, Incomplete: c.bodyEndPending}
+			r.OnFinished = func() { b.release(); close(done) }
 		case b != nil:
-			r.Out.Body, r.Over = b.data, b.release
+			r.Outgoing.Body, r.OnFinished = b.data, b.release
 		}
-		err := p.Pool.Take(r)
+		err := p.Pool.Submit(r)
 		if err == nil {
 			return p, r, nil
 		}
--- a/internal/front/http/caller_test.go
+++ b/internal/front/http/caller_test.go
@@ -379,6 +379,6 @@
 	io.WriteString(c, view(""))
 	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
 	c.Close()
-	eventually(t, "nothing kept, long before the deadline", func() bool { return r.Pool.Open() == 0 })
+	eventually(t, "nothing kept, long before the deadline", func() bool { return r.Pool.OpenRequests() == 0 })
 	eventually(t, "the connection to the endpoint closed", func() bool { return r.Conns().OpenConns() == 0 })
 }
--- a/internal/front/http/callers.go
+++ b/internal/front/http/callers.go
@@ -124,8 +124,8 @@
 func (s *Server) evictionCandidate() *callerConn {
 	for st := range stateActive {
 		for e := s.conns[st].Front(); e != nil; e = s.conns[st].Next(e) {
-			if !e.Of.closeRequested && (st == stateRejected || st == stateReading || !sock.HasPendingData(e.Of.conn)) {
-				return e.Of
+			if !e.Value.closeRequested && (st == stateRejected || st == stateReading || !sock.HasPendingData(e.Value.conn)) {
+				return e.Value
 			}
 		}
 	}
@@ -204,7 +204,7 @@
 // arrived and close; s.mu must be held.
 func (s *Server) wake(st connState) {
 	for e := s.conns[st].Front(); e != nil; e = s.conns[st].Next(e) {
-		e.Of.conn.SetReadDeadline(expiredDeadline)
+		e.Value.conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
@@ -353,7 +353,7 @@
 	s.readingStopped = true
 	for _, st := range []connState{stateRejected, stateReading} {
 		for e := s.conns[st].Front(); e != nil; e = s.conns[st].Next(e) {
-			e.Of.requestClose()
+			e.Value.requestClose()
 		}
 	}
 }
--- a/internal/front/http/close_test.go
+++ b/internal/front/http/close_test.go
@@ -209,7 +209,7 @@
 		r.callers.mu.Lock()
 		defer r.callers.mu.Unlock()
 		for st := range stateActive {
-			if e := r.callers.conns[st].Front(); e != nil && e.Of.closeRequested {
+			if e := r.callers.conns[st].Front(); e != nil && e.Value.closeRequested {
 				return true
 			}
 		}
--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/crossing_test.go
@@ -112,7 +112,7 @@
 					r.callers.mu.Lock()
 					defer r.callers.mu.Unlock()
 					e := r.callers.conns[stateReading].Front()
-					return e == nil || e.Of.closeRequested
+					return e == nil || e.Value.closeRequested
 				})
 			}
 			close(g.gate)
--- a/internal/front/http/gone_test.go
+++ b/internal/front/http/gone_test.go
@@ -130,7 +130,7 @@
 					t.Errorf("who stays is answered %d, %v, want 200", status, err)
 				}
 			}
-			eventually(t, "all requests are over", func() bool { return d.Pool.Open() == 0 })
+			eventually(t, "all requests are over", func() bool { return d.Pool.OpenRequests() == 0 })
 			for _, conn := range stay {
 				if n := d.seen.saw(d.ids[conn]); n != 1 {
 					t.Errorf("the endpoint has seen %d requests of one who stays, want 1", n)
@@ -193,9 +193,9 @@
 // queuedWay has no endpoint until it is opened.
 func queuedWay(t *testing.T) *departures {
 	d := openWay(t)
-	d.Exclude(map[string]bool{"s-1": true})
-	d.ready = func(n int) bool { return d.Pool.Open() == n }
-	d.open = func() { d.Exclude(nil) }
+	d.SetDisabled(map[string]bool{"s-1": true})
+	d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
+	d.open = func() { d.SetDisabled(nil) }
 	return d
 }
 
@@ -208,7 +208,7 @@
 		}
 		t.Cleanup(func() { l.Close() })
 		d := newDepartures(t, long, inService("s-1", l.Addr().String()))
-		d.ready = func(n int) bool { return d.Pool.Open() == n && d.Conns().OpenConns() == n }
+		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
 		d.open = func() {
 			if err := l.Open(); err != nil {
 				t.Fatal(err)
@@ -225,15 +225,15 @@
 	w := newWitness(t, nil)
 	d := newRestingDepartures(t, 8<<20, 4*goneAfter, inService("s-1", w.addr))
 	d.seen, d.open = w, func() {}
-	d.Exclude(map[string]bool{"s-1": true})
+	d.SetDisabled(map[string]bool{"s-1": true})
 	var first []net.Conn
 	for range 8 {
 		c := d.join(t, func(c net.Conn) net.Conn { return c })
 		io.WriteString(c, view(""))
 		first = append(first, c)
 	}
-	eventually(t, "requests that each want a connection", func() bool { return d.Pool.Open() == len(first) })
-	d.Exclude(nil)
+	eventually(t, "requests that each want a connection", func() bool { return d.Pool.OpenRequests() == len(first) })
+	d.SetDisabled(nil)
 	for _, c := range first {
 		if status, _, err := get(bufio.NewReader(c)); status != 200 {
 			t.Fatalf("answered %d, %v, want 200", status, err)
@@ -265,9 +265,9 @@
 	t.Cleanup(func() { late.Close() })
 	d := newDepartures(t, 8<<20, inService("late", late.Addr().String()),
 		inService("rejects", srv.Listener.Addr().String()), inService("first", newWitness(t, nil).addr))
-	d.Exclude(map[string]bool{"late": true, "rejects": true})
+	d.SetDisabled(map[string]bool{"late": true, "rejects": true})
 	d.earnRetries(t)
-	d.Exclude(map[string]bool{"late": true, "first": true})
+	d.SetDisabled(map[string]bool{"late": true, "first": true})
 	d.open = func() {
 		if err := late.Open(); err != nil {
 			t.Fatal(err)
@@ -275,7 +275,7 @@
 		d.seen = newWitness(t, late)
 	}
 	rejected := sync.OnceFunc(func() {
-		d.Exclude(map[string]bool{"rejects": true, "first": true})
+		d.SetDisabled(map[string]bool{"rejects": true, "first": true})
 		close(reject)
 	})
 	t.Cleanup(rejected)
@@ -286,7 +286,7 @@
 		if all {
 			rejected()
 		}
-		return d.Stats().Again == n
+		return d.Stats().LaterAttempts == n
 	}
 	return d
 }
--- a/internal/front/http/left_test.go
+++ b/internal/front/http/left_test.go
@@ -127,10 +127,10 @@
 	held := func(t *testing.T) *departures {
 		w := newWitness(t, nil)
 		d := newDepartures(t, 8<<20, inService("s-1", w.addr))
-		d.Exclude(map[string]bool{"s-1": true})
+		d.SetDisabled(map[string]bool{"s-1": true})
 		d.seen = w
-		d.ready = func(n int) bool { return d.Pool.Open() == n }
-		d.open = func() { d.Exclude(nil) }
+		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
+		d.open = func() { d.SetDisabled(nil) }
 		return d
 	}
 	dialling := func(t *testing.T, long int64) *departures {
@@ -141,7 +141,7 @@
 		t.Cleanup(func() { l.Close() })
 		d := newDepartures(t, long, inService("s-1", l.Addr().String()))
 		d.seen = &witness{}
-		d.ready = func(n int) bool { return d.Pool.Open() == n }
+		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
 		d.open = func() {
 			if err := l.Open(); err != nil {
 				t.Fatal(err)
@@ -302,13 +302,13 @@
 	})
 	w := newWitness(t, nil)
 	d := newDepartures(t, 8<<20, inService("s-1", w.addr), inService("s-2", l.Addr().String()))
-	d.Exclude(map[string]bool{"s-2": true})
+	d.SetDisabled(map[string]bool{"s-2": true})
 	d.earnRetries(t)
-	d.Exclude(map[string]bool{"s-1": true})
+	d.SetDisabled(map[string]bool{"s-1": true})
 	d.seen = w
 	d.ready = func(n int) bool { mu.Lock(); defer mu.Unlock(); return len(hung) == n }
 	d.open = func() {
-		d.Exclude(map[string]bool{"s-2": true})
+		d.SetDisabled(map[string]bool{"s-2": true})
 		mu.Lock()
 		defer mu.Unlock()
 		for _, c := range hung {
--- a/internal/front/http/platform.go
+++ b/internal/front/http/platform.go
@@ -83,7 +83,7 @@
 
 // ReadyStatus implements Router.
 func (r *PlatformRouter) ReadyStatus() int {
-	if !r.Pool.Listed() || r.draining.Load() || r.drained.Load() {
+	if !r.Pool.HasList() || r.draining.Load() || r.drained.Load() {
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
--- a/internal/front/http/routed.go
+++ b/internal/front/http/routed.go
@@ -100,7 +100,7 @@
 func (r *TableRouter) ReadyStatus() int {
 	if !r.draining.Load() {
 		for _, t := range r.table.Load().Targets {
-			if t.Pool != nil && t.Pool.Listed() {
+			if t.Pool != nil && t.Pool.HasList() {
 				return http.StatusOK
 			}
 		}
@@ -279,7 +279,7 @@
 	if previous == nil {
 		return &Rejection{Status: http.StatusConflict, Err: errors.New("Idempotency-Key: the request may have run in a pool that no longer exists")}
 	}
-	number, err := previous.Class(*c)
+	number, err := previous.ClassNumber(*c)
 	if err != nil {
 		return &Rejection{Status: http.StatusConflict, Err: err}
 	}
--- a/internal/front/http/routed_test.go
+++ b/internal/front/http/routed_test.go
@@ -193,25 +193,25 @@
 			}
 			in.Discard(len(raw))
 			var b limit.Bytes
-			b.Set(c.budget)
+			b.SetTotal(c.budget)
 			other, _ := b.Reserve(min(100, c.budget/2))
 			if c.err == nil || c.err == errBodyTooLong || c.err == io.ErrUnexpectedEOF {
 				other.Release()
 			}
-			before := b.Left()
+			before := b.Available()
 			got, err := readBody(in, &h, bodyMemory{shortBudget: &b, longBudget: new(limit.Bytes)}, c.most)
 			if c.err != nil {
 				if err == nil || !strings.Contains(err.Error(), c.err.Error()) {
 					t.Errorf("error %v, want %v", err, c.err)
 				}
-			} else if err != nil || string(got.data) != c.want || b.Left() != before-int64(len(c.want)) {
-				t.Errorf("%d bytes, %v, %d left of %d", len(got.data), err, b.Left(), before)
+			} else if err != nil || string(got.data) != c.want || b.Available() != before-int64(len(c.want)) {
+				t.Errorf("%d bytes, %v, %d left of %d", len(got.data), err, b.Available(), before)
 			} else {
 				got.release()
 				got.release()
 			}
-			if b.Left() != before {
-				t.Errorf("%d left at the end, had %d", b.Left(), before)
+			if b.Available() != before {
+				t.Errorf("%d left at the end, had %d", b.Available(), before)
 			}
 		})
 	}
--- a/internal/front/http/stops_test.go
+++ b/internal/front/http/stops_test.go
@@ -187,7 +187,7 @@
 					t.Errorf("%s with %d ms: %d, want %d", a.text, a.ms, a.status, want)
 				}
 			}
-			eventually(t, "nothing is open", func() bool { return r.Pool.Open() == 0 })
+			eventually(t, "nothing is open", func() bool { return r.Pool.OpenRequests() == 0 })
 		})
 	}
 }
--- a/internal/front/http/stream_test.go
+++ b/internal/front/http/stream_test.go
@@ -96,7 +96,7 @@
 							t.Fatalf("%d bytes, %v, want all %d", n, err, size)
 						}
 					}
-					eventually(t, "one connection that waits for the next", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.Open() == 0 })
+					eventually(t, "one connection that waits for the next", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.OpenRequests() == 0 })
 				})
 			}
 		}
@@ -182,7 +182,7 @@
 		if d := time.Since(start); err == nil || d > idleTimeout/2 { // which would end it as well
 			t.Errorf("chunked %t: %v after %d bytes and %v, want a break at once", chunked, err, n, d)
 		}
-		eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.Open() == 0 })
+		eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.OpenRequests() == 0 })
 	}
 }
 
@@ -202,7 +202,7 @@
 		time.Sleep(50 * time.Millisecond)
 		c.Close()
 	}
-	eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.Open() == 0 })
+	eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.OpenRequests() == 0 })
 }
 
 // A long body comes at the pace of a slow caller; one that stops is told off.
@@ -274,8 +274,8 @@
 					t.Fatalf("%d %q, %v, want 200 %q", status, body, err, want)
 				}
 			}
-			eventually(t, "one connection that waits for the next", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.Open() == 0 })
-			if left := r.Bodies().Left(); left != r.Bodies().Total() {
+			eventually(t, "one connection that waits for the next", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.OpenRequests() == 0 })
+			if left := r.Bodies().Available(); left != r.Bodies().Total() {
 				t.Errorf("%d bytes of room left of %d", left, r.Bodies().Total())
 			}
 		})
@@ -326,7 +326,7 @@
 					t.Error("the node still waits for the rest")
 				}
 			}
-			eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.Open() == 0 })
+			eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.OpenRequests() == 0 })
 		})
 	}
 }
--- a/internal/front/http/told_test.go
+++ b/internal/front/http/told_test.go
@@ -57,7 +57,7 @@
 			t.Cleanup(srv.Close)
 			// One byte for long bodies, and none for short ones: all are sent on.
 			d := newDepartures(t, 1, inService("s-1", srv.Listener.Addr().String()))
-			d.Pool.Limit(pool.Limits{LongBytes: 1})
+			d.Pool.SetLimits(pool.Limits{LongBytes: 1})
 			if !c.late {
 				srv.Start()
 			}
@@ -76,7 +76,7 @@
 			}
 			most := budget
 			if c.late {
-				eventually(t, "it waits for the connection", func() bool { return d.Pool.Stats().First == 1 && d.Conns().OpenConns() == 1 })
+				eventually(t, "it waits for the connection", func() bool { return d.Pool.Stats().FirstAttempts == 1 && d.Conns().OpenConns() == 1 })
 				taken := time.Now()
 				time.Sleep(200 * time.Millisecond)
 				most -= time.Since(taken)
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		for _, name := range s.pools {
-			for p := s.d.Pool(name); p != nil && !p.Listed(); {
+			for p := s.d.Pool(name); p != nil && !p.HasList(); {
 				if time.Now().After(end) {
 					return fmt.Errorf("sidecar %d: pool %s has no list after %v", n, name, within)
 				}
--- a/internal/limit/bytes.go
+++ b/internal/limit/bytes.go
@@ -11,48 +11,48 @@
 
 // Set makes the budget total bytes. What is held stays held; after a cut there
 // is no room until enough of it has been given back.
-func (b *Bytes) Set(total int64) { b.left.Add(total - b.total.Swap(total)) }
+func (b *Bytes) SetTotal(total int64) { b.left.Add(total - b.total.Swap(total)) }
 
 // Total is the size of the budget.
 func (b *Bytes) Total() int64 { return b.total.Load() }
 
 // Left is what can be reserved; below 0 after a cut.
-func (b *Bytes) Left() int64 { return b.left.Load() }
+func (b *Bytes) Available() int64 { return b.left.Load() }
 
 // Reserve takes n bytes out of the budget, or tells that there is no room.
-func (b *Bytes) Reserve(n int64) (Hold, bool) {
+func (b *Bytes) Reserve(n int64) (Reservation, bool) {
 	if n == 0 {
-		return Hold{from: b}, true
+		return Reservation{from: b}, true
 	}
 	if b.left.Add(-n) < 0 {
 		b.left.Add(n)
-		return Hold{}, false
+		return Reservation{}, false
 	}
-	return Hold{from: b, n: n}, true
+	return Reservation{from: b, n: n}, true
 }
 
 // Hold is a part of a budget, or none. It is not safe for concurrent use.
-type Hold struct {
+type Reservation struct {
 	from *Bytes
 	n    int64
 }
 
 // Grow makes h hold n bytes, if it holds less. It tells whether there was room;
 // if not, h stands as it was.
-func (h *Hold) Grow(n int64) bool {
+func (h *Reservation) Grow(n int64) bool {
 	more, ok := h.from.Reserve(max(0, n-h.n))
 	h.n += more.n
 	return ok
 }
 
 // Held is how much h holds.
-func (h *Hold) Held() int64 { return h.n }
+func (h *Reservation) Size() int64 { return h.n }
 
 // Of tells whether h is a part of b.
-func (h *Hold) Of(b *Bytes) bool { return h.from == b }
+func (h *Reservation) BelongsTo(b *Bytes) bool { return h.from == b }
 
 // Shrink gives back what h holds over n.
-func (h *Hold) Shrink(n int64) {
+func (h *Reservation) Shrink(n int64) {
 	if n < h.n {
 		h.from.left.Add(h.n - n)
 		h.n = n
@@ -60,9 +60,9 @@
 }
 
 // Release gives h back, once.
-func (h *Hold) Release() {
+func (h *Reservation) Release() {
 	if h.from != nil {
 		h.from.left.Add(h.n)
 	}
-	*h = Hold{}
+	*h = Reservation{}
 }
--- a/internal/pool/age_test.go
+++ b/internal/pool/age_test.go
@@ -312,7 +312,7 @@
 		p.tell(false, fresh)
 		clocks.Advance(time.Second)
 		p.tell(true, stamped("old", 0), stamped("dated", p.known["dated"].SinceMs), fresh)
-		p.Exclude(nil)
+		p.SetDisabled(nil)
 		return p
 	}},
 	"in a drain that is taken back": {500 * time.Millisecond, map[string]time.Duration{"fresh": 2200 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
@@ -331,56 +331,56 @@
 	}},
 	"in a drain by hand": {500 * time.Millisecond, map[string]time.Duration{"old": 2100 * time.Millisecond, "dated": time.Second}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
 		p := newKnowing(t, clocks)
-		p.Exclude(map[string]bool{"old": true, "dated": true})
+		p.SetDisabled(map[string]bool{"old": true, "dated": true})
 		clocks.Advance(3 * time.Second)
 		step()
 		clocks.Advance(3 * time.Second)
-		p.Exclude(map[string]bool{"dated": true})
+		p.SetDisabled(map[string]bool{"dated": true})
 		clocks.Advance(500 * time.Millisecond)
 		p.tell(false)
 		clocks.Advance(500 * time.Millisecond)
 		p.tell(false, stamped("old", ago(clocks.truth(), 100*time.Millisecond))) // it was restarted
 		clocks.Advance(time.Second)
-		p.Exclude(nil)
+		p.SetDisabled(nil)
 		clocks.Advance(time.Second)
 		return p
 	}},
 	"after a drain by hand": {0, map[string]time.Duration{"old": agedRamp + 30*time.Second}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
 		p := newKnowing(t, clocks)
-		p.Exclude(map[string]bool{"old": true, "dated": true})
+		p.SetDisabled(map[string]bool{"old": true, "dated": true})
 		clocks.Advance(time.Second)
-		p.Exclude(nil)
+		p.SetDisabled(nil)
 		clocks.Advance(agedRamp + 30*time.Second) // short of what it is remembered for
 		step()
-		p.Exclude(nil)
+		p.SetDisabled(nil)
 		return p
 	}},
 	"in a hand-over": {3 * time.Second, map[string]time.Duration{"old": 3 * time.Second, "fresh": 3200 * time.Millisecond, "missed": 2 * time.Second, "wrong": 3100 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
 		p := newKnowing(t, clocks)
-		p.Exclude(map[string]bool{"old": true, "dated": true})
+		p.SetDisabled(map[string]bool{"old": true, "dated": true})
 		clocks.Advance(500 * time.Millisecond)
 		p.tell(false, stamped("fresh", ago(clocks.truth(), 100*time.Millisecond)))
 		p.tell(false, stamped("wrong", ago(clocks.truth(), time.Hour)), stamped("fixed", ago(clocks.truth(), 0)))
 		clocks.Advance(100 * time.Millisecond)
-		p.Exclude(map[string]bool{"dated": true, "fixed": true})
+		p.SetDisabled(map[string]bool{"dated": true, "fixed": true})
 		clocks.Advance(2 * time.Second)
-		text, err := json.Marshal(p.Memory())
+		text, err := json.Marshal(p.LearnedState())
 		if err != nil {
 			t.Fatal(err)
 		}
 		cfg := agedConfig(clocks.Manual)
 		cfg.Known = p.List()
 		step()
-		var m Memory
+		var m LearnedState
 		if err := json.Unmarshal(text, &m); err != nil {
 			t.Fatal(err)
 		}
 		cfg.Ages = m.Ages
 		next := newAged(t, clocks.Manual, cfg)
-		next.Recall(m)
-		next.Exclude(map[string]bool{"dated": true, "fixed": true})
+		next.Restore(m)
+		next.SetDisabled(map[string]bool{"dated": true, "fixed": true})
 		clocks.Advance(time.Second)
-		next.Exclude(map[string]bool{"dated": true})
+		next.SetDisabled(map[string]bool{"dated": true})
 		next.index = p.index
 		next.tell(false, stamped("missed", ago(clocks.truth(), 2*time.Second)), stamped("fresh", p.known["fresh"].SinceMs))
 		return next
@@ -535,7 +535,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go p.Run(ctx)
-			eventually(t, "the first list", p.Listed)
+			eventually(t, "the first list", p.HasList)
 			down.Store(true)
 			last := p.now()
 			began.Store(time.Now().UnixMilli())
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -56,32 +56,35 @@
 				t.Fatal(err)
 			}
 			if c.first {
-				p.Exclude(map[string]bool{"late": true})
+				p.SetDisabled(map[string]bool{"late": true})
 			}
-			r := &Request{Tenant: -1, Budget: patience, Out: upstream.Request{Method: "POST", URI: "/", Host: "x"}}
+			r := &Request{Tenant: -1, Budget: patience, Outgoing: upstream.Request{Method: "POST", URI: "/", Host: "x"}}
 			for range 10 { // whose shares make up the budget of one that is tried again
-				none := &Request{Tenant: -1, Out: r.Out}
-				if err := p.Take(none); err != nil {
+				none := &Request{Tenant: -1, Outgoing: r.Outgoing}
+				if err := p.Submit(none); err != nil {
 					t.Fatal(err)
 				}
 				<-none.Answer()
 				p.Done(none)
 			}
-			if err := p.Take(r); err != nil {
+			if err := p.Submit(r); err != nil {
 				t.Fatal(err)
 			}
 			if c.first {
-				p.Exclude(map[string]bool{"breaks": true}) // before the first attempt is made
+				p.SetDisabled(map[string]bool{"breaks": true}) // before the first attempt is made
 			}
 			ended := make(chan struct{})
-			go func() { p.Attempt(r); close(ended) }()
+			go func() { p.RunFirstAttempt(r); close(ended) }()
 			if c.first {
 				<-begun
 			}
-			eventually(t, "the late connection is being dialled", func() bool { _, most := conns.ConnStats(); return most == 1 && (!c.first || p.Stats().Again > 0) })
+			eventually(t, "the late connection is being dialled", func() bool {
+				_, most := conns.ConnStats()
+				return most == 1 && (!c.first || p.Stats().LaterAttempts > 0)
+			})
 			time.Sleep(400 * time.Millisecond) // over the shorter span
 			if c.drains {
-				p.Exclude(map[string]bool{"late": true, "breaks": true})
+				p.SetDisabled(map[string]bool{"late": true, "breaks": true})
 			}
 			var got atomic.Int64
 			srv := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { got.Add(1) }))
@@ -99,8 +102,8 @@
 				p.Close()
 				a = <-r.Answer()
 			}
-			if a.Up != nil {
-				a.Up.Release()
+			if a.Upstream != nil {
+				a.Upstream.Release()
 			}
 			if n := got.Load(); n != c.want {
 				t.Errorf("%d requests at the endpoint that came up late, want %d", n, c.want)
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -62,8 +62,8 @@
 		t.Fatal(err)
 	}
 	for range 60 {
-		none := &Request{Tenant: -1, Out: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
-		if err := p.Take(none); err != nil {
+		none := &Request{Tenant: -1, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
+		if err := p.Submit(none); err != nil {
 			t.Fatal(err)
 		}
 		<-none.Answer()
@@ -75,14 +75,14 @@
 // one makes a request of a class to its end.
 func one(t *testing.T, p *Pool, class int, path string) Verdict {
 	t.Helper()
-	r := &Request{Class: class, Tenant: -1, Budget: patience, Out: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: class == 1}}
-	if err := p.Take(r); err != nil {
+	r := &Request{Class: class, Tenant: -1, Budget: patience, Outgoing: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: class == 1}}
+	if err := p.Submit(r); err != nil {
 		t.Fatal(err)
 	}
-	p.Attempt(r)
+	p.RunFirstAttempt(r)
 	a := <-r.Answer()
-	if a.Up != nil {
-		a.Up.Release()
+	if a.Upstream != nil {
+		a.Upstream.Release()
 	}
 	p.Done(r)
 	return a.Verdict
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	p, sound := twoNodes(t, late.Addr().String(), 150*time.Millisecond)
-	p.Exclude(map[string]bool{"sound": true}) // so that the first choice is the late one
+	p.SetDisabled(map[string]bool{"sound": true}) // so that the first choice is the late one
 	const requests = 8
 	var all sync.WaitGroup
 	for i := range requests {
@@ -108,7 +108,7 @@
 		})
 	}
 	eventually(t, "all are being dialled", func() bool { return p.conns.OpenConns() == requests })
-	p.Exclude(nil)
+	p.SetDisabled(nil)
 	all.Wait()
 	time.Sleep(250 * time.Millisecond) // 0.4 s after the first was dialled
 	there := &runs{}
@@ -158,7 +158,7 @@
 							return
 						}
 						died.add(r.URL.Path)
-						p.Exclude(map[string]bool{"other": true}) // the next choice is the other one
+						p.SetDisabled(map[string]bool{"other": true}) // the next choice is the other one
 						io.WriteString(c, said)
 						time.Sleep(10 * time.Millisecond) // a reset would overtake what was said
 						c.(*net.TCPConn).SetLinger(0)
@@ -168,7 +168,7 @@
 			}()
 			p, sound := twoNodes(t, l.Addr().String(), time.Second)
 			for class, want := range []Verdict{Served, Failed} {
-				p.Exclude(map[string]bool{"sound": true})
+				p.SetDisabled(map[string]bool{"sound": true})
 				path := fmt.Sprint("/", class)
 				if v := one(t, p, class, path); v != want {
 					t.Errorf("class %d: verdict %v, want %v", class, v, want)
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -93,16 +93,16 @@
 	}
 	r := &Request{
 		Class: class, Tenant: -1, Budget: patience,
-		Out: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: framing.Fields{{Name: "X-Call-Id", Value: id}}},
+		Outgoing: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: framing.Fields{{Name: "X-Call-Id", Value: id}}},
 	}
-	if err := p.Take(r); err != nil {
+	if err := p.Submit(r); err != nil {
 		t.Error(err)
 		return Refused
 	}
-	p.Attempt(r)
+	p.RunFirstAttempt(r)
 	a := <-r.Answer()
-	if a.Up != nil {
-		a.Up.Release()
+	if a.Upstream != nil {
+		a.Upstream.Release()
 	}
 	p.Done(r)
 	return a.Verdict
@@ -215,7 +215,7 @@
 		t.Fatalf("verdict %d", v)
 	}
 	took := time.Since(began)
-	mean := p.Memory().Learnt.Endpoints[all[0].Name()].Mean
+	mean := p.LearnedState().Balancer.Endpoints[all[0].Name()].Mean
 	if mean <= 0 || took < 300*time.Millisecond || mean > took.Seconds()-0.3 {
 		t.Errorf("the endpoint's mean is %.3f s after a request of %v, of which 355 ms were lost here", mean, took)
 	}
--- a/internal/pool/gone_test.go
+++ b/internal/pool/gone_test.go
@@ -16,7 +16,7 @@
 	asked atomic.Int64
 }
 
-func (l *leaver) Left() bool {
+func (l *leaver) Disconnected() bool {
 	n := l.asked.Add(1)
 	time.Sleep(l.slow)
 	return l.n > 0 && n >= l.n
@@ -33,21 +33,21 @@
 		runs   int
 	}{
 		"stays":                     {&leaver{}, Served, 1, 1},
-		"has left":                  {&leaver{n: 1}, Left, 1, 0},
-		"leaves under a slow look":  {&leaver{n: 2, slow: 2 * confirmAfter}, Left, 2, 0},
-		"leaves between two others": {&leaver{n: 3, slow: 2 * confirmAfter}, Left, 3, 0},
+		"has left":                  {&leaver{n: 1}, CallerGone, 1, 0},
+		"leaves under a slow look":  {&leaver{n: 2, slow: 2 * confirmAfter}, CallerGone, 2, 0},
+		"leaves between two others": {&leaver{n: 3, slow: 2 * confirmAfter}, CallerGone, 3, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, sound := twoNodes(t, "127.0.0.1:1", time.Second)
-			p.Exclude(map[string]bool{"other": true})
-			r := &Request{Tenant: -1, Budget: patience, Caller: c.caller, Out: upstream.Request{Method: "GET", URI: "/x", Host: "x"}}
-			if err := p.Take(r); err != nil {
+			p.SetDisabled(map[string]bool{"other": true})
+			r := &Request{Tenant: -1, Budget: patience, Caller: c.caller, Outgoing: upstream.Request{Method: "GET", URI: "/x", Host: "x"}}
+			if err := p.Submit(r); err != nil {
 				t.Fatal(err)
 			}
-			p.Attempt(r)
+			p.RunFirstAttempt(r)
 			a := <-r.Answer()
-			if a.Up != nil {
-				a.Up.Release()
+			if a.Upstream != nil {
+				a.Upstream.Release()
 			}
 			p.Done(r)
 			// On a busy machine a look may be slow by itself, and then there is another one.
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -61,7 +61,7 @@
 // it guards as well against a new one that is dead or slow, as the old one then
 // goes on telling for as long as it can. It does nothing if the new source has
 // the name of the one last given.
-func (p *Pool) Move(src nodes.Source) {
+func (p *Pool) SetSource(src nodes.Source) {
 	select {
 	case <-p.moves: // a newer one replaces one not yet heeded
 	default:
@@ -203,7 +203,7 @@
 }
 
 // Version is the newest version of the list that has been told, and whether any has been.
-func (p *Pool) Version() (index uint64, known bool) {
+func (p *Pool) ListVersion() (index uint64, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.version, p.listed
--- a/internal/pool/members_test.go
+++ b/internal/pool/members_test.go
@@ -99,7 +99,7 @@
 		return func() bool { return slices.Equal(p.conns.Names(), want) }
 	}
 	eventually(t, "the first list", knows("old-1"))
-	p.Move(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.PushTimes(0)))
+	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.PushTimes(0)))
 	changes <- "old-2"
 	eventually(t, "a change told by the old service after the move", knows("old-1", "old-2"))
 	close(tell)
@@ -126,7 +126,7 @@
 	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != nodes.Terminating {
 		t.Fatalf("list %+v after a word that is older, want s-1 to drain", l)
 	}
-	if index, known := p.Version(); index != 43 || !known {
+	if index, known := p.ListVersion(); index != 43 || !known {
 		t.Errorf("version %d, %t, want 43", index, known)
 	}
 	p.told(two, nodes.List{Index: 44, Endpoints: entry(nodes.InService)})
@@ -134,7 +134,7 @@
 		t.Errorf("list %+v after a newer word, want s-1 back", l)
 	}
 	p.told(two, nodes.List{Index: 2, Snapshot: true, Endpoints: entry(nodes.Terminating)}) // begun anew
-	if index, _ := p.Version(); index != 2 {
+	if index, _ := p.ListVersion(); index != 2 {
 		t.Errorf("version %d after a whole list, want 2", index)
 	}
 }
--- a/internal/pool/memory.go
+++ b/internal/pool/memory.go
@@ -9,9 +9,9 @@
 
 // Memory is what a Pool has learnt, for the one that takes its place. It can be
 // written as JSON.
-type Memory struct {
-	Learnt  balance.Memory
-	Classes []balance.Class // of Learnt, in its order
+type LearnedState struct {
+	Balancer balance.Memory
+	Classes  []balance.Class // of Learnt, in its order
 
 	// Out and Back are for processes that know no Ages: times of the wall clock, which may
 	// be stepped between their writing and their reading.
@@ -33,10 +33,10 @@
 	// next Pool need not read a clock that was stepped meanwhile, and is compared with none.
 	Wall int64
 
-	Heard *time.Duration           `json:",omitempty"` // since the list was last known to be up to date; nil for never
-	Lives map[string]LifeAge       `json:",omitempty"` // of endpoints that have not been there for as long as anybody knows
-	Out   map[string]time.Duration `json:",omitempty"` // of endpoints that are left out by hand
-	Back  map[string]ReturnedAges  `json:",omitempty"` // of those that were
+	Heard        *time.Duration           `json:",omitempty"` // since the list was last known to be up to date; nil for never
+	Incarnations map[string]LifeAge       `json:",omitempty"` // of endpoints that have not been there for as long as anybody knows
+	Out          map[string]time.Duration `json:",omitempty"` // of endpoints that are left out by hand
+	Back         map[string]ReturnedAges  `json:",omitempty"` // of those that were
 }
 
 // LifeAge is the age of one run of an endpoint's process, which its stamp in the list tells
@@ -50,15 +50,15 @@
 type ReturnedAges struct{ Out, Back time.Duration }
 
 // Memory is what the Pool has learnt by now.
-func (p *Pool) Memory() Memory {
+func (p *Pool) LearnedState() LearnedState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := Memory{
-		Learnt:  p.balancer.Memory(p.now()),
-		Classes: make([]balance.Class, len(p.classes)),
-		Out:     map[string]int64{},
-		Back:    map[string]Returned{},
-		Ages:    p.ages(),
+	m := LearnedState{
+		Balancer: p.balancer.Memory(p.now()),
+		Classes:  make([]balance.Class, len(p.classes)),
+		Out:      map[string]int64{},
+		Back:     map[string]Returned{},
+		Ages:     p.ages(),
 	}
 	wall := p.clock.Wall()
 	for name, age := range m.Ages.Out {
@@ -83,14 +83,14 @@
 
 func (p *Pool) ages() *Ages {
 	now := p.now()
-	a := &Ages{Wall: p.startWall.Add(now).UnixMilli(), Lives: map[string]LifeAge{}, Out: map[string]time.Duration{}, Back: map[string]ReturnedAges{}}
+	a := &Ages{Wall: p.startWall.Add(now).UnixMilli(), Incarnations: map[string]LifeAge{}, Out: map[string]time.Duration{}, Back: map[string]ReturnedAges{}}
 	if p.heard != never {
 		heard := now - p.heard
 		a.Heard = &heard
 	}
 	for name, is := range p.lives {
 		if is.since != 0 {
-			a.Lives[name] = LifeAge{is.stamp, now - is.since}
+			a.Incarnations[name] = LifeAge{is.stamp, now - is.since}
 		}
 	}
 	for name, since := range p.out {
@@ -115,7 +115,7 @@
 	for i := range p.cfg.Known.Endpoints {
 		e := &p.cfg.Known.Endpoints[i]
 		is := life{stamp: e.SinceMs}
-		if l, ok := a.Lives[e.Name]; ok {
+		if l, ok := a.Incarnations[e.Name]; ok {
 			is = life{l.Stamp, cmp.Or(-max(l.Age, 0), 1)}
 		}
 		p.lives[e.Name] = is
@@ -125,7 +125,7 @@
 // recallByHand takes up what operators have said to the Pool before; the mutex is held. One
 // that knows no ages tells wall times alone, which the clock may have left behind: what it
 // tells counts as done now, which costs an endpoint that is put back one ramp at most.
-func (p *Pool) recallByHand(m *Memory) {
+func (p *Pool) recallByHand(m *LearnedState) {
 	for name := range m.Out {
 		p.out[name] = 0
 	}
@@ -147,16 +147,16 @@
 // and nodes. Without it the first jam shows what the first seconds have served for
 // all that the service can take. It is to be called before the first request, and
 // Exclude after it.
-func (p *Pool) Recall(m Memory) {
+func (p *Pool) Restore(m LearnedState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	learnt := make([]balance.Learnt, len(p.classes))
 	for i, c := range m.Classes {
-		if k, ok := p.classes[c]; ok && i < len(m.Learnt.Classes) {
-			learnt[k] = m.Learnt.Classes[i]
+		if k, ok := p.classes[c]; ok && i < len(m.Balancer.Classes) {
+			learnt[k] = m.Balancer.Classes[i]
 		}
 	}
-	m.Learnt.Classes = learnt
+	m.Balancer.Classes = learnt
 	p.recallByHand(&m)
-	p.balancer.Recall(p.now(), m.Learnt)
+	p.balancer.Recall(p.now(), m.Balancer)
 }
--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -37,18 +37,18 @@
 		Classes:   []balance.Learnt{{Mean: 0.1, N: 50}, {Mean: 0.3, N: 20}},
 		Endpoints: map[string]balance.Learnt{"a": {Mean: 0.2, N: 7, Failures: 2}, "b": {Mean: 0.4, N: 20}},
 	}
-	was.Recall(Memory{Learnt: want, Classes: []balance.Class{view, pay}})
-	text, err := json.Marshal(was.Memory())
+	was.Restore(LearnedState{Balancer: want, Classes: []balance.Class{view, pay}})
+	text, err := json.Marshal(was.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m LearnedState
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
 	}
 	next := make(list("b", "c"), pay, view)
-	next.Recall(m)
-	got := next.Memory().Learnt
+	next.Restore(m)
+	got := next.LearnedState().Balancer
 	near := func(a, b float64) bool { return a > b*0.98 && a < b*1.02 }
 	if got.Limit != 12 || !near(got.Served, 40) || !near(got.InAim, 30) {
 		t.Errorf("limit %v, served %v, in aim %v, want 12, 40, 30", got.Limit, got.Served, got.InAim)
@@ -83,24 +83,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var m Memory
+		var m LearnedState
 		if err := json.Unmarshal(text, &m); err != nil {
 			t.Fatal(err)
 		}
 		cfg.Ages = m.Ages
 		p := newAged(t, clocks, cfg)
-		p.Recall(m)
-		p.Exclude(map[string]bool{"a": true})
+		p.Restore(m)
+		p.SetDisabled(map[string]bool{"a": true})
 		if got := p.agesNow(); len(got) != 1 || got["b"] > time.Millisecond {
 			t.Errorf("clock off by %v: ages %v, want b as if it had come back now", offset, got)
 		}
 		clocks.Advance(time.Second)
-		p.Exclude(nil)
+		p.SetDisabled(nil)
 		if got := p.agesNow(); len(got) != 2 || got["a"] != 0 {
 			t.Errorf("clock off by %v: ages %v, want a as if it had come back now", offset, got)
 		}
 
-		if text, err = json.Marshal(p.Memory()); err != nil {
+		if text, err = json.Marshal(p.LearnedState()); err != nil {
 			t.Fatal(err)
 		}
 		var older olderMemory
--- a/internal/pool/out.go
+++ b/internal/pool/out.go
@@ -23,7 +23,7 @@
 }
 
 // Names are the endpoints that Knows knows, those gone longest first.
-func (p *Pool) Names() []string {
+func (p *Pool) KnownNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	names := slices.Clone(p.past)
@@ -35,7 +35,7 @@
 }
 
 // Remember makes Knows know more names.
-func (p *Pool) Remember(names []string) {
+func (p *Pool) AddKnownNames(names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.remember(names...)
@@ -62,7 +62,7 @@
 // later than it went out: an operator takes an endpoint out to restart it, and
 // the news of that may be late. It costs one that was not restarted the time to
 // warm up.
-func (p *Pool) Exclude(out map[string]bool) {
+func (p *Pool) SetDisabled(out map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
--- a/internal/pool/out_test.go
+++ b/internal/pool/out_test.go
@@ -41,19 +41,19 @@
 	}
 	is("at first", balance.Ready, false)
 	out := map[string]bool{"127.0.0.1:1": true, "127.0.0.1:9": true} // one is not listed now
-	p.Exclude(out)
+	p.SetDisabled(out)
 	is("out", balance.Draining, false)
 	tell(list(0))
 	is("listed again", balance.Draining, false)
-	p.Exclude(out)
+	p.SetDisabled(out)
 	is("out twice", balance.Draining, false)
-	p.Exclude(nil)
+	p.SetDisabled(nil)
 	is("back", balance.Ready, true)
 	tell(list(0))
 	is("back, and listed as before", balance.Ready, true)
 	next := newPool(t, cfg) // the process that comes next, by a list that knows no better
-	next.Recall(p.Memory())
-	next.Exclude(nil)
+	next.Restore(p.LearnedState())
+	next.SetDisabled(nil)
 	if e := next.entered["127.0.0.1:1"]; e.State != balance.Ready || e.Since == 0 {
 		t.Errorf("in the next process: %+v, want it cold", e)
 	}
@@ -79,8 +79,8 @@
 	cfg.Known.Undated = false
 	cfg.Known.Endpoints[0].SinceMs = time.Now().Add(-time.Hour).UnixMilli()
 	p := newPool(t, cfg)
-	p.Exclude(map[string]bool{"127.0.0.1:1": true})
-	p.Exclude(nil)
+	p.SetDisabled(map[string]bool{"127.0.0.1:1": true})
+	p.SetDisabled(nil)
 	back := p.entered["127.0.0.1:1"].Since
 	if back <= 0 {
 		t.Errorf("since %v once it is back, want the moment of its return", back)
@@ -100,7 +100,7 @@
 	cfg := testConfig()
 	cfg.Known = entries("127.0.0.1:1")
 	p := newPool(t, cfg)
-	p.Remember([]string{"before"})
+	p.AddKnownNames([]string{"before"})
 	p.mu.Lock()
 	p.update(balance.Full, entries("127.0.0.1:2"))
 	p.mu.Unlock()
@@ -109,15 +109,15 @@
 			t.Errorf("%s: known %t, want %t", name, got, want)
 		}
 	}
-	if names := p.Names(); !slices.Contains(names, "127.0.0.1:1") || !slices.Contains(names, "before") || !slices.Contains(names, "127.0.0.1:2") {
+	if names := p.KnownNames(); !slices.Contains(names, "127.0.0.1:1") || !slices.Contains(names, "before") || !slices.Contains(names, "127.0.0.1:2") {
 		t.Errorf("names %q", names)
 	}
 	var many []string
 	for i := range 2 * mostListed {
 		many = append(many, fmt.Sprint(i))
 	}
-	p.Remember(many)
-	if n := len(p.Names()); n > mostListed+1 {
+	p.AddKnownNames(many)
+	if n := len(p.KnownNames()); n > mostListed+1 {
 		t.Errorf("%d names are remembered", n)
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -85,12 +85,12 @@
 
 // Request is a request that a Pool is given.
 type Request struct {
-	Class  int // of the Pool's
-	Tenant int // -1 for none
-	Budget time.Duration
-	Out    upstream.Request
-	Again  bool   // may have been here before, and belongs to this pool even when retired
-	Over   func() // called once when nothing is sent any more and no attempt is out
+	Class       int // of the Pool's
+	Tenant      int // -1 for none
+	Budget      time.Duration
+	Outgoing    upstream.Request
+	Resubmitted bool   // may have been here before, and belongs to this pool even when retired
+	OnFinished  func() // called once when nothing is sent any more and no attempt is out
 
 	Reply chan Answer // takes the one answer, with room for it; made if it is nil
 
@@ -98,7 +98,7 @@
 	Caller Caller
 
 	// Name is what the caller calls the request, for the log alone.
-	Name string
+	CallID string
 
 	id    balance.RequestID
 	taken time.Time
@@ -121,24 +121,24 @@
 // Caller is who sent a request.
 type Caller interface {
 	// Left tells whether it has gone away. It may be called beside all else.
-	Left() bool
+	Disconnected() bool
 }
 
 // Verdict is how a request ended.
 type Verdict int
 
 const (
-	Served  Verdict = iota // by a node's answer
-	Refused                // it had no effect; a repeat is harmless
-	Failed                 // by a node's error, or by none that could be reached
-	Late                   // its time was up, and an attempt may still run
-	Left                   // the caller had gone
+	Served     Verdict = iota // by a node's answer
+	Refused                   // it had no effect; a repeat is harmless
+	Failed                    // by a node's error, or by none that could be reached
+	TimedOut                  // its time was up, and an attempt may still run
+	CallerGone                // the caller had gone
 )
 
 // Answer is the one answer to a Request. Who gets one must release Up.
 type Answer struct {
 	Verdict    Verdict
-	Up         *upstream.Response // with Served and, if a node made one, with Failed
+	Upstream   *upstream.Response // with Served and, if a node made one, with Failed
 	RetryAfter time.Duration      // with Refused; 0 for none
 }
 
@@ -174,7 +174,7 @@
 		p.zones = map[string]int{cfg.OwnZone: 0}
 	}
 	p.startWall = cfg.Clock.Wall()
-	p.Limit(cfg.Limits)
+	p.SetLimits(cfg.Limits)
 	var err error
 	if p.balancer, err = balance.New(cfg.Balance, cfg.Seed, (*host)(p)); err != nil {
 		return nil, fmt.Errorf("pool %s: %w", cfg.Name, err)
@@ -207,15 +207,15 @@
 func (p *Pool) Streams() bool { return p.conns.StreamingEnabled() }
 
 // Limit changes the limits. What is held beyond them ends by itself.
-func (p *Pool) Limit(l Limits) {
+func (p *Pool) SetLimits(l Limits) {
 	p.most.Store(int64(l.Requests))
-	p.bodies.Set(l.BodyBytes)
-	p.long.Set(l.LongBytes)
+	p.bodies.SetTotal(l.BodyBytes)
+	p.long.SetTotal(l.LongBytes)
 }
 
 // Class returns the number of a class, which the Balancer learns of if it is
 // new. What it has learnt of the others stands.
-func (p *Pool) Class(c balance.Class) (int, error) {
+func (p *Pool) ClassNumber(c balance.Class) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i, ok := p.classes[c]; ok {
@@ -231,7 +231,7 @@
 
 // Retune gives the Balancer new settings, all or none. Its classes stand; new
 // ones come by Class.
-func (p *Pool) Retune(cfg balance.Config) error {
+func (p *Pool) Reconfigure(cfg balance.Config) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.balancer.Retune(cfg); err != nil {
@@ -242,21 +242,21 @@
 }
 
 // Classes is how many classes the Balancer knows, used or not.
-func (p *Pool) Classes() int {
+func (p *Pool) ClassCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.classes)
 }
 
 // Listed tells whether any node has ever been told.
-func (p *Pool) Listed() bool {
+func (p *Pool) HasList() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.listed
 }
 
 // Open is how many requests are open.
-func (p *Pool) Open() int { return int(p.open.Load()) }
+func (p *Pool) OpenRequests() int { return int(p.open.Load()) }
 
 // Full tells, without a lock, whether Take would find no room.
 func (p *Pool) Full() bool {
@@ -279,7 +279,7 @@
 
 // NoteFull counts a request that was turned away because the pool was full
 // before it was whole.
-func (p *Pool) NoteFull() {
+func (p *Pool) CountFull() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Full++
@@ -292,7 +292,7 @@
 // Take hands a request to the Balancer, or tells why not. One that was taken is
 // answered once over Answer, needs a call of Attempt, which may be the first
 // attempt, and must be given back with Done.
-func (p *Pool) Take(r *Request) error {
+func (p *Pool) Submit(r *Request) error {
 	if r.Reply == nil {
 		r.Reply = make(chan Answer, 1)
 	}
@@ -300,7 +300,7 @@
 	defer p.mu.Unlock()
 	var err error
 	switch {
-	case p.retired && !r.Again:
+	case p.retired && !r.Resubmitted:
 		err = ErrRetired
 	case p.Full():
 		p.stats.Full++
@@ -361,7 +361,7 @@
 }
 
 // Revive takes Retire back.
-func (p *Pool) Revive() {
+func (p *Pool) Reactivate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retired = false
@@ -379,7 +379,7 @@
 	p.balancer.Close(p.now())
 	for _, r := range p.requests { // those that the Balancer has no say in, see detach
 		p.stats.Failed++
-		p.give(r, Answer{Verdict: Late})
+		p.give(r, Answer{Verdict: TimedOut})
 		p.settle(r)
 	}
 }
@@ -390,11 +390,11 @@
 		return
 	}
 	if r.withdrawn {
-		p.give(r, Answer{Verdict: Left})
+		p.give(r, Answer{Verdict: CallerGone})
 	}
-	if r.answered && r.Over != nil {
-		r.Over()
-		r.Over = nil
+	if r.answered && r.OnFinished != nil {
+		r.OnFinished()
+		r.OnFinished = nil
 	}
 }
 
@@ -405,7 +405,7 @@
 		return false
 	}
 	r.answered, r.verdict = true, a.Verdict
-	if r.own != nil && r.own != a.Up {
+	if r.own != nil && r.own != a.Upstream {
 		r.own.Release()
 	}
 	r.own = nil
@@ -428,7 +428,7 @@
 // Balancer wants one at once, and returns with its outcome. Whoever gave the
 // request has a goroutine that would only wait; with it the common request costs
 // none of its own. Later attempts, and those beside the first, have theirs.
-func (p *Pool) Attempt(r *Request) {
+func (p *Pool) RunFirstAttempt(r *Request) {
 	if r.mine {
 		p.attempt(r, &r.first)
 	}
@@ -436,7 +436,7 @@
 
 // attempt makes one attempt and tells the Balancer how it ended.
 func (p *Pool) attempt(r *Request, a *attempt) {
-	if u := r.Out.Upload; u != nil {
+	if u := r.Outgoing.Upload; u != nil {
 		u.ResponseTimeout = r.Budget
 		u.Commit = func() bool { return p.detach(r, a) }
 	}
@@ -446,7 +446,7 @@
 	if end := r.taken.Add(r.Budget); end.Before(deadline) {
 		deadline = end
 	}
-	up, result := p.conns.Do(&r.call, a.node, &r.Out, deadline, a)
+	up, result := p.conns.Do(&r.call, a.node, &r.Outgoing, deadline, a)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.detached {
@@ -468,7 +468,7 @@
 		up.Release()
 	case result == balance.OK:
 		p.stats.Served++
-		p.give(r, Answer{Verdict: Served, Up: up})
+		p.give(r, Answer{Verdict: Served, Upstream: up})
 	default:
 		if r.own != nil {
 			r.own.Release()
@@ -494,7 +494,7 @@
 		if !a.stands(began) {
 			return false
 		}
-		if a.of.Caller != nil && a.of.Caller.Left() {
+		if a.of.Caller != nil && a.of.Caller.Disconnected() {
 			a.pool.Withdraw(a.of)
 			return false
 		}
@@ -528,9 +528,9 @@
 	r := p.requests[id]
 	a := attempt{pool: p, of: r, number: r.attempts, node: addr, sent: p.now(), timeout: timeout}
 	if r.attempts++; r.attempts == 1 {
-		p.stats.First++
+		p.stats.FirstAttempts++
 	} else {
-		p.stats.Again++
+		p.stats.LaterAttempts++
 	}
 	r.pending++
 	if r.taking && !r.mine {
@@ -561,9 +561,9 @@
 	p.stats.Failed++
 	switch {
 	case r.pending > 0:
-		p.give(r, Answer{Verdict: Late})
+		p.give(r, Answer{Verdict: TimedOut})
 	default:
-		p.give(r, Answer{Verdict: Failed, Up: r.own})
+		p.give(r, Answer{Verdict: Failed, Upstream: r.own})
 	}
 	p.settle(r)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -64,12 +64,12 @@
 // ask takes one safe request through p and returns its answer.
 func ask(t *testing.T, p *Pool, again bool) (Answer, error) {
 	t.Helper()
-	r := &Request{Tenant: -1, Budget: patience, Again: again, Out: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
-	if err := p.Take(r); err != nil {
+	r := &Request{Tenant: -1, Budget: patience, Resubmitted: again, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
+	if err := p.Submit(r); err != nil {
 		return Answer{}, err
 	}
 	defer p.Done(r)
-	p.Attempt(r)
+	p.RunFirstAttempt(r)
 	return <-r.Answer(), nil
 }
 
@@ -90,22 +90,22 @@
 		if !errors.Is(err, want) || err == nil && a.Verdict != Served {
 			t.Errorf("answer %+v, error %v, want %v", a, err, want)
 		}
-		if a.Up != nil {
-			a.Up.Release()
+		if a.Upstream != nil {
+			a.Upstream.Release()
 		}
 	}
 	want(false, nil)
 	p.Retire()
 	want(false, ErrRetired)
 	want(true, nil)
-	p.Revive()
+	p.Reactivate()
 	want(false, nil)
-	p.Limit(Limits{Requests: 1, BodyBytes: 1})
+	p.SetLimits(Limits{Requests: 1, BodyBytes: 1})
 	n.Set(standin.Freeze)
 	done := make(chan Answer)
 	go func() { a, _ := ask(t, p, false); done <- a }()
 	// The node has an idle connection as well, so that the pool tells first.
-	eventually(t, "it is in the pool and at the node", func() bool { return p.Open() == 1 && n.Open() == 1 })
+	eventually(t, "it is in the pool and at the node", func() bool { return p.OpenRequests() == 1 && n.Open() == 1 })
 	want(false, ErrFull)
 	want(true, ErrFull)
 	if after := p.RetryAfter(); after < fullLeast || after > fullMost {
@@ -115,8 +115,8 @@
 	if a := <-done; a.Verdict != Served {
 		t.Errorf("%+v", a)
 	}
-	if s := p.Stats(); s.Taken != 4 || s.Served != 4 || s.Full != 2 || p.Open() != 0 {
-		t.Errorf("%+v, %d open", s, p.Open())
+	if s := p.Stats(); s.Taken != 4 || s.Served != 4 || s.Full != 2 || p.OpenRequests() != 0 {
+		t.Errorf("%+v, %d open", s, p.OpenRequests())
 	}
 }
 
@@ -137,14 +137,14 @@
 	}
 	p := newPool(t, cfg)
 	a, err := ask(t, p, false)
-	if err != nil || a.Verdict != Failed || a.Up == nil || a.Up.Status != 500 || len(a.Up.Body) == 0 {
+	if err != nil || a.Verdict != Failed || a.Upstream == nil || a.Upstream.Status != 500 || len(a.Upstream.Body) == 0 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	a.Up.Release()
+	a.Upstream.Release()
 	for _, n := range all {
 		n.Vanish()
 	}
-	if a, err = ask(t, p, false); err != nil || a.Up != nil || a.Verdict == Served {
+	if a, err = ask(t, p, false); err != nil || a.Upstream != nil || a.Verdict == Served {
 		t.Errorf("nodes that are gone: %+v, %v", a, err)
 	}
 }
@@ -153,13 +153,13 @@
 func TestClassNumbers(t *testing.T) {
 	p := newPool(t, testConfig())
 	c := balance.Class{Deadline: time.Second, Semantics: balance.Safe, Worth: 3}
-	first, err := p.Class(c)
-	again, err2 := p.Class(c)
-	known, err3 := p.Class(testConfig().Balance.Classes[1])
-	if first != 2 || again != 2 || known != 1 || err != nil || err2 != nil || err3 != nil || p.Classes() != 3 {
-		t.Errorf("%d %d %d of %d, %v %v %v", first, again, known, p.Classes(), err, err2, err3)
+	first, err := p.ClassNumber(c)
+	again, err2 := p.ClassNumber(c)
+	known, err3 := p.ClassNumber(testConfig().Balance.Classes[1])
+	if first != 2 || again != 2 || known != 1 || err != nil || err2 != nil || err3 != nil || p.ClassCount() != 3 {
+		t.Errorf("%d %d %d of %d, %v %v %v", first, again, known, p.ClassCount(), err, err2, err3)
 	}
-	if _, err := p.Class(balance.Class{}); err == nil {
+	if _, err := p.ClassNumber(balance.Class{}); err == nil {
 		t.Error("a class without a deadline was taken")
 	}
 }
@@ -172,7 +172,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { p.Run(ctx); close(ended) }()
-	eventually(t, "the list", p.Listed)
+	eventually(t, "the list", p.HasList)
 	cancel()
 	select {
 	case <-ended:
--- a/internal/pool/release_test.go
+++ b/internal/pool/release_test.go
@@ -45,21 +45,21 @@
 func (n *tally) address() string { return n.Server.Listener.Addr().String() }
 
 // asks makes requests of a class one after another until stop, and counts how each ended.
-func asks(p *Pool, class int, stop <-chan struct{}) (ends [Left + 1]int) {
+func asks(p *Pool, class int, stop <-chan struct{}) (ends [CallerGone + 1]int) {
 	for {
 		select {
 		case <-stop:
 			return ends
 		case <-time.After(3 * time.Millisecond):
 		}
-		r := &Request{Class: class, Tenant: -1, Budget: 2 * time.Second, Out: upstream.Request{Method: "GET", URI: "/", Host: "x", NonIdempotent: class == 1}}
-		if err := p.Take(r); err != nil {
+		r := &Request{Class: class, Tenant: -1, Budget: 2 * time.Second, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x", NonIdempotent: class == 1}}
+		if err := p.Submit(r); err != nil {
 			continue
 		}
-		p.Attempt(r)
+		p.RunFirstAttempt(r)
 		a := <-r.Answer()
-		if a.Up != nil {
-			a.Up.Release()
+		if a.Upstream != nil {
+			a.Upstream.Release()
 		}
 		ends[a.Verdict]++
 		p.Done(r)
@@ -145,14 +145,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go p.Run(ctx)
-	eventually(t, "the first list", p.Listed)
+	eventually(t, "the first list", p.HasList)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	var bad atomic.Int64
 	for i := range 4 {
 		callers.Go(func() {
 			ends := asks(p, i%2, stop)
-			bad.Add(int64(ends[Refused] + ends[Failed] + ends[Late]))
+			bad.Add(int64(ends[Refused] + ends[Failed] + ends[TimedOut]))
 		})
 	}
 	began := map[string]time.Time{}
@@ -214,9 +214,9 @@
 	p := newPool(t, cfg)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	ask := func() (total func() [Left + 1]int) {
+	ask := func() (total func() [CallerGone + 1]int) {
 		var mu sync.Mutex
-		var sum [Left + 1]int
+		var sum [CallerGone + 1]int
 		stop = make(chan struct{})
 		for range 4 {
 			callers.Go(func() {
@@ -228,11 +228,11 @@
 				}
 			})
 		}
-		return func() [Left + 1]int { close(stop); callers.Wait(); return sum }
+		return func() [CallerGone + 1]int { close(stop); callers.Wait(); return sum }
 	}
 	ends := ask()
 	eventually(t, "both are asked", func() bool { return first.asked.Load() > 20 && steady.asked.Load() > 20 })
-	if sum := ends(); sum[Failed]+sum[Late]+sum[Refused] > 0 {
+	if sum := ends(); sum[Failed]+sum[TimedOut]+sum[Refused] > 0 {
 		t.Fatalf("served, refused, failed, late, left: %v with two sound nodes", sum)
 	}
 
@@ -252,7 +252,7 @@
 	was := first.asked.Load()
 	ends = ask()
 	eventually(t, "the new one is asked", func() bool { return second.asked.Load() > 50 && steady.asked.Load() > 50 })
-	if sum := ends(); sum[Failed]+sum[Late]+sum[Refused] > 0 {
+	if sum := ends(); sum[Failed]+sum[TimedOut]+sum[Refused] > 0 {
 		t.Errorf("served, refused, failed, late, left: %v once another node is at the address", sum)
 	}
 	if n := first.asked.Load() - was; n > 0 {
--- a/internal/pool/silent_test.go
+++ b/internal/pool/silent_test.go
@@ -96,7 +96,7 @@
 		eventually(t, "a source", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.sources) > 0 })
 		p.sources[0].watch <- struct{}{}
 	}
-	eventually(t, "the first list", p.Listed)
+	eventually(t, "the first list", p.HasList)
 	return p
 }
 
@@ -209,7 +209,7 @@
 	next.status, next.refuse = "terminating", 2
 	p := follows(t, true, nodes.NewDiscovery(old.Listener.Addr().String(), nodes.AskTimes()))
 	began := time.Now()
-	p.Move(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.AskTimes()))
+	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.AskTimes()))
 	eventually(t, "the drain is heard", drained(p))
 	if took := time.Since(began); took > 4*time.Second+1500*time.Millisecond {
 		t.Errorf("heard %v after the reload, want 4 s and half of a grace of 3 s", took)
--- a/internal/pool/spread_test.go
+++ b/internal/pool/spread_test.go
@@ -64,7 +64,7 @@
 	back := time.Now()
 	mu.Unlock()
 	eventually(t, "each has the list", func() bool {
-		return !slices.ContainsFunc(pools, func(p *Pool) bool { return !p.Listed() })
+		return !slices.ContainsFunc(pools, func(p *Pool) bool { return !p.HasList() })
 	})
 	if took := time.Since(back); took > askWithin {
 		t.Errorf("%v until all had the list again, want %v at most", took, askWithin)
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -9,15 +9,15 @@
 
 // Stats counts what has happened in a Pool since its start.
 type Stats struct {
-	Taken     int // requests handed to the Balancer
-	Full      int // turned away before that: too many were open
-	Served    int
-	Refused   int
-	Failed    int
-	Withdrawn int
-	First     int                      // attempts that were a request's first
-	Again     int                      // and those that followed
-	Results   [balance.NotSent + 1]int // of attempts
+	Taken         int // requests handed to the Balancer
+	Full          int // turned away before that: too many were open
+	Served        int
+	Refused       int
+	Failed        int
+	Withdrawn     int
+	FirstAttempts int                      // attempts that were a request's first
+	LaterAttempts int                      // and those that followed
+	Results       [balance.NotSent + 1]int // of attempts
 }
 
 // Stats returns the counts so far.
@@ -45,10 +45,10 @@
 	since := func(r balance.Result) int { return st.Results[r] - was.Results[r] }
 	slog.Info("second", "pool", p.cfg.Name, "taken", st.Taken-was.Taken, "open", open,
 		"full", st.Full-was.Full, "refused", st.Refused-was.Refused, "failed", st.Failed-was.Failed, "withdrawn", st.Withdrawn-was.Withdrawn,
-		"first", st.First-was.First, "again", st.Again-was.Again,
+		"first", st.FirstAttempts-was.FirstAttempts, "again", st.LaterAttempts-was.LaterAttempts,
 		"ok", since(balance.OK), "error", since(balance.Error),
 		"overloaded", since(balance.Overloaded), "timeout", since(balance.Timeout),
 		"noconn", since(balance.ConnectError), "reset", since(balance.Reset),
 		"notsent", since(balance.NotSent), "conns", p.conns.OpenConns(), "endpoints", endpoints, "conns_most", most,
-		"bodies_left", p.bodies.Left(), "untold", untold)
+		"bodies_left", p.bodies.Available(), "untold", untold)
 }
--- a/internal/pool/told_test.go
+++ b/internal/pool/told_test.go
@@ -186,51 +186,51 @@
 				t.Fatal(err)
 			}
 			for range 60 { // whose shares make up the budget of what is tried again
-				none := &Request{Tenant: -1, Out: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
-				if err := p.Take(none); err != nil {
+				none := &Request{Tenant: -1, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
+				if err := p.Submit(none); err != nil {
 					t.Fatal(err)
 				}
 				<-none.Answer()
 				p.Done(none)
 			}
 			if c.further || c.dialled {
-				p.Exclude(map[string]bool{"teller": true})
+				p.SetDisabled(map[string]bool{"teller": true})
 			}
 			request := func() *Request {
-				r := &Request{Tenant: -1, Budget: budget, Out: upstream.Request{Method: "POST", URI: "/", Host: "x", NonIdempotent: c.once}}
+				r := &Request{Tenant: -1, Budget: budget, Outgoing: upstream.Request{Method: "POST", URI: "/", Host: "x", NonIdempotent: c.once}}
 				if c.upload {
-					r.Out.Upload = &upstream.Upload{Remaining: strings.NewReader("body"), Length: 4, Incomplete: func() bool { return c.coming }}
+					r.Outgoing.Upload = &upstream.Upload{Remaining: strings.NewReader("body"), Length: 4, Incomplete: func() bool { return c.coming }}
 				}
 				return r
 			}
 			var over time.Time // the wait, not later than it was
 			if c.resting {
 				r := request()
-				r.Out.Upload = nil
-				if err := p.Take(r); err != nil {
+				r.Outgoing.Upload = nil
+				if err := p.Submit(r); err != nil {
 					t.Fatal(err)
 				}
-				p.Attempt(r)
+				p.RunFirstAttempt(r)
 				a := <-r.Answer()
-				a.Up.Release()
+				a.Upstream.Release()
 				p.Done(r)
 				<-at.heard
 				over = (<-at.answered).Add(wait)
 			}
 			r := request()
 			began := time.Now()
-			if err := p.Take(r); err != nil {
+			if err := p.Submit(r); err != nil {
 				t.Fatal(err)
 			}
 			taken := time.Now()
 			if c.further || c.dialled {
-				p.Exclude(map[string]bool{"other": true}) // before the attempt is made
+				p.SetDisabled(map[string]bool{"other": true}) // before the attempt is made
 			}
 			if c.unrun {
 				time.Sleep(wait)
 				over = time.Now()
 			}
-			go p.Attempt(r)
+			go p.RunFirstAttempt(r)
 			if c.further {
 				<-before
 				time.Sleep(wait)
@@ -239,7 +239,7 @@
 			}
 			if c.dialled {
 				ended = taken.Add(up.DialTimeout)
-				eventually(t, "the first attempt is over", func() bool { return p.Stats().Again > 0 })
+				eventually(t, "the first attempt is over", func() bool { return p.Stats().LaterAttempts > 0 })
 			}
 			if over.IsZero() {
 				over = ended
@@ -249,7 +249,7 @@
 				if c.further || c.dialled {
 					again = 1
 				}
-				eventually(t, "the late connection is being dialled", func() bool { s := p.Stats(); return conns.OpenConns() > 0 && s.Again == again })
+				eventually(t, "the late connection is being dialled", func() bool { s := p.Stats(); return conns.OpenConns() > 0 && s.LaterAttempts == again })
 				time.Sleep(wait)
 				if c.held {
 					p.mu.Lock()
@@ -271,7 +271,7 @@
 				t.Fatalf("verdict %v", a.Verdict)
 			}
 			got := <-at.heard
-			a.Up.Release()
+			a.Upstream.Release()
 			p.Done(r)
 			if c.coming {
 				if got.budget != budget {
--- a/internal/pool/trail.go
+++ b/internal/pool/trail.go
@@ -53,7 +53,7 @@
 		}
 		fmt.Fprintf(&steps, "%s %s after %v at %v", s.node, results[s.result], s.took.Round(time.Millisecond), s.sent.Round(time.Millisecond))
 	}
-	slog.Info("ended wrongly", "pool", p.cfg.Name, "id", r.Name, "class", r.Class, "end", verdict,
+	slog.Info("ended wrongly", "pool", p.cfg.Name, "id", r.CallID, "class", r.Class, "end", verdict,
 		"budget", r.Budget, "took", took.Round(time.Millisecond), "attempts", attempts, "trail", steps.String())
 }
 
@@ -62,7 +62,7 @@
 
 // String implements fmt.Stringer.
 func (v Verdict) String() string {
-	if v < Served || v > Left {
+	if v < Served || v > CallerGone {
 		return fmt.Sprintf("verdict %d", int(v))
 	}
 	return [...]string{"served", "refused", "failed", "late", "left"}[v]
--- a/internal/pool/trail_test.go
+++ b/internal/pool/trail_test.go
@@ -44,14 +44,14 @@
 		t.Fatal(err)
 	}
 	ask := func(path string, n int) {
-		r := &Request{Budget: 10 * time.Second, Name: fmt.Sprintf("id-%d", n), Out: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: true}}
-		if err := p.Take(r); err != nil {
+		r := &Request{Budget: 10 * time.Second, CallID: fmt.Sprintf("id-%d", n), Outgoing: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: true}}
+		if err := p.Submit(r); err != nil {
 			t.Fatal(err)
 		}
-		p.Attempt(r)
+		p.RunFirstAttempt(r)
 		a := <-r.Answer()
-		if a.Up != nil {
-			a.Up.Release()
+		if a.Upstream != nil {
+			a.Upstream.Release()
 		}
 		p.Done(r)
 	}
--- a/internal/pool/upload.go
+++ b/internal/pool/upload.go
@@ -29,22 +29,22 @@
 // is held.
 func (p *Pool) uploaded(r *Request, up *upstream.Response, result balance.Result) {
 	r.pending--
-	a := Answer{Up: up}
+	a := Answer{Upstream: up}
 	switch result {
 	case balance.OK:
 		p.stats.Served++
 		a.Verdict = Served
 	case balance.Overloaded, balance.ConnectError, balance.NotSent: // it never ran
-		if r.Out.Upload.Err() != nil {
+		if r.Outgoing.Upload.Err() != nil {
 			p.stats.Withdrawn++
-			a.Verdict = Left
+			a.Verdict = CallerGone
 			break
 		}
 		p.stats.Refused++
 		a.Verdict, a.RetryAfter = Refused, p.RetryAfter()
 	case balance.Timeout:
 		p.stats.Failed++
-		a.Verdict = Late
+		a.Verdict = TimedOut
 	default:
 		p.stats.Failed++
 		a.Verdict = Failed
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -6,7 +6,7 @@
 // Link is the place of one thing in lists, one at a time. Of is set once by its
 // owner.
 type Link[T any] struct {
-	Of         T
+	Value      T
 	next, prev *Link[T]
 }
 
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -14,7 +14,7 @@
 	links := make([]Link[int], 20)
 	in := make([]int, len(links)) // which list, -1 for none
 	for i := range links {
-		links[i].Of, in[i] = i, -1
+		links[i].Value, in[i] = i, -1
 	}
 	for range 20000 {
 		i := rng.IntN(len(links))
@@ -31,7 +31,7 @@
 		for at := range lists {
 			var got []int
 			for k := lists[at].Front(); k != nil; k = lists[at].Next(k) {
-				got = append(got, k.Of)
+				got = append(got, k.Value)
 			}
 			if !slices.Equal(got, want[at]) || lists[at].Len() != len(want[at]) {
 				t.Fatalf("list %d: %v, want %v", at, got, want[at])
--- a/internal/sidecar/age_test.go
+++ b/internal/sidecar/age_test.go
@@ -27,7 +27,7 @@
 	eventually(t, "the second endpoint", func() bool { return old.pool.Knows("s-2") })
 	next, _ := start(t, path, temp)
 	for name, p := range map[string]*process{"old": old, "next": next} {
-		lives := p.pool.Ages().Lives
+		lives := p.pool.Ages().Incarnations
 		if age := lives["s-2"].Age; age <= 0 || age > wrong/2 {
 			t.Errorf("the %s process takes it for %v old, want some seconds", name, age)
 		}
--- a/internal/sidecar/crossing_test.go
+++ b/internal/sidecar/crossing_test.go
@@ -59,7 +59,7 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(patience))
 			fmt.Fprintf(conn, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\nX-Budget-Ms: 5000\r\n\r\n", lastAsk.Add(1))
-			eventually(t, "a request is out", func() bool { return p.pool.Open() == 1 })
+			eventually(t, "a request is out", func() bool { return p.pool.OpenRequests() == 1 })
 			began := time.Now()
 			p.finish(t)
 			// 0.9 s, and 2 s by the longer deadline: the bound lies between the two, as a
@@ -122,7 +122,7 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(patience))
 			fmt.Fprintf(conn, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\n\r\n", lastAsk.Add(1))
-			eventually(t, "a request is out", func() bool { return p.pool.Open() == 1 })
+			eventually(t, "a request is out", func() bool { return p.pool.OpenRequests() == 1 })
 			began := time.Now()
 			for signal := range strings.SplitSeq(order, ", ") {
 				if signal == "term" {
--- a/internal/sidecar/end_test.go
+++ b/internal/sidecar/end_test.go
@@ -157,7 +157,7 @@
 	fmt.Fprintf(head, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\n", head.id)
 	fmt.Fprintf(body, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nContent-Length: 4\r\n\r\nab", body.id)
 	get(out, "/view/held")
-	eventually(t, "a request is out", func() bool { return p.pool.Open() == 1 })
+	eventually(t, "a request is out", func() bool { return p.pool.OpenRequests() == 1 })
 	told := time.Now()
 	p.stop()
 	eventually(t, "the front is told not to come", func() bool {
--- a/internal/sidecar/level_test.go
+++ b/internal/sidecar/level_test.go
@@ -122,7 +122,7 @@
 		t.Errorf("the heap grew by %d KB, want %d at most", grown>>10, 5<<9)
 	}
 	eventually(t, "no goroutine is left of what has ended", func() bool { return goroutines() <= running+8 })
-	if n := p.pool.Classes(); n > 5 {
+	if n := p.pool.ClassCount(); n > 5 {
 		t.Errorf("%d classes, want 5 at most", n)
 	}
 	if n := served.Load(); n < 36000 {
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -12,7 +12,7 @@
 
 // Ready implements fleet.Operated. A drained sidecar is ready: it can serve, and
 // only tells callers to go elsewhere.
-func (o operated) Ready() bool { return o.s.pool.Listed() }
+func (o operated) Ready() bool { return o.s.pool.HasList() }
 
 // Listed implements fleet.Operated.
 func (o operated) Listed(id string) bool { return o.s.pool.Knows(id) || o.s.marks.Said().Out[id] }
@@ -25,7 +25,7 @@
 
 // heed takes up what operators have said, to this process or another one.
 func (s *Sidecar) heed(said fleet.Said) {
-	s.pool.Exclude(said.Out)
+	s.pool.SetDisabled(said.Out)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if said.Drained == s.away {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -121,9 +121,9 @@
 
 // handed is what a process hands to the one that takes its place.
 type handed struct {
-	Nodes  []nodes.Endpoint `json:"nodes"`  // as they are listed now
-	Listed []string         `json:"listed"` // names that have been listed once
-	Memory pool.Memory      `json:"memory"` // what was learnt
+	Nodes  []nodes.Endpoint  `json:"nodes"`  // as they are listed now
+	Listed []string          `json:"listed"` // names that have been listed once
+	Memory pool.LearnedState `json:"memory"` // what was learnt
 }
 
 func (s *Sidecar) run(ctx context.Context, reload <-chan os.Signal) error {
@@ -180,13 +180,13 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	s.pool.Remember(was.Listed)
+	s.pool.AddKnownNames(was.Listed)
 	form, err := s.form(cfg)
 	if err != nil {
 		return err
 	}
 	if s.before != nil {
-		s.pool.Recall(was.Memory)
+		s.pool.Restore(was.Memory)
 	}
 	s.judge = httpfront.NewPlatformRouter(s.pool, form)
 	s.callers = httpfront.NewServer(s.judge, 1, httpfront.Timeouts{})
@@ -261,7 +261,7 @@
 	debug.SetMemoryLimit(int64(float64(memory) * heapShare))
 	s.up.SetLimits(conns/2, memory/largeShare)
 	s.callers.SetMaxConns(conns / 2)
-	s.pool.Limit(bodyLimits(memory))
+	s.pool.SetLimits(bodyLimits(memory))
 }
 
 func bodyLimits(memory int64) pool.Limits {
@@ -270,7 +270,7 @@
 
 // state is what the next process is told.
 func (s *Sidecar) state() any {
-	return handed{Nodes: s.pool.List().Endpoints, Listed: s.pool.Names(), Memory: s.pool.Memory()}
+	return handed{Nodes: s.pool.List().Endpoints, Listed: s.pool.KnownNames(), Memory: s.pool.LearnedState()}
 }
 
 // succeed takes the place of the process at the other end of l.
@@ -284,7 +284,7 @@
 		s.share()
 	}()
 	go func() {
-		for !s.pool.Listed() { // the list may come from discovery alone
+		for !s.pool.HasList() { // the list may come from discovery alone
 			select {
 			case <-l.Done():
 				return
@@ -369,7 +369,7 @@
 	f := &httpfront.PlatformConfig{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
 	for name, i := range cfg.Classes {
 		class := cfg.Balance.Classes[i]
-		number, err := s.pool.Class(class)
+		number, err := s.pool.ClassNumber(class)
 		if err != nil {
 			return nil, err
 		}
@@ -393,17 +393,17 @@
 	}
 	slog.Info("reload", "discovery", cfg.Discovery, "classes", len(cfg.Classes), "attempts", cfg.Balance.AttemptLimit)
 	next := discovery(cfg)
-	if index, known := s.pool.Version(); cfg.Balance.AskDiscovery && known {
+	if index, known := s.pool.ListVersion(); cfg.Balance.AskDiscovery && known {
 		next.Resume(index) // the same list at another address
 	}
-	s.pool.Move(next)
+	s.pool.SetSource(next)
 }
 
 // mostClasses bounds the classes that the Balancer knows, used or not.
 const mostClasses = 1024
 
 func (s *Sidecar) retune(cfg *config.Config) error {
-	if s.pool.Classes() > mostClasses {
+	if s.pool.ClassCount() > mostClasses {
 		return fmt.Errorf("over %d classes since the start", mostClasses)
 	}
 	// New classes that nothing leads to change nothing, so that they can come
@@ -412,7 +412,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.pool.Retune(cfg.Balance); err != nil {
+	if err := s.pool.Reconfigure(cfg.Balance); err != nil {
 		return err
 	}
 	s.judge.SetConfig(form)
@@ -455,7 +455,7 @@
 		next.Close()
 		return
 	}
-	slog.Info("draining", "left", time.Until(last), "open", s.pool.Open())
+	slog.Info("draining", "left", time.Until(last), "open", s.pool.OpenRequests())
 	s.judge.MarkDraining()
 	coming := min(comingTime, last.Sub(began)-drainLeast)
 	// Where requests may take long, fewer of those that come late end in time.
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -232,7 +232,7 @@
 		t.Errorf("an answer of %q by an endpoint that is out", got)
 	}
 	next, console := start(t, path, temp)
-	if m := next.pool.Memory().Learnt; m.Classes[0].N == 0 || m.Endpoints["s-1"].N == 0 {
+	if m := next.pool.LearnedState().Balancer; m.Classes[0].N == 0 || m.Endpoints["s-1"].N == 0 {
 		t.Errorf("the next process knows %+v, want what was learnt", m)
 	}
 	old.finish(t)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -51,7 +51,7 @@
 	// attempt. It is not the endpoint's latency.
 	LocalDelay time.Duration
 
-	memory limit.Hold
+	memory limit.Reservation
 }
 
 // Release frees the memory of the response. If the rest of the body was still being received,
@@ -430,7 +430,7 @@
 
 // readBody reads the complete body of a response. The caller must release memory, also after
 // an error.
-func (c *conn) readBody(h *framing.Head, method string) (data []byte, memory limit.Hold, err error) {
+func (c *conn) readBody(h *framing.Head, method string) (data []byte, memory limit.Reservation, err error) {
 	if h.Length == 0 || hasNoBody(h, method) {
 		return nil, memory, nil
 	}
@@ -457,7 +457,7 @@
 }
 
 // readUnsizedBody reads a body whose length is known only at its end.
-func (c *conn) readUnsizedBody(chunked bool, maxBytes int) (data []byte, memory limit.Hold, err error) {
+func (c *conn) readUnsizedBody(chunked bool, maxBytes int) (data []byte, memory limit.Reservation, err error) {
 	var body bytes.Buffer
 	var in io.Reader = c.reader
 	if chunked {
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -261,7 +261,7 @@
 					nc.Close()
 				}
 			})
-			p.responseMemory.Set(c.memory)
+			p.responseMemory.SetTotal(c.memory)
 			resp, result := sendGet(p, testTimeout)
 			if result != c.want || (resp != nil) != (c.want == balance.OK) {
 				t.Fatalf("response returned: %t, result %v, want %v", resp != nil, result, c.want)
@@ -270,13 +270,13 @@
 				if string(resp.Body) != body {
 					t.Errorf("body of %d bytes differs from the one sent", len(resp.Body))
 				}
-				if n := p.responseMemory.Left(); n >= c.memory {
+				if n := p.responseMemory.Available(); n >= c.memory {
 					t.Errorf("%d bytes of memory left while the response is held, had %d", n, c.memory)
 				}
 				resp.Release()
 				resp.Release()
 			}
-			if n := p.responseMemory.Left(); n != c.memory {
+			if n := p.responseMemory.Available(); n != c.memory {
 				t.Errorf("%d bytes of memory left after release, had %d", n, c.memory)
 			}
 		})
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -47,7 +47,7 @@
 		peeker: sock.NewPeeker(netConn),
 	}
 	c.reader = bufio.NewReaderSize(c, framing.MaxHeadBytes)
-	c.idleLink.Of = c
+	c.idleLink.Value = c
 	return c
 }
 
--- a/internal/upstream/spool.go
+++ b/internal/upstream/spool.go
@@ -52,7 +52,7 @@
 // it is reserved chunk by chunk, and reading waits for the caller if there is none.
 type readAhead struct {
 	stream *BodyStream
-	memory limit.Hold
+	memory limit.Reservation
 
 	mu          sync.Mutex
 	changed     sync.Cond // signals data read, data consumed, or an end
@@ -148,7 +148,7 @@
 			if len(a.chunks) > 1 {
 				a.stream.conn.target.pool.chunks.put(a.chunks[0])
 				a.chunks, a.readOffset = a.chunks[1:], 0
-				a.memory.Shrink(max(a.memory.Held()-chunkSize, minReadAheadChunks*chunkSize))
+				a.memory.Shrink(max(a.memory.Size()-chunkSize, minReadAheadChunks*chunkSize))
 				a.changed.Broadcast()
 				continue
 			}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -119,19 +119,19 @@
 		cfg.ResponseStallTimeout = defaultStallTimeout
 	}
 	p := &Pool{cfg: cfg, now: time.Now, targets: map[string]*target{}}
-	p.responseMemory.Set(cfg.LargeResponseBytes)
+	p.responseMemory.SetTotal(cfg.LargeResponseBytes)
 	return p
 }
 
 // SetLimits changes the limits of the Pool. Surplus idle connections are closed at once, and
 // others when their attempts end.
 func (p *Pool) SetLimits(maxConns int, largeBytes int64) {
-	p.responseMemory.Set(largeBytes)
+	p.responseMemory.SetTotal(largeBytes)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cfg.MaxConns = maxConns
 	for p.open > maxConns && p.idle.Len() > 0 {
-		p.closeIdleConn(p.idle.Front().Of)
+		p.closeIdleConn(p.idle.Front().Value)
 	}
 }
 
@@ -239,7 +239,7 @@
 // closeExpiredLocked closes connections that have been idle for too long. p.mu must be held.
 func (p *Pool) closeExpiredLocked(now time.Time) {
 	for e := p.idle.Front(); e != nil; e = p.idle.Front() {
-		c := e.Of
+		c := e.Value
 		if now.Sub(c.idleSince) < p.idleTimeout() {
 			return
 		}
@@ -362,7 +362,7 @@
 		if oldest == nil {
 			return checkoutResult{}
 		}
-		p.closeIdleConn(oldest.Of)
+		p.closeIdleConn(oldest.Value)
 	}
 	p.open++
 	t.open++
@@ -426,6 +426,6 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for e := p.idle.Front(); e != nil; e = p.idle.Front() {
-		p.closeIdleConn(e.Of)
+		p.closeIdleConn(e.Value)
 	}
 }
