--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock tells the two clocks of a machine apart. The wall clock is the time of
-// day: it can be stepped, forward or back, by seconds or hours, and compares with times
-// that others have written. The monotonic clock only runs on: deadlines, windows, waits
-// and ages are spans of it.
+// Package clock provides the wall clock and the monotonic clock of a machine. The wall clock is
+// the time of day: it can be stepped in either direction and is comparable with times that other
+// machines have written. The monotonic clock is not stepped; deadlines, windows, delays and ages
+// use it.
 package clock
 
 import (
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Clock reads both clocks. The zero value reads those of the system.
+// Clock reads both clocks. The zero value reads the system clocks.
 type Clock struct {
-	manual *Manual // nil for the system's
+	manual *Manual // nil for the system clocks
 }
 
-// Now is this moment for Since and Sub, which go by the monotonic clock. It is no time of
-// day: see Wall.
+// Now returns the current monotonic time, for Since and Sub. It is not the time of day; use
+// Wall for that.
 func (c Clock) Now() time.Time {
 	if c.manual == nil {
 		return time.Now()
@@ -24,7 +24,7 @@
 	return now
 }
 
-// Since is the span from an earlier Now to this moment.
+// Since returns the monotonic time elapsed since earlier, a result of Now.
 func (c Clock) Since(earlier time.Time) time.Duration {
 	if c.manual == nil {
 		return time.Since(earlier)
@@ -32,8 +32,8 @@
 	return c.Now().Sub(earlier)
 }
 
-// Wall is the time of day. It has no monotonic reading, so that no span is taken of it
-// by mistake as if it could not be stepped.
+// Wall returns the time of day. It has no monotonic reading, so that differences between two
+// results include steps of the wall clock.
 func (c Clock) Wall() time.Time {
 	if c.manual == nil {
 		return time.Now().Round(0)
@@ -42,39 +42,38 @@
 	return wall
 }
 
-// Manual is a pair of clocks for tests: its monotonic clock moves by Advance alone, and
-// its wall clock by Advance and Step. It is safe for concurrent use.
+// Manual is a pair of clocks for tests. Advance moves both clocks, and Step moves only the wall
+// clock. It is safe for concurrent use.
 type Manual struct {
-	mu      sync.Mutex
-	now     time.Time
-	stepped time.Duration
+	mu         sync.Mutex
+	now        time.Time
+	wallOffset time.Duration
 }
 
-// NewManual returns a Manual whose wall clock is ahead of the system's; a negative span
-// sets it behind.
-func NewManual(ahead time.Duration) *Manual {
-	return &Manual{now: time.Now(), stepped: ahead}
+// NewManual returns a Manual whose wall clock differs from the system's by wallOffset.
+func NewManual(wallOffset time.Duration) *Manual {
+	return &Manual{now: time.Now(), wallOffset: wallOffset}
 }
 
-// Clock is the Clock that reads m.
+// Clock returns a Clock that reads m.
 func (m *Manual) Clock() Clock { return Clock{m} }
 
-// Advance lets time pass on both clocks.
+// Advance moves both clocks forward.
 func (m *Manual) Advance(span time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now = m.now.Add(span)
 }
 
-// Step sets the wall clock forward, or back by a negative span.
+// Step moves the wall clock forward, or back if span is negative.
 func (m *Manual) Step(span time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.stepped += span
+	m.wallOffset += span
 }
 
 func (m *Manual) read() (now, wall time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.now, m.now.Add(m.stepped).Round(0)
+	return m.now, m.now.Add(m.wallOffset).Round(0)
 }
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -14,11 +14,11 @@
 	"testing"
 )
 
-// root is the folder of the module, as tests run in that of their package.
+// root is the directory of the module, relative to that of this package, where the tests run.
 const root = "../.."
 
-// wallUses are all places outside of tests that read a wall time, or make one of a number, by
-// file. docs/clocks.md tells of each why it may, and which clock decides there.
+// wallUses lists by file all places outside of tests that read a wall-clock time or convert a
+// number to one. docs/clocks.md gives the reason for each.
 var wallUses = map[string][]string{
 	"internal/clock/clock.go":        {"Round"},
 	"internal/front/http/callers.go": {"Unix"},
@@ -36,13 +36,13 @@
 	"scripts/fleetlog/main.go":       {"Parse"},
 }
 
-// wallNames are the functions and methods that read a wall time or make one.
+// wallNames are the functions and methods that read a wall-clock time or create one.
 var wallNames = []string{
 	"Unix", "UnixMilli", "UnixMicro", "UnixNano", "ModTime", "Wall", "ParseInLocation", "ParseTime",
 	"Date", "Clock", "Weekday", "YearDay", "CLOCK_REALTIME", "CLOCK_REALTIME_COARSE", "Gettimeofday",
 }
 
-// wallUse is the name of what n uses of a wall time, or "".
+// wallUse returns the name of the wall-clock function that n uses, or "".
 func wallUse(n ast.Node) string {
 	switch n := n.(type) {
 	case *ast.CallExpr:
@@ -50,14 +50,14 @@
 		if !ok {
 			return ""
 		}
-		of, _ := f.X.(*ast.Ident)
-		ofTime := of != nil && of.Name == "time"
+		receiver, _ := f.X.(*ast.Ident)
+		inTime := receiver != nil && receiver.Name == "time"
 		switch {
 		case f.Sel.Name == "Round" && len(n.Args) == 1:
-			if a, ok := n.Args[0].(*ast.BasicLit); ok && a.Value == "0" { // strips the monotonic reading
+			if a, ok := n.Args[0].(*ast.BasicLit); ok && a.Value == "0" { // Round(0) strips the monotonic reading
 				return "Round"
 			}
-		case f.Sel.Name == "Parse" && ofTime:
+		case f.Sel.Name == "Parse" && inTime:
 			return "Parse"
 		case slices.Contains(wallNames, f.Sel.Name):
 			return f.Sel.Name
@@ -70,8 +70,8 @@
 	return ""
 }
 
-// A wall time is read where it is listed and nowhere else: what is a span of time goes by the
-// monotonic clock. Each file that is listed has its row in docs/clocks.md.
+// Only the listed files read the wall clock, because time spans must use the monotonic clock.
+// Each listed file has a row in docs/clocks.md.
 func TestWallTimeIsReadOnlyWhereListed(t *testing.T) {
 	found := map[string][]string{}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -109,7 +109,7 @@
 	for name, uses := range found {
 		for _, use := range uses {
 			if !slices.Contains(wallUses[name], use) {
-				t.Errorf("%s uses %s, which is not listed: a span goes by the monotonic clock", name, use)
+				t.Errorf("%s uses %s, which wallUses does not list for it: time spans must use the monotonic clock", name, use)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 	}
 	for name := range wallUses {
 		if found[name] == nil {
-			t.Errorf("%s is listed and reads no wall time", name)
+			t.Errorf("%s is listed in wallUses but does not read the wall clock", name)
 		}
 		if !strings.Contains(string(page), fmt.Sprintf("`%s`", name)) {
 			t.Errorf("docs/clocks.md has no row for %s", name)
--- a/internal/limit/bytes.go
+++ b/internal/limit/bytes.go
@@ -1,68 +1,70 @@
-// Package limit bounds what is held in memory at once.
+// Package limit bounds the memory that is in use at once.
 package limit
 
 import "sync/atomic"
 
-// Bytes is a budget of memory that many share. The zero value has nothing to
-// give. It never waits: who finds no room turns its request away.
+// Bytes is a memory budget that is safe for concurrent use. The zero value has a total of 0.
+// Reserving does not block: it fails if too little memory is available.
 type Bytes struct {
-	total, left atomic.Int64
+	total, available atomic.Int64
 }
 
-// Set makes the budget total bytes. What is held stays held; after a cut there
-// is no room until enough of it has been given back.
-func (b *Bytes) SetTotal(total int64) { b.left.Add(total - b.total.Swap(total)) }
+// SetTotal changes the size of the budget. Existing reservations stay valid; if they exceed the
+// new total, Reserve fails until enough of them has been released.
+func (b *Bytes) SetTotal(total int64) { b.available.Add(total - b.total.Swap(total)) }
 
-// Total is the size of the budget.
+// Total returns the size of the budget.
 func (b *Bytes) Total() int64 { return b.total.Load() }
 
-// Left is what can be reserved; below 0 after a cut.
-func (b *Bytes) Available() int64 { return b.left.Load() }
+// Available returns the number of bytes that can be reserved. It is negative while reservations
+// exceed the total.
+func (b *Bytes) Available() int64 { return b.available.Load() }
 
-// Reserve takes n bytes out of the budget, or tells that there is no room.
+// Reserve reserves n bytes of the budget and reports whether they were available.
 func (b *Bytes) Reserve(n int64) (Reservation, bool) {
 	if n == 0 {
-		return Reservation{from: b}, true
+		return Reservation{budget: b}, true
 	}
-	if b.left.Add(-n) < 0 {
-		b.left.Add(n)
+	if b.available.Add(-n) < 0 {
+		b.available.Add(n)
 		return Reservation{}, false
 	}
-	return Reservation{from: b, n: n}, true
+	return Reservation{budget: b, bytes: n}, true
 }
 
-// Hold is a part of a budget, or none. It is not safe for concurrent use.
+// Reservation is a reserved part of a budget. The zero value reserves nothing. It is not safe
+// for concurrent use.
 type Reservation struct {
-	from *Bytes
-	n    int64
+	budget *Bytes
+	bytes  int64
 }
 
-// Grow makes h hold n bytes, if it holds less. It tells whether there was room;
-// if not, h stands as it was.
-func (h *Reservation) Grow(n int64) bool {
-	more, ok := h.from.Reserve(max(0, n-h.n))
-	h.n += more.n
+// Grow increases the reservation to n bytes if it is smaller. It reports whether they were
+// available; if not, the reservation does not change.
+func (r *Reservation) Grow(n int64) bool {
+	more, ok := r.budget.Reserve(max(0, n-r.bytes))
+	r.bytes += more.bytes
 	return ok
 }
 
-// Held is how much h holds.
-func (h *Reservation) Size() int64 { return h.n }
+// Size returns the number of reserved bytes.
+func (r *Reservation) Size() int64 { return r.bytes }
 
-// Of tells whether h is a part of b.
-func (h *Reservation) BelongsTo(b *Bytes) bool { return h.from == b }
+// BelongsTo reports whether r is a part of b.
+func (r *Reservation) BelongsTo(b *Bytes) bool { return r.budget == b }
 
-// Shrink gives back what h holds over n.
-func (h *Reservation) Shrink(n int64) {
-	if n < h.n {
-		h.from.left.Add(h.n - n)
-		h.n = n
+// Shrink reduces the reservation to n bytes if it is larger.
+func (r *Reservation) Shrink(n int64) {
+	if n < r.bytes {
+		r.budget.available.Add(r.bytes - n)
+		r.bytes = n
 	}
 }
 
-// Release gives h back, once.
-func (h *Reservation) Release() {
-	if h.from != nil {
-		h.from.left.Add(h.n)
+// Release releases the reservation. Further calls do nothing.
+func (r *Reservation) Release() {
+	if r.budget != nil {
+		r.budget.available.Add(r.bytes)
 	}
-	*h = Reservation{}
+	*r = Reservation{}
 }
--- a/internal/pool/age.go
+++ b/internal/pool/age.go
@@ -8,102 +8,100 @@
 	"gorselink/internal/nodes"
 )
 
-// never is the Balancer's time of what has not happened, earlier than all that has.
+// never is the Balancer time of an event that has not happened. It is earlier than every other time.
 const never = time.Duration(math.MinInt64)
 
-// leftMemory is how long the life of an endpoint that has left the list is remembered:
-// what a hiccup of discovery drops comes back within it.
-const leftMemory = 30 * time.Second
+// departedRetention is how long the incarnation of an endpoint that left the list is kept.
+// An endpoint that a faulty list omits for less than this keeps its start time.
+const departedRetention = 30 * time.Second
 
-// watchLag is how late a standing watch may tell what has changed: the time that discovery
-// gets to answer. A change that it tells had not been made before that, however long ago the
-// watch told anything else.
-const watchLag = time.Second
+// maxWatchDelay bounds the delay with which an open watch reports a change: the time that
+// discovery has to answer. A change that the watch reports now is at most this old.
+const maxWatchDelay = time.Second
 
-// life is one run of an endpoint's process. Its start is reckoned once, when the list
-// first tells of it, and stands for as long as the list tells the same stamp: the wall
-// clock may be stepped meanwhile, and says nothing new of what has been seen.
-type life struct {
-	stamp int64         // since_ms of the list, which tells this life from others
-	since time.Duration // its start by the Balancer's time, as balance.Endpoint has it: 0 means long ago
+// incarnation is one run of an endpoint's process. Its start time is computed when the list
+// first reports it and kept until the list reports another timestamp, so that later steps of
+// the wall clock have no effect on it.
+type incarnation struct {
+	sinceMs int64         // since_ms of the list, which identifies the incarnation
+	start   time.Duration // Balancer time, as in balance.Endpoint; 0 means long ago
 }
 
-// departed is the life of an endpoint that has left the list.
-type departed struct {
-	life
-	at time.Duration
+// departedIncarnation is the incarnation of an endpoint that left the list.
+type departedIncarnation struct {
+	incarnation
+	departedAt time.Duration
 }
 
-// date reckons the start of each life that l tells of and that was not known; the mutex
-// is held. In an undated list it also gives entries the stamp of their life.
-func (p *Pool) date(kind balance.ListKind, l *nodes.List) {
+// recordStarts computes the start time of each incarnation in l that is not known yet. In an
+// undated list it also sets the entries' timestamps. The caller holds the mutex.
+func (p *Pool) recordStarts(kind balance.ListKind, l *nodes.List) {
 	now := p.now()
-	p.forgetDeparted(now)
-	floor := p.latestWithout(kind, l)
+	p.evictDeparted(now)
+	lowerBound := p.startLowerBound(kind, l)
 	for i := range l.Endpoints {
 		e := &l.Endpoints[i]
 		if e.Status == nodes.Terminated {
 			continue
 		}
-		was, known := p.lives[e.Name]
+		last, known := p.incarnations[e.Name]
 		if known && l.Undated && e.SinceMs == 0 {
-			e.SinceMs = was.stamp // it tells nothing of starts, so none is news
+			e.SinceMs = last.sinceMs // an undated list cannot report a restart
 		}
-		if known && was.stamp == e.SinceMs {
+		if known && last.sinceMs == e.SinceMs {
 			continue
 		}
-		if left, ok := p.left[e.Name]; ok && e.SinceMs != 0 && left.stamp == e.SinceMs {
-			p.lives[e.Name] = left.life // a restart would have changed the stamp
+		if departed, ok := p.departed[e.Name]; ok && e.SinceMs != 0 && departed.sinceMs == e.SinceMs {
+			p.incarnations[e.Name] = departed.incarnation // a restart would have changed the timestamp
 			continue
 		}
-		is := life{e.SinceMs, p.startOf(e.SinceMs, floor, now)}
-		if l.Undated && is.stamp == 0 && is.since != 0 {
-			is.stamp = p.startWall.Add(is.since).UnixMilli()
-			e.SinceMs = is.stamp
+		current := incarnation{e.SinceMs, p.startTime(e.SinceMs, lowerBound, now)}
+		if l.Undated && current.sinceMs == 0 && current.start != 0 {
+			current.sinceMs = p.startWall.Add(current.start).UnixMilli()
+			e.SinceMs = current.sinceMs
 		}
-		p.lives[e.Name] = is
+		p.incarnations[e.Name] = current
 	}
 }
 
-// latestWithout is the last moment at which the list was known to be as it was before l,
-// by the Balancer's time: no life that l is the first to tell of began before it. It is
-// never where nothing is known of an earlier list.
+// startLowerBound returns the earliest Balancer time at which an incarnation that l is the
+// first to report can have started: the time at which the previous list was last known to be
+// current. It returns never if the previous list gives no bound.
 //
-// That moment is the last answer, with or without news, or a moment ago where a watch has
-// stood since (see hears). It is not the answer that brings l: an endpoint that shows after
-// an outage of discovery may be as old as the outage.
-func (p *Pool) latestWithout(kind balance.ListKind, l *nodes.List) time.Duration {
+// The answer that delivers l does not count: an endpoint that appears after an outage of
+// discovery may have started at any time during the outage.
+func (p *Pool) startLowerBound(kind balance.ListKind, l *nodes.List) time.Duration {
 	switch {
 	case kind == balance.Cached:
-		return never // nobody knows how old that list is
-	case l.Undated && !p.sharesNames(l):
-		// Another service, not a fresh start of this one; with nobody warm beside them its
-		// nodes would be given next to nothing.
+		return never // the age of a cached list is unknown
+	case l.Undated && !p.knowsAny(l):
+		// The list is of another service, not of this one restarted. If all of its
+		// endpoints were cold, each would get very little load.
 		return never
 	}
-	return p.heard
+	return p.lastSync
 }
 
-// hears books what a word of src says of the time before it; the mutex is held. first tells
-// that src has just taken the place of another.
-func (p *Pool) hears(src *source, first bool, l *nodes.List) {
-	if first && l.Snapshot && (l.Undated != p.undated || !p.sharesNames(l)) {
-		p.heard = never // what another list did not name may have been there for long
+// recordSync records up to which time a list from src confirms the previous list. first
+// reports whether src has just replaced another source. The caller holds the mutex.
+func (p *Pool) recordSync(src *source, first bool, l *nodes.List) {
+	if first && l.Snapshot && (l.Undated != p.undated || !p.knowsAny(l)) {
+		p.lastSync = never // endpoints that the other source did not list may be old
 	}
-	if p.heard == never {
+	if p.lastSync == never {
 		return
 	}
 	_, answers := src.Source.(*nodes.Discovery)
 	switch {
 	case !answers:
-		p.heard = p.now() // it is looked at all the time, and tells changes alone
-	case src.stands:
-		p.heard = max(p.heard, p.now()-watchLag)
+		p.lastSync = p.now() // such a source is read continuously and reports only changes
+	case src.watchOpen:
+		p.lastSync = max(p.lastSync, p.now()-maxWatchDelay)
 	}
 }
 
-// sharesNames tells whether any endpoint of l is known.
-func (p *Pool) sharesNames(l *nodes.List) bool {
+// knowsAny reports whether any endpoint of l is known.
+func (p *Pool) knowsAny(l *nodes.List) bool {
 	for i := range l.Endpoints {
 		if _, known := p.known[l.Endpoints[i].Name]; known {
 			return true
@@ -112,40 +110,38 @@
 	return false
 }
 
-// startOf is when a life began, by the Balancer's time: what its stamp says by the wall
-// clock as it stood when the Pool was made, within what was seen. Whoever wrote the stamp
-// may have another clock, and this machine's may have been wrong. So it is no earlier than
-// floor; and one from the future starts now. Where nothing was seen before, as in the first
-// list of a process, the stamp is all there is: a clock that was behind then makes those
-// cold for one ramp that started while it was wrong, and not for longer.
-func (p *Pool) startOf(stamp int64, floor, now time.Duration) time.Duration {
-	at := never
-	if stamp != 0 {
-		at = time.UnixMilli(stamp).Sub(p.startWall) // keeps within the bounds of a Duration
+// startTime converts a list timestamp to Balancer time, limited to the range from lowerBound
+// to now, because the clock of its writer or of this machine may be wrong. It uses the wall
+// clock as it was when the Pool was created. Without a lower bound, as in the first list of a
+// process, endpoints that started while the wall clock was slow are cold for at most one ramp.
+func (p *Pool) startTime(sinceMs int64, lowerBound, now time.Duration) time.Duration {
+	start := never
+	if sinceMs != 0 {
+		start = time.UnixMilli(sinceMs).Sub(p.startWall) // Sub saturates at the limits of Duration
 	}
-	at = min(max(at, floor), now)
-	switch at {
+	start = min(max(start, lowerBound), now)
+	switch start {
 	case never:
 		return 0
 	case 0:
-		return 1 // as 0 means long ago
+		return 1 // 0 means long ago
 	}
-	return at
+	return start
 }
 
-// leaves books that an endpoint has left the list; the mutex is held.
-func (p *Pool) leaves(name string) {
-	if was, ok := p.lives[name]; ok {
-		p.left[name] = departed{was, p.now()}
-		delete(p.lives, name)
+// recordDeparture records that an endpoint left the list. The caller holds the mutex.
+func (p *Pool) recordDeparture(name string) {
+	if last, ok := p.incarnations[name]; ok {
+		p.departed[name] = departedIncarnation{last, p.now()}
+		delete(p.incarnations, name)
 	}
 }
 
-// forgetDeparted drops the lives that have been gone for long.
-func (p *Pool) forgetDeparted(now time.Duration) {
-	for name, d := range p.left {
-		if now-d.at > leftMemory {
-			delete(p.left, name)
+// evictDeparted removes the departed incarnations that are older than departedRetention.
+func (p *Pool) evictDeparted(now time.Duration) {
+	for name, d := range p.departed {
+		if now-d.departedAt > departedRetention {
+			delete(p.departed, name)
 		}
 	}
 }
--- a/internal/pool/age_test.go
+++ b/internal/pool/age_test.go
@@ -49,14 +49,14 @@
 // tell has the source tell entries, the whole list or what has changed.
 func (a *aged) tell(whole bool, list ...nodes.Endpoint) {
 	a.index++
-	a.told(a.sources[0], nodes.List{Index: a.index, Snapshot: whole, Endpoints: list})
+	a.handleList(a.sources[0], nodes.List{Index: a.index, Snapshot: whole, Endpoints: list})
 }
 
 // sinceOf is the start of an endpoint as the Balancer was told.
 func (a *aged) sinceOf(name string) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	e, ok := a.entered[name]
+	e, ok := a.balancerView[name]
 	if !ok {
 		a.t.Fatalf("%s is not known", name)
 	}
@@ -107,7 +107,7 @@
 					heard := p.now()
 					clocks.Advance(quiet)
 					if way == "change in a long watch" {
-						heard = p.now() - watchLag // which told the change when it was made
+						heard = p.now() - maxWatchDelay // which told the change when it was made
 					}
 					if way == "whole list" {
 						p.tell(true, append(known, stamped("c", stamp))...)
@@ -164,7 +164,7 @@
 				}
 				l.Endpoints = append(l.Endpoints, e)
 			}
-			p.told(next, l)
+			p.handleList(next, l)
 			if since := p.sinceOf("new"); (since == heard) != c.bounded || !c.bounded && since > -50*time.Minute {
 				t.Errorf("since %v, last heard at %v, want it bounded: %t", since, heard, c.bounded)
 			}
@@ -179,11 +179,11 @@
 	p := newAged(t, clocks, agedConfig(clocks))
 	first := p.sources[0].Source
 	p.sources[0].Source = &nodes.File{}
-	p.told(p.sources[0], entries("127.0.0.1:1", "127.0.0.1:2"))
+	p.handleList(p.sources[0], entries("127.0.0.1:1", "127.0.0.1:2"))
 	clocks.Advance(time.Minute)
 	p.sources = append(p.sources, &source{Source: first, number: 2, cancel: func() {}})
 	stamp := ago(clocks.Clock().Wall(), time.Hour)
-	p.told(p.sources[1], nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{stamped("127.0.0.1:1", stamp), stamped("127.0.0.1:2", stamp)}})
+	p.handleList(p.sources[1], nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{stamped("127.0.0.1:1", stamp), stamped("127.0.0.1:2", stamp)}})
 	for name, age := range p.agesNow() {
 		if age < 59*time.Minute {
 			t.Errorf("%s counts as %v old, want an hour", name, age)
@@ -207,7 +207,7 @@
 	}
 	now, end := a.now(), a.now()
 	var entries []balance.Endpoint
-	for _, e := range a.entered {
+	for _, e := range a.balancerView {
 		entries = append(entries, e)
 	}
 	b.Members(now, balance.Full, entries)
@@ -252,7 +252,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ages := map[string]time.Duration{}
-	for name, e := range a.entered {
+	for name, e := range a.balancerView {
 		switch age := a.now() - e.Since; {
 		case e.Since == 0:
 		case e.State == balance.Draining:
@@ -295,11 +295,11 @@
 		p.tell(false, stamped("fresh", ago(clocks.truth(), 100*time.Millisecond)), stamped("late", ago(clocks.truth(), 3*time.Second)))
 		return p
 	}},
-	"in a long watch": {watchLag, map[string]time.Duration{"late": watchLag - 200*time.Millisecond, "wrong": watchLag}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
+	"in a long watch": {maxWatchDelay, map[string]time.Duration{"late": maxWatchDelay - 200*time.Millisecond, "wrong": maxWatchDelay}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
 		p := newKnowing(t, clocks)
 		step()
 		clocks.Advance(20 * time.Second)
-		p.tell(false, stamped("late", ago(clocks.truth(), watchLag-200*time.Millisecond)), stamped("wrong", ago(clocks.truth(), time.Hour)))
+		p.tell(false, stamped("late", ago(clocks.truth(), maxWatchDelay-200*time.Millisecond)), stamped("wrong", ago(clocks.truth(), time.Hour)))
 		return p
 	}},
 	"in a ramp": {500 * time.Millisecond, map[string]time.Duration{"fresh": 4200 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
@@ -403,7 +403,7 @@
 		clocks.Advance(4 * time.Second)
 		step()
 		clocks.Advance(4 * time.Second)
-		p.sources[0].stands = false // its calls have failed
+		p.sources[0].watchOpen = false // its calls have failed
 		list := []nodes.Endpoint{stamped("old", 0), stamped("dated", ago(clocks.truth(), time.Second))}
 		for s := range 9 {
 			list = append(list, stamped(fmt.Sprint("new", s), ago(clocks.truth(), time.Duration(s)*time.Second)))
@@ -437,7 +437,7 @@
 		p.sources[0].Source = &nodes.File{}
 		tell := func(names ...string) {
 			l := entries(names...)
-			p.told(p.sources[0], l)
+			p.handleList(p.sources[0], l)
 			clocks.Advance(time.Second)
 		}
 		tell("one", "two")
@@ -545,7 +545,7 @@
 			since := func(name string) time.Duration {
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				return p.entered[name].Since
+				return p.balancerView[name].Since
 			}
 			eventually(t, "the list after the outage", func() bool { return since("right") != 0 })
 			for _, name := range []string{"right", "wrong"} {
--- a/internal/pool/alarms.go
+++ b/internal/pool/alarms.go
@@ -2,107 +2,105 @@
 
 import "time"
 
-// alarms are the timers that the Balancer has asked for, earliest first. It asks
-// for some with each request, by its deadline, and takes none back: as timers of
-// the runtime, ten seconds of them made up most of the memory at saturation and
-// a fifth of the processor time of a request at 2,000 a second. Here each is 16
-// bytes in a heap, and one timer of the runtime wakes for the first of them.
-type alarms struct {
-	heap    []alarm
-	timer   *time.Timer
-	ringing bool // the timer is set when those that are due have been told
+// timerQueue holds the timers that the Balancer has set, earliest first. The Balancer sets
+// some for each request and cancels none. They share one runtime timer, which fires for the
+// earliest, because one for each would need more memory and processor time.
+type timerQueue struct {
+	heap   []timerEntry
+	timer  *time.Timer
+	firing bool // due timers are being delivered, and the runtime timer is set afterwards
 }
 
-type alarm struct {
-	at    time.Duration // the Balancer's time
+type timerEntry struct {
+	at    time.Duration // Balancer time
 	token uint64
 }
 
-// push adds an alarm and tells whether it is the first to come.
-func (a *alarms) push(n alarm) bool {
-	a.heap = append(a.heap, n)
-	i := len(a.heap) - 1
+// push adds a timer and reports whether it is the earliest.
+func (q *timerQueue) push(entry timerEntry) bool {
+	q.heap = append(q.heap, entry)
+	i := len(q.heap) - 1
 	for i > 0 {
-		up := (i - 1) / 2
-		if a.heap[up].at <= n.at {
+		parent := (i - 1) / 2
+		if q.heap[parent].at <= entry.at {
 			break
 		}
-		a.heap[i] = a.heap[up]
-		i = up
+		q.heap[i] = q.heap[parent]
+		i = parent
 	}
-	a.heap[i] = n
+	q.heap[i] = entry
 	return i == 0
 }
 
-// pop takes the first alarm that is due by now.
-func (a *alarms) pop(now time.Duration) (uint64, bool) {
-	if len(a.heap) == 0 || a.heap[0].at > now {
+// pop removes the earliest timer if it is due and returns its token.
+func (q *timerQueue) pop(now time.Duration) (uint64, bool) {
+	if len(q.heap) == 0 || q.heap[0].at > now {
 		return 0, false
 	}
-	first := a.heap[0]
-	last := len(a.heap) - 1
-	n := a.heap[last]
-	a.heap = a.heap[:last]
+	first := q.heap[0]
+	last := len(q.heap) - 1
+	entry := q.heap[last]
+	q.heap = q.heap[:last]
 	if last == 0 {
 		return first.token, true
 	}
 	i := 0
 	for {
-		down := 2*i + 1
-		if down >= last {
+		child := 2*i + 1
+		if child >= last {
 			break
 		}
-		if down+1 < last && a.heap[down+1].at < a.heap[down].at {
-			down++
+		if child+1 < last && q.heap[child+1].at < q.heap[child].at {
+			child++
 		}
-		if n.at <= a.heap[down].at {
+		if entry.at <= q.heap[child].at {
 			break
 		}
-		a.heap[i] = a.heap[down]
-		i = down
+		q.heap[i] = q.heap[child]
+		i = child
 	}
-	a.heap[i] = n
-	// After a burst the room for its alarms is given back.
-	if c := cap(a.heap); c > 1024 && last < c/8 {
-		a.heap = append(make([]alarm, 0, c/4), a.heap...)
+	q.heap[i] = entry
+	// The heap shrinks after a burst.
+	if c := cap(q.heap); c > 1024 && last < c/8 {
+		q.heap = append(make([]timerEntry, 0, c/4), q.heap...)
 	}
 	return first.token, true
 }
 
 // After implements balance.Host.
-func (h *host) After(d time.Duration, token uint64) {
+func (h *balancerHost) After(d time.Duration, token uint64) {
 	p := (*Pool)(h)
-	if p.alarms.push(alarm{p.now() + max(d, 0), token}) {
-		p.setAlarm()
+	if p.timers.push(timerEntry{p.now() + max(d, 0), token}) {
+		p.scheduleNextTimer()
 	}
 }
 
-// setAlarm sets the timer to the first alarm; the mutex is held.
-func (p *Pool) setAlarm() {
-	a := &p.alarms
-	if len(a.heap) == 0 || a.ringing {
+// scheduleNextTimer sets the runtime timer for the earliest entry. The caller holds the mutex.
+func (p *Pool) scheduleNextTimer() {
+	q := &p.timers
+	if len(q.heap) == 0 || q.firing {
 		return
 	}
-	wait := a.heap[0].at - p.now()
-	if a.timer == nil {
-		a.timer = time.AfterFunc(wait, p.ring)
+	wait := q.heap[0].at - p.now()
+	if q.timer == nil {
+		q.timer = time.AfterFunc(wait, p.fireTimers)
 	} else {
-		a.timer.Reset(wait)
+		q.timer.Reset(wait)
 	}
 }
 
-// ring tells the Balancer of all alarms that are due.
-func (p *Pool) ring() {
+// fireTimers delivers all due timers to the Balancer.
+func (p *Pool) fireTimers() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.alarms.ringing = true
+	p.timers.firing = true
 	for {
-		token, ok := p.alarms.pop(p.now())
+		token, ok := p.timers.pop(p.now())
 		if !ok {
 			break
 		}
 		p.balancer.Timer(p.now(), token)
 	}
-	p.alarms.ringing = false
-	p.setAlarm()
+	p.timers.firing = false
+	p.scheduleNextTimer()
 }
--- a/internal/pool/alarms_test.go
+++ b/internal/pool/alarms_test.go
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// Alarms come in the order of their times, each once, however they were pushed;
-// a burst does not hold its room for good.
-func TestAlarmsComeInOrder(t *testing.T) {
+// Timers fire once each, in the order of their times, and a burst does not keep its memory.
+func TestTimersFireInOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var a alarms
+	var q timerQueue
 	var want []time.Duration
 	now, token := time.Duration(0), uint64(0)
 	times := map[uint64]time.Duration{}
@@ -21,7 +20,7 @@
 			earliest := len(want) == 0 || at < slices.Min(want)
 			token++
 			times[token] = at
-			if first := a.push(alarm{at, token}); first != earliest {
+			if first := q.push(timerEntry{at, token}); first != earliest {
 				t.Fatalf("pushed %v: first %t, want %t", at, first, earliest)
 			}
 			want = append(want, at)
@@ -29,28 +28,28 @@
 		}
 		now += time.Duration(rng.IntN(20))
 		for {
-			got, ok := a.pop(now)
+			got, ok := q.pop(now)
 			if !ok {
 				break
 			}
 			i := slices.Index(want, times[got])
 			if times[got] > now || i < 0 || times[got] != slices.Min(want) {
-				t.Fatalf("at %v: alarm of %v", now, times[got])
+				t.Fatalf("at %v: timer of %v fired", now, times[got])
 			}
 			want = slices.Delete(want, i, i+1)
 			delete(times, got)
 		}
 		if len(want) > 0 && slices.Min(want) <= now {
-			t.Fatalf("at %v one of %v has not come", now, slices.Min(want))
+			t.Fatalf("at %v a timer of %v has not fired", now, slices.Min(want))
 		}
 	}
 	for i := range 100000 {
-		a.push(alarm{now + time.Duration(i), 0})
+		q.push(timerEntry{now + time.Duration(i), 0})
 	}
 	for ok := true; ok; {
-		_, ok = a.pop(now + time.Hour)
+		_, ok = q.pop(now + time.Hour)
 	}
-	if len(a.heap) != 0 || cap(a.heap) > 2048 {
-		t.Errorf("%d left, room for %d", len(a.heap), cap(a.heap))
+	if len(q.heap) != 0 || cap(q.heap) > 2048 {
+		t.Errorf("%d timers left, capacity %d", len(q.heap), cap(q.heap))
 	}
 }
--- a/internal/pool/gone_test.go
+++ b/internal/pool/gone_test.go
@@ -34,8 +34,8 @@
 	}{
 		"stays":                     {&leaver{}, Served, 1, 1},
 		"has left":                  {&leaver{n: 1}, CallerGone, 1, 0},
-		"leaves under a slow look":  {&leaver{n: 2, slow: 2 * confirmAfter}, CallerGone, 2, 0},
-		"leaves between two others": {&leaver{n: 3, slow: 2 * confirmAfter}, CallerGone, 3, 0},
+		"leaves under a slow look":  {&leaver{n: 2, slow: 2 * confirmInterval}, CallerGone, 2, 0},
+		"leaves between two others": {&leaver{n: 3, slow: 2 * confirmInterval}, CallerGone, 3, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, sound := twoNodes(t, "127.0.0.1:1", time.Second)
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -13,77 +13,75 @@
 	"gorselink/internal/upstream"
 )
 
-// Waits between calls of a pushing agent that fail. What it has counts as told from the
-// moment that it is back, and the call after the wait brings it; the drains that it tells
-// then leave no more time than a part of their grace, see nodes.PushTimes.
+// Retry delays after failed calls to an agent that pushes its list. The changes that an agent
+// has count as received as soon as it is reachable again, so the delays are short compared with
+// the drain grace; see nodes.PushTimes.
 const (
-	backoffMin = 50 * time.Millisecond
-	backoffMax = 100 * time.Millisecond
+	pushRetryMin = 50 * time.Millisecond
+	pushRetryMax = 100 * time.Millisecond
 )
 
-// Waits of a source that is asked after a silence, and before it has told anything at
-// all; those after failures that it has told itself are the Balancer's.
+// Retry delays for a source that is watched on demand, after a call without any answer and
+// before its first list. After an error answer the Balancer chooses the delay.
 const (
-	silenceMin = 50 * time.Millisecond
-	silenceMax = 250 * time.Millisecond
-	beginMin   = 300 * time.Millisecond
-	beginMax   = time.Second
+	silentRetryMin    = 50 * time.Millisecond
+	silentRetryMax    = 250 * time.Millisecond
+	firstListRetryMin = 300 * time.Millisecond
+	firstListRetryMax = time.Second
 )
 
-// source is a node source that is being followed.
+// source is a node source that the Pool follows.
 type source struct {
 	nodes.Source
-	number int           // later ones are higher
-	watch  chan struct{} // the Balancer wants a watch
-	cancel context.CancelFunc
-	failed int  // calls in a row; its follower's alone
-	stands bool // a watch stands since its last word; its follower's alone
+	number        int           // increases with each new source
+	watchRequests chan struct{} // the Balancer's requests for a watch
+	cancel        context.CancelFunc
+	failures      int  // consecutive failed calls; used only by the following goroutine
+	watchOpen     bool // a watch has been open since the last list; used only by the following goroutine
 }
 
-// fails books a failed call. Only the first in a row is logged: a discovery that is
-// down for long would fill the log of every sidecar.
-func (s *source) fails(pool string, err error) {
-	if s.failed++; s.failed == 1 {
-		slog.Warn("list not to be had, the last one stands", "pool", pool, "from", s.String(), "error", err)
+// recordFailure counts a failed call. It logs only the first of consecutive failures, so that
+// a long outage of discovery does not fill the log of every sidecar.
+func (s *source) recordFailure(pool string, err error) {
+	if s.failures++; s.failures == 1 {
+		slog.Warn("fetching the endpoint list failed; using the last list until a retry succeeds", "pool", pool, "from", s.String(), "error", err)
 	}
 }
 
-// tells books that a list has come.
-func (s *source) tells(pool string) {
-	if s.failed > 0 {
-		slog.Info("list to be had again", "pool", pool, "from", s.String(), "failed", s.failed)
+// recordSuccess resets the count of failed calls.
+func (s *source) recordSuccess(pool string) {
+	if s.failures > 0 {
+		slog.Info("endpoint list available again", "pool", pool, "from", s.String(), "failed", s.failures)
 	}
-	s.failed = 0
+	s.failures = 0
 }
 
-// Move names the source to follow from now on. The old one is followed until
-// the new one has told its whole list, so that nothing goes untold in between;
-// it guards as well against a new one that is dead or slow, as the old one then
-// goes on telling for as long as it can. It does nothing if the new source has
-// the name of the one last given.
+// SetSource sets the source to follow from now on. The previous source is followed until the
+// new one has delivered its whole list, so that no change is lost if the new one is slow or
+// unreachable. It does nothing if the new source has the name of the one last set.
 func (p *Pool) SetSource(src nodes.Source) {
 	select {
-	case <-p.moves: // a newer one replaces one not yet heeded
+	case <-p.newSources: // discards a source that Run has not received yet
 	default:
 	}
-	p.moves <- src
+	p.newSources <- src
 }
 
 // Run keeps the list of nodes up to date until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
-	p.follow(ctx, p.cfg.Source)
+	p.startFollowing(ctx, p.cfg.Source)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case src := <-p.moves:
-			p.follow(ctx, src)
+		case src := <-p.newSources:
+			p.startFollowing(ctx, src)
 		}
 	}
 }
 
-// follow starts to follow to, unless that is what was last named.
-func (p *Pool) follow(ctx context.Context, to nodes.Source) {
+// startFollowing starts to follow the source to, unless it was the last one set.
+func (p *Pool) startFollowing(ctx context.Context, to nodes.Source) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	number := 1
@@ -94,74 +92,74 @@
 		}
 		number = last.number + 1
 		if n > 1 {
-			// It was to take over and has told nothing yet.
+			// It has not delivered a list, so the source before it is still in use.
 			last.cancel()
 			p.sources = p.sources[:n-1]
 		}
-		slog.Info("nodes move", "pool", p.cfg.Name, "from", last.String(), "to", to.String())
+		slog.Info("switching to another node source", "pool", p.cfg.Name, "from", last.String(), "to", to.String())
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	src := &source{Source: to, number: number, watch: make(chan struct{}, 1), cancel: cancel}
+	src := &source{Source: to, number: number, watchRequests: make(chan struct{}, 1), cancel: cancel}
 	p.sources = append(p.sources, src)
 	if p.cfg.Balance.AskDiscovery {
-		if number > 1 || p.wanted {
-			src.watch <- struct{}{} // the Balancer's wish was for the source before
+		if number > 1 || p.watchWanted {
+			src.watchRequests <- struct{}{} // the Balancer made its request before this source was set
 		}
-		go p.followAsked(ctx, src)
+		go p.followOnDemand(ctx, src)
 	} else {
-		go p.followPushed(ctx, src)
+		go p.followPush(ctx, src)
 	}
 }
 
-func (p *Pool) followPushed(ctx context.Context, src *source) {
+// followPush follows a source that can be called at any time and retries after failures.
+func (p *Pool) followPush(ctx context.Context, src *source) {
 	defer src.Close()
 	jitter := rand.New(rand.NewPCG(p.cfg.Seed, uint64(src.number)))
 	for ctx.Err() == nil {
-		src.stands = false
+		src.watchOpen = false
 		err := src.Follow(ctx, func(l nodes.List) {
-			src.tells(p.cfg.Name)
-			p.told(src, l)
+			src.recordSuccess(p.cfg.Name)
+			p.handleList(src, l)
 		})
 		if ctx.Err() != nil {
 			return
 		}
-		src.fails(p.cfg.Name, err)
-		delay := min(backoffMin<<min(src.failed-1, 8), backoffMax)
+		src.recordFailure(p.cfg.Name, err)
+		delay := min(pushRetryMin<<min(src.failures-1, 8), pushRetryMax)
 		nodes.Sleep(ctx, delay/2+time.Duration(jitter.Int64N(int64(delay/2))))
 	}
 }
 
-// followAsked watches when the Balancer wants it and tells it of failures: one
-// discovery answers all sidecars, so when to ask again is a decision. Two cases are none.
-// A watch that fell silent is broken without a word, and what it missed counts as told a
-// second or two after its wait: it is opened anew at once. And one that a reload has named
-// counts as heard 4 s later, whether or not it answers: it is asked until it does.
-func (p *Pool) followAsked(ctx context.Context, src *source) {
+// followOnDemand opens a watch when the Balancer requests one and reports failures to it,
+// because one discovery service answers all sidecars. It retries without a request in two
+// cases, where the Balancer's delay would be too long: once after a call without any answer,
+// and until a source that a reload has set delivers its first list.
+func (p *Pool) followOnDemand(ctx context.Context, src *source) {
 	defer src.Close()
 	jitter := rand.New(rand.NewPCG(p.cfg.Seed, uint64(src.number)))
-	for heard := false; ; {
+	for listReceived := false; ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-src.watch:
+		case <-src.watchRequests:
 		}
-		for silent := 0; ; {
-			src.stands = false
+		for failures := 0; ; {
+			src.watchOpen = false
 			err := src.Follow(ctx, func(l nodes.List) {
-				src.tells(p.cfg.Name)
-				p.told(src, l)
-				heard, silent = true, 0
+				src.recordSuccess(p.cfg.Name)
+				p.handleList(src, l)
+				listReceived, failures = true, 0
 			})
 			if ctx.Err() != nil {
 				return
 			}
-			src.fails(p.cfg.Name, err)
-			least, most := beginMin, beginMax
-			if heard || src.number == 1 {
-				if silent++; silent > 1 || !nodes.Silent(err) {
+			src.recordFailure(p.cfg.Name, err)
+			least, most := firstListRetryMin, firstListRetryMax
+			if listReceived || src.number == 1 {
+				if failures++; failures > 1 || !nodes.Silent(err) {
 					break
 				}
-				least, most = silenceMin, silenceMax
+				least, most = silentRetryMin, silentRetryMax
 			}
 			if !nodes.Sleep(ctx, least+time.Duration(jitter.Int64N(int64(most-least)))) {
 				return
@@ -169,16 +167,16 @@
 		}
 		p.mu.Lock()
 		if p.sources[len(p.sources)-1] == src {
-			p.update(balance.Failed, nodes.List{})
+			p.applyList(balance.Failed, nodes.List{})
 		}
 		p.mu.Unlock()
 	}
 }
 
-// told takes what a source tells. The first word of a new one is its whole list
-// and ends the source before, whose changes cannot be applied to that list.
-func (p *Pool) told(src *source, l nodes.List) {
-	defer func() { src.stands = true }()
+// handleList handles a list from a source. The first list of a new source is a whole list; it
+// ends the previous source, whose changes do not apply to that list.
+func (p *Pool) handleList(src *source, l nodes.List) {
+	defer func() { src.watchOpen = true }()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first := p.sources[0].number < src.number
@@ -187,54 +185,55 @@
 		p.sources = p.sources[1:]
 	}
 	if p.sources[0] != src {
-		return // a late word of a source that has been replaced
+		return // the source has been replaced
 	}
 	kind := balance.Delta
 	switch {
 	case l.Snapshot:
 		kind = balance.Full
-	case l.Index < p.version:
-		// From a source that goes on where the one before was, and lags behind it: what it
-		// tells is older than what is known, and would bring back what has been drained.
+	case l.Index < p.listVersion:
+		// The source continues from the version of the previous one but lags behind it.
+		// Its older state would make drained endpoints available again.
 		return
 	}
-	p.hears(src, first, &l)
-	p.update(kind, l)
+	p.recordSync(src, first, &l)
+	p.applyList(kind, l)
 }
 
-// Version is the newest version of the list that has been told, and whether any has been.
+// ListVersion returns the version of the newest list. known reports whether a list with any
+// node has ever been received.
 func (p *Pool) ListVersion() (index uint64, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.version, p.listed
+	return p.listVersion, p.hasList
 }
 
-// update takes a list, or the news that asking for one failed; the mutex is
-// held.
-func (p *Pool) update(kind balance.ListKind, l nodes.List) {
+// applyList applies a list, or reports to the Balancer that fetching one failed. The caller
+// holds the mutex.
+func (p *Pool) applyList(kind balance.ListKind, l nodes.List) {
 	if kind != balance.Failed {
-		p.date(kind, &l)
-		p.version, p.undated = l.Index, l.Undated
+		p.recordStarts(kind, &l)
+		p.listVersion, p.undated = l.Index, l.Undated
 	}
 	list := l.Endpoints
 	entries := make([]balance.Endpoint, 0, len(list))
 	for i := range list {
-		entries = append(entries, p.entry(&list[i]))
+		entries = append(entries, p.balancerEndpoint(&list[i]))
 	}
-	// What is new can be reached before the Balancer knows of it, and what is
-	// gone until the Balancer knows that.
+	// Connections accept new endpoints before the Balancer learns of them, and removed ones
+	// until the Balancer has been told of the removal.
 	for _, e := range list {
 		if e.Status != nodes.Terminated {
 			p.conns.Set(e.Name, upstream.Target{Address: e.Address, StartMs: e.SinceMs})
 		}
 	}
-	p.members(kind, entries)
+	p.updateBalancer(kind, entries)
 	if kind == balance.Full || kind == balance.Delta {
-		p.heard = p.now()
+		p.lastSync = p.now()
 	}
-	p.listed = p.listed || len(entries) > 0
+	p.hasList = p.hasList || len(entries) > 0
 	whole := kind == balance.Full || kind == balance.Cached
-	was := p.known
+	previous := p.known
 	if whole {
 		p.known = make(map[string]nodes.Endpoint, len(list))
 	}
@@ -244,41 +243,41 @@
 			continue
 		}
 		delete(p.known, e.Name)
-		delete(p.entered, e.Name)
+		delete(p.balancerView, e.Name)
 		p.conns.Remove(e.Name)
-		p.remember(e.Name)
-		p.leaves(e.Name)
+		p.addFormerNames(e.Name)
+		p.recordDeparture(e.Name)
 	}
 	if whole {
-		for _, name := range slices.Sorted(maps.Keys(was)) {
+		for _, name := range slices.Sorted(maps.Keys(previous)) {
 			if _, stays := p.known[name]; !stays {
-				p.remember(name)
-				p.leaves(name)
+				p.addFormerNames(name)
+				p.recordDeparture(name)
 			}
 		}
 		p.conns.Retain(func(name string) bool { _, ok := p.known[name]; return ok })
 	}
 }
 
-// List is the list of nodes as it is known, by name.
+// List returns the known nodes, sorted by name.
 func (p *Pool) List() nodes.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := nodes.List{Snapshot: true, Undated: p.undated}
-	for _, name := range p.sorted() {
+	for _, name := range p.sortedNames() {
 		l.Endpoints = append(l.Endpoints, p.known[name])
 	}
 	return l
 }
 
-// sorted is the names of the nodes that are known, in order.
-func (p *Pool) sorted() []string { return slices.Sorted(maps.Keys(p.known)) }
+// sortedNames returns the names of the known nodes in order.
+func (p *Pool) sortedNames() []string { return slices.Sorted(maps.Keys(p.known)) }
 
-// entry is an endpoint as the Balancer knows it. Its address there is the
-// name, which all sidecars share: the Balancers must agree on the ring.
-func (p *Pool) entry(listed *nodes.Endpoint) balance.Endpoint {
-	e := p.byHand(*listed)
-	b := balance.Endpoint{Addr: e.Name, Zone: p.zone(e.Zone), Cell: e.Group, Since: p.since(e.Name)}
+// balancerEndpoint converts a listed endpoint for the Balancer. Its Addr is the endpoint's
+// name, which is the same in all sidecars, so that their Balancers agree on the hash ring.
+func (p *Pool) balancerEndpoint(listed *nodes.Endpoint) balance.Endpoint {
+	e := p.applyDisabled(*listed)
+	b := balance.Endpoint{Addr: e.Name, Zone: p.zoneNumber(e.Zone), Cell: e.Group, Since: p.effectiveStart(e.Name)}
 	switch e.Status {
 	case nodes.InService:
 		b.State = balance.Ready
@@ -288,16 +287,16 @@
 	return b
 }
 
-// mostZones bounds the zones that are told apart where the configuration does
-// not name them; all others count as one.
-const mostZones = 64
+// maxZones bounds the number of distinct zones if the configuration names none. All further
+// zones share one number.
+const maxZones = 64
 
-// zone is the number of a zone; the mutex is held.
-func (p *Pool) zone(name string) int {
+// zoneNumber returns the number of a zone. The caller holds the mutex.
+func (p *Pool) zoneNumber(name string) int {
 	i, ok := p.zones[name]
 	if !ok {
-		i = len(p.zones) // one that the settings do not name
-		if p.cfg.Zones == nil && i < mostZones {
+		i = len(p.zones) // the next free number, which all zones without one share
+		if p.cfg.Zones == nil && i < maxZones {
 			p.zones[name] = i
 		}
 	}
--- a/internal/pool/members_test.go
+++ b/internal/pool/members_test.go
@@ -120,20 +120,20 @@
 	entry := func(status nodes.Status) []nodes.Endpoint {
 		return []nodes.Endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "a", Status: status}}
 	}
-	p.told(one, nodes.List{Index: 40, Snapshot: true, Endpoints: entry(nodes.InService)})
-	p.told(one, nodes.List{Index: 43, Endpoints: entry(nodes.Terminating)})
-	p.told(two, nodes.List{Index: 42, Endpoints: entry(nodes.InService)}) // what was so before 43
+	p.handleList(one, nodes.List{Index: 40, Snapshot: true, Endpoints: entry(nodes.InService)})
+	p.handleList(one, nodes.List{Index: 43, Endpoints: entry(nodes.Terminating)})
+	p.handleList(two, nodes.List{Index: 42, Endpoints: entry(nodes.InService)}) // what was so before 43
 	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != nodes.Terminating {
 		t.Fatalf("list %+v after a word that is older, want s-1 to drain", l)
 	}
 	if index, known := p.ListVersion(); index != 43 || !known {
 		t.Errorf("version %d, %t, want 43", index, known)
 	}
-	p.told(two, nodes.List{Index: 44, Endpoints: entry(nodes.InService)})
+	p.handleList(two, nodes.List{Index: 44, Endpoints: entry(nodes.InService)})
 	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != nodes.InService {
 		t.Errorf("list %+v after a newer word, want s-1 back", l)
 	}
-	p.told(two, nodes.List{Index: 2, Snapshot: true, Endpoints: entry(nodes.Terminating)}) // begun anew
+	p.handleList(two, nodes.List{Index: 2, Snapshot: true, Endpoints: entry(nodes.Terminating)}) // begun anew
 	if index, _ := p.ListVersion(); index != 2 {
 		t.Errorf("version %d after a whole list, want 2", index)
 	}
--- a/internal/pool/memory.go
+++ b/internal/pool/memory.go
@@ -7,156 +7,160 @@
 	"gorselink/balance"
 )
 
-// Memory is what a Pool has learnt, for the one that takes its place. It can be
-// written as JSON.
+// LearnedState is what a Pool has learned, for the Pool that replaces it. It can be encoded
+// as JSON; the names in its tags are read by other versions of the program.
 type LearnedState struct {
-	Balancer balance.Memory
-	Classes  []balance.Class // of Learnt, in its order
+	Balancer balance.Memory  `json:"Learnt"`
+	Classes  []balance.Class `json:"Classes"` // the classes of Balancer, in the same order
 
-	// Out and Back are for processes that know no Ages: times of the wall clock, which may
-	// be stepped between their writing and their reading.
-	Out  map[string]int64    // endpoints that are left out by hand, since when in Unix ms
-	Back map[string]Returned // those that were
+	// Disabled and Reenabled are for processes that do not support Ages. They are wall-clock
+	// times and wrong if the clock is stepped between writing and reading.
+	Disabled  map[string]int64          `json:"Out"`  // endpoints that operators have disabled, and since when in Unix ms
+	Reenabled map[string]DisabledPeriod `json:"Back"` // endpoints that operators have enabled again
 
-	Ages *Ages `json:",omitempty"` // nil from a process that knows none
+	Ages *Ages `json:"Ages,omitempty"` // nil from a process that does not support them
 }
 
-// Returned is when an endpoint went out and came back, in Unix ms.
-type Returned struct{ Out, Back int64 }
+// DisabledPeriod is the period for which an endpoint was disabled, in Unix ms.
+type DisabledPeriod struct {
+	Start int64 `json:"Out"`
+	End   int64 `json:"Back"`
+}
 
-// Ages are spans up to the moment in which they are taken. A wall time would change its
-// meaning with a step of the clock; an age is short by the time that it is on its way, so
-// that nothing counts as older than it is.
+// Ages are time spans that end when Ages is called. Unlike wall-clock times they are not
+// affected by steps of the clock. They are short by the duration of the handover, so that
+// nothing counts as older than it is.
 type Ages struct {
-	// Wall is what the wall clock would show by now, in Unix ms, had it not been set since it
-	// was read: the time that stamps of the list are taken for. It is handed on so that the
-	// next Pool need not read a clock that was stepped meanwhile, and is compared with none.
-	Wall int64
-
-	Heard        *time.Duration           `json:",omitempty"` // since the list was last known to be up to date; nil for never
-	Incarnations map[string]LifeAge       `json:",omitempty"` // of endpoints that have not been there for as long as anybody knows
-	Out          map[string]time.Duration `json:",omitempty"` // of endpoints that are left out by hand
-	Back         map[string]ReturnedAges  `json:",omitempty"` // of those that were
+	// WallMs is the first reading of the wall clock plus the monotonic time since, in Unix ms,
+	// so that it excludes later steps. The next Pool converts the timestamps of lists by it.
+	WallMs int64 `json:"Wall"`
+
+	LastSync     *time.Duration                `json:"Heard,omitempty"` // since the list was last known to be current; nil if it never was
+	Incarnations map[string]IncarnationAge     `json:"Lives,omitempty"` // by endpoint; without those that started long ago
+	Disabled     map[string]time.Duration      `json:"Out,omitempty"`   // endpoints that operators have disabled
+	Reenabled    map[string]DisabledPeriodAges `json:"Back,omitempty"`  // endpoints that operators have enabled again
 }
 
-// LifeAge is the age of one run of an endpoint's process, which its stamp in the list tells
-// from others.
-type LifeAge struct {
-	Stamp int64
-	Age   time.Duration
+// IncarnationAge is the age of one run of an endpoint's process, which SinceMs identifies.
+type IncarnationAge struct {
+	SinceMs int64         `json:"Stamp"`
+	Age     time.Duration `json:"Age"`
 }
 
-// ReturnedAges is for how long an endpoint has been out, and back.
-type ReturnedAges struct{ Out, Back time.Duration }
+// DisabledPeriodAges is how long ago an endpoint was disabled and enabled again.
+type DisabledPeriodAges struct {
+	Start time.Duration `json:"Out"`
+	End   time.Duration `json:"Back"`
+}
 
-// Memory is what the Pool has learnt by now.
+// LearnedState returns what the Pool has learned so far.
 func (p *Pool) LearnedState() LearnedState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := LearnedState{
-		Balancer: p.balancer.Memory(p.now()),
-		Classes:  make([]balance.Class, len(p.classes)),
-		Out:      map[string]int64{},
-		Back:     map[string]Returned{},
-		Ages:     p.ages(),
+	s := LearnedState{
+		Balancer:  p.balancer.Memory(p.now()),
+		Classes:   make([]balance.Class, len(p.classes)),
+		Disabled:  map[string]int64{},
+		Reenabled: map[string]DisabledPeriod{},
+		Ages:      p.agesLocked(),
 	}
 	wall := p.clock.Wall()
-	for name, age := range m.Ages.Out {
-		m.Out[name] = wall.Add(-age).UnixMilli()
+	for name, age := range s.Ages.Disabled {
+		s.Disabled[name] = wall.Add(-age).UnixMilli()
 	}
-	for name, r := range m.Ages.Back {
-		m.Back[name] = Returned{wall.Add(-r.Out).UnixMilli(), wall.Add(-r.Back).UnixMilli()}
+	for name, period := range s.Ages.Reenabled {
+		s.Reenabled[name] = DisabledPeriod{wall.Add(-period.Start).UnixMilli(), wall.Add(-period.End).UnixMilli()}
 	}
-	for c, i := range p.classes {
-		m.Classes[i] = c
+	for class, i := range p.classes {
+		s.Classes[i] = class
 	}
-	return m
+	return s
 }
 
-// Ages are those of what the Pool knows now, for the one that takes its place in the same
-// process.
+// Ages returns the current ages, for a Pool that replaces this one in the same process.
 func (p *Pool) Ages() *Ages {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ages()
+	return p.agesLocked()
 }
 
-func (p *Pool) ages() *Ages {
+// agesLocked implements Ages. The caller holds the mutex.
+func (p *Pool) agesLocked() *Ages {
 	now := p.now()
-	a := &Ages{Wall: p.startWall.Add(now).UnixMilli(), Incarnations: map[string]LifeAge{}, Out: map[string]time.Duration{}, Back: map[string]ReturnedAges{}}
-	if p.heard != never {
-		heard := now - p.heard
-		a.Heard = &heard
-	}
-	for name, is := range p.lives {
-		if is.since != 0 {
-			a.Incarnations[name] = LifeAge{is.stamp, now - is.since}
+	a := &Ages{WallMs: p.startWall.Add(now).UnixMilli(), Incarnations: map[string]IncarnationAge{}, Disabled: map[string]time.Duration{}, Reenabled: map[string]DisabledPeriodAges{}}
+	if p.lastSync != never {
+		age := now - p.lastSync
+		a.LastSync = &age
+	}
+	for name, current := range p.incarnations {
+		if current.start != 0 {
+			a.Incarnations[name] = IncarnationAge{current.sinceMs, now - current.start}
 		}
 	}
-	for name, since := range p.out {
-		a.Out[name] = now - since
+	for name, since := range p.disabled {
+		a.Disabled[name] = now - since
 	}
-	for name, r := range p.back {
-		a.Back[name] = ReturnedAges{now - r.out, now - r.back}
+	for name, period := range p.reenabled {
+		a.Reenabled[name] = DisabledPeriodAges{now - period.start, now - period.end}
 	}
 	return a
 }
 
-// recallAges takes up what the Pool before knew of the list; the mutex is held. An endpoint
-// that it listed and gave no age had been there for long.
-func (p *Pool) recallAges(a *Ages) {
+// restoreAges restores the ages of the endpoints in Config.Known from the previous Pool. An
+// endpoint without an age started long ago. The caller holds the mutex.
+func (p *Pool) restoreAges(a *Ages) {
 	if a == nil {
 		return
 	}
-	p.startWall = time.UnixMilli(a.Wall)
-	if a.Heard != nil {
-		p.heard = -max(*a.Heard, 0)
+	p.startWall = time.UnixMilli(a.WallMs)
+	if a.LastSync != nil {
+		p.lastSync = -max(*a.LastSync, 0)
 	}
 	for i := range p.cfg.Known.Endpoints {
 		e := &p.cfg.Known.Endpoints[i]
-		is := life{stamp: e.SinceMs}
-		if l, ok := a.Incarnations[e.Name]; ok {
-			is = life{l.Stamp, cmp.Or(-max(l.Age, 0), 1)}
+		current := incarnation{sinceMs: e.SinceMs}
+		if previous, ok := a.Incarnations[e.Name]; ok {
+			current = incarnation{previous.SinceMs, cmp.Or(-max(previous.Age, 0), 1)}
 		}
-		p.lives[e.Name] = is
+		p.incarnations[e.Name] = current
 	}
 }
 
-// recallByHand takes up what operators have said to the Pool before; the mutex is held. One
-// that knows no ages tells wall times alone, which the clock may have left behind: what it
-// tells counts as done now, which costs an endpoint that is put back one ramp at most.
-func (p *Pool) recallByHand(m *LearnedState) {
-	for name := range m.Out {
-		p.out[name] = 0
+// restoreDisabled restores which endpoints operators have disabled and enabled again. Without
+// Ages it ignores the wall-clock times, which a step of the clock may have made wrong, and
+// counts all changes as made now: an endpoint then goes through at most one more ramp. The
+// caller holds the mutex.
+func (p *Pool) restoreDisabled(s *LearnedState) {
+	for name := range s.Disabled {
+		p.disabled[name] = 0
 	}
-	for name := range m.Back {
-		p.back[name] = returned{}
+	for name := range s.Reenabled {
+		p.reenabled[name] = disabledPeriod{}
 	}
-	if m.Ages == nil {
+	if s.Ages == nil {
 		return
 	}
-	for name, age := range m.Ages.Out {
-		p.out[name] = -max(age, 0)
+	for name, age := range s.Ages.Disabled {
+		p.disabled[name] = -max(age, 0)
 	}
-	for name, r := range m.Ages.Back {
-		p.back[name] = returned{-max(r.Out, 0), -max(r.Back, 0)}
+	for name, period := range s.Ages.Reenabled {
+		p.reenabled[name] = disabledPeriod{-max(period.Start, 0), -max(period.End, 0)}
 	}
 }
 
-// Recall takes up what another Pool has learnt, as far as it has the same classes
-// and nodes. Without it the first jam shows what the first seconds have served for
-// all that the service can take. It is to be called before the first request, and
-// Exclude after it.
-func (p *Pool) Restore(m LearnedState) {
+// Restore takes over what another Pool has learned of the classes and endpoints that this one
+// has too. Without it the Balancer would limit its load by what the first seconds served. Call
+// it before the first request and before SetDisabled.
+func (p *Pool) Restore(s LearnedState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	learnt := make([]balance.Learnt, len(p.classes))
-	for i, c := range m.Classes {
-		if k, ok := p.classes[c]; ok && i < len(m.Balancer.Classes) {
-			learnt[k] = m.Balancer.Classes[i]
+	learned := make([]balance.Learnt, len(p.classes))
+	for i, class := range s.Classes {
+		if number, ok := p.classes[class]; ok && i < len(s.Balancer.Classes) {
+			learned[number] = s.Balancer.Classes[i]
 		}
 	}
-	m.Balancer.Classes = learnt
-	p.recallByHand(&m)
-	p.balancer.Recall(p.now(), m.Balancer)
+	s.Balancer.Classes = learned
+	p.restoreDisabled(&s)
+	p.balancer.Recall(p.now(), s.Balancer)
 }
--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -72,14 +72,14 @@
 		Learnt  balance.Memory
 		Classes []balance.Class
 		Out     map[string]int64
-		Back    map[string]Returned
+		Back    map[string]DisabledPeriod
 	}
 	for _, offset := range wallOffsets {
 		clocks := clock.NewManual(offset)
 		cfg := agedConfig(clocks)
 		cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{stamped("a", 0), stamped("b", 0), stamped("c", 0)}}
 		minute := clocks.Clock().Wall().Add(-offset - time.Minute).UnixMilli()
-		text, err := json.Marshal(olderMemory{Out: map[string]int64{"a": minute}, Back: map[string]Returned{"b": {minute, minute + 1000}}})
+		text, err := json.Marshal(olderMemory{Out: map[string]int64{"a": minute}, Back: map[string]DisabledPeriod{"b": {minute, minute + 1000}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,7 +108,7 @@
 			t.Fatal(err)
 		}
 		now := clocks.Clock().Wall().UnixMilli()
-		if r := older.Back["a"]; r.Back != now || r.Out != now-1000 {
+		if r := older.Back["a"]; r.End != now || r.Start != now-1000 {
 			t.Errorf("clock off by %v: handed on as %+v at %d", offset, r, now)
 		}
 	}
--- a/internal/pool/out.go
+++ b/internal/pool/out.go
@@ -9,117 +9,116 @@
 	"gorselink/internal/nodes"
 )
 
-// mostListed bounds the names that Knows remembers of endpoints that are gone:
-// some hundred kilobytes.
-const mostListed = 4096
+// maxFormerNames bounds the names that are kept of endpoints that left the list, and so the
+// memory for them.
+const maxFormerNames = 4096
 
-// Knows tells whether an endpoint has ever been listed, or was known to the
-// process before this one.
+// Knows reports whether an endpoint has ever been listed, in this process or the previous one.
 func (p *Pool) Knows(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, known := p.known[name]
-	return known || p.passed[name]
+	return known || p.isFormerName[name]
 }
 
-// Names are the endpoints that Knows knows, those gone longest first.
+// KnownNames returns the names for which Knows returns true. Endpoints that left the list come
+// first, in the order in which they left.
 func (p *Pool) KnownNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	names := slices.Clone(p.past)
+	names := slices.Clone(p.formerNames)
 	for name := range p.known {
 		names = append(names, name)
 	}
-	slices.Sort(names[len(p.past):])
+	slices.Sort(names[len(p.formerNames):])
 	return names
 }
 
-// Remember makes Knows know more names.
+// AddKnownNames adds names for which Knows returns true.
 func (p *Pool) AddKnownNames(names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.remember(names...)
+	p.addFormerNames(names...)
 }
 
-func (p *Pool) remember(names ...string) {
+// addFormerNames adds names of endpoints that left the list. The caller holds the mutex.
+func (p *Pool) addFormerNames(names ...string) {
 	for _, name := range names {
-		if !p.passed[name] {
-			p.past, p.passed[name] = append(p.past, name), true
+		if !p.isFormerName[name] {
+			p.formerNames, p.isFormerName[name] = append(p.formerNames, name), true
 		}
 	}
-	for len(p.past) > mostListed {
-		delete(p.passed, p.past[0])
-		p.past = p.past[1:]
+	for len(p.formerNames) > maxFormerNames {
+		delete(p.isFormerName, p.formerNames[0])
+		p.formerNames = p.formerNames[1:]
 	}
 }
 
-// Exclude makes the endpoints of a set be left out, and those of the set before
-// that are not in it be put back. To the Balancer one that is out drains,
-// whatever the list says of it. It holds from the return on; attempts that are
-// out go on.
+// SetDisabled disables the given endpoints and enables all others. The Balancer treats a
+// disabled endpoint as draining, whatever its listed status: once SetDisabled returns it gets
+// no new attempts, and pending ones continue.
 //
-// One that comes back counts as started now until the list dates its start
-// later than it went out: an operator takes an endpoint out to restart it, and
-// the news of that may be late. It costs one that was not restarted the time to
-// warm up.
-func (p *Pool) SetDisabled(out map[string]bool) {
+// An endpoint that is enabled again counts as started now until the list reports a start
+// after it was disabled, because operators disable endpoints to restart them and the list may
+// report the restart late.
+func (p *Pool) SetDisabled(disabled map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	var changed []balance.Endpoint
-	for name := range out {
-		if _, was := p.out[name]; !was {
-			p.out[name] = now
+	for name := range disabled {
+		if _, already := p.disabled[name]; !already {
+			p.disabled[name] = now
 		}
 	}
-	for name, since := range p.out {
-		if !out[name] {
-			delete(p.out, name)
-			p.back[name] = returned{out: since, back: now}
+	for name, since := range p.disabled {
+		if !disabled[name] {
+			delete(p.disabled, name)
+			p.reenabled[name] = disabledPeriod{start: since, end: now}
 		}
 	}
-	for _, name := range p.sorted() {
-		if e := p.known[name]; p.entered[name] != p.entry(&e) {
-			changed = append(changed, p.entry(&e))
+	for _, name := range p.sortedNames() {
+		if e := p.known[name]; p.balancerView[name] != p.balancerEndpoint(&e) {
+			changed = append(changed, p.balancerEndpoint(&e))
 		}
 	}
 	if len(changed) > 0 {
-		p.members(balance.Delta, changed)
+		p.updateBalancer(balance.Delta, changed)
 	}
-	for name, r := range p.back { // the list has dated all by then
-		if now-r.back > p.cfg.Balance.RampTime+time.Minute {
-			delete(p.back, name)
+	for name, period := range p.reenabled { // the list has reported any restart by then
+		if now-period.end > p.cfg.Balance.RampTime+time.Minute {
+			delete(p.reenabled, name)
 		}
 	}
 }
 
-// returned is when an endpoint went out and came back, by the Balancer's time.
-type returned struct{ out, back time.Duration }
+// disabledPeriod is the period for which an endpoint was disabled, in Balancer time.
+type disabledPeriod struct{ start, end time.Duration }
 
-// byHand is what the endpoint e is beside what operators have said of it.
-func (p *Pool) byHand(e nodes.Endpoint) nodes.Endpoint {
-	if _, out := p.out[e.Name]; out && e.Status == nodes.InService {
+// applyDisabled returns e as draining if operators have disabled it, and unchanged otherwise.
+func (p *Pool) applyDisabled(e nodes.Endpoint) nodes.Endpoint {
+	if _, disabled := p.disabled[e.Name]; disabled && e.Status == nodes.InService {
 		e.Status = nodes.Terminating
 	}
 	return e
 }
 
-// since is the start of an endpoint's life, as the Balancer is told.
-func (p *Pool) since(name string) time.Duration {
-	since := p.lives[name].since
-	if r, ok := p.back[name]; ok && (since == 0 || since < r.out) {
-		return cmp.Or(r.back, 1) // 0 would mean long ago
+// effectiveStart returns the start time of an endpoint that the Balancer is given.
+func (p *Pool) effectiveStart(name string) time.Duration {
+	start := p.incarnations[name].start
+	if period, ok := p.reenabled[name]; ok && (start == 0 || start < period.start) {
+		return cmp.Or(period.end, 1) // 0 would mean long ago
 	}
-	return since
+	return start
 }
 
-// members tells the Balancer of endpoints and books what it was told.
-func (p *Pool) members(kind balance.ListKind, entries []balance.Endpoint) {
+// updateBalancer gives the Balancer a list of endpoints and records it in balancerView.
+func (p *Pool) updateBalancer(kind balance.ListKind, entries []balance.Endpoint) {
 	p.balancer.Members(p.now(), kind, entries)
 	if kind == balance.Full || kind == balance.Cached {
-		clear(p.entered)
+		clear(p.balancerView)
 	}
 	for _, e := range entries {
-		p.entered[e.Addr] = e
+		p.balancerView[e.Addr] = e
 	}
 }
--- a/internal/pool/out_test.go
+++ b/internal/pool/out_test.go
@@ -26,16 +26,16 @@
 	tell := func(l nodes.List) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.update(balance.Full, l)
+		p.applyList(balance.Full, l)
 	}
 	is := func(when string, state balance.State, cold bool) {
 		t.Helper()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if e := p.entered["127.0.0.1:1"]; e.State != state || (e.Since != 0) != cold {
+		if e := p.balancerView["127.0.0.1:1"]; e.State != state || (e.Since != 0) != cold {
 			t.Errorf("%s: state %d, since %v, want state %d, cold %t", when, e.State, e.Since, state, cold)
 		}
-		if e := p.entered["127.0.0.1:2"]; e.State != balance.Ready || e.Since != 0 {
+		if e := p.balancerView["127.0.0.1:2"]; e.State != balance.Ready || e.Since != 0 {
 			t.Errorf("%s: the other one is %+v", when, e)
 		}
 	}
@@ -54,19 +54,19 @@
 	next := newPool(t, cfg) // the process that comes next, by a list that knows no better
 	next.Restore(p.LearnedState())
 	next.SetDisabled(nil)
-	if e := next.entered["127.0.0.1:1"]; e.State != balance.Ready || e.Since == 0 {
+	if e := next.balancerView["127.0.0.1:1"]; e.State != balance.Ready || e.Since == 0 {
 		t.Errorf("in the next process: %+v, want it cold", e)
 	}
-	before := p.entered["127.0.0.1:1"].Since
-	last := p.heard
+	before := p.balancerView["127.0.0.1:1"].Since
+	last := p.lastSync
 	tell(list(time.Now().Add(-time.Hour).UnixMilli()))
-	if got := p.entered["127.0.0.1:1"].Since; got < before || got != last {
+	if got := p.balancerView["127.0.0.1:1"].Since; got < before || got != last {
 		t.Errorf("since %v after its stamp has changed, want %v, when the old one was last told, and not before its return at %v", got, last, before)
 	}
-	before = p.entered["127.0.0.1:1"].Since
+	before = p.balancerView["127.0.0.1:1"].Since
 	dated := time.Now().Add(time.Second)
 	tell(list(dated.UnixMilli()))
-	if got := p.entered["127.0.0.1:1"].Since; got <= before {
+	if got := p.balancerView["127.0.0.1:1"].Since; got <= before {
 		t.Errorf("since %v, want the start that is listed, after %v", got, before)
 	}
 }
@@ -81,15 +81,15 @@
 	p := newPool(t, cfg)
 	p.SetDisabled(map[string]bool{"127.0.0.1:1": true})
 	p.SetDisabled(nil)
-	back := p.entered["127.0.0.1:1"].Since
+	back := p.balancerView["127.0.0.1:1"].Since
 	if back <= 0 {
 		t.Errorf("since %v once it is back, want the moment of its return", back)
 	}
 	for range 2 {
 		p.mu.Lock()
-		p.update(balance.Full, cfg.Known)
+		p.applyList(balance.Full, cfg.Known)
 		p.mu.Unlock()
-		if got := p.entered["127.0.0.1:1"].Since; got != back {
+		if got := p.balancerView["127.0.0.1:1"].Since; got != back {
 			t.Errorf("a start before it went out moved its start from %v to %v", back, got)
 		}
 	}
@@ -102,7 +102,7 @@
 	p := newPool(t, cfg)
 	p.AddKnownNames([]string{"before"})
 	p.mu.Lock()
-	p.update(balance.Full, entries("127.0.0.1:2"))
+	p.applyList(balance.Full, entries("127.0.0.1:2"))
 	p.mu.Unlock()
 	for name, want := range map[string]bool{"127.0.0.1:1": true, "127.0.0.1:2": true, "before": true, "never": false} {
 		if got := p.Knows(name); got != want {
@@ -113,11 +113,11 @@
 		t.Errorf("names %q", names)
 	}
 	var many []string
-	for i := range 2 * mostListed {
+	for i := range 2 * maxFormerNames {
 		many = append(many, fmt.Sprint(i))
 	}
 	p.AddKnownNames(many)
-	if n := len(p.KnownNames()); n > mostListed+1 {
+	if n := len(p.KnownNames()); n > maxFormerNames+1 {
 		t.Errorf("%d names are remembered", n)
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,6 @@
-// Package pool runs one service: its Balancer, the connections to its nodes,
-// the source of its node list and its limits. Fronts hand it requests; it
-// drives the Balancer with what happens and carries out what the Balancer
-// decides. Pools share nothing but the process.
+// Package pool runs the load balancing of one service. A Pool connects a Balancer with the
+// connections to the service's nodes, the source of its node list and its limits: frontends
+// submit requests, the Balancer decides, and the Pool carries out its decisions.
 package pool
 
 import (
@@ -18,157 +17,156 @@
 	"gorselink/internal/upstream"
 )
 
-// Config is what a Pool is made of.
+// Config holds the settings of a Pool.
 type Config struct {
 	Name    string
-	Seed    uint64 // of the Balancer's draws
+	Seed    uint64 // for the random choices of the Balancer
 	Balance balance.Config
-	Zones   map[string]int // by name; nil to number zones as they appear, from OwnZone on
+	Zones   map[string]int // zone numbers by name; nil numbers zones in order of appearance, OwnZone first
 	OwnZone string
-	Known   nodes.List // as last known, maybe outdated
+	Known   nodes.List // the last known list, which may be outdated
 	Source  nodes.Source
 	Limits  Limits
 
-	Ages  *Ages       // of what Known lists, from the Pool before; nil for none
-	Clock clock.Clock // the system's unless a test sets another
+	Ages  *Ages       // ages of the endpoints in Known, from the previous Pool; nil if there was none
+	Clock clock.Clock // the zero value reads the system clocks
 }
 
-// Limits bound what a Pool takes at once. They can change while it serves.
+// Limits bound the resources of a Pool. They can change while it serves.
 type Limits struct {
-	Requests  int   // that are open, from the whole request to the written answer; 0 for no bound
+	Requests  int   // open requests, from the complete request to the written answer; 0 for no limit
 	BodyBytes int64 // memory for request bodies
-	LongBytes int64 // memory for those over 64 KiB; 0 for none of their own
+	LongBytes int64 // memory for request bodies over 64 KiB; 0 if they share BodyBytes
 }
 
 // Pool balances the requests to the nodes of one service.
 type Pool struct {
-	cfg    Config
-	conns  *upstream.Pool
-	clock  clock.Clock
-	start  time.Time // the Balancer's time 0
-	bodies limit.Bytes
-	long   limit.Bytes
-
-	most  atomic.Int64 // Limits.Requests
-	open  atomic.Int64 // requests taken and not Done
-	held  atomic.Int64 // mean time that one is open, in ns
-	moves chan nodes.Source
-
-	startWall time.Time // the wall clock at start, by which the stamps of lists are read
-
-	mu       sync.Mutex // guards what follows and all in a Request that says so
-	balancer *balance.Balancer
-	requests map[balance.RequestID]*Request // those that are owed an answer
-	lastID   balance.RequestID
-	classes  map[balance.Class]int // numbers of classes, for Class
-	retired  bool
-	listed   bool
-	version  uint64 // of the list as it is known, see nodes.List.Index
-	known    map[string]nodes.Endpoint
-	entered  map[string]balance.Endpoint // of them, as the Balancer was told
-	past     []string                    // names of some that are gone, see Knows
-	passed   map[string]bool             // those in past
-	out      map[string]time.Duration    // left out by hand, since when by the Balancer's time
-	back     map[string]returned         // were out, and the list may not have dated their start yet
-	lives    map[string]life             // of the endpoints in known
-	left     map[string]departed         // lives of some that have left the list lately
-	heard    time.Duration               // when discovery last told that the list is up to date; never before
-	undated  bool                        // the list is of a source that cannot know when a process started
-	zones    map[string]int
-	wanted   bool      // a watch was wanted before there was a source
-	sources  []*source // followed: the one that tells and, after Move, the one to take over
-	alarms   alarms
-	stats    Stats
-	reported Stats // what the last Report has told
-	wrongs   int   // ends of requests that were wrong since then, see tell
-}
-
-// Request is a request that a Pool is given.
+	cfg        Config
+	conns      *upstream.Pool
+	clock      clock.Clock
+	start      time.Time // Balancer time 0
+	bodies     limit.Bytes
+	longBodies limit.Bytes
+
+	maxRequests  atomic.Int64 // Limits.Requests
+	openRequests atomic.Int64 // requests between Submit and Done
+	meanOpenNs   atomic.Int64 // mean time that a request is open, in ns
+	newSources   chan nodes.Source
+
+	startWall time.Time // wall-clock time at start, for converting the timestamps of lists
+
+	mu           sync.Mutex // guards the following fields and the marked ones of Request
+	balancer     *balance.Balancer
+	requests     map[balance.RequestID]*Request // requests without an answer
+	lastID       balance.RequestID
+	classes      map[balance.Class]int // class numbers
+	retired      bool
+	hasList      bool
+	listVersion  uint64 // see nodes.List.Index
+	known        map[string]nodes.Endpoint
+	balancerView map[string]balance.Endpoint    // known endpoints as last given to the Balancer
+	formerNames  []string                       // names of endpoints that left the list, see Knows
+	isFormerName map[string]bool                // the names in formerNames
+	disabled     map[string]time.Duration       // endpoints that operators have disabled, and since when in Balancer time
+	reenabled    map[string]disabledPeriod      // endpoints that were disabled; the list may not have reported a restart yet
+	incarnations map[string]incarnation         // of the endpoints in known
+	departed     map[string]departedIncarnation // of endpoints that recently left the list
+	lastSync     time.Duration                  // when the list was last known to be current, or never
+	undated      bool                           // the source of the list does not know start times
+	zones        map[string]int
+	watchWanted  bool      // the Balancer requested a watch before there was a source
+	sources      []*source // the source in use and, after SetSource, the one to replace it
+	timers       timerQueue
+	stats        Stats
+	lastReported Stats // as of the last Report
+	abnormalEnds int   // requests that ended abnormally since the last Report
+}
+
+// Request is a request for a Pool.
 type Request struct {
-	Class       int // of the Pool's
+	Class       int // number from ClassNumber
 	Tenant      int // -1 for none
 	Budget      time.Duration
 	Outgoing    upstream.Request
-	Resubmitted bool   // may have been here before, and belongs to this pool even when retired
-	OnFinished  func() // called once when nothing is sent any more and no attempt is out
+	Resubmitted bool   // the pool may have had the request before, so it accepts it even when retired
+	OnFinished  func() // called once when nothing more is sent and no attempt is pending
 
-	Reply chan Answer // takes the one answer, with room for it; made if it is nil
+	Reply chan Answer // receives the answer and needs a free slot; Submit creates it if it is nil
 
-	// Caller is asked, unless it is nil, whether it is still there right before each attempt.
+	// Caller, unless it is nil, is checked for a disconnect right before each attempt.
 	Caller Caller
 
-	// Name is what the caller calls the request, for the log alone.
+	// CallID is the caller's name for the request, for the log only.
 	CallID string
 
-	id    balance.RequestID
-	taken time.Time
-	call  upstream.Call // ends once nothing more may be sent for the request
-	first attempt       // that the caller's goroutine is to make, see Attempt
-	mine  bool          // there is one
+	id          balance.RequestID
+	submittedAt time.Time
+	call        upstream.Call // ends when nothing more may be sent for the request
+	first       attempt       // the attempt that RunFirstAttempt makes
+	hasFirst    bool          // first is set
 
 	// Guarded by Pool.mu.
-	taking    bool // Take is under way
-	attempts  int
-	pending   int // attempts without an outcome
-	answered  bool
-	withdrawn bool
-	detached  bool               // see detach
-	own       *upstream.Response // what the last node said that failed
-	verdict   Verdict            // once answered
-	trail     []step             // attempts, of a request that may end wrongly
-}
-
-// Caller is who sent a request.
+	submitting     bool // Submit is in progress
+	attempts       int
+	pending        int // attempts without an outcome
+	answered       bool
+	withdrawn      bool
+	detached       bool               // see detach
+	errorAnswer    *upstream.Response // the last error answer of a node
+	verdict        Verdict            // set when answered
+	attemptRecords []attemptRecord    // for the log, if the request may end abnormally
+}
+
+// Caller is the sender of a request.
 type Caller interface {
-	// Left tells whether it has gone away. It may be called beside all else.
+	// Disconnected reports whether the caller has gone away. It must be safe for concurrent use.
 	Disconnected() bool
 }
 
-// Verdict is how a request ended.
+// Verdict tells how a request ended.
 type Verdict int
 
 const (
-	Served     Verdict = iota // by a node's answer
-	Refused                   // it had no effect; a repeat is harmless
-	Failed                    // by a node's error, or by none that could be reached
-	TimedOut                  // its time was up, and an attempt may still run
-	CallerGone                // the caller had gone
+	Served     Verdict = iota // a node answered
+	Refused                   // the request had no effect and can be repeated safely
+	Failed                    // a node answered with an error, or none could be reached
+	TimedOut                  // the budget was exhausted; an attempt may still run
+	CallerGone                // the caller disconnected
 )
 
-// Answer is the one answer to a Request. Who gets one must release Up.
+// Answer is the only answer to a Request. The receiver must release Upstream.
 type Answer struct {
 	Verdict    Verdict
-	Upstream   *upstream.Response // with Served and, if a node made one, with Failed
+	Upstream   *upstream.Response // set with Served, and with Failed if a node answered
 	RetryAfter time.Duration      // with Refused; 0 for none
 }
 
-// Why a Pool does not take a request; nothing was sent for it.
+// Errors of Submit. Nothing was sent for the request.
 var (
-	ErrFull    = errors.New("the pool has all the requests that it may hold open")
-	ErrRetired = errors.New("the pool has been replaced")
+	ErrFull    = errors.New("pool has reached its limit of open requests")
+	ErrRetired = errors.New("pool has been replaced")
 )
 
-// New returns a Pool that sends over conns and starts from the known list. It
-// does not follow its source before Run. Connections may be used by one Pool
-// after another, and are closed by neither.
+// New returns a Pool that sends over conns and starts with the list cfg.Known. It follows its
+// source once Run is called. The Pool does not close conns, which later Pools may use.
 func New(cfg Config, conns *upstream.Pool) (*Pool, error) {
 	p := &Pool{
-		cfg:      cfg,
-		conns:    conns,
-		clock:    cfg.Clock,
-		start:    cfg.Clock.Now(),
-		moves:    make(chan nodes.Source, 1),
-		requests: map[balance.RequestID]*Request{},
-		classes:  map[balance.Class]int{},
-		known:    map[string]nodes.Endpoint{},
-		entered:  map[string]balance.Endpoint{},
-		passed:   map[string]bool{},
-		out:      map[string]time.Duration{},
-		back:     map[string]returned{},
-		lives:    map[string]life{},
-		left:     map[string]departed{},
-		heard:    never,
-		zones:    cfg.Zones,
+		cfg:          cfg,
+		conns:        conns,
+		clock:        cfg.Clock,
+		start:        cfg.Clock.Now(),
+		newSources:   make(chan nodes.Source, 1),
+		requests:     map[balance.RequestID]*Request{},
+		classes:      map[balance.Class]int{},
+		known:        map[string]nodes.Endpoint{},
+		balancerView: map[string]balance.Endpoint{},
+		isFormerName: map[string]bool{},
+		disabled:     map[string]time.Duration{},
+		reenabled:    map[string]disabledPeriod{},
+		incarnations: map[string]incarnation{},
+		departed:     map[string]departedIncarnation{},
+		lastSync:     never,
+		zones:        cfg.Zones,
 	}
 	if p.zones == nil {
 		p.zones = map[string]int{cfg.OwnZone: 0}
@@ -176,61 +174,62 @@
 	p.startWall = cfg.Clock.Wall()
 	p.SetLimits(cfg.Limits)
 	var err error
-	if p.balancer, err = balance.New(cfg.Balance, cfg.Seed, (*host)(p)); err != nil {
+	if p.balancer, err = balance.New(cfg.Balance, cfg.Seed, (*balancerHost)(p)); err != nil {
 		return nil, fmt.Errorf("pool %s: %w", cfg.Name, err)
 	}
-	for i, c := range cfg.Balance.Classes {
-		p.classes[c] = i
+	for i, class := range cfg.Balance.Classes {
+		p.classes[class] = i
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.recallAges(cfg.Ages)
-	p.cfg.Ages = nil // not to be held for the life of the Pool
-	p.update(balance.Cached, cfg.Known)
+	p.restoreAges(cfg.Ages)
+	p.cfg.Ages = nil // frees the memory
+	p.applyList(balance.Cached, cfg.Known)
 	return p, nil
 }
 
-// Name is the name of the service.
+// Name returns the name of the service.
 func (p *Pool) Name() string { return p.cfg.Name }
 
-// Conns are the connections that the Pool sends over.
+// Conns returns the connections that the Pool sends over.
 func (p *Pool) Conns() *upstream.Pool { return p.conns }
 
-// Bodies is the memory for request bodies.
+// Bodies returns the memory budget for request bodies.
 func (p *Pool) Bodies() *limit.Bytes { return &p.bodies }
 
-// LongBodies is the memory for request bodies over 64 KiB; without a size they
-// share that of the others.
-func (p *Pool) LongBodies() *limit.Bytes { return &p.long }
+// LongBodies returns the memory budget for request bodies over 64 KiB. If its total is 0 they
+// share the budget of Bodies.
+func (p *Pool) LongBodies() *limit.Bytes { return &p.longBodies }
 
-// Streams tells whether a body that finds no room is sent on while it comes.
+// Streams reports whether a body that does not fit into the memory budget is streamed to the
+// node.
 func (p *Pool) Streams() bool { return p.conns.StreamingEnabled() }
 
-// Limit changes the limits. What is held beyond them ends by itself.
+// SetLimits changes the limits. Requests and memory beyond the new limits are kept until they
+// end or are released.
 func (p *Pool) SetLimits(l Limits) {
-	p.most.Store(int64(l.Requests))
+	p.maxRequests.Store(int64(l.Requests))
 	p.bodies.SetTotal(l.BodyBytes)
-	p.long.SetTotal(l.LongBytes)
+	p.longBodies.SetTotal(l.LongBytes)
 }
 
-// Class returns the number of a class, which the Balancer learns of if it is
-// new. What it has learnt of the others stands.
-func (p *Pool) ClassNumber(c balance.Class) (int, error) {
+// ClassNumber returns the number of a class, and adds the class to the Balancer if it is new.
+func (p *Pool) ClassNumber(class balance.Class) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i, ok := p.classes[c]; ok {
+	if i, ok := p.classes[class]; ok {
 		return i, nil
 	}
-	i, err := p.balancer.AddClass(c)
+	i, err := p.balancer.AddClass(class)
 	if err != nil {
 		return 0, fmt.Errorf("pool %s: %w", p.cfg.Name, err)
 	}
-	p.classes[c] = i
+	p.classes[class] = i
 	return i, nil
 }
 
-// Retune gives the Balancer new settings, all or none. Its classes stand; new
-// ones come by Class.
+// Reconfigure gives the Balancer new settings; on an error it changes none. The classes stay
+// the same: ClassNumber adds new ones.
 func (p *Pool) Reconfigure(cfg balance.Config) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -241,57 +240,57 @@
 	return nil
 }
 
-// Classes is how many classes the Balancer knows, used or not.
+// ClassCount returns the number of classes that the Balancer has, used or not.
 func (p *Pool) ClassCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.classes)
 }
 
-// Listed tells whether any node has ever been told.
+// HasList reports whether a list with any node has ever been received.
 func (p *Pool) HasList() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.listed
+	return p.hasList
 }
 
-// Open is how many requests are open.
-func (p *Pool) OpenRequests() int { return int(p.open.Load()) }
+// OpenRequests returns the number of open requests.
+func (p *Pool) OpenRequests() int { return int(p.openRequests.Load()) }
 
-// Full tells, without a lock, whether Take would find no room.
+// Full reports whether the limit of open requests is reached. It takes no lock.
 func (p *Pool) Full() bool {
-	most := p.most.Load()
-	return most > 0 && p.open.Load() >= most
+	maxOpen := p.maxRequests.Load()
+	return maxOpen > 0 && p.openRequests.Load() >= maxOpen
 }
 
-// Times that a caller who found the pool full is told: not so short that all
-// come back at once, nor longer than people wait.
+// Bounds of RetryAfter: long enough that rejected callers do not all retry at once, and no
+// longer than users wait.
 const (
-	fullLeast = 100 * time.Millisecond
-	fullMost  = 5 * time.Second
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 )
 
-// RetryAfter is when a pool that is full may have room: when about a quarter of
-// what is open should have ended.
+// RetryAfter returns when a full pool is likely to accept requests again: when about a quarter
+// of the open requests should have ended.
 func (p *Pool) RetryAfter() time.Duration {
-	return min(max(time.Duration(p.held.Load())/4, fullLeast), fullMost)
+	return min(max(time.Duration(p.meanOpenNs.Load())/4, minRetryAfter), maxRetryAfter)
 }
 
-// NoteFull counts a request that was turned away because the pool was full
-// before it was whole.
+// CountFull counts a request that was rejected before it was complete because the pool was
+// full.
 func (p *Pool) CountFull() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Full++
 }
 
-// now is the Balancer's time. It is read under the mutex, so that the Balancer
-// never sees it run back.
+// now returns the Balancer time. The caller holds the mutex, so that the Balancer never sees
+// time go backwards.
 func (p *Pool) now() time.Duration { return p.clock.Since(p.start) }
 
-// Take hands a request to the Balancer, or tells why not. One that was taken is
-// answered once over Answer, needs a call of Attempt, which may be the first
-// attempt, and must be given back with Done.
+// Submit gives a request to the Balancer, or returns ErrFull or ErrRetired. A request that was
+// accepted is answered once on Answer. The caller must call RunFirstAttempt for it, and Done
+// at its end.
 func (p *Pool) Submit(r *Request) error {
 	if r.Reply == nil {
 		r.Reply = make(chan Answer, 1)
@@ -309,35 +308,34 @@
 	if err != nil {
 		return err
 	}
-	p.open.Add(1)
+	p.openRequests.Add(1)
 	p.lastID++
 	r.id = p.lastID
-	r.taken = time.Now()
+	r.submittedAt = time.Now()
 	p.requests[r.id] = r
-	p.stats.Taken++
-	r.taking = true
+	p.stats.Submitted++
+	r.submitting = true
 	p.balancer.Request(p.now(), r.id, r.Class, r.Tenant, r.Budget)
-	r.taking = false
+	r.submitting = false
 	return nil
 }
 
-// Answer is where the one answer to a request that was taken comes.
+// Answer returns the channel that receives the answer to a submitted request.
 func (r *Request) Answer() <-chan Answer { return r.Reply }
 
-// heldMemory is over how many requests the mean time that one is open forgets.
-const heldMemory = 16
+// meanOpenSamples is the number of samples over which meanOpenNs is averaged.
+const meanOpenSamples = 16
 
-// Done tells that the answer to r has been written, or cannot be.
+// Done must be called when the answer to r has been written or cannot be written.
 func (p *Pool) Done(r *Request) {
-	mean := p.held.Load() // two at once may lose one of them, which harms nothing
-	p.held.Store(mean + (int64(time.Since(r.taken))-mean)/heldMemory)
-	p.open.Add(-1)
-	p.tell(r)
+	mean := p.meanOpenNs.Load() // a concurrent update may be lost, which is harmless
+	p.meanOpenNs.Store(mean + (int64(time.Since(r.submittedAt))-mean)/meanOpenSamples)
+	p.openRequests.Add(-1)
+	p.logAbnormalEnd(r)
 }
 
-// Withdraw tells the Balancer that the client of r has gone away. Attempts
-// that are out go on: a client that has only closed its sending side can still
-// be given their answer, and nothing else is lost by waiting for it.
+// Withdraw tells the Balancer that the caller of r has disconnected. Pending attempts
+// continue: a caller that has closed only its sending side still receives their answer.
 func (p *Pool) Withdraw(r *Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -349,27 +347,26 @@
 	delete(p.requests, r.id)
 	p.stats.Withdrawn++
 	p.balancer.Withdrawn(p.now(), r.id)
-	p.settle(r)
+	p.finishIfDone(r)
 }
 
-// Retire ends the Pool for new requests: Take gives ErrRetired but for those
-// that come again. What is open goes on.
+// Retire makes Submit return ErrRetired for all but resubmitted requests. Open requests
+// continue.
 func (p *Pool) Retire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retired = true
 }
 
-// Revive takes Retire back.
+// Reactivate undoes Retire.
 func (p *Pool) Reactivate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retired = false
 }
 
-// Close answers all requests that are open at once: the process ends before their
-// own time is up. Attempts that are out are cut, as the goroutine that answers may
-// be the one that makes the attempt.
+// Close answers all open requests at once, for a process that exits. It also cuts off pending
+// attempts, because the goroutine that writes the answer may be running the attempt.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -377,20 +374,21 @@
 		r.call.Abort()
 	}
 	p.balancer.Close(p.now())
-	for _, r := range p.requests { // those that the Balancer has no say in, see detach
+	for _, r := range p.requests { // detached requests, which the Balancer does not know
 		p.stats.Failed++
-		p.give(r, Answer{Verdict: TimedOut})
-		p.settle(r)
+		p.deliver(r, Answer{Verdict: TimedOut})
+		p.finishIfDone(r)
 	}
 }
 
-// settle ends what can be ended of r; the mutex is held.
-func (p *Pool) settle(r *Request) {
+// finishIfDone finishes r if no attempt is pending: it answers a withdrawn request and calls
+// OnFinished for an answered one. The caller holds the mutex.
+func (p *Pool) finishIfDone(r *Request) {
 	if r.pending > 0 {
 		return
 	}
 	if r.withdrawn {
-		p.give(r, Answer{Verdict: CallerGone})
+		p.deliver(r, Answer{Verdict: CallerGone})
 	}
 	if r.answered && r.OnFinished != nil {
 		r.OnFinished()
@@ -398,52 +396,51 @@
 	}
 }
 
-// give gives r its answer and tells whether it is the first; the mutex is
-// held. Nothing is sent for r from here on.
-func (p *Pool) give(r *Request, a Answer) bool {
+// deliver sends the answer to r unless it has one, and reports whether it did. Nothing is sent
+// to nodes for r afterwards. The caller holds the mutex.
+func (p *Pool) deliver(r *Request, a Answer) bool {
 	if r.answered {
 		return false
 	}
 	r.answered, r.verdict = true, a.Verdict
-	if r.own != nil && r.own != a.Upstream {
-		r.own.Release()
+	if r.errorAnswer != nil && r.errorAnswer != a.Upstream {
+		r.errorAnswer.Release()
 	}
-	r.own = nil
+	r.errorAnswer = nil
 	r.call.End()
 	delete(p.requests, r.id)
 	r.Reply <- a
 	return true
 }
 
-// attempt is one that the Balancer wants made.
+// attempt is an attempt that the Balancer has requested.
 type attempt struct {
 	pool          *Pool
-	of            *Request
+	request       *Request
 	number        int
 	node          string
 	sent, timeout time.Duration
 }
 
-// Attempt makes the first attempt for a request that Take has taken, if the
-// Balancer wants one at once, and returns with its outcome. Whoever gave the
-// request has a goroutine that would only wait; with it the common request costs
-// none of its own. Later attempts, and those beside the first, have theirs.
+// RunFirstAttempt makes the first attempt for a submitted request, if the Balancer wants one
+// at once, and returns after its outcome. Using the goroutine of the submitter saves one for
+// most requests; later and concurrent attempts run in goroutines of their own.
 func (p *Pool) RunFirstAttempt(r *Request) {
-	if r.mine {
-		p.attempt(r, &r.first)
+	if r.hasFirst {
+		p.runAttempt(r, &r.first)
 	}
 }
 
-// attempt makes one attempt and tells the Balancer how it ended.
-func (p *Pool) attempt(r *Request, a *attempt) {
+// runAttempt makes one attempt and reports its outcome to the Balancer.
+func (p *Pool) runAttempt(r *Request, a *attempt) {
 	if u := r.Outgoing.Upload; u != nil {
 		u.ResponseTimeout = r.Budget
 		u.Commit = func() bool { return p.detach(r, a) }
 	}
-	// An instant, as this goroutine may not have got to run at once; and counted from before
-	// the Balancer read the clock, as the process may have been held up after that.
+	// The deadline is a point in time that counts from a.sent, because this goroutine may
+	// start late and the process may be suspended after the Balancer has read the clock.
 	deadline := p.start.Add(a.sent + a.timeout)
-	if end := r.taken.Add(r.Budget); end.Before(deadline) {
+	if end := r.submittedAt.Add(r.Budget); end.Before(deadline) {
 		deadline = end
 	}
 	up, result := p.conns.Do(&r.call, a.node, &r.Outgoing, deadline, a)
@@ -451,16 +448,16 @@
 	defer p.mu.Unlock()
 	if r.detached {
 		p.stats.Results[result]++
-		p.uploaded(r, up, result)
+		p.finishUpload(r, up, result)
 		return
 	}
 	now := p.now()
 	r.pending--
 	p.stats.Results[result]++
-	p.trace(r, a, result, now)
+	p.recordAttempt(r, a, result, now)
 	elapsed := now - a.sent
 	if up != nil {
-		elapsed -= up.LocalDelay // it is none of the node's
+		elapsed -= up.LocalDelay // delays on this machine do not count against the node
 	}
 	switch {
 	case up == nil:
@@ -468,113 +465,110 @@
 		up.Release()
 	case result == balance.OK:
 		p.stats.Served++
-		p.give(r, Answer{Verdict: Served, Upstream: up})
+		p.deliver(r, Answer{Verdict: Served, Upstream: up})
 	default:
-		if r.own != nil {
-			r.own.Release()
+		if r.errorAnswer != nil {
+			r.errorAnswer.Release()
 		}
-		r.own = up
+		r.errorAnswer = up
 	}
 	over := r.answered || r.withdrawn
 	p.balancer.Outcome(now, r.id, a.number, result, elapsed, over)
-	p.settle(r)
+	p.finishIfDone(r)
 }
 
-// confirmAfter is how long a decision stands without being asked for again.
-const confirmAfter = 10 * time.Millisecond
+// confirmInterval is how long a decision of the Balancer, or a check of the caller, stays valid.
+const confirmInterval = 10 * time.Millisecond
 
-// Confirm implements upstream.Confirmer. The caller may have left unseen: what begins 0.1 s
-// after it has is work for nobody, and who watches for that, or whoever read the request,
-// may not have got to run. So every attempt has a look at the caller as the last step,
-// however short a time ago the caller was there by some clock: a process may be held up
-// between reading it and going on.
+// Confirm implements upstream.Confirmer. It checks the caller as the last step before each
+// attempt, because no attempt may begin 0.1 s or more after the caller has disconnected, and
+// the goroutine that watches the caller may not have run. If the checks take longer than
+// confirmInterval they are repeated.
 func (a *attempt) Confirm() bool {
 	for {
 		began := time.Now()
-		if !a.stands(began) {
+		if !a.stillValid(began) {
 			return false
 		}
-		if a.of.Caller != nil && a.of.Caller.Disconnected() {
-			a.pool.Withdraw(a.of)
+		if a.request.Caller != nil && a.request.Caller.Disconnected() {
+			a.pool.Withdraw(a.request)
 			return false
 		}
-		if time.Since(began) < confirmAfter {
+		if time.Since(began) < confirmInterval {
 			return true
 		}
-		// The look has taken long, or the process did not get to run.
 	}
 }
 
-// stands tells whether the decision for the attempt holds. While a connection came up the
-// node may have been told to be draining, or the time in which it drops a repeat may have
-// run out.
-func (a *attempt) stands(now time.Time) bool {
+// stillValid reports whether the decision for the attempt still holds. While a connection is
+// established, the node may begin to drain, or the time in which it drops a repeat may end.
+func (a *attempt) stillValid(now time.Time) bool {
 	p := a.pool
-	if now.Sub(p.start)-a.sent < confirmAfter {
+	if now.Sub(p.start)-a.sent < confirmInterval {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.balancer.Confirm(p.now(), a.of.id, a.number)
+	return p.balancer.Confirm(p.now(), a.request.id, a.number)
 }
 
-// host is the Pool as the Balancer sees it. The mutex is held in all its
-// methods, which only start work.
-type host Pool
+// balancerHost implements balance.Host for a Pool. Its methods are called with the mutex held
+// and do not block.
+type balancerHost Pool
 
 // Send implements balance.Host.
-func (h *host) Send(id balance.RequestID, addr string, timeout time.Duration) {
+func (h *balancerHost) Send(id balance.RequestID, addr string, timeout time.Duration) {
 	p := (*Pool)(h)
 	r := p.requests[id]
-	a := attempt{pool: p, of: r, number: r.attempts, node: addr, sent: p.now(), timeout: timeout}
+	a := attempt{pool: p, request: r, number: r.attempts, node: addr, sent: p.now(), timeout: timeout}
 	if r.attempts++; r.attempts == 1 {
 		p.stats.FirstAttempts++
 	} else {
 		p.stats.LaterAttempts++
 	}
 	r.pending++
-	if r.taking && !r.mine {
-		r.first, r.mine = a, true
+	if r.submitting && !r.hasFirst {
+		r.first, r.hasFirst = a, true
 		return
 	}
 	own := a
-	go p.attempt(r, &own)
+	go p.runAttempt(r, &own)
 }
 
 // Refuse implements balance.Host.
-func (h *host) Refuse(id balance.RequestID, retryAfter time.Duration) {
+func (h *balancerHost) Refuse(id balance.RequestID, retryAfter time.Duration) {
 	p := (*Pool)(h)
 	r := p.requests[id]
-	if r.own != nil && r.pending == 0 { // says more than that there was none
+	if r.errorAnswer != nil && r.pending == 0 { // the node's error answer tells the caller more
 		h.Fail(id)
 		return
 	}
 	p.stats.Refused++
-	p.give(r, Answer{Verdict: Refused, RetryAfter: retryAfter})
-	p.settle(r)
+	p.deliver(r, Answer{Verdict: Refused, RetryAfter: retryAfter})
+	p.finishIfDone(r)
 }
 
 // Fail implements balance.Host.
-func (h *host) Fail(id balance.RequestID) {
+func (h *balancerHost) Fail(id balance.RequestID) {
 	p := (*Pool)(h)
 	r := p.requests[id]
 	p.stats.Failed++
 	switch {
 	case r.pending > 0:
-		p.give(r, Answer{Verdict: TimedOut})
+		p.deliver(r, Answer{Verdict: TimedOut})
 	default:
-		p.give(r, Answer{Verdict: Failed, Upstream: r.own})
+		p.deliver(r, Answer{Verdict: Failed, Upstream: r.errorAnswer})
 	}
-	p.settle(r)
+	p.finishIfDone(r)
 }
 
 // Watch implements balance.Host.
-func (h *host) Watch() {
-	h.wanted = len(h.sources) == 0 // Run has not begun
+func (h *balancerHost) Watch() {
+	h.watchWanted = len(h.sources) == 0 // Run has not started
 	for _, src := range h.sources {
 		select {
-		case src.watch <- struct{}{}:
-		default: // one is wanted already
+		case src.watchRequests <- struct{}{}:
+		default: // a request is already queued
 		}
 	}
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -30,7 +30,7 @@
 	tell := func(addrs ...string) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.update(balance.Full, entries(addrs...))
+		p.applyList(balance.Full, entries(addrs...))
 	}
 	cold := func(want ...bool) {
 		t.Helper()
@@ -61,7 +61,7 @@
 	cold(false)
 }
 
-// ask takes one safe request through p and returns its answer.
+// ask submits one safe request to p and returns its answer.
 func ask(t *testing.T, p *Pool, again bool) (Answer, error) {
 	t.Helper()
 	r := &Request{Tenant: -1, Budget: patience, Resubmitted: again, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
@@ -73,9 +73,9 @@
 	return <-r.Answer(), nil
 }
 
-// A retired pool takes only what comes again, until it is revived; a full one
-// takes nothing.
-func TestTakeTellsWhyNot(t *testing.T) {
+// A retired pool accepts only resubmitted requests, until it is reactivated; a full one
+// accepts none.
+func TestSubmitErrors(t *testing.T) {
 	n, err := standin.StartNode(standin.NodeConfig{})
 	if err != nil {
 		t.Fatal(err)
@@ -108,14 +108,14 @@
 	eventually(t, "it is in the pool and at the node", func() bool { return p.OpenRequests() == 1 && n.Open() == 1 })
 	want(false, ErrFull)
 	want(true, ErrFull)
-	if after := p.RetryAfter(); after < fullLeast || after > fullMost {
+	if after := p.RetryAfter(); after < minRetryAfter || after > maxRetryAfter {
 		t.Errorf("come back after %v", after)
 	}
 	n.Set(standin.Serve)
 	if a := <-done; a.Verdict != Served {
 		t.Errorf("%+v", a)
 	}
-	if s := p.Stats(); s.Taken != 4 || s.Served != 4 || s.Full != 2 || p.OpenRequests() != 0 {
+	if s := p.Stats(); s.Submitted != 4 || s.Served != 4 || s.Full != 2 || p.OpenRequests() != 0 {
 		t.Errorf("%+v, %d open", s, p.OpenRequests())
 	}
 }
--- a/internal/pool/release_test.go
+++ b/internal/pool/release_test.go
@@ -244,7 +244,7 @@
 	}
 	second := newTally(t, l)
 	p.mu.Lock()
-	p.update(balance.Delta, nodes.List{Endpoints: []nodes.Endpoint{
+	p.applyList(balance.Delta, nodes.List{Endpoints: []nodes.Endpoint{
 		entry("s-1", first, "terminated", time.Time{}),
 		entry("s-2", second, nodes.InService, time.Now().Add(-time.Minute)),
 	}})
--- a/internal/pool/silent_test.go
+++ b/internal/pool/silent_test.go
@@ -94,7 +94,7 @@
 	go p.Run(ctx)
 	if asked { // not after the Balancer's wait, which spreads the starts of so many
 		eventually(t, "a source", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(p.sources) > 0 })
-		p.sources[0].watch <- struct{}{}
+		p.sources[0].watchRequests <- struct{}{}
 	}
 	eventually(t, "the first list", p.HasList)
 	return p
--- a/internal/pool/spread_test.go
+++ b/internal/pool/spread_test.go
@@ -95,10 +95,10 @@
 	t.Cleanup(func() { slog.SetDefault(old) })
 	src := &source{Source: nodes.Fixed{}}
 	for range 50 {
-		src.fails("p", errors.New("refused"))
+		src.recordFailure("p", errors.New("refused"))
 	}
-	src.tells("p")
-	src.tells("p")
+	src.recordSuccess("p")
+	src.recordSuccess("p")
 	if n := bytes.Count(log.Bytes(), []byte("\n")); n != 2 || !strings.Contains(log.String(), "failed=50") {
 		t.Errorf("want a line for the first failure and one for the return:\n%s", log.String())
 	}
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -7,17 +7,17 @@
 	"gorselink/balance"
 )
 
-// Stats counts what has happened in a Pool since its start.
+// Stats counts the events of a Pool since its start.
 type Stats struct {
-	Taken         int // requests handed to the Balancer
-	Full          int // turned away before that: too many were open
+	Submitted     int // requests given to the Balancer
+	Full          int // requests rejected because too many were open
 	Served        int
 	Refused       int
 	Failed        int
 	Withdrawn     int
-	FirstAttempts int                      // attempts that were a request's first
-	LaterAttempts int                      // and those that followed
-	Results       [balance.NotSent + 1]int // of attempts
+	FirstAttempts int
+	LaterAttempts int
+	Results       [balance.NotSent + 1]int // attempts by result
 }
 
 // Stats returns the counts so far.
@@ -27,28 +27,27 @@
 	return p.stats
 }
 
-// Report logs a summary line if anything has happened since the last one, and
-// closes connections that have been idle for too long. It is to be called
-// about once a second.
+// Report logs a summary line if anything has happened since the last one, and closes
+// connections that have been idle for too long. Call it about once a second.
 func (p *Pool) Report(now time.Time) {
 	p.conns.CloseExpired(now)
 	p.mu.Lock()
-	st, was, open := p.stats, p.reported, len(p.requests)
-	p.reported = st
-	untold := max(0, p.wrongs-toldMost)
-	p.wrongs = 0
+	current, last, open := p.stats, p.lastReported, len(p.requests)
+	p.lastReported = current
+	unlogged := max(0, p.abnormalEnds-maxAbnormalEndLines)
+	p.abnormalEnds = 0
 	p.mu.Unlock()
-	if st == was && open == 0 {
+	if current == last && open == 0 {
 		return
 	}
 	endpoints, most := p.conns.ConnStats()
-	since := func(r balance.Result) int { return st.Results[r] - was.Results[r] }
-	slog.Info("second", "pool", p.cfg.Name, "taken", st.Taken-was.Taken, "open", open,
-		"full", st.Full-was.Full, "refused", st.Refused-was.Refused, "failed", st.Failed-was.Failed, "withdrawn", st.Withdrawn-was.Withdrawn,
-		"first", st.FirstAttempts-was.FirstAttempts, "again", st.LaterAttempts-was.LaterAttempts,
-		"ok", since(balance.OK), "error", since(balance.Error),
-		"overloaded", since(balance.Overloaded), "timeout", since(balance.Timeout),
-		"noconn", since(balance.ConnectError), "reset", since(balance.Reset),
-		"notsent", since(balance.NotSent), "conns", p.conns.OpenConns(), "endpoints", endpoints, "conns_most", most,
-		"bodies_left", p.bodies.Available(), "untold", untold)
+	results := func(r balance.Result) int { return current.Results[r] - last.Results[r] }
+	slog.Info("second", "pool", p.cfg.Name, "taken", current.Submitted-last.Submitted, "open", open,
+		"full", current.Full-last.Full, "refused", current.Refused-last.Refused, "failed", current.Failed-last.Failed, "withdrawn", current.Withdrawn-last.Withdrawn,
+		"first", current.FirstAttempts-last.FirstAttempts, "again", current.LaterAttempts-last.LaterAttempts,
+		"ok", results(balance.OK), "error", results(balance.Error),
+		"overloaded", results(balance.Overloaded), "timeout", results(balance.Timeout),
+		"noconn", results(balance.ConnectError), "reset", results(balance.Reset),
+		"notsent", results(balance.NotSent), "conns", p.conns.OpenConns(), "endpoints", endpoints, "conns_most", most,
+		"bodies_left", p.bodies.Available(), "untold", unlogged)
 }
--- a/internal/pool/trail.go
+++ b/internal/pool/trail.go
@@ -9,56 +9,56 @@
 	"gorselink/balance"
 )
 
-// step is one attempt of a request, for the log.
-type step struct {
+// attemptRecord describes one attempt of a request for the log.
+type attemptRecord struct {
 	node       string
 	result     balance.Result
-	sent, took time.Duration // sent since the request was taken
+	sent, took time.Duration // sent counts from the submission of the request
 }
 
-// toldMost bounds the lines of requests that ended wrongly, a second: a storm of
-// failures must not become a storm of lines, and a few tell what kind it is.
-const toldMost = 8
+// maxAbnormalEndLines bounds the log lines per second for requests that ended abnormally.
+const maxAbnormalEndLines = 8
 
-// trace books an attempt of a request that may end wrongly; the mutex is held. The
-// common request, served by its first attempt in good time, costs nothing.
-func (p *Pool) trace(r *Request, a *attempt, result balance.Result, now time.Duration) {
-	if result == balance.OK && len(r.trail) == 0 && now-a.sent <= r.Budget/2 {
+// recordAttempt records an attempt of a request that may end abnormally. It records nothing
+// for a request that its first attempt serves within half of the budget. The caller holds the
+// mutex.
+func (p *Pool) recordAttempt(r *Request, a *attempt, result balance.Result, now time.Duration) {
+	if result == balance.OK && len(r.attemptRecords) == 0 && now-a.sent <= r.Budget/2 {
 		return
 	}
-	r.trail = append(r.trail, step{a.node, result, p.start.Add(a.sent).Sub(r.taken), now - a.sent})
+	r.attemptRecords = append(r.attemptRecords, attemptRecord{a.node, result, p.start.Add(a.sent).Sub(r.submittedAt), now - a.sent})
 }
 
-// tell logs a request that ended wrongly: failed, left by its caller, or answered
-// after its time. One that was refused had no effect, and the sums of Report tell of
-// it. The id finds the same request in the logs of the sidecar that sent it and, by
-// the node and the time, its calls in that of the node's own.
-func (p *Pool) tell(r *Request) {
-	took, verdict := time.Since(r.taken), r.verdict             // which stands since the answer came
-	late := verdict == Served && took > r.Budget && !r.detached // a body takes what its caller takes
+// logAbnormalEnd logs a request that failed, whose caller disconnected or that was answered
+// after its budget. Refused requests had no effect and are only counted in Report. The id
+// identifies the request in the sender's log, and node and time identify its attempts in the
+// log of the node's sidecar.
+func (p *Pool) logAbnormalEnd(r *Request) {
+	took, verdict := time.Since(r.submittedAt), r.verdict       // the verdict does not change after the answer
+	late := verdict == Served && took > r.Budget && !r.detached // the time of an upload depends on its caller
 	if verdict <= Refused && !late {
 		return
 	}
 	p.mu.Lock()
-	p.wrongs++
-	told, attempts, trail := p.wrongs <= toldMost, r.attempts, r.trail
+	p.abnormalEnds++
+	logged, attempts, records := p.abnormalEnds <= maxAbnormalEndLines, r.attempts, r.attemptRecords
 	p.mu.Unlock()
-	if !told {
+	if !logged {
 		return
 	}
-	var steps strings.Builder
-	for i, s := range trail {
+	var trail strings.Builder
+	for i, record := range records {
 		if i > 0 {
-			steps.WriteString(", ")
+			trail.WriteString(", ")
 		}
-		fmt.Fprintf(&steps, "%s %s after %v at %v", s.node, results[s.result], s.took.Round(time.Millisecond), s.sent.Round(time.Millisecond))
+		fmt.Fprintf(&trail, "%s %s after %v at %v", record.node, resultNames[record.result], record.took.Round(time.Millisecond), record.sent.Round(time.Millisecond))
 	}
-	slog.Info("ended wrongly", "pool", p.cfg.Name, "id", r.CallID, "class", r.Class, "end", verdict,
-		"budget", r.Budget, "took", took.Round(time.Millisecond), "attempts", attempts, "trail", steps.String())
+	slog.Info("request ended abnormally", "pool", p.cfg.Name, "id", r.CallID, "class", r.Class, "end", verdict,
+		"budget", r.Budget, "took", took.Round(time.Millisecond), "attempts", attempts, "trail", trail.String())
 }
 
-// results are the names of balance.Result, as Report has them.
-var results = [...]string{"ok", "error", "overloaded", "timeout", "noconn", "reset", "cancelled", "notsent"}
+// resultNames are the names of the values of balance.Result, as in the log lines of Report.
+var resultNames = [...]string{"ok", "error", "overloaded", "timeout", "noconn", "reset", "cancelled", "notsent"}
 
 // String implements fmt.Stringer.
 func (v Verdict) String() string {
--- a/internal/pool/trail_test.go
+++ b/internal/pool/trail_test.go
@@ -59,12 +59,12 @@
 	if log.Len() > 0 {
 		t.Errorf("a request that ended well tells %q", log.String())
 	}
-	for n := range 3 * toldMost {
+	for n := range 3 * maxAbnormalEndLines {
 		ask("/sick", n+1)
 	}
 	lines := strings.Split(strings.TrimSpace(log.String()), "\n")
-	if len(lines) != toldMost {
-		t.Fatalf("%d lines of %d requests that failed within a second, want %d", len(lines), 3*toldMost, toldMost)
+	if len(lines) != maxAbnormalEndLines {
+		t.Fatalf("%d lines of %d requests that failed within a second, want %d", len(lines), 3*maxAbnormalEndLines, maxAbnormalEndLines)
 	}
 	for _, want := range []string{"id=id-1 ", "class=0 ", "end=failed ", "budget=10s ", "attempts=1 ", "s-1 error after "} {
 		if !strings.Contains(lines[0], want) {
@@ -73,7 +73,7 @@
 	}
 	log.Reset()
 	p.Report(time.Now())
-	if want := fmt.Sprintf("untold=%d", 2*toldMost); !strings.Contains(log.String(), want) {
+	if want := fmt.Sprintf("untold=%d", 2*maxAbnormalEndLines); !strings.Contains(log.String(), want) {
 		t.Errorf("%q lacks %q", log.String(), want)
 	}
 	ask("/sick", 100)
--- a/internal/pool/upload.go
+++ b/internal/pool/upload.go
@@ -5,15 +5,12 @@
 	"gorselink/internal/upstream"
 )
 
-// detach takes a request from the Balancer whose body is sent on while it comes,
-// just before its node gets the first byte that is not held. It tells whether the
-// request still goes on.
+// detach removes a request with a streamed body from the Balancer, just before the first byte
+// that is not buffered is sent to the node. It reports whether the request continues.
 //
-// From there on nothing is left to decide: the Balancer has chosen the node, and
-// there can be no second attempt. A body takes as long as its caller likes, and its
-// node has not begun before the last byte; to the Balancer, which reckons with
-// every second of an attempt, that would be a node that has stopped and a jam. So
-// it is told that nothing was sent, and learns nothing of the outcome.
+// From then on no second attempt is possible, and the duration depends on how fast the caller
+// sends. The Balancer would take a slow upload for an overloaded node, so it is told that
+// nothing was sent and does not learn the outcome.
 func (p *Pool) detach(r *Request, a *attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,16 +22,16 @@
 	return true
 }
 
-// uploaded answers a detached request by the outcome of its one attempt; the mutex
-// is held.
-func (p *Pool) uploaded(r *Request, up *upstream.Response, result balance.Result) {
+// finishUpload answers a detached request by the outcome of its only attempt. The caller holds
+// the mutex.
+func (p *Pool) finishUpload(r *Request, up *upstream.Response, result balance.Result) {
 	r.pending--
 	a := Answer{Upstream: up}
 	switch result {
 	case balance.OK:
 		p.stats.Served++
 		a.Verdict = Served
-	case balance.Overloaded, balance.ConnectError, balance.NotSent: // it never ran
+	case balance.Overloaded, balance.ConnectError, balance.NotSent: // the request never ran
 		if r.Outgoing.Upload.Err() != nil {
 			p.stats.Withdrawn++
 			a.Verdict = CallerGone
@@ -49,6 +46,6 @@
 		p.stats.Failed++
 		a.Verdict = Failed
 	}
-	p.give(r, a)
-	p.settle(r)
+	p.deliver(r, a)
+	p.finishIfDone(r)
 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,25 +1,24 @@
-// Package ring has lists whose links lie in their elements, for connections that
-// change lists with each request: container/list allocates an element each time
-// one is put in.
+// Package ring provides intrusive doubly linked lists: the links are part of the elements. Unlike
+// container/list, adding an element does not allocate.
 package ring
 
-// Link is the place of one thing in lists, one at a time. Of is set once by its
-// owner.
+// Link is an element's position in a list. It can be in one list at a time. The owner of the
+// element sets Value once.
 type Link[T any] struct {
 	Value      T
 	next, prev *Link[T]
 }
 
-// List is a list of links; the zero value is empty.
+// List is a list of links. The zero value is an empty list.
 type List[T any] struct {
 	root Link[T]
 	len  int
 }
 
-// Len is how many links there are.
+// Len returns the number of links.
 func (l *List[T]) Len() int { return l.len }
 
-// PushBack puts k, which is in no list, at the end.
+// PushBack appends k, which must not be in a list.
 func (l *List[T]) PushBack(k *Link[T]) {
 	if l.root.next == nil {
 		l.root.next, l.root.prev = &l.root, &l.root
@@ -30,17 +29,17 @@
 	l.len++
 }
 
-// Remove takes k, which is in this list, out of it.
+// Remove removes k, which must be in this list.
 func (l *List[T]) Remove(k *Link[T]) {
 	k.prev.next, k.next.prev = k.next, k.prev
 	k.next, k.prev = nil, nil
 	l.len--
 }
 
-// Front is the first link, or nil.
+// Front returns the first link, or nil if the list is empty.
 func (l *List[T]) Front() *Link[T] { return l.Next(&l.root) }
 
-// Next is the link after k, or nil.
+// Next returns the link after k, or nil if k is the last one.
 func (l *List[T]) Next(k *Link[T]) *Link[T] {
 	if k.next == nil || k.next == &l.root {
 		return nil
