--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,8 +25,8 @@
 type Daemon struct {
 	ctx    context.Context // ends what works in the background
 	cancel context.CancelFunc
-	keys   *httpfront.Keys
-	ids    *httpfront.IDs
+	keys   *httpfront.KeyBindings
+	ids    *httpfront.SeenIDs
 
 	mu        sync.Mutex
 	cfg       *config.Product // the one in force
@@ -52,8 +52,8 @@
 type listener struct {
 	cfg     config.Listener
 	door    *door
-	judge   *httpfront.Routed
-	callers *httpfront.Callers
+	judge   *httpfront.TableRouter
+	callers *httpfront.Server
 
 	takesOver bool // the door of the listener that had its address
 }
@@ -64,8 +64,8 @@
 	d := &Daemon{
 		ctx:       ctx,
 		cancel:    cancel,
-		keys:      httpfront.NewKeys(keySpan(cfg)),
-		ids:       httpfront.NewIDs(cfg.LongestDeadline()),
+		keys:      httpfront.NewKeyBindings(keySpan(cfg)),
+		ids:       httpfront.NewSeenIDs(cfg.LongestDeadline()),
 		cfg:       &config.Product{},
 		services:  map[string]*service{},
 		listeners: map[string]*listener{},
@@ -157,7 +157,7 @@
 // come; the mutex is held.
 func (d *Daemon) letGo(now time.Time) {
 	d.retired = slices.DeleteFunc(d.retired, func(s *service) bool {
-		if s.pool.Open() > 0 || now.Before(s.until) {
+		if s.pool.OpenRequests() > 0 || now.Before(s.until) {
 			return false
 		}
 		s.end()
@@ -184,20 +184,20 @@
 	for _, s := range d.retired {
 		if !s.sharing {
 			s.pool.Conns().CloseIdle()
-			over += s.pool.Conns().Open()
+			over += s.pool.Conns().OpenConns()
 		}
 	}
 	for _, s := range d.services {
-		over += max(0, s.pool.Conns().Open()-s.cfg.Connections)
-		grown += max(0, s.cfg.Connections-s.pool.Conns().Bound())
+		over += max(0, s.pool.Conns().OpenConns()-s.cfg.Connections)
+		grown += max(0, s.cfg.Connections-s.pool.Conns().MaxConns())
 	}
 	for _, s := range d.services {
-		most, has := s.cfg.Connections, s.pool.Conns().Bound()
+		most, has := s.cfg.Connections, s.pool.Conns().MaxConns()
 		if more := most - has; more > 0 && over > 0 {
 			most = max(has, most-(over*more+grown-1)/grown)
 		}
 		if most != has {
-			s.pool.Conns().Limit(most, s.cfg.Memory/config.LargeShare)
+			s.pool.Conns().SetLimits(most, s.cfg.Memory/config.LargeShare)
 		}
 	}
 }
@@ -211,8 +211,8 @@
 	listeners := slices.Collect(maps.Values(d.listeners))
 	d.mu.Unlock()
 	for _, l := range listeners {
-		l.judge.Drain()
-		l.callers.Bound(deadline.Add(-answerMargin))
+		l.judge.MarkDraining()
+		l.callers.SetResponseDeadline(deadline.Add(-answerMargin))
 	}
 	time.Sleep(min(coming, time.Until(deadline)))
 	var wg sync.WaitGroup
@@ -260,13 +260,13 @@
 
 func newConns(p *config.Pool, bound int) *upstream.Pool {
 	return upstream.New(upstream.Config{
-		DialTimeout: p.ConnectTimeout,
-		ConnIdle:    p.IdleTimeout,
-		MaxConns:    bound,
-		LargeBytes:  p.Memory / config.LargeShare,
-		MaxAnswer:   int(p.MaxAnswer),
-		AnswerTime:  p.AnswerTime,
-		AnyStatus:   true,
+		DialTimeout:          p.ConnectTimeout,
+		IdleTimeout:          p.IdleTimeout,
+		MaxConns:             bound,
+		LargeResponseBytes:   p.Memory / config.LargeShare,
+		MaxResponseBytes:     int(p.MaxAnswer),
+		ResponseStallTimeout: p.AnswerTime,
+		PassThroughStatus:    true,
 	})
 }
 
--- a/internal/front/http/caller_test.go
+++ b/internal/front/http/caller_test.go
@@ -19,8 +19,8 @@
 // rig is a sidecar between a test's callers and one endpoint of its own.
 type rig struct {
 	*pool.Pool
-	judge    *Platform
-	callers  *Callers
+	judge    *PlatformRouter
+	callers  *Server
 	addr     string
 	requests atomic.Int64 // that reached the endpoint
 	hold     chan struct{}
@@ -69,8 +69,8 @@
 		}
 	}
 	r.Pool = newPool(t, cfg)
-	r.judge = NewPlatform(r.Pool, testForm(cfg))
-	r.callers = NewCallers(r.judge, most, Times{})
+	r.judge = NewPlatformRouter(r.Pool, testForm(cfg))
+	r.callers = NewServer(r.judge, most, Timeouts{})
 	l := listen()
 	r.addr = l.Addr().String()
 	go r.callers.Serve(l)
@@ -226,7 +226,7 @@
 			if text != "" && !strings.HasPrefix(string(all), "HTTP/1.1 408 ") {
 				t.Errorf("answer %q, want 408", all)
 			}
-			if d := time.Since(start); d < helloTime/2 {
+			if d := time.Since(start); d < helloTimeout/2 {
 				t.Errorf("closed after %v, too soon for a slow caller", d)
 			}
 		})
@@ -260,17 +260,17 @@
 }
 
 func TestSeenIDsForget(t *testing.T) {
-	s := IDs{span: time.Second}
-	for i := range 5 * seenMost {
-		if !s.add(fmt.Sprint(i), 0) {
+	s := SeenIDs{retention: time.Second}
+	for i := range 5 * maxIDsPerGeneration {
+		if !s.recordAt(fmt.Sprint(i), 0) {
 			t.Fatalf("id %d taken for one seen", i)
 		}
-		if n := len(s.new) + len(s.old); n > 2*seenMost {
+		if n := len(s.current) + len(s.previous); n > 2*maxIDsPerGeneration {
 			t.Fatalf("%d ids held", n)
 		}
 	}
-	last := fmt.Sprint(5*seenMost - 1)
-	if s.add(last, time.Second) || !s.add(last, 3*time.Second) {
+	last := fmt.Sprint(5*maxIDsPerGeneration - 1)
+	if s.recordAt(last, time.Second) || !s.recordAt(last, 3*time.Second) {
 		t.Error("want an id known within the span and forgotten after two")
 	}
 }
@@ -351,7 +351,7 @@
 	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
 	done := make(chan struct{})
 	go func() {
-		r.judge.Drain()
+		r.judge.MarkDraining()
 		r.callers.Drain(time.Now().Add(patience))
 		close(done)
 	}()
@@ -379,6 +379,6 @@
 	io.WriteString(c, view(""))
 	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
 	c.Close()
-	eventually(t, "nothing kept, long before the deadline", func() bool { return r.Pool.Open() == 0 })
-	eventually(t, "the connection to the endpoint closed", func() bool { return r.Conns().Open() == 0 })
+	eventually(t, "nothing kept, long before the deadline", func() bool { return r.Pool.OpenRequests() == 0 })
+	eventually(t, "the connection to the endpoint closed", func() bool { return r.Conns().OpenConns() == 0 })
 }
--- a/internal/front/http/close_test.go
+++ b/internal/front/http/close_test.go
@@ -48,7 +48,7 @@
 			eventually(t, "the answer waits", func() bool {
 				r.callers.mu.Lock()
 				defer r.callers.mu.Unlock()
-				return r.callers.places[rejected].Len() == 1
+				return r.callers.conns[stateRejected].Len() == 1
 			})
 			r.dial(t)
 			return conn, 404
@@ -75,7 +75,7 @@
 		},
 		"meets a fault before it is sent on": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			r.callers.judge = faultyJudge{}
+			r.callers.router = faultyJudge{}
 			conn := r.dial(t)
 			io.WriteString(conn, view(""))
 			return conn, 503
@@ -92,7 +92,7 @@
 			conn := r.join(t, func(c net.Conn) net.Conn { return &faultyWriter{TCPConn: c.(*net.TCPConn)} })
 			io.WriteString(conn, view(""))
 			eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
-			time.Sleep(2 * watchAfter)
+			time.Sleep(2 * watchDelay)
 			close(hold)
 			return conn, 500
 		},
@@ -129,15 +129,15 @@
 		"the end as it has been read": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
 			conn, free := r.readAndHeld(t, 1)
-			r.callers.Bound(time.Now())
-			r.callers.Cut()
+			r.callers.SetResponseDeadline(time.Now())
+			r.callers.StopReading()
 			free()
 			return conn, 503
 		},
 		"a handover as it has been read": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
 			conn, free := r.readAndHeld(t, 2)
-			r.callers.PassOn(func(_ net.Conn, ahead []byte) error {
+			r.callers.SetHandover(func(_ net.Conn, ahead []byte) error {
 				if len(ahead) > 0 {
 					t.Errorf("passed on with %d bytes that have been read", len(ahead))
 				}
@@ -148,7 +148,7 @@
 		},
 		"its wait ends as it has been read": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			r.callers.times = Times{Hello: some / 2, Request: requestTime, Idle: some / 2}
+			r.callers.timeouts = Timeouts{Hello: some / 2, Request: requestTimeout, Idle: some / 2}
 			conn, free := r.readAndHeld(t, 2)
 			time.Sleep(some)
 			free()
@@ -208,8 +208,8 @@
 	eventually(t, "it is asked to give way", func() bool {
 		r.callers.mu.Lock()
 		defer r.callers.mu.Unlock()
-		for st := range taken {
-			if e := r.callers.places[st].Front(); e != nil && e.Of.hurried {
+		for st := range stateActive {
+			if e := r.callers.conns[st].Front(); e != nil && e.Value.closeRequested {
 				return true
 			}
 		}
@@ -238,7 +238,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.callers.Take(here)
+	r.callers.HandleConn(here)
 	return c
 }
 
@@ -246,16 +246,16 @@
 // client would that is late: a reset would eat what it has not read.
 func readWhole(t *testing.T, conn net.Conn) net.Conn {
 	t.Helper()
-	eventually(t, "the connection ends", func() bool { return sock.NewPresence(conn).State() == sock.Ended })
+	eventually(t, "the connection ends", func() bool { return sock.NewPoller(conn).State() == sock.Closed })
 	return conn
 }
 
 // faultyJudge fails on every request.
 type faultyJudge struct{}
 
-func (faultyJudge) Ready() int { return 200 }
+func (faultyJudge) ReadyStatus() int { return 200 }
 
-func (faultyJudge) Judge(*Request) (*Plan, *Rejection) { panic("a planted fault") }
+func (faultyJudge) Route(*Request) (*Plan, *Rejection) { panic("a planted fault") }
 
 // faultyWriter fails on the first write.
 type faultyWriter struct {
--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/crossing_test.go
@@ -48,7 +48,7 @@
 func (r *rig) join(t *testing.T, wrap func(net.Conn) net.Conn) net.Conn {
 	t.Helper()
 	c, there := connected(t)
-	r.callers.Take(wrap(there))
+	r.callers.HandleConn(wrap(there))
 	return c
 }
 
@@ -61,7 +61,7 @@
 	g.fail = os.ErrDeadlineExceeded
 	<-g.at
 	io.WriteString(c, view(""))
-	eventually(t, "the request in the kernel", func() bool { return sock.Waiting(g.TCPConn) })
+	eventually(t, "the request in the kernel", func() bool { return sock.HasPendingData(g.TCPConn) })
 	close(g.gate)
 	if status, _, err := get(bufio.NewReader(c)); status != 200 {
 		t.Errorf("answered %d, %v, want 200", status, err)
@@ -88,7 +88,7 @@
 			r := newRig(t, 1, nil)
 			judging, judge := make(chan struct{}), make(chan struct{})
 			if c.reads == 0 {
-				r.callers.judge = slowJudge{r.callers.judge, judging, judge}
+				r.callers.router = slowJudge{r.callers.router, judging, judge}
 			}
 			var g *gated
 			first := r.join(t, func(c2 net.Conn) net.Conn { g = newGated(c2, c.reads); return g })
@@ -100,7 +100,7 @@
 			if c.reads == 0 {
 				<-judging
 			} else if c.rest != "" {
-				eventually(t, "the rest in the kernel", func() bool { return sock.Waiting(g.TCPConn) })
+				eventually(t, "the rest in the kernel", func() bool { return sock.HasPendingData(g.TCPConn) })
 			}
 			second := r.dial(t)
 			if c.want == 200 { // nothing gives way, and the new one is closed
@@ -111,8 +111,8 @@
 				eventually(t, "the first one is asked to give way", func() bool {
 					r.callers.mu.Lock()
 					defer r.callers.mu.Unlock()
-					e := r.callers.places[reading].Front()
-					return e == nil || e.Of.hurried
+					e := r.callers.conns[stateReading].Front()
+					return e == nil || e.Value.closeRequested
 				})
 			}
 			close(g.gate)
@@ -126,16 +126,16 @@
 
 // slowJudge judges once it is let.
 type slowJudge struct {
-	of           Judge
+	of           Router
 	judging, let chan struct{}
 }
 
-func (j slowJudge) Ready() int { return j.of.Ready() }
+func (j slowJudge) ReadyStatus() int { return j.of.ReadyStatus() }
 
-func (j slowJudge) Judge(req *Request) (*Plan, *Rejection) {
+func (j slowJudge) Route(req *Request) (*Plan, *Rejection) {
 	close(j.judging)
 	<-j.let
-	return j.of.Judge(req)
+	return j.of.Route(req)
 }
 
 // The end of the process finds a request whose last byte has come and was not read, and
@@ -153,17 +153,17 @@
 	eventually(t, "the rest in the kernel, and the others come", func() bool {
 		r.callers.mu.Lock()
 		defer r.callers.mu.Unlock()
-		return sock.Waiting(g.TCPConn) && r.callers.places[reading].Len() == 3
+		return sock.HasPendingData(g.TCPConn) && r.callers.conns[stateReading].Len() == 3
 	})
 	began := time.Now()
-	r.callers.Cut()
+	r.callers.StopReading()
 	close(g.gate)
 	for name, c := range map[string]net.Conn{"a whole one": whole, "half a head": half, "half a body": body} {
 		if status, _, err := get(bufio.NewReader(c)); status != 408 {
 			t.Errorf("%s is answered %d, %v, want 408", name, status, err)
 		}
 	}
-	if took := time.Since(began); took > requestTime*3/4 {
+	if took := time.Since(began); took > requestTimeout*3/4 {
 		t.Errorf("told after %v, want it at once", took)
 	}
 }
@@ -187,7 +187,7 @@
 		}
 	}()
 	r.callers.Drain(time.Now().Add(patience))
-	if n := r.callers.Open(); n > 0 {
+	if n := r.callers.OpenConns(); n > 0 {
 		t.Errorf("%d connections are open after a drain", n)
 	}
 	select {
@@ -208,11 +208,11 @@
 			t.Fatalf("answered %d, %v, want 200", status, err)
 		}
 	}
-	r.callers.PassOn(func(net.Conn, []byte) error { return errors.New("nobody there") })
+	r.callers.SetHandover(func(net.Conn, []byte) error { return errors.New("nobody there") })
 	began := time.Now()
 	r.callers.Drain(time.Now().Add(patience))
-	if took := time.Since(began); took > idleTime/2 || r.callers.Open() > 0 {
-		t.Errorf("%d connections open after %v", r.callers.Open(), took)
+	if took := time.Since(began); took > idleTimeout/2 || r.callers.OpenConns() > 0 {
+		t.Errorf("%d connections open after %v", r.callers.OpenConns(), took)
 	}
 }
 
@@ -230,7 +230,7 @@
 		class.Deadline = 10 * time.Millisecond
 		form.Classes[name] = class
 	}
-	r.judge.Set(form)
+	r.judge.SetConfig(form)
 	for range 3 { // other ids, each more than two of the new deadlines later
 		time.Sleep(30 * time.Millisecond)
 		other := r.dial(t)
--- a/internal/front/http/gone_test.go
+++ b/internal/front/http/gone_test.go
@@ -130,7 +130,7 @@
 					t.Errorf("who stays is answered %d, %v, want 200", status, err)
 				}
 			}
-			eventually(t, "all requests are over", func() bool { return d.Pool.Open() == 0 })
+			eventually(t, "all requests are over", func() bool { return d.Pool.OpenRequests() == 0 })
 			for _, conn := range stay {
 				if n := d.seen.saw(d.ids[conn]); n != 1 {
 					t.Errorf("the endpoint has seen %d requests of one who stays, want 1", n)
@@ -167,7 +167,7 @@
 	if resume {
 		d.callers.Resume(wrap(there), []byte(ahead))
 	} else {
-		d.callers.Take(wrap(there))
+		d.callers.HandleConn(wrap(there))
 	}
 	return c
 }
@@ -193,9 +193,9 @@
 // queuedWay has no endpoint until it is opened.
 func queuedWay(t *testing.T) *departures {
 	d := openWay(t)
-	d.Exclude(map[string]bool{"s-1": true})
-	d.ready = func(n int) bool { return d.Pool.Open() == n }
-	d.open = func() { d.Exclude(nil) }
+	d.SetDisabled(map[string]bool{"s-1": true})
+	d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
+	d.open = func() { d.SetDisabled(nil) }
 	return d
 }
 
@@ -208,7 +208,7 @@
 		}
 		t.Cleanup(func() { l.Close() })
 		d := newDepartures(t, long, inService("s-1", l.Addr().String()))
-		d.ready = func(n int) bool { return d.Pool.Open() == n && d.Conns().Open() == n }
+		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
 		d.open = func() {
 			if err := l.Open(); err != nil {
 				t.Fatal(err)
@@ -225,15 +225,15 @@
 	w := newWitness(t, nil)
 	d := newRestingDepartures(t, 8<<20, 4*goneAfter, inService("s-1", w.addr))
 	d.seen, d.open = w, func() {}
-	d.Exclude(map[string]bool{"s-1": true})
+	d.SetDisabled(map[string]bool{"s-1": true})
 	var first []net.Conn
 	for range 8 {
 		c := d.join(t, func(c net.Conn) net.Conn { return c })
 		io.WriteString(c, view(""))
 		first = append(first, c)
 	}
-	eventually(t, "requests that each want a connection", func() bool { return d.Pool.Open() == len(first) })
-	d.Exclude(nil)
+	eventually(t, "requests that each want a connection", func() bool { return d.Pool.OpenRequests() == len(first) })
+	d.SetDisabled(nil)
 	for _, c := range first {
 		if status, _, err := get(bufio.NewReader(c)); status != 200 {
 			t.Fatalf("answered %d, %v, want 200", status, err)
@@ -265,9 +265,9 @@
 	t.Cleanup(func() { late.Close() })
 	d := newDepartures(t, 8<<20, inService("late", late.Addr().String()),
 		inService("rejects", srv.Listener.Addr().String()), inService("first", newWitness(t, nil).addr))
-	d.Exclude(map[string]bool{"late": true, "rejects": true})
+	d.SetDisabled(map[string]bool{"late": true, "rejects": true})
 	d.earnRetries(t)
-	d.Exclude(map[string]bool{"late": true, "first": true})
+	d.SetDisabled(map[string]bool{"late": true, "first": true})
 	d.open = func() {
 		if err := late.Open(); err != nil {
 			t.Fatal(err)
@@ -275,7 +275,7 @@
 		d.seen = newWitness(t, late)
 	}
 	rejected := sync.OnceFunc(func() {
-		d.Exclude(map[string]bool{"rejects": true, "first": true})
+		d.SetDisabled(map[string]bool{"rejects": true, "first": true})
 		close(reject)
 	})
 	t.Cleanup(rejected)
@@ -286,7 +286,7 @@
 		if all {
 			rejected()
 		}
-		return d.Stats().Again == n
+		return d.Stats().LaterAttempts == n
 	}
 	return d
 }
@@ -301,12 +301,12 @@
 		want                       error
 	}{
 		{"stays", "Content-Length: 4", "body", "", false, nil},
-		{"leaves", "Content-Length: 4", "body", "", true, errGone},
-		{"leaves behind more", "Content-Length: 4", "body", "x", true, errGone},
-		{"more", "Content-Length: 4", "body", "x", false, errBehind},
+		{"leaves", "Content-Length: 4", "body", "", true, errCallerLeft},
+		{"leaves behind more", "Content-Length: 4", "body", "x", true, errCallerLeft},
+		{"more", "Content-Length: 4", "body", "x", false, errUnexpectedBytes},
 		{"chunked, stays", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", false, nil},
-		{"chunked, leaves", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", true, errGone},
-		{"chunked, more", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "x", false, errBehind},
+		{"chunked, leaves", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", true, errCallerLeft},
+		{"chunked, more", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "x", false, errUnexpectedBytes},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -324,9 +324,9 @@
 				t.Fatal(err)
 			}
 			defer here.Close()
-			k := newCaller(NewCallers(nil, 1, Times{}), here)
+			k := newCallerConn(NewServer(nil, 1, Timeouts{}), here)
 			fmt.Fprintf(there, "POST /pay HTTP/1.1\r\nHost: x\r\n%s\r\n\r\n%s%s", c.coding, c.text, c.behind)
-			head, err := framing.Peek(k.in)
+			head, err := framing.PeekHead(k.in)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -336,9 +336,9 @@
 			k.in.Discard(len(head))
 			if c.leaves {
 				there.Close()
-				eventually(t, "the end has come", func() bool { return k.peer.State() == sock.Ended })
+				eventually(t, "the end has come", func() bool { return k.peer.State() == sock.Closed })
 			}
-			body := &presentBody{k, &restOf{in: k.in, h: &k.req.Head, most: 1 << 20}}
+			body := &checkedBody{k, &bodyReader{in: k.in, head: &k.req.Head, maxBytes: 1 << 20}}
 			if got, err := io.ReadAll(body); !errors.Is(err, c.want) || err == nil && string(got) != "body" {
 				t.Errorf("%q, %v, want %v", got, err, c.want)
 			}
--- a/internal/front/http/left_test.go
+++ b/internal/front/http/left_test.go
@@ -70,7 +70,7 @@
 	ready func(n int) bool    // n requests wait
 	open  func()              // the way, for those that still wait
 	ids   map[net.Conn]string // of who is there
-	via   func(net.Conn)      // how connections come, Callers.Take unless it is set
+	via   func(net.Conn)      // how connections come, Server.HandleConn unless it is set
 	serve func()              // from the first call on
 }
 
@@ -85,7 +85,7 @@
 		cfg.Balance.Classes[i].Deadline = 4 * patience
 	}
 	cfg.Balance.RampTime = 0 // what comes back is not cold
-	conns := upstream.New(upstream.Config{DialTimeout: patience, ConnIdle: 5 * time.Second, MaxConns: 200, LargeBytes: 1 << 20, Stream: PlatformLongest, Rest: rest})
+	conns := upstream.New(upstream.Config{DialTimeout: patience, IdleTimeout: 5 * time.Second, MaxConns: 200, LargeResponseBytes: 1 << 20, MaxStreamBytes: PlatformMaxBytes, ReuseDelay: rest})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{Name: "test", Zones: map[string]int{"a": 0}, Balance: cfg.Balance,
 		Known: nodes.List{Snapshot: true, Endpoints: list}, Limits: pool.Limits{BodyBytes: 8 << 20, LongBytes: long}}, conns)
@@ -93,9 +93,9 @@
 		t.Fatal(err)
 	}
 	d := &departures{rig: rig{Pool: p}, t: t, ids: map[net.Conn]string{}}
-	d.judge = NewPlatform(p, testForm(cfg))
-	d.callers = NewCallers(d.judge, 200, Times{})
-	d.via = d.callers.Take
+	d.judge = NewPlatformRouter(p, testForm(cfg))
+	d.callers = NewServer(d.judge, 200, Timeouts{})
+	d.via = d.callers.HandleConn
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -127,10 +127,10 @@
 	held := func(t *testing.T) *departures {
 		w := newWitness(t, nil)
 		d := newDepartures(t, 8<<20, inService("s-1", w.addr))
-		d.Exclude(map[string]bool{"s-1": true})
+		d.SetDisabled(map[string]bool{"s-1": true})
 		d.seen = w
-		d.ready = func(n int) bool { return d.Pool.Open() == n }
-		d.open = func() { d.Exclude(nil) }
+		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
+		d.open = func() { d.SetDisabled(nil) }
 		return d
 	}
 	dialling := func(t *testing.T, long int64) *departures {
@@ -141,7 +141,7 @@
 		t.Cleanup(func() { l.Close() })
 		d := newDepartures(t, long, inService("s-1", l.Addr().String()))
 		d.seen = &witness{}
-		d.ready = func(n int) bool { return d.Pool.Open() == n }
+		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
 		d.open = func() {
 			if err := l.Open(); err != nil {
 				t.Fatal(err)
@@ -194,7 +194,7 @@
 					}
 				}
 				eventually(t, "all requests wait", func() bool { return d.ready(n) })
-				time.Sleep(50 * time.Millisecond) // past watchAfter, and a write that was still under way
+				time.Sleep(50 * time.Millisecond) // past watchDelay, and a write that was still under way
 				for i, conn := range gone {       // a burst, as ends and as resets
 					if c.more && i%3 == 1 {
 						io.WriteString(conn, "x")
@@ -254,7 +254,7 @@
 				}
 				conn.Close()
 			}
-			eventually(t, "all are gone", func() bool { return d.callers.Open() == 0 })
+			eventually(t, "all are gone", func() bool { return d.callers.OpenConns() == 0 })
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if len(w.ids) > 0 {
@@ -302,13 +302,13 @@
 	})
 	w := newWitness(t, nil)
 	d := newDepartures(t, 8<<20, inService("s-1", w.addr), inService("s-2", l.Addr().String()))
-	d.Exclude(map[string]bool{"s-2": true})
+	d.SetDisabled(map[string]bool{"s-2": true})
 	d.earnRetries(t)
-	d.Exclude(map[string]bool{"s-1": true})
+	d.SetDisabled(map[string]bool{"s-1": true})
 	d.seen = w
 	d.ready = func(n int) bool { mu.Lock(); defer mu.Unlock(); return len(hung) == n }
 	d.open = func() {
-		d.Exclude(map[string]bool{"s-2": true})
+		d.SetDisabled(map[string]bool{"s-2": true})
 		mu.Lock()
 		defer mu.Unlock()
 		for _, c := range hung {
--- a/internal/front/http/rig_test.go
+++ b/internal/front/http/rig_test.go
@@ -34,7 +34,7 @@
 
 func newPool(t *testing.T, cfg *testSettings) *pool.Pool {
 	t.Helper()
-	conns := upstream.New(upstream.Config{DialTimeout: time.Second, ConnIdle: cfg.Balance.ConnIdle, MaxConns: 32, LargeBytes: 400 << 10})
+	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: cfg.Balance.ConnIdle, MaxConns: 32, LargeResponseBytes: 400 << 10})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{
 		Name:    "test",
@@ -58,8 +58,8 @@
 	}
 }
 
-func testForm(cfg *testSettings) *Form {
-	return &Form{Classes: map[string]PlatformClass{
+func testForm(cfg *testSettings) *PlatformConfig {
+	return &PlatformConfig{Classes: map[string]PlatformClass{
 		"view": {Class: cfg.Balance.Classes[0], Number: 0},
 		"pay":  {Class: cfg.Balance.Classes[1], Number: 1},
 	}}
--- a/internal/front/http/stops_test.go
+++ b/internal/front/http/stops_test.go
@@ -142,7 +142,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t)
-			r.callers.Limit(128)
+			r.callers.SetMaxConns(128)
 			type told struct {
 				text   string
 				ms     int
@@ -183,11 +183,11 @@
 				if want := http.StatusBadRequest; a.ms == 0 && a.status != want {
 					t.Errorf("%s with 0 ms: %d, want %d", a.text, a.status, want)
 				}
-				if want := http.StatusServiceUnavailable; a.ms > 0 && a.ms <= int(transit.Milliseconds()) && a.status != want {
+				if want := http.StatusServiceUnavailable; a.ms > 0 && a.ms <= int(transitMargin.Milliseconds()) && a.status != want {
 					t.Errorf("%s with %d ms: %d, want %d", a.text, a.ms, a.status, want)
 				}
 			}
-			eventually(t, "nothing is open", func() bool { return r.Pool.Open() == 0 })
+			eventually(t, "nothing is open", func() bool { return r.Pool.OpenRequests() == 0 })
 		})
 	}
 }
--- a/internal/front/http/stream_test.go
+++ b/internal/front/http/stream_test.go
@@ -31,7 +31,7 @@
 	t.Cleanup(srv.Close)
 	cfg := testConfig()
 	conns := upstream.New(upstream.Config{
-		DialTimeout: time.Second, ConnIdle: cfg.Balance.ConnIdle, MaxConns: 32, LargeBytes: room, Stream: PlatformLongest,
+		DialTimeout: time.Second, IdleTimeout: cfg.Balance.ConnIdle, MaxConns: 32, LargeResponseBytes: room, MaxStreamBytes: PlatformMaxBytes,
 	})
 	t.Cleanup(conns.Close)
 	cfg.Known.Endpoints = []nodes.Endpoint{{Name: "s-1", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService}}
@@ -43,8 +43,8 @@
 		t.Fatal(err)
 	}
 	r := &rig{Pool: p}
-	r.judge = NewPlatform(p, testForm(cfg))
-	r.callers = NewCallers(r.judge, 32, Times{})
+	r.judge = NewPlatformRouter(p, testForm(cfg))
+	r.callers = NewServer(r.judge, 32, Timeouts{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 							t.Fatalf("%d bytes, %v, want all %d", n, err, size)
 						}
 					}
-					eventually(t, "one connection that waits for the next", func() bool { return r.Conns().Open() == 1 && r.Pool.Open() == 0 })
+					eventually(t, "one connection that waits for the next", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.OpenRequests() == 0 })
 				})
 			}
 		}
@@ -179,10 +179,10 @@
 		}
 		start := time.Now()
 		n, err := io.Copy(io.Discard, resp.Body)
-		if d := time.Since(start); err == nil || d > idleTime/2 { // which would end it as well
+		if d := time.Since(start); err == nil || d > idleTimeout/2 { // which would end it as well
 			t.Errorf("chunked %t: %v after %d bytes and %v, want a break at once", chunked, err, n, d)
 		}
-		eventually(t, "nothing is held", func() bool { return r.Conns().Open() == 0 && r.Pool.Open() == 0 })
+		eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.OpenRequests() == 0 })
 	}
 }
 
@@ -202,7 +202,7 @@
 		time.Sleep(50 * time.Millisecond)
 		c.Close()
 	}
-	eventually(t, "nothing is held", func() bool { return r.Conns().Open() == 0 && r.Pool.Open() == 0 })
+	eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.OpenRequests() == 0 })
 }
 
 // A long body comes at the pace of a slow caller; one that stops is told off.
@@ -274,8 +274,8 @@
 					t.Fatalf("%d %q, %v, want 200 %q", status, body, err, want)
 				}
 			}
-			eventually(t, "one connection that waits for the next", func() bool { return r.Conns().Open() == 1 && r.Pool.Open() == 0 })
-			if left := r.Bodies().Left(); left != r.Bodies().Total() {
+			eventually(t, "one connection that waits for the next", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.OpenRequests() == 0 })
+			if left := r.Bodies().Available(); left != r.Bodies().Total() {
 				t.Errorf("%d bytes of room left of %d", left, r.Bodies().Total())
 			}
 		})
@@ -313,8 +313,8 @@
 			if status, _, err := get(bufio.NewReader(conn)); err != nil || status != c.status {
 				t.Errorf("status %d, %v, want %d", status, err, c.status)
 			}
-			if d := time.Since(start); d > 4*bodyStall {
-				t.Errorf("told off after %v, want about %v", d, bodyStall)
+			if d := time.Since(start); d > 4*bodyStallTimeout {
+				t.Errorf("told off after %v, want about %v", d, bodyStallTimeout)
 			}
 			if !c.away {
 				select {
@@ -326,7 +326,7 @@
 					t.Error("the node still waits for the rest")
 				}
 			}
-			eventually(t, "nothing is held", func() bool { return r.Conns().Open() == 0 && r.Pool.Open() == 0 })
+			eventually(t, "nothing is held", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.OpenRequests() == 0 })
 		})
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -86,8 +86,8 @@
 	listener net.Listener
 	up       *upstream.Pool
 	pool     *pool.Pool
-	judge    *httpfront.Platform
-	callers  *httpfront.Callers
+	judge    *httpfront.PlatformRouter
+	callers  *httpfront.Server
 	marks    *fleet.Marks
 
 	mu      sync.Mutex
@@ -115,15 +115,15 @@
 
 // thrifty is cfg with connections kept idle for no longer than upstream.KeepIdle.
 func thrifty(cfg *config.Config) *config.Config {
-	cfg.Balance.ConnIdle = min(cfg.Balance.ConnIdle, upstream.KeepIdle(cfg.HandshakePrice, cfg.ConnectionPrice))
+	cfg.Balance.ConnIdle = min(cfg.Balance.ConnIdle, upstream.OptimalIdleTimeout(cfg.HandshakePrice, cfg.ConnectionPrice))
 	return cfg
 }
 
 // handed is what a process hands to the one that takes its place.
 type handed struct {
-	Nodes  []nodes.Endpoint `json:"nodes"`  // as they are listed now
-	Listed []string         `json:"listed"` // names that have been listed once
-	Memory pool.Memory      `json:"memory"` // what was learnt
+	Nodes  []nodes.Endpoint  `json:"nodes"`  // as they are listed now
+	Listed []string          `json:"listed"` // names that have been listed once
+	Memory pool.LearnedState `json:"memory"` // what was learnt
 }
 
 func (s *Sidecar) run(ctx context.Context, reload <-chan os.Signal) error {
@@ -156,11 +156,11 @@
 	defer s.listener.Close()
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	s.up = upstream.New(upstream.Config{
-		DialTimeout: cfg.DialTimeout,
-		ConnIdle:    cfg.Balance.ConnIdle,
-		Rest:        restTime,
-		LargeBytes:  s.memory() / largeShare,
-		Stream:      httpfront.PlatformLongest,
+		DialTimeout:        cfg.DialTimeout,
+		IdleTimeout:        cfg.Balance.ConnIdle,
+		ReuseDelay:         restTime,
+		LargeResponseBytes: s.memory() / largeShare,
+		MaxStreamBytes:     httpfront.PlatformMaxBytes,
 	})
 	defer s.up.Close()
 	begin := discovery(cfg)
@@ -180,16 +180,16 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	s.pool.Remember(was.Listed)
+	s.pool.AddKnownNames(was.Listed)
 	form, err := s.form(cfg)
 	if err != nil {
 		return err
 	}
 	if s.before != nil {
-		s.pool.Recall(was.Memory)
+		s.pool.Restore(was.Memory)
 	}
-	s.judge = httpfront.NewPlatform(s.pool, form)
-	s.callers = httpfront.NewCallers(s.judge, 1, httpfront.Times{})
+	s.judge = httpfront.NewPlatformRouter(s.pool, form)
+	s.callers = httpfront.NewServer(s.judge, 1, httpfront.Timeouts{})
 	s.share()
 	if s.marks, err = fleet.OpenMarks(dir, s.heed); err != nil {
 		slog.Error("what operators say cannot be kept, and is refused", "error", err)
@@ -259,9 +259,9 @@
 	}
 	memory, conns := s.memory()/parts, max(2, s.limits.Sockets/int(parts)-config.OwnDescriptors)
 	debug.SetMemoryLimit(int64(float64(memory) * heapShare))
-	s.up.Limit(conns/2, memory/largeShare)
-	s.callers.Limit(conns / 2)
-	s.pool.Limit(bodyLimits(memory))
+	s.up.SetLimits(conns/2, memory/largeShare)
+	s.callers.SetMaxConns(conns / 2)
+	s.pool.SetLimits(bodyLimits(memory))
 }
 
 func bodyLimits(memory int64) pool.Limits {
@@ -270,7 +270,7 @@
 
 // state is what the next process is told.
 func (s *Sidecar) state() any {
-	return handed{Nodes: s.pool.List().Endpoints, Listed: s.pool.Names(), Memory: s.pool.Memory()}
+	return handed{Nodes: s.pool.List().Endpoints, Listed: s.pool.KnownNames(), Memory: s.pool.LearnedState()}
 }
 
 // succeed takes the place of the process at the other end of l.
@@ -284,7 +284,7 @@
 		s.share()
 	}()
 	go func() {
-		for !s.pool.Listed() { // the list may come from discovery alone
+		for !s.pool.HasList() { // the list may come from discovery alone
 			select {
 			case <-l.Done():
 				return
@@ -365,11 +365,11 @@
 }
 
 // form is how requests are judged by cfg, whose classes the pool learns of.
-func (s *Sidecar) form(cfg *config.Config) (*httpfront.Form, error) {
-	f := &httpfront.Form{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
+func (s *Sidecar) form(cfg *config.Config) (*httpfront.PlatformConfig, error) {
+	f := &httpfront.PlatformConfig{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
 	for name, i := range cfg.Classes {
 		class := cfg.Balance.Classes[i]
-		number, err := s.pool.Class(class)
+		number, err := s.pool.ClassNumber(class)
 		if err != nil {
 			return nil, err
 		}
@@ -393,17 +393,17 @@
 	}
 	slog.Info("reload", "discovery", cfg.Discovery, "classes", len(cfg.Classes), "attempts", cfg.Balance.AttemptLimit)
 	next := discovery(cfg)
-	if index, known := s.pool.Version(); cfg.Balance.AskDiscovery && known {
+	if index, known := s.pool.ListVersion(); cfg.Balance.AskDiscovery && known {
 		next.Resume(index) // the same list at another address
 	}
-	s.pool.Move(next)
+	s.pool.SetSource(next)
 }
 
 // mostClasses bounds the classes that the Balancer knows, used or not.
 const mostClasses = 1024
 
 func (s *Sidecar) retune(cfg *config.Config) error {
-	if s.pool.Classes() > mostClasses {
+	if s.pool.ClassCount() > mostClasses {
 		return fmt.Errorf("over %d classes since the start", mostClasses)
 	}
 	// New classes that nothing leads to change nothing, so that they can come
@@ -412,10 +412,10 @@
 	if err != nil {
 		return err
 	}
-	if err := s.pool.Retune(cfg.Balance); err != nil {
+	if err := s.pool.Reconfigure(cfg.Balance); err != nil {
 		return err
 	}
-	s.judge.Set(form)
+	s.judge.SetConfig(form)
 	s.mu.Lock()
 	s.cfg, s.longest = cfg, min(s.longest, cfg.LongestDeadline())
 	s.mu.Unlock()
@@ -439,24 +439,24 @@
 	kill := began.Add(min(longest, killLongest) + killTime)
 	last := began.Add(max(kill.Sub(began)-killMargin, comingTime))
 	exit := kill.Add(-exitMargin)
-	s.callers.Bound(last.Add(-answerMargin))
+	s.callers.SetResponseDeadline(last.Add(-answerMargin))
 	// What came before the bound was set may have longer than this process has, and what
 	// is still coming may be whole in the moment that the process ends.
 	defer time.AfterFunc(time.Until(last)-answerMargin, func() {
-		s.callers.Cut()
+		s.callers.StopReading()
 		s.pool.Close()
 	}).Stop()
 	if next != nil {
-		slog.Info("handing over", "callers", s.callers.Open())
+		slog.Info("handing over", "callers", s.callers.OpenConns())
 		s.listener.Close()
 		<-served
-		s.callers.PassOn(next.Pass)
+		s.callers.SetHandover(next.Pass)
 		s.callers.Drain(exit)
 		next.Close()
 		return
 	}
-	slog.Info("draining", "left", time.Until(last), "open", s.pool.Open())
-	s.judge.Drain()
+	slog.Info("draining", "left", time.Until(last), "open", s.pool.OpenRequests())
+	s.judge.MarkDraining()
 	coming := min(comingTime, last.Sub(began)-drainLeast)
 	// Where requests may take long, fewer of those that come late end in time.
 	time.Sleep(max(coming, time.Until(last)-max(windDown, longest/2)))
