--- a/balance/admission.go
+++ b/balance/admission.go
@@ -116,7 +116,7 @@
 // enter tells whether a client's request may enter.
 func (b *Balancer) enter(now time.Duration, r *request, tenant int) bool {
 	part := 1.0
-	if b.waited(r) >= b.cfg.Classes[r.class].Aim {
+	if b.waited(r) >= b.cfg.Classes[r.class].LatencyTarget {
 		part = b.cfg.Classes[r.class].LateWorth
 	}
 	if !b.door.admits(b.value(now, r.class, tenant), part, b.outTotal) {
@@ -177,7 +177,7 @@
 		v += b.cfg.WorstClassWeight * total / c.asked
 	}
 	if tenant >= 0 && tenant < len(b.door.quotas) && !b.door.quotas[tenant].within(now) {
-		v *= b.cfg.OverShareWorth
+		v *= b.cfg.OverQuotaWorth
 	}
 	return v / math.Pow(b.ratio(class), 2)
 }
@@ -190,7 +190,7 @@
 	if result == ConnectError {
 		return e.servedAt > 0 && now-e.servedAt < recentlyServed
 	}
-	return result == Overloaded || result == Timeout || result == OK && elapsed > b.cfg.Classes[r.class].Aim
+	return result == Overloaded || result == Timeout || result == OK && elapsed > b.cfg.Classes[r.class].LatencyTarget
 }
 
 // noteLate tells the door of an attempt that is out past its aim: its outcome would
--- a/balance/ask_test.go
+++ b/balance/ask_test.go
@@ -25,7 +25,7 @@
 	f := a.f
 	a.calls = append(a.calls, f.now)
 	b := f.at[i]
-	fails := func(after time.Duration) { f.after(after, func() { b.Members(f.now, Failed, nil) }) }
+	fails := func(after time.Duration) { f.after(after, func() { b.Members(f.now, ListFailed, nil) }) }
 	switch {
 	case !a.up() && a.hangs():
 		fails(limit)
@@ -48,7 +48,7 @@
 // within 100 ms.
 func askedDay(t *testing.T, n int, within time.Duration, seed uint64) (latest time.Duration, calls, most int) {
 	cfg := fleetConfig()
-	cfg.AskDiscovery, cfg.AskWithin = true, within
+	cfg.PullDiscovery, cfg.MaxWatchInterval = true, within
 	rng := rand.New(rand.NewPCG(seed, 9))
 	back := 12*time.Second + time.Duration(rng.Int64N(int64(3*time.Second)))
 	f := newFleet(t, cfg, n, seed)
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -42,40 +42,40 @@
 
 // Class holds the settings of one class of requests.
 type Class struct {
-	Aim        time.Duration // an answer within it earns full worth; 0 means Deadline
-	Deadline   time.Duration // the client's whole patience
-	Semantics  Semantics
-	Scope      Scope
-	MemorySpan time.Duration // how long a Keyed repeat is dropped
-	Worth      float64
-	LateWorth  float64 // part of Worth that an answer after Aim earns
+	LatencyTarget       time.Duration // an answer within it earns full worth; 0 means Deadline
+	Deadline            time.Duration // the client's whole patience
+	Semantics           Semantics
+	Scope               Scope
+	DeduplicationWindow time.Duration // how long a Keyed repeat is dropped
+	Worth               float64
+	LateWorth           float64 // part of Worth that an answer after Aim earns
 }
 
 // Config holds the settings of a Balancer.
 type Config struct {
-	Index        int // this instance among the tier's balancers
-	Instances    int // how many balancers share the tier
-	Zone         int
-	Classes      []Class
-	Entry        bool      // clients send here, not balancers of a tier above
-	Tenants      []float64 // requests a second within each tenant's share, over all instances; 0 means no share
-	AttemptLimit int
-	MayDuplicate bool // two attempts of a request may be out at once
+	Index                   int // this instance among the tier's balancers
+	Instances               int // how many balancers share the tier
+	Zone                    int
+	Classes                 []Class
+	Entry                   bool      // clients send here, not balancers of a tier above
+	TenantQuotas            []float64 // requests a second within each tenant's share, over all instances; 0 means no share
+	AttemptLimit            int
+	AllowConcurrentAttempts bool // two attempts of a request may be out at once
 
 	CrossZonePrice   float64 // points of the goal, as a part of 1, for a crossing per request
 	WorstClassWeight float64 // part of the goal that is the worst served class's share, 0 to 1
-	OverShareWorth   float64 // worth of a request beyond its tenant's share
+	OverQuotaWorth   float64 // worth of a request beyond its tenant's share
 
-	ColdShare    float64       // an endpoint starts at this share of its capacity, or more
-	RampTime     time.Duration // and has all of it after this
-	OverloadFor  time.Duration // span over which a cold endpoint's load is judged
-	FallMultiple float64       // so many times its capacity for that long pushes it over; 0 if not known
+	ColdShare      float64       // an endpoint starts at this share of its capacity, or more
+	RampTime       time.Duration // and has all of it after this
+	OverloadWindow time.Duration // span over which a cold endpoint's load is judged
+	OverloadFactor float64       // so many times its capacity for that long pushes it over; 0 if not known
 
-	ConnIdle  time.Duration // idle connections close after this
-	Multiplex int           // attempts that share a connection
+	IdleConnTimeout time.Duration // idle connections close after this
+	Multiplex       int           // attempts that share a connection
 
-	AskDiscovery bool          // lists come only after Watch
-	AskWithin    time.Duration // ask again at least this often while not watching
+	PullDiscovery    bool          // lists come only after Watch
+	MaxWatchInterval time.Duration // ask again at least this often while not watching
 }
 
 func (c *Config) validate() error {
@@ -88,9 +88,9 @@
 		return fmt.Errorf("balance: Index: %d, want 0 to Instances-1", c.Index)
 	case min(c.WorstClassWeight, c.ColdShare) < 0 || max(c.WorstClassWeight, c.ColdShare) > 1:
 		return fmt.Errorf("balance: WorstClassWeight, ColdShare: %v, %v, want 0 to 1", c.WorstClassWeight, c.ColdShare)
-	case c.RampTime < 0 || c.OverloadFor < 0 || c.FallMultiple < 0:
+	case c.RampTime < 0 || c.OverloadWindow < 0 || c.OverloadFactor < 0:
 		return errors.New("balance: RampTime, OverloadFor and FallMultiple: want 0 or more")
-	case c.AskDiscovery && c.AskWithin <= 0:
+	case c.PullDiscovery && c.MaxWatchInterval <= 0:
 		return errors.New("balance: AskWithin: want more than 0 where AskDiscovery is set")
 	}
 	return nil
@@ -133,10 +133,10 @@
 type ListKind int
 
 const (
-	Delta  ListKind = iota // changed entries only
-	Full                   // all entries; what is missing is gone
-	Cached                 // all entries, maybe outdated
-	Failed                 // asking failed, the old list stands
+	Delta      ListKind = iota // changed entries only
+	Full                       // all entries; what is missing is gone
+	Cached                     // all entries, maybe outdated
+	ListFailed                 // asking failed, the old list stands
 )
 
 // Result tells how an attempt ended.
@@ -268,47 +268,47 @@
 			return nil, err
 		}
 	}
-	return b, b.Retune(cfg)
+	return b, b.Reconfigure(cfg)
 }
 
 // Retune takes up new settings, all or none; classes and what has been learnt stand.
-func (b *Balancer) Retune(cfg Config) error {
+func (b *Balancer) Reconfigure(cfg Config) error {
 	cfg.Classes = b.cfg.Classes
 	if err := cfg.validate(); err != nil {
 		return err
 	}
 	b.cfg, b.door.quotas = cfg, nil
-	for _, perSecond := range cfg.Tenants {
+	for _, perSecond := range cfg.TenantQuotas {
 		b.door.quotas = append(b.door.quotas, quota{perSecond: perSecond / float64(cfg.Instances)})
 	}
 	return nil
 }
 
 // Learnt is of a class or an endpoint: its mean in seconds, of how many samples, failures.
-type Learnt struct{ Mean, N, Failures float64 }
+type Estimate struct{ Mean, N, Failures float64 }
 
 // Memory is what a Balancer has learnt, for one that goes on in its place.
-type Memory struct {
+type Snapshot struct {
 	Limit, Served, InAim float64
-	Classes              []Learnt
-	Endpoints            map[string]Learnt
+	Classes              []Estimate
+	Endpoints            map[string]Estimate
 }
 
 // Memory tells what has been learnt by now.
-func (b *Balancer) Memory(now time.Duration) Memory {
-	m := Memory{b.door.limit, b.servedRate.mean(now), b.aimRate.mean(now), nil, map[string]Learnt{}}
+func (b *Balancer) Snapshot(now time.Duration) Snapshot {
+	m := Snapshot{b.door.limit, b.servedRate.mean(now), b.aimRate.mean(now), nil, map[string]Estimate{}}
 	for i := range b.classes {
-		m.Classes = append(m.Classes, Learnt{Mean: b.classes[i].mean, N: b.classes[i].n})
+		m.Classes = append(m.Classes, Estimate{Mean: b.classes[i].mean, N: b.classes[i].n})
 	}
 	for addr, i := range b.byAddr {
 		e := &b.eps[i]
-		m.Endpoints[addr] = Learnt{e.sum / max(1, float64(e.n)), float64(e.n), e.failures.count(now)}
+		m.Endpoints[addr] = Estimate{e.sum / max(1, float64(e.n)), float64(e.n), e.failures.count(now)}
 	}
 	return m
 }
 
 // Recall takes up what another Balancer has learnt, as far as it knows of it.
-func (b *Balancer) Recall(now time.Duration, m Memory) {
+func (b *Balancer) Restore(now time.Duration, m Snapshot) {
 	b.door.limit = m.Limit
 	b.servedRate, b.aimRate = rateOf(now, m.Served), rateOf(now, m.InAim)
 	b.warmth, b.averagedAt = 1, now // all may have been warm when that was served
@@ -329,12 +329,12 @@
 func (b *Balancer) AddClass(c Class) (int, error) {
 	i := len(b.classes)
 	switch {
-	case c.Deadline <= 0 || c.Aim < 0:
-		return 0, fmt.Errorf("balance: Classes[%d]: Deadline %v and Aim %v, want a Deadline above 0 and no negative Aim", i, c.Deadline, c.Aim)
+	case c.Deadline <= 0 || c.LatencyTarget < 0:
+		return 0, fmt.Errorf("balance: Classes[%d]: Deadline %v and Aim %v, want a Deadline above 0 and no negative Aim", i, c.Deadline, c.LatencyTarget)
 	case c.Semantics < Safe || c.Semantics > Unsafe || c.Scope < ScopeAll || c.Scope > ScopeCell:
 		return 0, fmt.Errorf("balance: Classes[%d]: unknown Semantics or Scope", i)
-	case c.Aim == 0:
-		c.Aim = c.Deadline
+	case c.LatencyTarget == 0:
+		c.LatencyTarget = c.Deadline
 	}
 	b.cfg.Classes, b.classes = append(b.cfg.Classes, c), append(b.classes, classStats{})
 	return i, nil
@@ -342,7 +342,7 @@
 
 // Members takes a list of endpoints, or the news that asking for it failed.
 func (b *Balancer) Members(now time.Duration, kind ListKind, list []Endpoint) {
-	if kind == Failed {
+	if kind == ListFailed {
 		b.watchFails++
 		b.watchLater()
 		return
@@ -374,7 +374,7 @@
 	})
 	if kind != Cached {
 		b.watchFails = 0
-	} else if b.cfg.AskDiscovery {
+	} else if b.cfg.PullDiscovery {
 		b.watchLater()
 	}
 	b.release(now)
@@ -436,7 +436,7 @@
 		return
 	}
 	b.watchDue = true
-	delay := min(b.cfg.AskWithin/2, watchMost, max(500, 10*time.Duration(b.cfg.Instances))*time.Millisecond<<min(b.watchFails, 8))
+	delay := min(b.cfg.MaxWatchInterval/2, watchMost, max(500, 10*time.Duration(b.cfg.Instances))*time.Millisecond<<min(b.watchFails, 8))
 	b.host.After(time.Duration(float64(delay)*(0.2+0.8*b.rng.Float64())), timerWatch)
 }
 
@@ -451,7 +451,7 @@
 		return
 	}
 	b.after(r, budget, timerDeadline)
-	if aim := b.cfg.Classes[class].Aim; b.cfg.Entry && aim < budget {
+	if aim := b.cfg.Classes[class].LatencyTarget; b.cfg.Entry && aim < budget {
 		b.after(r, aim, timerLate)
 	}
 	b.askedRate.add(now, 1)
@@ -506,7 +506,7 @@
 // a ready endpoint, as semantics and cold budget permit. send checks it again.
 func (b *Balancer) maySend(r *request, i int, now time.Duration) bool {
 	e := &b.eps[i]
-	if r.closed || now >= r.deadline || len(r.attempts) >= b.cfg.AttemptLimit || e.State != Ready || r.out > 0 && !b.cfg.MayDuplicate {
+	if r.closed || now >= r.deadline || len(r.attempts) >= b.cfg.AttemptLimit || e.State != Ready || r.out > 0 && !b.cfg.AllowConcurrentAttempts {
 		return false
 	}
 	return b.mayRepeat(r, e, now) && b.coldAllowed(e, now)
@@ -519,7 +519,7 @@
 		return true
 	}
 	was := &b.eps[a.endpoint]
-	return c.Semantics == Keyed && now-a.sent < c.MemorySpan &&
+	return c.Semantics == Keyed && now-a.sent < c.DeduplicationWindow &&
 		(c.Scope != ScopeZone || e.Zone == was.Zone) && (c.Scope != ScopeCell || e.Cell == was.Cell)
 }
 
@@ -537,7 +537,7 @@
 	b.outTotal++
 	e.tokens--
 	e.sentAt = now
-	e.peaks[0] = max(e.open(now, b.cfg.ConnIdle), (len(e.flights)+b.cfg.Multiplex-1)/b.cfg.Multiplex)
+	e.peaks[0] = max(e.open(now, b.cfg.IdleConnTimeout), (len(e.flights)+b.cfg.Multiplex-1)/b.cfg.Multiplex)
 	b.host.Send(r.id, e.Addr, r.deadline-now)
 	return true
 }
@@ -625,7 +625,7 @@
 	case r.out > 0:
 	case now >= r.deadline:
 		b.fail(r)
-	case (result == ConnectError || result == NotSent) && now+2*delay-r.arrived <= min(b.cfg.Classes[r.class].Aim, r.deadline-r.arrived)/2:
+	case (result == ConnectError || result == NotSent) && now+2*delay-r.arrived <= min(b.cfg.Classes[r.class].LatencyTarget, r.deadline-r.arrived)/2:
 		// Out of budget: what reached no endpoint waits its turn, which costs none of them anything.
 		b.after(r, time.Duration((1+b.rng.Float64())*float64(delay)), timerHeld)
 	default:
@@ -641,7 +641,7 @@
 	case OK:
 		b.servedRate.add(now, 1)
 		b.retryTokens = min(b.retryTokens+retryShare, max(retryLeast, b.servedRate.mean(now)*retrySpan.Seconds()))
-		b.aimRate.add(now, b.cfg.Classes[r.class].Aim.Seconds())
+		b.aimRate.add(now, b.cfg.Classes[r.class].LatencyTarget.Seconds())
 		b.door.ok, b.door.took = b.door.ok+1, b.door.took+elapsed.Seconds()
 		e.servedAt = now
 		took := elapsed.Seconds() / a.ratio
@@ -653,7 +653,7 @@
 		e.failures.served(now)
 		*b.zoneFailures(e.Zone) = failures{}
 		c := &b.classes[r.class]
-		if elapsed <= b.cfg.Classes[r.class].Aim {
+		if elapsed <= b.cfg.Classes[r.class].LatencyTarget {
 			c.served++
 		}
 		c.n = min(c.n+1, classMemory)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -40,12 +40,12 @@
 
 func testConfig() Config {
 	return Config{
-		Instances: 1, AttemptLimit: 3, MayDuplicate: true, Multiplex: 1, ConnIdle: 5 * time.Second,
-		ColdShare: 0.2, RampTime: 10 * time.Second, OverloadFor: 2 * time.Second,
+		Instances: 1, AttemptLimit: 3, AllowConcurrentAttempts: true, Multiplex: 1, IdleConnTimeout: 5 * time.Second,
+		ColdShare: 0.2, RampTime: 10 * time.Second, OverloadWindow: 2 * time.Second,
 		Classes: []Class{
-			{Aim: 500 * ms, Deadline: time.Second, Semantics: Safe, Worth: 1},
-			{Aim: 500 * ms, Deadline: time.Second, Semantics: Unsafe, Worth: 1},
-			{Aim: 500 * ms, Deadline: time.Second, Semantics: Keyed, Scope: ScopeCell, MemorySpan: 300 * ms, Worth: 1},
+			{LatencyTarget: 500 * ms, Deadline: time.Second, Semantics: Safe, Worth: 1},
+			{LatencyTarget: 500 * ms, Deadline: time.Second, Semantics: Unsafe, Worth: 1},
+			{LatencyTarget: 500 * ms, Deadline: time.Second, Semantics: Keyed, Scope: ScopeCell, DeduplicationWindow: 300 * ms, Worth: 1},
 		},
 	}
 }
@@ -258,11 +258,11 @@
 		"Index":            func(c *Config) { c.Index = 1 },
 		"WorstClassWeight": func(c *Config) { c.WorstClassWeight = 2 },
 		"AttemptLimit":     func(c *Config) { c.AttemptLimit = 0 },
-		"FallMultiple":     func(c *Config) { c.FallMultiple = -1 },
+		"FallMultiple":     func(c *Config) { c.OverloadFactor = -1 },
 		"ColdShare":        func(c *Config) { c.ColdShare = 2 },
 		"Deadline":         func(c *Config) { c.Classes[0].Deadline = 0 },
 		"Multiplex":        func(c *Config) { c.Multiplex = 0 },
-		"AskWithin":        func(c *Config) { c.AskDiscovery = true },
+		"AskWithin":        func(c *Config) { c.PullDiscovery = true },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
@@ -421,7 +421,7 @@
 
 func TestTenantBeyondItsShareIsWorthLess(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tenants, cfg.OverShareWorth = []float64{10, 0}, 0.1
+	cfg.TenantQuotas, cfg.OverQuotaWorth = []float64{10, 0}, 0.1
 	b, _ := newTest(t, cfg, "a")
 	over := 0
 	for i := range 1000 {
@@ -550,7 +550,7 @@
 func TestLateRepeatsEnterAfterFreshRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.Entry = true
-	cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 200*ms, time.Second
+	cfg.Classes[0].LatencyTarget, cfg.Classes[0].Deadline = 200*ms, time.Second
 	b, _ := newTest(t, cfg, "a")
 	b.door.limit = 20
 	entered := [2]int{}
@@ -582,7 +582,7 @@
 func TestJamClosesTheDoorBeforeAttemptsEnd(t *testing.T) {
 	cfg := testConfig()
 	cfg.Entry = true
-	cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 200*ms, 5*time.Second
+	cfg.Classes[0].LatencyTarget, cfg.Classes[0].Deadline = 200*ms, 5*time.Second
 	b, h := newTest(t, cfg, "a", "b")
 	for i := range RequestID(100) {
 		now := time.Duration(i) * 10 * ms
@@ -618,12 +618,12 @@
 // A class without an aim is not late within its deadline.
 func TestNoAimMeansTheDeadline(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].Aim = 0
+	cfg.Classes[0].LatencyTarget = 0
 	b, _ := newTest(t, cfg, "a")
 	if b.congestion(0, &request{}, &attempt{ratio: 1}, OK, cfg.Classes[0].Deadline/2) {
 		t.Error("an answer within the deadline counted as late")
 	}
-	if cfg.Classes[0].Aim != 0 {
+	if cfg.Classes[0].LatencyTarget != 0 {
 		t.Error("New changed the caller's Config")
 	}
 }
@@ -670,11 +670,11 @@
 	b, h := newTest(t, cfg, "a", "b", "c")
 	b.Request(0, 1, 0, 0, time.Second)
 	cfg.AttemptLimit = 0
-	if err := b.Retune(cfg); err == nil || b.cfg.AttemptLimit != 3 {
+	if err := b.Reconfigure(cfg); err == nil || b.cfg.AttemptLimit != 3 {
 		t.Errorf("no attempts: error %v, limit %d", err, b.cfg.AttemptLimit)
 	}
 	cfg.AttemptLimit = 1
-	if err := b.Retune(cfg); err != nil {
+	if err := b.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	b.Outcome(5*ms, 1, 0, Error, 5*ms, false)
@@ -686,7 +686,7 @@
 		t.Fatalf("class %d, %v", i, err)
 	}
 	cfg.AttemptLimit = 3
-	if err := b.Retune(cfg); err != nil {
+	if err := b.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
 	b.Request(10*ms, 2, i, 0, time.Second)
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -81,21 +81,21 @@
 			for _, at := range since {
 				whole += cfg.ColdShare + (1-cfg.ColdShare)*min(1, (began+wave-at).Seconds()/cfg.RampTime.Seconds())
 			}
-			able := rise * perSecond / whole * cfg.OverloadFor.Seconds()
+			able := rise * perSecond / whole * cfg.OverloadWindow.Seconds()
 			worst, what := 0.0, ""
 			for addr, start := range since {
 				first, times := 0, sends[addr]
 				for k, at := range times {
-					for at-times[first] >= cfg.OverloadFor {
+					for at-times[first] >= cfg.OverloadWindow {
 						first++
 					}
 					if times[first] < start || at >= start+cfg.RampTime {
 						continue // before it was lost, or warm
 					}
 					growth := min(1, cfg.ColdShare+(1-cfg.ColdShare)*(times[first]-start).Seconds()/cfg.RampTime.Seconds())
-					n := cfg.FallMultiple * able * growth
+					n := cfg.OverloadFactor * able * growth
 					if got := float64(k-first+1) / (n + 2*math.Sqrt(n) + 2); got > worst {
-						worst, what = got, fmt.Sprintf("%s, %d within %v from %v after its start", addr, k-first+1, cfg.OverloadFor, times[first]-start)
+						worst, what = got, fmt.Sprintf("%s, %d within %v from %v after its start", addr, k-first+1, cfg.OverloadWindow, times[first]-start)
 					}
 				}
 			}
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -69,7 +69,7 @@
 // connectable tells whether e takes connections. After a ConnectError, which adds no
 // time to the mean, only open ones are used for a while.
 func (b *Balancer) connectable(e *endpoint, now time.Duration) bool {
-	return now-e.noConnAt >= e.noConnFor || (len(e.flights)+1) <= e.open(now, b.cfg.ConnIdle)*max(b.cfg.Multiplex, 1)
+	return now-e.noConnAt >= e.noConnFor || (len(e.flights)+1) <= e.open(now, b.cfg.IdleConnTimeout)*max(b.cfg.Multiplex, 1)
 }
 
 // noConn books a refused connection; caution doubles with each in a row. A
@@ -202,7 +202,7 @@
 	rate := b.coldRate(now) * g
 	e.tokens += rate * max(0, now-max(e.tokensAt, b.draws[0])).Seconds()
 	e.tokensAt = now
-	e.tokens = min(e.tokens, 1+rate*b.cfg.OverloadFor.Seconds()/2)
+	e.tokens = min(e.tokens, 1+rate*b.cfg.OverloadWindow.Seconds()/2)
 	return e.tokens >= 1
 }
 
@@ -211,7 +211,7 @@
 // is warm and nothing would ever be served without a beginning, of a part of what is asked.
 func (b *Balancer) coldRate(now time.Duration) float64 {
 	length := max(float64(b.subsetLength), b.lengthMean)
-	rate := max(1, b.cfg.FallMultiple/2) * b.servedRate.perSecond(now) / (length * max(b.warmth, warmthLeast))
+	rate := max(1, b.cfg.OverloadFactor/2) * b.servedRate.perSecond(now) / (length * max(b.warmth, warmthLeast))
 	if !b.anyWarm {
 		rate = max(rate, askedPart*b.askedRate.mean(now)/length)
 	}
--- a/balance/even_test.go
+++ b/balance/even_test.go
@@ -129,9 +129,9 @@
 
 func evenConfig() Config {
 	c := fleetConfig()
-	c.Classes = []Class{{Aim: 2 * time.Second, Deadline: 10 * time.Second, Semantics: Safe, Worth: 1, LateWorth: 0.5}}
+	c.Classes = []Class{{LatencyTarget: 2 * time.Second, Deadline: 10 * time.Second, Semantics: Safe, Worth: 1, LateWorth: 0.5}}
 	c.AttemptLimit = 3
-	c.MayDuplicate = false
+	c.AllowConcurrentAttempts = false
 	return c
 }
 
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -204,11 +204,11 @@
 
 func fleetConfig() Config {
 	return Config{
-		AttemptLimit: 6, MayDuplicate: true, Multiplex: 1, ConnIdle: 5 * time.Second,
-		ColdShare: 0.31, RampTime: 8800 * ms, OverloadFor: 3 * time.Second, FallMultiple: 3,
+		AttemptLimit: 6, AllowConcurrentAttempts: true, Multiplex: 1, IdleConnTimeout: 5 * time.Second,
+		ColdShare: 0.31, RampTime: 8800 * ms, OverloadWindow: 3 * time.Second, OverloadFactor: 3,
 		Classes: []Class{
-			{Aim: 600 * ms, Deadline: 1500 * ms, Semantics: Safe, Worth: 3, LateWorth: 0.5},
-			{Aim: 600 * ms, Deadline: 1500 * ms, Semantics: Unsafe, Worth: 3, LateWorth: 0.25},
+			{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Semantics: Safe, Worth: 3, LateWorth: 0.5},
+			{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Semantics: Unsafe, Worth: 3, LateWorth: 0.25},
 		},
 	}
 }
@@ -266,20 +266,20 @@
 			times := sends[addr]
 			first := 0
 			for k, at := range times {
-				for at-times[first] >= cfg.OverloadFor {
+				for at-times[first] >= cfg.OverloadWindow {
 					first++
 				}
 				age := (times[first] - start).Seconds() // the span's start: the least that it can do
-				able := whole * cfg.OverloadFor.Seconds() *
-					min(1, cfg.ColdShare+(1-cfg.ColdShare)*(age+cfg.OverloadFor.Seconds()/2)/cfg.RampTime.Seconds())
+				able := whole * cfg.OverloadWindow.Seconds() *
+					min(1, cfg.ColdShare+(1-cfg.ColdShare)*(age+cfg.OverloadWindow.Seconds()/2)/cfg.RampTime.Seconds())
 				most = max(most, float64(k-first+1)/able)
 				if at-start < cfg.RampTime {
 					cold++
 				}
 			}
 		}
-		if bound := cfg.FallMultiple * slowest; most > bound {
-			t.Errorf("seed %d: an endpoint was sent %.2f times what it can do for %v, want %.2f at most", seed, most, cfg.OverloadFor, bound)
+		if bound := cfg.OverloadFactor * slowest; most > bound {
+			t.Errorf("seed %d: an endpoint was sent %.2f times what it can do for %v, want %.2f at most", seed, most, cfg.OverloadWindow, bound)
 		}
 		// The even share by capacity of all cold ones over their ramp: as those that
 		// answer soonest they should have more.
--- a/balance/mass_test.go
+++ b/balance/mass_test.go
@@ -90,7 +90,7 @@
 							f.after(time.Duration(f.rng.Int64N(int64(time.Second))), func() {
 								c := cfg
 								c.Index, c.Instances, c.AttemptLimit = i, balancers, 3
-								if err := b.Retune(c); err != nil {
+								if err := b.Reconfigure(c); err != nil {
 									t.Error(err)
 								}
 								b.Members(f.now, Full, whole())
@@ -103,15 +103,15 @@
 				for _, start := range since {
 					left += cfg.ColdShare + (1-cfg.ColdShare)*min(1, (began+wave-start).Seconds()/cfg.RampTime.Seconds())
 				}
-				able := perSecond / left * cfg.OverloadFor.Seconds() // of a whole one in the span
+				able := perSecond / left * cfg.OverloadWindow.Seconds() // of a whole one in the span
 				most, cold := 0.0, 0
 				for addr, start := range since {
 					times, first := sends[addr], 0
 					for k, at := range times {
-						for at-times[first] >= cfg.OverloadFor {
+						for at-times[first] >= cfg.OverloadWindow {
 							first++
 						}
-						age := (times[first] - start + cfg.OverloadFor/2).Seconds()
+						age := (times[first] - start + cfg.OverloadWindow/2).Seconds()
 						most = max(most, float64(k-first+1)/able/min(1, cfg.ColdShare+(1-cfg.ColdShare)*age/cfg.RampTime.Seconds()))
 						if at-start < cfg.RampTime {
 							cold++
@@ -119,11 +119,11 @@
 					}
 				}
 				t.Logf("seed %d: at most %.2f times what an endpoint can do, %d sends to cold ones", seed, most, cold)
-				if bound := cfg.FallMultiple * slowest; most > bound {
-					t.Errorf("seed %d: an endpoint was sent %.2f times what it can do for %v, want %.2f at most", seed, most, cfg.OverloadFor, bound)
+				if bound := cfg.OverloadFactor * slowest; most > bound {
+					t.Errorf("seed %d: an endpoint was sent %.2f times what it can do for %v, want %.2f at most", seed, most, cfg.OverloadWindow, bound)
 				}
 				// Restarts begin with nothing to their credit: half of the even share is owed.
-				if even := able / cfg.OverloadFor.Seconds() * cfg.RampTime.Seconds() * (1 + cfg.ColdShare) / 2 * replaced; float64(cold) < even/2 {
+				if even := able / cfg.OverloadWindow.Seconds() * cfg.RampTime.Seconds() * (1 + cfg.ColdShare) / 2 * replaced; float64(cold) < even/2 {
 					t.Errorf("seed %d: cold endpoints got %d sends, want half of their even share of %.0f at least", seed, cold, even)
 				}
 			}
@@ -343,14 +343,14 @@
 			}
 		}
 		f.run(25*time.Second, perSecond, 0, 1500*ms)
-		able, most := perSecond/0.6/100*cfg.OverloadFor.Seconds(), 0.0 // where the fleet is used to 0.6
+		able, most := perSecond/0.6/100*cfg.OverloadWindow.Seconds(), 0.0 // where the fleet is used to 0.6
 		for _, times := range sends {
 			first := 0
 			for k, at := range times {
-				for at-times[first] >= cfg.OverloadFor {
+				for at-times[first] >= cfg.OverloadWindow {
 					first++
 				}
-				age := (times[first] - back + cfg.OverloadFor/2).Seconds()
+				age := (times[first] - back + cfg.OverloadWindow/2).Seconds()
 				most = max(most, float64(k-first+1)/able/min(1, cfg.ColdShare+(1-cfg.ColdShare)*age/cfg.RampTime.Seconds()))
 			}
 		}
--- a/balance/outage_test.go
+++ b/balance/outage_test.go
@@ -17,7 +17,7 @@
 			t.Parallel()
 			for seed := range uint64(2) {
 				cfg := fleetConfig()
-				cfg.AskDiscovery, cfg.AskWithin = true, 10*time.Second
+				cfg.PullDiscovery, cfg.MaxWatchInterval = true, 10*time.Second
 				rng := rand.New(rand.NewPCG(seed, 11))
 				down := 2 * time.Second
 				back := down + outage + time.Duration(rng.Int64N(int64(3*time.Second)))
@@ -35,7 +35,7 @@
 				}
 				for _, b := range f.at {
 					b.Members(0, Full, ready("w", 3))
-					f.after(down+time.Duration(rng.Int64N(int64(100*ms))), func() { b.Members(f.now, Failed, nil) }) // watches end
+					f.after(down+time.Duration(rng.Int64N(int64(100*ms))), func() { b.Members(f.now, ListFailed, nil) }) // watches end
 				}
 				var arrive func()
 				arrive = func() {
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -18,9 +18,9 @@
 		thrash: 0.02 * rng.Float64(),
 		again:  1 + rng.IntN(2), honour: 0.3 + 0.5*rng.Float64(), patience: 0.45 + 0.35*rng.Float64(),
 		classes: []Class{
-			{Aim: 1750 * ms, Deadline: 3500 * ms, Semantics: Safe, Worth: 1, LateWorth: 0.3},
-			{Aim: 6 * time.Second, Deadline: 12 * time.Second, Semantics: Keyed, MemorySpan: 15 * time.Second, Scope: ScopeCell, Worth: 4, LateWorth: 0.2},
-			{Aim: 9800 * ms, Deadline: 19600 * ms, Semantics: Unsafe, Worth: 6, LateWorth: 0.2},
+			{LatencyTarget: 1750 * ms, Deadline: 3500 * ms, Semantics: Safe, Worth: 1, LateWorth: 0.3},
+			{LatencyTarget: 6 * time.Second, Deadline: 12 * time.Second, Semantics: Keyed, DeduplicationWindow: 15 * time.Second, Scope: ScopeCell, Worth: 4, LateWorth: 0.2},
+			{LatencyTarget: 9800 * ms, Deadline: 19600 * ms, Semantics: Unsafe, Worth: 6, LateWorth: 0.2},
 		},
 		shares: []float64{0.55, 0.3, 0.15},
 	}
--- a/balance/random_test.go
+++ b/balance/random_test.go
@@ -57,10 +57,10 @@
 		if t.done && (t.result == Overloaded || t.result == ConnectError || t.result == NotSent) {
 			continue
 		}
-		if !t.done && !c.cfg.MayDuplicate || class.Semantics == Unsafe {
+		if !t.done && !c.cfg.AllowConcurrentAttempts || class.Semantics == Unsafe {
 			c.errorf("request %d: repeated while an attempt may have run", id)
 		}
-		if class.Semantics == Keyed && (c.list[t.addr].Cell != c.list[addr].Cell || c.now-t.sent >= class.MemorySpan) {
+		if class.Semantics == Keyed && (c.list[t.addr].Cell != c.list[addr].Cell || c.now-t.sent >= class.DeduplicationWindow) {
 			c.errorf("request %d: keyed repeat outside the group or its memory", id)
 		}
 	}
@@ -127,7 +127,7 @@
 	cfg := testConfig()
 	cfg.AttemptLimit = 1 + int(seed%3)
 	cfg.Entry = seed%2 == 0
-	cfg.MayDuplicate = seed%3 != 0
+	cfg.AllowConcurrentAttempts = seed%3 != 0
 	c := &checker{t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, list: map[string]Endpoint{}, reqs: map[RequestID]*watched{}, timers: map[uint64]time.Duration{}}
 	b, err := New(cfg, seed, c)
 	if err != nil {
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -292,11 +292,11 @@
 				c := r.cfg
 				c.Index, c.Instances, c.AttemptLimit = i, len(f.at), 4
 				if x < (1+r.set.restarted)/2 {
-					learnt := f.at[i].Memory(f.now)
+					learnt := f.at[i].Snapshot(f.now)
 					f.restart(i, r.cfg, whole())
-					f.at[i].Recall(f.now, learnt)
+					f.at[i].Restore(f.now, learnt)
 				}
-				if err := f.at[i].Retune(c); err != nil {
+				if err := f.at[i].Reconfigure(c); err != nil {
 					f.t.Error(err)
 				}
 				f.at[i].Members(f.now, Full, whole())
@@ -332,7 +332,7 @@
 			if a.told {
 				told++
 			}
-			for a.at-s.arrivals[first].at >= r.cfg.OverloadFor {
+			for a.at-s.arrivals[first].at >= r.cfg.OverloadWindow {
 				if s.arrivals[first].told {
 					told--
 				}
@@ -343,7 +343,7 @@
 			if a.at-s.since >= r.cfg.RampTime || 3*told <= 2*count { // it is warm, or it is no break
 				continue
 			}
-			n := r.cfg.FallMultiple * s.rate * slowStartShare(r.cfg, s.since, from) * r.cfg.OverloadFor.Seconds()
+			n := r.cfg.OverloadFactor * s.rate * slowStartShare(r.cfg, s.since, from) * r.cfg.OverloadWindow.Seconds()
 			if ratio := float64(count) / slowStartBound(n); ratio > r.worst {
 				r.worst, r.what = ratio, fmt.Sprintf("%s: %d arrivals from %v after its start, N %.1f", name, count, from-s.since, n)
 			}
@@ -417,7 +417,7 @@
 		cfg.Instances = 1
 		b, h := newTest(t, cfg, "a", "b", "c", "d")
 		sends := 0
-		for now := time.Duration(0); now < began+cfg.OverloadFor; now += each {
+		for now := time.Duration(0); now < began+cfg.OverloadWindow; now += each {
 			if now == began {
 				b.Members(now, Full, []Endpoint{{Addr: "cold", State: Ready, Since: now}})
 			}
@@ -435,9 +435,9 @@
 				b.Outcome(now, id, k-first, result, 5*ms, result == OK)
 			}
 		}
-		n := cfg.FallMultiple * perEndpoint * cfg.ColdShare * cfg.OverloadFor.Seconds()
+		n := cfg.OverloadFactor * perEndpoint * cfg.ColdShare * cfg.OverloadWindow.Seconds()
 		if sends == 0 || float64(sends) > slowStartBound(n) {
-			t.Errorf("result %d: %d attempts at the cold endpoint in %v, want some and %.0f at most", result, sends, cfg.OverloadFor, slowStartBound(n))
+			t.Errorf("result %d: %d attempts at the cold endpoint in %v, want some and %.0f at most", result, sends, cfg.OverloadWindow, slowStartBound(n))
 		}
 	}
 }
@@ -454,8 +454,8 @@
 		list[i].Since = now
 	}
 	b.Members(now, Cached, list)
-	b.Recall(now, Memory{Served: served, InAim: served})
-	for id := RequestID(1); id <= RequestID(cfg.OverloadFor/each); id++ {
+	b.Restore(now, Snapshot{Served: served, InAim: served})
+	for id := RequestID(1); id <= RequestID(cfg.OverloadWindow/each); id++ {
 		at, first := now+time.Duration(id)*each, len(h.sends)
 		b.Request(at, id, 0, 0, 1500*ms)
 		if len(h.sends) > first {
@@ -466,10 +466,10 @@
 	for _, s := range h.sends {
 		sends[s.addr]++
 	}
-	n := cfg.FallMultiple * served / 5 * cfg.ColdShare * cfg.OverloadFor.Seconds()
+	n := cfg.OverloadFactor * served / 5 * cfg.ColdShare * cfg.OverloadWindow.Seconds()
 	for _, e := range list {
 		if got := float64(sends[e.Addr]); got == 0 || got > slowStartBound(n) {
-			t.Errorf("%s got %.0f requests in %v, want some and %.0f at most", e.Addr, got, cfg.OverloadFor, slowStartBound(n))
+			t.Errorf("%s got %.0f requests in %v, want some and %.0f at most", e.Addr, got, cfg.OverloadWindow, slowStartBound(n))
 		}
 	}
 }
--- a/balance/tiers_test.go
+++ b/balance/tiers_test.go
@@ -246,7 +246,7 @@
 	c := &chain{t: t, set: set, client: map[RequestID]func(bool, bool, time.Duration){}, sent: map[RequestID]bool{}}
 	cfg := fleetConfig()
 	cfg.Classes = set.classes
-	cfg.AttemptLimit, cfg.MayDuplicate, cfg.ConnIdle = 4, false, chainIdle
+	cfg.AttemptLimit, cfg.AllowConcurrentAttempts, cfg.IdleConnTimeout = 4, false, chainIdle
 	entry := cfg
 	entry.Entry = true
 	c.front = newFleet(t, entry, set.fronts, seed)
@@ -346,7 +346,7 @@
 		c.client[id] = func(served, refused bool, retryAfter time.Duration) {
 			if served {
 				c.served[begun]++
-				if c.front.now-start <= class.Aim {
+				if c.front.now-start <= class.LatencyTarget {
 					c.inAim[begun]++
 				}
 				return
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -124,7 +124,7 @@
 	settings, err := wire.ParseSettings(e.Settings)
 	var config balance.Config
 	if err == nil {
-		config = settings.Balance()
+		config = settings.BalancerConfig()
 		h.keep = upstream.OptimalIdleTimeout(settings.ConnPrices())
 		err = settings.Err()
 	}
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -50,11 +50,11 @@
 
 func config() balance.Config {
 	return balance.Config{
-		Instances: 3, Index: 1, AttemptLimit: 4, MayDuplicate: true, Multiplex: 1, ConnIdle: time.Second, Entry: true,
-		ColdShare: 0.3, RampTime: 3 * time.Second, OverloadFor: 2 * time.Second, FallMultiple: 3, CrossZonePrice: 0.015,
+		Instances: 3, Index: 1, AttemptLimit: 4, AllowConcurrentAttempts: true, Multiplex: 1, IdleConnTimeout: time.Second, Entry: true,
+		ColdShare: 0.3, RampTime: 3 * time.Second, OverloadWindow: 2 * time.Second, OverloadFactor: 3, CrossZonePrice: 0.015,
 		Classes: []balance.Class{
-			{Aim: 200 * ms, Deadline: 500 * ms, Worth: 3, LateWorth: 0.5},
-			{Aim: 200 * ms, Deadline: 500 * ms, Semantics: balance.Unsafe, Worth: 9},
+			{LatencyTarget: 200 * ms, Deadline: 500 * ms, Worth: 3, LateWorth: 0.5},
+			{LatencyTarget: 200 * ms, Deadline: 500 * ms, Semantics: balance.Unsafe, Worth: 9},
 		},
 	}
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -38,7 +38,7 @@
 // Retune is told to the Balancer and written down, as are all that follow.
 func (t *Tap) Retune(cfg balance.Config) error {
 	t.put(Event{Kind: Retune, Config: &cfg})
-	return t.b.Retune(cfg)
+	return t.b.Reconfigure(cfg)
 }
 
 // AddClass is as that of a Balancer.
@@ -178,7 +178,7 @@
 				return played, err
 			}
 		case Retune:
-			b.Retune(*e.Config)
+			b.Reconfigure(*e.Config)
 		case AddClass:
 			b.AddClass(*e.Added)
 		case Members:
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -198,17 +198,17 @@
 	}
 	s := wire.NewSettings(values)
 	c.values = values
-	c.Balance = s.Balance()
+	c.Balance = s.BalancerConfig()
 	c.Tier = s.Integer("Tier")
-	c.DialTimeout = s.Time("Limits.ConnectTimeoutS")
-	c.DrainGrace = s.Time("Obligations.DrainGraceS")
+	c.DialTimeout = s.Duration("Limits.ConnectTimeoutS")
+	c.DrainGrace = s.Duration("Obligations.DrainGraceS")
 	c.HandshakePrice, c.ConnectionPrice = s.ConnPrices()
 	c.Classes = names(s, "RequestClasses", ".Name")
 	c.Tenants = names(s, "Tenants", ".Name")
 	c.Zones = names(s, "Zones", "") // a deployment without zones may have one without a name
 	for _, path := range []string{"Me", "NInstances", "Zone", "Tier", "Limits.ConnectTimeoutS", "Limits.ConnIdleS", "Limits.TryLimit", "RequestClasses.count", "Zones.count"} {
 		if _, ok := values[path]; !ok {
-			s.Fail(path, "a value")
+			s.AddError(path, "a value")
 		}
 	}
 	if !c.has("Limits.Multiplex") {
@@ -225,33 +225,33 @@
 		{"NInstances", b.Instances >= 1, "1 or more"},
 		{"Me", b.Index < max(b.Instances, 1), "less than NInstances"},
 		{"Obligations.RampTimeS", b.RampTime >= 0, "0 or more"},
-		{"Obligations.OverloadForS", b.OverloadFor >= 0, "0 or more"},
+		{"Obligations.OverloadForS", b.OverloadWindow >= 0, "0 or more"},
 		{"Obligations.DrainGraceS", c.DrainGrace >= 0, "0 or more"},
-		{"Obligations.FallMultiple", b.FallMultiple >= 0, "0 or more"},
+		{"Obligations.FallMultiple", b.OverloadFactor >= 0, "0 or more"},
 		{"Obligations.ColdShare", b.ColdShare >= 0 && b.ColdShare <= 1, "0 to 1"},
-		{"Obligations.AskWithinS", b.AskWithin > 0 || !b.AskDiscovery && b.AskWithin == 0, "more than 0"},
+		{"Obligations.AskWithinS", b.MaxWatchInterval > 0 || !b.PullDiscovery && b.MaxWatchInterval == 0, "more than 0"},
 		{"Goal.WorstClass", b.WorstClassWeight >= 0 && b.WorstClassWeight <= 1, "0 to 1"},
 		{"Prices.CrossZone", b.CrossZonePrice >= 0, "0 or more"},
 	} {
 		if !x.ok {
-			s.Fail(x.key, x.want)
+			s.AddError(x.key, x.want)
 		}
 	}
 	for i, class := range c.Balance.Classes {
-		for key, value := range map[string]time.Duration{"DeadlineS": class.Deadline, "AimS": class.Aim} {
+		for key, value := range map[string]time.Duration{"DeadlineS": class.Deadline, "AimS": class.LatencyTarget} {
 			if at := fmt.Sprintf("%s%d.%s", classList, i, key); value <= 0 && (key == "DeadlineS" || c.has(at)) {
-				s.Fail(at, "more than 0")
+				s.AddError(at, "more than 0")
 			}
 		}
 		if at := fmt.Sprintf("%s%d.Semantics", classList, i); !c.has(at) {
-			s.Fail(at, "a value")
+			s.AddError(at, "a value")
 		}
 	}
 	if c.DialTimeout <= 0 {
-		s.Fail("Limits.ConnectTimeoutS", "more than 0")
+		s.AddError("Limits.ConnectTimeoutS", "more than 0")
 	}
-	if c.Balance.ConnIdle <= 0 {
-		s.Fail("Limits.ConnIdleS", "more than 0")
+	if c.Balance.IdleConnTimeout <= 0 {
+		s.AddError("Limits.ConnIdleS", "more than 0")
 	}
 	return s.Err()
 }
@@ -263,7 +263,7 @@
 		path := list + "." + strconv.Itoa(i) + field
 		name := s.Text(path)
 		if name == "" && field != "" {
-			s.Fail(path, "a name")
+			s.AddError(path, "a name")
 		}
 		all[name] = i
 	}
--- a/internal/config/product.go
+++ b/internal/config/product.go
@@ -275,13 +275,13 @@
 			k.Semantics = balance.Unsafe
 		}
 		k.Deadline = t.Time("deadline", defaultDeadline, time.Millisecond)
-		k.Aim = t.Time("aim", min(defaultAim, k.Deadline), time.Millisecond)
-		if k.Aim > k.Deadline {
-			t.Fault("aim", k.Aim, fmt.Sprintf("the deadline, %v, at most", k.Deadline))
+		k.LatencyTarget = t.Time("aim", min(defaultAim, k.Deadline), time.Millisecond)
+		if k.LatencyTarget > k.Deadline {
+			t.Fault("aim", k.LatencyTarget, fmt.Sprintf("the deadline, %v, at most", k.Deadline))
 		}
 		k.Worth = t.Number("worth", 1, 0, 1e6)
 		k.LateWorth = t.Number("late_worth", 0.5, 0, 1)
-		k.MemorySpan = t.Time("memory_span", defaultMemorySpan, time.Millisecond)
+		k.DeduplicationWindow = t.Time("memory_span", defaultMemorySpan, time.Millisecond)
 		switch t.OneOf("key_scope", "all", "all", "zone", "cell") {
 		case "zone":
 			k.Scope = balance.ScopeZone
--- a/internal/config/product_test.go
+++ b/internal/config/product_test.go
@@ -280,8 +280,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := balance.Class{Aim: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond, Semantics: balance.Keyed,
-		Scope: balance.ScopeZone, MemorySpan: 5 * time.Second, Worth: 9, LateWorth: 0.5}
+	want := balance.Class{LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond, Semantics: balance.Keyed,
+		Scope: balance.ScopeZone, DeduplicationWindow: 5 * time.Second, Worth: 9, LateWorth: 0.5}
 	if got := c.Class("payment"); got == nil || got.ByMethod || got.Class != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
--- a/internal/daemon/apply.go
+++ b/internal/daemon/apply.go
@@ -194,15 +194,15 @@
 // balancing is what the Balancer of a pool is told.
 func balancing(cfg *config.Product, c *config.Pool) balance.Config {
 	b := balance.Config{
-		Index:        cfg.Process.Instance,
-		Instances:    cfg.Process.Instances,
-		Entry:        true,
-		AttemptLimit: c.Attempts,
-		ColdShare:    c.ColdShare,
-		RampTime:     c.WarmUp,
-		OverloadFor:  overloadFor,
-		ConnIdle:     c.IdleTimeout,
-		Multiplex:    1,
+		Index:           cfg.Process.Instance,
+		Instances:       cfg.Process.Instances,
+		Entry:           true,
+		AttemptLimit:    c.Attempts,
+		ColdShare:       c.ColdShare,
+		RampTime:        c.WarmUp,
+		OverloadWindow:  overloadFor,
+		IdleConnTimeout: c.IdleTimeout,
+		Multiplex:       1,
 	}
 	if c.PreferZone {
 		b.CrossZonePrice = zonePrice
@@ -231,7 +231,7 @@
 			all[i].Semantics = balance.Semantics(i)
 		}
 		if all[i].Semantics != balance.Keyed {
-			all[i].Scope, all[i].MemorySpan = 0, 0
+			all[i].Scope, all[i].DeduplicationWindow = 0, 0
 		}
 	}
 	return all
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -107,7 +107,7 @@
 func keySpan(cfg *config.Product) (span time.Duration) {
 	for i := range cfg.Classes {
 		if c := &cfg.Classes[i]; c.ByMethod || c.Semantics == balance.Keyed {
-			span = max(span, c.MemorySpan)
+			span = max(span, c.DeduplicationWindow)
 		}
 	}
 	return span
--- a/internal/front/http/door_test.go
+++ b/internal/front/http/door_test.go
@@ -16,7 +16,7 @@
 	cfg := testConfig()
 	cfg.Balance.Entry = true
 	for i := range cfg.Balance.Classes {
-		cfg.Balance.Classes[i].Aim = 500 * time.Millisecond
+		cfg.Balance.Classes[i].LatencyTarget = 500 * time.Millisecond
 		cfg.Balance.Classes[i].Deadline = patience
 	}
 	return newRigOf(t, cfg, 128, hold)
--- a/internal/front/http/rig_test.go
+++ b/internal/front/http/rig_test.go
@@ -23,7 +23,7 @@
 func testConfig() *testSettings {
 	return &testSettings{
 		Balance: balance.Config{
-			Instances: 1, AttemptLimit: 3, Multiplex: 1, ConnIdle: 5 * time.Second, RampTime: 5 * time.Second,
+			Instances: 1, AttemptLimit: 3, Multiplex: 1, IdleConnTimeout: 5 * time.Second, RampTime: 5 * time.Second,
 			Classes: []balance.Class{
 				{Deadline: 2 * time.Second, Semantics: balance.Safe, Worth: 1},
 				{Deadline: 2 * time.Second, Semantics: balance.Unsafe, Worth: 1},
@@ -34,7 +34,7 @@
 
 func newPool(t *testing.T, cfg *testSettings) *pool.Pool {
 	t.Helper()
-	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: cfg.Balance.ConnIdle, MaxConns: 32, LargeResponseBytes: 400 << 10})
+	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: cfg.Balance.IdleConnTimeout, MaxConns: 32, LargeResponseBytes: 400 << 10})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{
 		Name:    "test",
--- a/internal/front/http/stream_test.go
+++ b/internal/front/http/stream_test.go
@@ -31,7 +31,7 @@
 	t.Cleanup(srv.Close)
 	cfg := testConfig()
 	conns := upstream.New(upstream.Config{
-		DialTimeout: time.Second, IdleTimeout: cfg.Balance.ConnIdle, MaxConns: 32, LargeResponseBytes: room, MaxStreamBytes: PlatformMaxBytes,
+		DialTimeout: time.Second, IdleTimeout: cfg.Balance.IdleConnTimeout, MaxConns: 32, LargeResponseBytes: room, MaxStreamBytes: PlatformMaxBytes,
 	})
 	t.Cleanup(conns.Close)
 	cfg.Known.Endpoints = []nodes.Endpoint{{Name: "s-1", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService}}
--- a/internal/pool/age_test.go
+++ b/internal/pool/age_test.go
@@ -29,7 +29,7 @@
 func agedConfig(clocks *clock.Manual) Config {
 	cfg := testConfig()
 	cfg.Balance.RampTime, cfg.Balance.ColdShare = agedRamp, 0.1
-	cfg.Balance.OverloadFor, cfg.Balance.FallMultiple = 2*time.Second, 2
+	cfg.Balance.OverloadWindow, cfg.Balance.OverloadFactor = 2*time.Second, 2
 	cfg.Clock = clocks.Clock()
 	return cfg
 }
@@ -528,7 +528,7 @@
 			cfg := testConfig()
 			times := nodes.PushTimes(0)
 			if asks {
-				cfg.Balance.AskDiscovery, cfg.Balance.AskWithin, times = true, 400*time.Millisecond, nodes.AskTimes()
+				cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval, times = true, 400*time.Millisecond, nodes.AskTimes()
 			}
 			cfg.Source = nodes.NewDiscovery(server.Listener.Addr().String(), times)
 			p := newPool(t, cfg)
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -44,7 +44,7 @@
 			t.Cleanup(breaks.Close)
 			cfg := testConfig()
 			cfg.Balance.RampTime = 0
-			cfg.Balance.Classes = []balance.Class{{Deadline: patience, Worth: 1, Semantics: balance.Keyed, MemorySpan: c.span}}
+			cfg.Balance.Classes = []balance.Class{{Deadline: patience, Worth: 1, Semantics: balance.Keyed, DeduplicationWindow: c.span}}
 			cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{{Name: "late", Address: late.Addr().String(), Zone: "a", Status: nodes.InService}}}
 			if c.first {
 				cfg.Known.Endpoints = append(cfg.Known.Endpoints, nodes.Endpoint{Name: "breaks", Address: breaks.Listener.Addr().String(), Zone: "a", Status: nodes.InService})
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -63,7 +63,7 @@
 	t.Helper()
 	cfg := testConfig()
 	for i := range cfg.Balance.Classes { // no request runs out of time on a busy machine
-		cfg.Balance.Classes[i].Deadline, cfg.Balance.Classes[i].Aim = patience, patience
+		cfg.Balance.Classes[i].Deadline, cfg.Balance.Classes[i].LatencyTarget = patience, patience
 	}
 	cfg.Known = nodes.List{Snapshot: true}
 	var all []*standin.Node
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	src := &source{Source: to, number: number, watchRequests: make(chan struct{}, 1), cancel: cancel}
 	p.sources = append(p.sources, src)
-	if p.cfg.Balance.AskDiscovery {
+	if p.cfg.Balance.PullDiscovery {
 		if number > 1 || p.watchWanted {
 			src.watchRequests <- struct{}{} // the Balancer made its request before this source was set
 		}
@@ -167,7 +167,7 @@
 		}
 		p.mu.Lock()
 		if p.sources[len(p.sources)-1] == src {
-			p.applyList(balance.Failed, nodes.List{})
+			p.applyList(balance.ListFailed, nodes.List{})
 		}
 		p.mu.Unlock()
 	}
@@ -211,7 +211,7 @@
 // applyList applies a list, or reports to the Balancer that fetching one failed. The caller
 // holds the mutex.
 func (p *Pool) applyList(kind balance.ListKind, l nodes.List) {
-	if kind != balance.Failed {
+	if kind != balance.ListFailed {
 		p.recordStarts(kind, &l)
 		p.listVersion, p.undated = l.Index, l.Undated
 	}
--- a/internal/pool/memory.go
+++ b/internal/pool/memory.go
@@ -10,8 +10,8 @@
 // LearnedState is what a Pool has learned, for the Pool that replaces it. It can be encoded
 // as JSON; the names in its tags are read by other versions of the program.
 type LearnedState struct {
-	Balancer balance.Memory  `json:"Learnt"`
-	Classes  []balance.Class `json:"Classes"` // the classes of Balancer, in the same order
+	Balancer balance.Snapshot `json:"Learnt"`
+	Classes  []balance.Class  `json:"Classes"` // the classes of Balancer, in the same order
 
 	// Disabled and Reenabled are for processes that do not support Ages. They are wall-clock
 	// times and wrong if the clock is stepped between writing and reading.
@@ -58,7 +58,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := LearnedState{
-		Balancer:  p.balancer.Memory(p.now()),
+		Balancer:  p.balancer.Snapshot(p.now()),
 		Classes:   make([]balance.Class, len(p.classes)),
 		Disabled:  map[string]int64{},
 		Reenabled: map[string]DisabledPeriod{},
@@ -154,7 +154,7 @@
 func (p *Pool) Restore(s LearnedState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	learned := make([]balance.Learnt, len(p.classes))
+	learned := make([]balance.Estimate, len(p.classes))
 	for i, class := range s.Classes {
 		if number, ok := p.classes[class]; ok && i < len(s.Balancer.Classes) {
 			learned[number] = s.Balancer.Classes[i]
@@ -162,5 +162,5 @@
 	}
 	s.Balancer.Classes = learned
 	p.restoreDisabled(&s)
-	p.balancer.Recall(p.now(), s.Balancer)
+	p.balancer.Restore(p.now(), s.Balancer)
 }
--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -14,8 +14,8 @@
 // What a pool has learnt goes to the next one by class and name, also where the
 // next one numbers its classes otherwise and knows other nodes.
 func TestMemoryGoesOn(t *testing.T) {
-	view := balance.Class{Aim: time.Second, Deadline: time.Second, Semantics: balance.Safe, Worth: 1}
-	pay := balance.Class{Aim: time.Second, Deadline: 2 * time.Second, Semantics: balance.Unsafe, Worth: 1}
+	view := balance.Class{LatencyTarget: time.Second, Deadline: time.Second, Semantics: balance.Safe, Worth: 1}
+	pay := balance.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Semantics: balance.Unsafe, Worth: 1}
 	list := func(names ...string) (l nodes.List) {
 		for _, n := range names {
 			l.Endpoints = append(l.Endpoints, nodes.Endpoint{Name: n, Address: "127.0.0.1:1", Status: nodes.InService})
@@ -32,10 +32,10 @@
 		return p
 	}
 	was := make(list("a", "b"), view, pay)
-	want := balance.Memory{
+	want := balance.Snapshot{
 		Limit: 12, Served: 40, InAim: 30,
-		Classes:   []balance.Learnt{{Mean: 0.1, N: 50}, {Mean: 0.3, N: 20}},
-		Endpoints: map[string]balance.Learnt{"a": {Mean: 0.2, N: 7, Failures: 2}, "b": {Mean: 0.4, N: 20}},
+		Classes:   []balance.Estimate{{Mean: 0.1, N: 50}, {Mean: 0.3, N: 20}},
+		Endpoints: map[string]balance.Estimate{"a": {Mean: 0.2, N: 7, Failures: 2}, "b": {Mean: 0.4, N: 20}},
 	}
 	was.Restore(LearnedState{Balancer: want, Classes: []balance.Class{view, pay}})
 	text, err := json.Marshal(was.LearnedState())
@@ -59,7 +59,7 @@
 	if b := got.Endpoints["b"]; !near(b.Mean, 0.4) || b.N != 20 {
 		t.Errorf("b: %+v, want what was learnt", b)
 	}
-	if _, ok := got.Endpoints["a"]; ok || got.Endpoints["c"] != (balance.Learnt{}) {
+	if _, ok := got.Endpoints["a"]; ok || got.Endpoints["c"] != (balance.Estimate{}) {
 		t.Errorf("endpoints %+v, want nothing of a and c", got.Endpoints)
 	}
 }
@@ -69,7 +69,7 @@
 // knows in what is handed to it.
 func TestMemoryOfAProcessThatKnowsNoAges(t *testing.T) {
 	type olderMemory struct { // as it was written before there were ages
-		Learnt  balance.Memory
+		Learnt  balance.Snapshot
 		Classes []balance.Class
 		Out     map[string]int64
 		Back    map[string]DisabledPeriod
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -233,7 +233,7 @@
 func (p *Pool) Reconfigure(cfg balance.Config) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.balancer.Retune(cfg); err != nil {
+	if err := p.balancer.Reconfigure(cfg); err != nil {
 		return fmt.Errorf("pool %s: %w", p.cfg.Name, err)
 	}
 	p.cfg.Balance = cfg
--- a/internal/pool/release_test.go
+++ b/internal/pool/release_test.go
@@ -139,7 +139,7 @@
 		tell(fmt.Sprintf("old-%d", i), string(nodes.InService))
 	}
 	cfg := testConfig()
-	cfg.Balance.AskDiscovery, cfg.Balance.AskWithin = true, askWithin
+	cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
 	cfg.Source = nodes.NewDiscovery(srv.Listener.Addr().String(), nodes.Times{Wait: time.Second, Answer: time.Second, List: 2 * time.Second})
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/pool/silent_test.go
+++ b/internal/pool/silent_test.go
@@ -86,7 +86,7 @@
 	cfg.Source = src
 	if asked {
 		// Failures that discovery tells are followed by waits of 3 to 15 s.
-		cfg.Balance.AskDiscovery, cfg.Balance.AskWithin, cfg.Balance.Instances = true, time.Minute, 300
+		cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval, cfg.Balance.Instances = true, time.Minute, 300
 	}
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/pool/spread_test.go
+++ b/internal/pool/spread_test.go
@@ -48,7 +48,7 @@
 		cfg := testConfig()
 		cfg.Seed = uint64(i)
 		cfg.Balance.Index, cfg.Balance.Instances = i, followers
-		cfg.Balance.AskDiscovery, cfg.Balance.AskWithin = true, askWithin
+		cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
 		cfg.Source = nodes.NewDiscovery(srv.Listener.Addr().String(), nodes.AskTimes())
 		pools[i] = newPool(t, cfg)
 		go pools[i].Run(ctx)
--- a/internal/pool/trail_test.go
+++ b/internal/pool/trail_test.go
@@ -35,7 +35,7 @@
 	p, err := New(Config{
 		Name: "p",
 		Balance: balance.Config{
-			Instances: 1, AttemptLimit: 2, Multiplex: 1, ConnIdle: time.Second,
+			Instances: 1, AttemptLimit: 2, Multiplex: 1, IdleConnTimeout: time.Second,
 			Classes: []balance.Class{{Deadline: 10 * time.Second, Semantics: balance.Unsafe, Worth: 1}},
 		},
 		Known: nodes.List{Endpoints: []nodes.Endpoint{{Name: "s-1", Address: sick.Listener.Addr().String(), Status: nodes.InService}}},
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -115,7 +115,7 @@
 
 // thrifty is cfg with connections kept idle for no longer than upstream.KeepIdle.
 func thrifty(cfg *config.Config) *config.Config {
-	cfg.Balance.ConnIdle = min(cfg.Balance.ConnIdle, upstream.OptimalIdleTimeout(cfg.HandshakePrice, cfg.ConnectionPrice))
+	cfg.Balance.IdleConnTimeout = min(cfg.Balance.IdleConnTimeout, upstream.OptimalIdleTimeout(cfg.HandshakePrice, cfg.ConnectionPrice))
 	return cfg
 }
 
@@ -157,14 +157,14 @@
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	s.up = upstream.New(upstream.Config{
 		DialTimeout:        cfg.DialTimeout,
-		IdleTimeout:        cfg.Balance.ConnIdle,
+		IdleTimeout:        cfg.Balance.IdleConnTimeout,
 		ReuseDelay:         restTime,
 		LargeResponseBytes: s.memory() / largeShare,
 		MaxStreamBytes:     httpfront.PlatformMaxBytes,
 	})
 	defer s.up.Close()
 	begin := discovery(cfg)
-	if cfg.Balance.AskDiscovery && len(cfg.Known.Endpoints) > 0 {
+	if cfg.Balance.PullDiscovery && len(cfg.Known.Endpoints) > 0 {
 		begin.Resume(cfg.Known.Index)
 	}
 	s.pool, err = pool.New(pool.Config{
@@ -358,7 +358,7 @@
 
 // discovery is the source that the configuration names.
 func discovery(cfg *config.Config) *nodes.Discovery {
-	if cfg.Balance.AskDiscovery {
+	if cfg.Balance.PullDiscovery {
 		return nodes.NewDiscovery(cfg.Discovery, nodes.AskTimes())
 	}
 	return nodes.NewDiscovery(cfg.Discovery, nodes.PushTimes(cfg.DrainGrace))
@@ -393,7 +393,7 @@
 	}
 	slog.Info("reload", "discovery", cfg.Discovery, "classes", len(cfg.Classes), "attempts", cfg.Balance.AttemptLimit)
 	next := discovery(cfg)
-	if index, known := s.pool.ListVersion(); cfg.Balance.AskDiscovery && known {
+	if index, known := s.pool.ListVersion(); cfg.Balance.PullDiscovery && known {
 		next.Resume(index) // the same list at another address
 	}
 	s.pool.SetSource(next)
--- a/internal/sidecar/thrift_test.go
+++ b/internal/sidecar/thrift_test.go
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		if got := thrifty(cfg).Balance.ConnIdle; (got - want).Abs() > time.Millisecond {
+		if got := thrifty(cfg).Balance.IdleConnTimeout; (got - want).Abs() > time.Millisecond {
 			t.Errorf("%s: connections kept for %v, want %v", text, got, want)
 		}
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -41,31 +41,31 @@
 func (s *Settings) Err() error { return s.err }
 
 // Balance is the part of the settings that the Balancer needs.
-func (s *Settings) Balance() balance.Config {
+func (s *Settings) BalancerConfig() balance.Config {
 	c := balance.Config{
-		Index:            s.Integer("Me"),
-		Instances:        s.Integer("NInstances"),
-		Zone:             s.Integer("Zone"),
-		Entry:            s.Integer("Tier") == 0,
-		CrossZonePrice:   s.number("Prices.CrossZone"),
-		WorstClassWeight: s.number("Goal.WorstClass"),
-		OverShareWorth:   s.number("OverShareWorth"),
-		AttemptLimit:     s.Integer("Limits.TryLimit"),
-		MayDuplicate:     s.boolean("Limits.MayDuplicate"),
-		ColdShare:        s.number("Obligations.ColdShare"),
-		RampTime:         s.Time("Obligations.RampTimeS"),
-		OverloadFor:      s.Time("Obligations.OverloadForS"),
-		FallMultiple:     s.number("Obligations.FallMultiple"),
-		ConnIdle:         s.Time("Limits.ConnIdleS"),
-		Multiplex:        s.Integer("Limits.Multiplex"),
-		AskDiscovery:     s.choice("RegistryMode", "push", "ask") == 1,
-		AskWithin:        s.Time("Obligations.AskWithinS"),
+		Index:                   s.Integer("Me"),
+		Instances:               s.Integer("NInstances"),
+		Zone:                    s.Integer("Zone"),
+		Entry:                   s.Integer("Tier") == 0,
+		CrossZonePrice:          s.number("Prices.CrossZone"),
+		WorstClassWeight:        s.number("Goal.WorstClass"),
+		OverQuotaWorth:          s.number("OverShareWorth"),
+		AttemptLimit:            s.Integer("Limits.TryLimit"),
+		AllowConcurrentAttempts: s.boolean("Limits.MayDuplicate"),
+		ColdShare:               s.number("Obligations.ColdShare"),
+		RampTime:                s.Duration("Obligations.RampTimeS"),
+		OverloadWindow:          s.Duration("Obligations.OverloadForS"),
+		OverloadFactor:          s.number("Obligations.FallMultiple"),
+		IdleConnTimeout:         s.Duration("Limits.ConnIdleS"),
+		Multiplex:               s.Integer("Limits.Multiplex"),
+		PullDiscovery:           s.choice("RegistryMode", "push", "ask") == 1,
+		MaxWatchInterval:        s.Duration("Obligations.AskWithinS"),
 	}
 	for i := range s.Integer("RequestClasses.count") {
 		c.Classes = append(c.Classes, s.class(fmt.Sprintf("RequestClasses.%d.", i)))
 	}
 	for i := range s.Integer("Tenants.count") {
-		c.Tenants = append(c.Tenants, s.number(fmt.Sprintf("Tenants.%d.QuotaPerS", i)))
+		c.TenantQuotas = append(c.TenantQuotas, s.number(fmt.Sprintf("Tenants.%d.QuotaPerS", i)))
 	}
 	return c
 }
@@ -78,13 +78,13 @@
 
 func (s *Settings) class(at string) balance.Class {
 	return balance.Class{
-		Aim:        s.Time(at + "AimS"),
-		Deadline:   s.Time(at + "DeadlineS"),
-		Semantics:  balance.Semantics(s.choice(at+"Semantics", "free", "guarded", "single_shot")),
-		Scope:      balance.Scope(s.choice(at+"KeyScope", "all", "zone", "cell")),
-		MemorySpan: s.Time(at + "MemorySpanS"),
-		Worth:      s.number(at + "Worth"),
-		LateWorth:  s.number(at + "LateWorth"),
+		LatencyTarget:       s.Duration(at + "AimS"),
+		Deadline:            s.Duration(at + "DeadlineS"),
+		Semantics:           balance.Semantics(s.choice(at+"Semantics", "free", "guarded", "single_shot")),
+		Scope:               balance.Scope(s.choice(at+"KeyScope", "all", "zone", "cell")),
+		DeduplicationWindow: s.Duration(at + "MemorySpanS"),
+		Worth:               s.number(at + "Worth"),
+		LateWorth:           s.number(at + "LateWorth"),
 	}
 }
 
@@ -92,7 +92,7 @@
 func (s *Settings) Text(path string) string { return s.values[path] }
 
 // Fail books an error about a setting, unless there was one before.
-func (s *Settings) Fail(path, want string) {
+func (s *Settings) AddError(path, want string) {
 	if s.err == nil {
 		s.err = fmt.Errorf("setting %s: %q, want %s", path, s.values[path], want)
 	}
@@ -105,14 +105,14 @@
 	}
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(f) || math.Abs(f) > maxSeconds {
-		s.Fail(path, "a number")
+		s.AddError(path, "a number")
 		return 0
 	}
 	return f
 }
 
 // Time reads a time in seconds; a missing one is 0.
-func (s *Settings) Time(path string) time.Duration {
+func (s *Settings) Duration(path string) time.Duration {
 	return time.Duration(math.Round(s.number(path)*1e6)) * time.Microsecond
 }
 
@@ -123,7 +123,7 @@
 func (s *Settings) Integer(path string) int {
 	f := s.number(path)
 	if f < 0 || f > maxCount || f != math.Trunc(f) {
-		s.Fail(path, "a whole number")
+		s.AddError(path, "a whole number")
 		return 0
 	}
 	return int(f)
@@ -145,6 +145,6 @@
 			return i
 		}
 	}
-	s.Fail(path, strings.Join(words, " or "))
+	s.AddError(path, strings.Join(words, " or "))
 	return 0
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -304,11 +304,11 @@
 	if err != nil {
 		return err
 	}
-	if scope > int(balance.Failed) {
+	if scope > int(balance.ListFailed) {
 		return fmt.Errorf("VIEW: scope %d, want 0 to 3", scope)
 	}
 	e.ListKind = balance.ListKind(scope)
-	if e.ListKind == balance.Failed {
+	if e.ListKind == balance.ListFailed {
 		return nil
 	}
 	n, err := r.bank(r.fields[4])
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Index != 2 || c.Instances != 5 || !c.AskDiscovery || c.Classes[0].Aim != 600*time.Millisecond ||
+	if c.Index != 2 || c.Instances != 5 || !c.PullDiscovery || c.Classes[0].LatencyTarget != 600*time.Millisecond ||
 		c.Classes[0].Semantics != balance.Keyed || c.Classes[0].Scope != balance.ScopeCell {
 		t.Errorf("got %+v", c)
 	}
@@ -125,5 +125,5 @@
 	if err != nil {
 		return balance.Config{}, err
 	}
-	return s.Balance(), s.Err()
+	return s.BalancerConfig(), s.Err()
 }
