--- a/balance/admission.go
+++ b/balance/admission.go
@@ -7,198 +7,200 @@
 )
 
 const (
-	congestionLeast = 10  // outcomes that a congested share is taken of, at the least
-	congestionHigh  = 0.1 // above this share the tier is over its capacity: more is lost to lateness than let in
-	congestionSure  = 2   // standard deviations above it that are no chance
-	limitRaise      = 1.1 // per round trip
-	limitMin        = 4
-	jamFrom         = 3                      // times the usual round trip: errors of endpoints that take no longer are their own
-	jamMost         = 5                      // times it, that as many may be out for as are served
-	usualRise       = 1.02                   // that it is forgotten by, per round trip
-	recentlyServed  = 500 * time.Millisecond // a server that answered within it is alive
-	valueMemory     = 500                    // requests over which the mean value is taken
-	budgetSpread    = 0.95                   // usual budgets of a class lie within this of each other: delays on the way differ
-	shedFrom        = 0.5                    // requests of little value are refused from this share of the limit on
+	minCongestionOutcomes = 10  // outcomes needed to estimate the congested share
+	congestionThreshold   = 0.1 // congested share above which the tier is overloaded
+	congestionDeviations  = 2   // standard deviations above the threshold that count as significant
+	limitGrowth           = 1.1 // per round trip
+	minLimit              = 4
+	slowdownThreshold     = 3                      // multiple of the baseline round trip above which errors count as overload
+	maxSlowdown           = 5                      // multiple of the baseline round trip that the limit allows for
+	baselineGrowth        = 1.02                   // per round trip, so that an outdated baseline rises
+	recentlyServedWindow  = 500 * time.Millisecond // an endpoint that served within it is alive
+	priorityWindow        = 500                    // requests over which the mean priority is taken
+	budgetTolerance       = 0.95                   // ratio within which two budgets count as equal, as network delays differ
+	lowPriorityLimitShare = 0.5                    // share of the limit from which requests of the lowest priority are refused
 )
 
-// admission limits the attempts out at once where clients enter. In overload
-// servers turn away or finish late whatever comes last, after tiers above
-// have worked for it; refusing at the door keeps the rest in time, and lets
-// the worth of a request decide instead of its luck.
+// admission limits the attempts in flight at the tier where clients enter.
+// Without it an overloaded tier rejects or delays requests at random, after the
+// tiers above have already worked for them. It refuses by priority instead.
 type admission struct {
-	outcomes     int     // since the limit last moved
-	congested    int     // of them turned away as full or late
-	late         int     // of these, out past their aim
-	ok, took     float64 // those served, and their seconds
-	failed, lost float64 // those that ended as errors, and their seconds
-	usual        float64 // seconds that a served one is out while few fail
-	outBefore    int     // attempts out when the limit last moved
-	limit        float64 // attempts out at once; 0 means none needed yet
-	refused      bool    // a request since the last step
-	quotas       []quota
+	outcomes                   int     // since the last adjustment of the limit
+	congested                  int     // of outcomes: rejected as overloaded or late
+	lateInFlight               int     // of congested: still in flight when the latency target passed
+	servedCount, servedSeconds float64 // attempts served and their total duration
+	failedCount, failedSeconds float64 // attempts ended by an error and their total duration
+	baselineSeconds            float64 // mean duration of a served attempt while few fail
+	inFlightBefore             int     // attempts in flight at the last adjustment
+	limit                      float64 // attempts in flight; 0 means no limit yet
+	refusedAny                 bool    // a request was refused since the last adjustment
+	quotas                     []quota
 
-	meanValue, seen float64
+	meanPriority, prioritySamples float64
 }
 
-// quota is the part of a tenant's share that passes this balancer.
+// quota is a token bucket for this balancer's part of a tenant's quota.
 type quota struct {
 	perSecond, tokens float64
-	at                time.Duration
+	refilledAt        time.Duration
 }
 
-// within tells whether one more request is inside the share. Only what enters
-// is booked: the repeats of refused clients would use the share up.
-func (q *quota) within(now time.Duration) bool {
+// hasToken refills the bucket and reports whether the tenant is within its quota.
+// The token is taken only on admission, so that repeats of refused requests do not
+// exhaust the quota.
+func (q *quota) hasToken(now time.Duration) bool {
 	if q.perSecond <= 0 {
 		return true
 	}
-	q.tokens = min(q.tokens+q.perSecond*(now-q.at).Seconds(), max(1, q.perSecond))
-	q.at = now
+	q.tokens = min(q.tokens+q.perSecond*(now-q.refilledAt).Seconds(), max(1, q.perSecond))
+	q.refilledAt = now
 	return q.tokens >= 1
 }
 
-// observe books how an attempt ended. The limit moves once in as many outcomes as
-// there were attempts out, one round trip: faster moves swing between jam and idleness.
-// It falls only on a share that so few outcomes do not show by chance.
+// observe records an outcome and adjusts the limit once per round trip, that is after
+// as many outcomes as there were attempts in flight. Faster adjustments oscillate. The
+// limit falls only if the congested share is significantly above the threshold.
 //
-// Errors are a jam of the tier behind where what is served, or fails, takes longer than
-// usual as well; endpoints that fail by themselves do so at once, beside others as quick as
-// ever. Of more out than are served within a few times the usual round trip the mean one is
-// late (Little's law): that is the room there is in a jam.
-func (a *admission) observe(congested bool, out int, served, inAim float64) {
+// Errors count as overload only if attempts also take much longer than the baseline:
+// an endpoint that fails by itself answers quickly, and the others keep their speed. By
+// Little's law, the served rate times an acceptable duration bounds the attempts in flight.
+func (a *admission) observe(congested bool, inFlight int, servedRate, inTarget float64) {
 	a.outcomes++
 	if congested {
 		a.congested++
 	}
-	if a.outcomes < max(congestionLeast, a.outBefore) {
+	if a.outcomes < max(minCongestionOutcomes, a.inFlightBefore) {
 		return
 	}
-	n, mean := float64(a.outcomes), a.took/max(1, a.ok)
-	sure := congestionHigh + congestionSure*math.Sqrt(congestionHigh*(1-congestionHigh)/n)
-	over, bad := float64(a.congested)/n, (float64(a.congested)+a.failed)/n
-	lately := max(mean, a.lost/max(1, a.failed))
-	jam := bad > sure && lately > jamFrom*a.usual
-	room := min(inAim, served*max(jamMost*a.usual, lately/2))
+	n, mean := float64(a.outcomes), a.servedSeconds/max(1, a.servedCount)
+	significant := congestionThreshold + congestionDeviations*math.Sqrt(congestionThreshold*(1-congestionThreshold)/n)
+	congestedShare, unservedShare := float64(a.congested)/n, (float64(a.congested)+a.failedCount)/n
+	recentSeconds := max(mean, a.failedSeconds/max(1, a.failedCount))
+	slowFailures := unservedShare > significant && recentSeconds > slowdownThreshold*a.baselineSeconds
+	sustainable := min(inTarget, servedRate*max(maxSlowdown*a.baselineSeconds, recentSeconds/2))
 	switch {
-	case over > sure || jam:
-		a.limit = cmp.Or(a.limit, float64(out+1))
-		a.limit *= 1 - max(0, over-congestionHigh)/2
-		if 2*a.late > a.congested { // where servers turn away, the served count falls with the limit, and would pull it to nothing
-			a.limit = min(a.limit, inAim)
+	case congestedShare > significant || slowFailures:
+		a.limit = cmp.Or(a.limit, float64(inFlight+1))
+		a.limit *= 1 - max(0, congestedShare-congestionThreshold)/2
+		// Only where lateness dominates: where endpoints reject, the served rate
+		// falls with the limit, and the bound would reduce both to nothing.
+		if 2*a.lateInFlight > a.congested {
+			a.limit = min(a.limit, inTarget)
 		}
-		if jam {
-			a.limit = min(a.limit, room)
+		if slowFailures {
+			a.limit = min(a.limit, sustainable)
 		}
-		a.limit = max(limitMin, a.limit)
-	case over <= congestionHigh && a.refused:
-		// Not "out is near the limit": a small limit is never near to full
-		// when an outcome comes in, and would stay small for good.
-		a.limit = max(a.limit*limitRaise, min(2*a.limit, room))
+		a.limit = max(minLimit, a.limit)
+	case congestedShare <= congestionThreshold && a.refusedAny:
+		// A refusal, and not attempts in flight near the limit, triggers growth: with a
+		// small limit few are in flight when an outcome arrives, and it would never grow.
+		a.limit = max(a.limit*limitGrowth, min(2*a.limit, sustainable))
 	}
-	if a.ok > 0 && (bad <= congestionHigh || a.limit == limitMin) {
-		a.usual = min(mean, cmp.Or(a.usual, mean)*usualRise)
+	if a.servedCount > 0 && (unservedShare <= congestionThreshold || a.limit == minLimit) {
+		a.baselineSeconds = min(mean, cmp.Or(a.baselineSeconds, mean)*baselineGrowth)
 	}
-	a.outcomes, a.congested, a.late, a.failed, a.ok, a.took, a.lost, a.refused, a.outBefore = 0, 0, 0, 0, 0, 0, 0, false, out
+	a.outcomes, a.congested, a.lateInFlight, a.failedCount, a.servedCount, a.servedSeconds, a.failedSeconds, a.refusedAny, a.inFlightBefore = 0, 0, 0, 0, 0, 0, 0, false, inFlight
 }
 
-// admits tells whether a request that has this part of its value left may enter with
-// so many attempts out. Below the mean value, which is of whole ones as late repeats
-// would lower it until the classes no longer differed, the door closes earlier.
-func (a *admission) admits(value, part float64, out int) bool {
-	a.seen = min(a.seen+1, valueMemory)
-	a.meanValue += (value - a.meanValue) / a.seen
-	relative := min(1, value*part/max(a.meanValue, math.SmallestNonzeroFloat64))
-	ok := a.limit == 0 || float64(out) < a.limit*(shedFrom+(1-shedFrom)*relative)
-	a.refused = a.refused || !ok
+// admits reports whether a request may enter. worthLeft is the part of its worth that
+// can still be earned; priorities below the mean are refused at a lower limit. The mean
+// ignores worthLeft, as late repeats would lower it until classes no longer differ.
+func (a *admission) admits(priority, worthLeft float64, inFlight int) bool {
+	a.prioritySamples = min(a.prioritySamples+1, priorityWindow)
+	a.meanPriority += (priority - a.meanPriority) / a.prioritySamples
+	relative := min(1, priority*worthLeft/max(a.meanPriority, math.SmallestNonzeroFloat64))
+	ok := a.limit == 0 || float64(inFlight) < a.limit*(lowPriorityLimitShare+(1-lowPriorityLimitShare)*relative)
+	a.refusedAny = a.refusedAny || !ok
 	return ok
 }
 
-// enter tells whether a client's request may enter.
-func (b *Balancer) enter(now time.Duration, r *request, tenant int) bool {
-	part := 1.0
-	if b.waited(r) >= b.cfg.Classes[r.class].LatencyTarget {
-		part = b.cfg.Classes[r.class].LateWorth
-	}
-	if !b.door.admits(b.value(now, r.class, tenant), part, b.outTotal) {
+// admit reports whether a client's request may enter, and takes a token of its
+// tenant's quota if so.
+func (b *Balancer) admit(now time.Duration, r *request, tenant int) bool {
+	worthLeft := 1.0
+	if b.earlierWait(r) >= b.cfg.Classes[r.class].LatencyTarget {
+		worthLeft = b.cfg.Classes[r.class].LateWorth
+	}
+	if !b.admission.admits(b.priority(now, r.class, tenant), worthLeft, b.inFlight) {
 		return false
 	}
-	if tenant >= 0 && tenant < len(b.door.quotas) {
-		q := &b.door.quotas[tenant]
+	if tenant >= 0 && tenant < len(b.admission.quotas) {
+		q := &b.admission.quotas[tenant]
 		q.tokens = max(0, q.tokens-1)
 	}
 	return true
 }
 
-// waited is how long the client has waited in tries before r, as far as its budget
-// shows: most tries come with the same budget, the last one with what patience leaves.
-// Serving such repeats first in an overload would make the fresh ones late as well.
-func (b *Balancer) waited(r *request) time.Duration {
+// earlierWait estimates how long the client has waited in earlier tries. Most tries have
+// the usual budget; only a client's last try is cut to the time that remains. Such
+// repeats are not preferred, as in overload that would make fresh requests late too.
+func (b *Balancer) earlierWait(r *request) time.Duration {
 	c := &b.classes[r.class]
 	budget := r.deadline - r.arrived
-	if near := float64(budget) / float64(max(c.usual, 1)); near > budgetSpread && near*budgetSpread < 1 {
-		c.votes = min(c.votes+1, valueMemory)
+	if ratio := float64(budget) / float64(max(c.usualBudget, 1)); ratio > budgetTolerance && ratio*budgetTolerance < 1 {
+		c.usualBudgetVotes = min(c.usualBudgetVotes+1, priorityWindow)
 		return 0
 	}
-	if c.votes == 0 { // a majority vote: the largest is not the usual one
-		c.usual = budget
+	if c.usualBudgetVotes == 0 { // majority vote, as the largest budget may not be the usual one
+		c.usualBudget = budget
 		return 0
 	}
-	c.votes--
+	c.usualBudgetVotes--
 	return b.cfg.Classes[r.class].Deadline - budget
 }
 
-// value is what serving a request adds to the operators' goal for the work it costs:
-// its worth beside the mean worth and its share of the worst served class, where the
-// goal weighs that. Its cost is the square of its time, of which a part is waiting.
-func (b *Balancer) value(now time.Duration, class, tenant int) float64 {
+// priority is what serving a request adds to the objective, divided by its cost: its
+// worth relative to the mean, and its effect on the worst served class. The cost is the
+// square of the class's relative duration.
+func (b *Balancer) priority(now time.Duration, class, tenant int) float64 {
 	c := &b.classes[class]
-	c.asked++
+	c.requested++
 	total, worth, worst := 0.0, 0.0, class
 	for i := range b.classes {
 		k := &b.classes[i]
-		total += k.asked
-		worth += k.asked * b.cfg.Classes[i].Worth
+		total += k.requested
+		worth += k.requested * b.cfg.Classes[i].Worth
 		w := &b.classes[worst]
-		if k.served*w.asked < w.served*k.asked {
+		if k.servedInTarget*w.requested < w.servedInTarget*k.requested {
 			worst = i
 		}
 	}
-	if total > valueMemory {
+	if total > priorityWindow {
 		for i := range b.classes {
-			b.classes[i].asked /= 2
-			b.classes[i].served /= 2
+			b.classes[i].requested /= 2
+			b.classes[i].servedInTarget /= 2
 		}
 	}
-	v := (1 - b.cfg.WorstClassWeight) * b.cfg.Classes[class].Worth
+	gain := (1 - b.cfg.WorstClassWeight) * b.cfg.Classes[class].Worth
 	if worth > 0 {
-		v *= total / worth
+		gain *= total / worth
 	}
 	if class == worst {
-		v += b.cfg.WorstClassWeight * total / c.asked
+		gain += b.cfg.WorstClassWeight * total / c.requested
 	}
-	if tenant >= 0 && tenant < len(b.door.quotas) && !b.door.quotas[tenant].within(now) {
-		v *= b.cfg.OverQuotaWorth
+	if tenant >= 0 && tenant < len(b.admission.quotas) && !b.admission.quotas[tenant].hasToken(now) {
+		gain *= b.cfg.OverQuotaWorth
 	}
-	return v / math.Pow(b.ratio(class), 2)
+	return gain / math.Pow(b.durationRatio(class), 2)
 }
 
-// congestion tells whether an outcome speaks of a tier over its capacity. A
-// refused connection does if the endpoint has just served: then its connection
-// table is full, while a dead or cut off one has not served.
-func (b *Balancer) congestion(now time.Duration, r *request, a *attempt, result Result, elapsed time.Duration) bool {
-	e := &b.eps[a.endpoint]
+// isCongestion reports whether an outcome indicates an overloaded tier. A refused
+// connection does only if the endpoint served recently: its connection table is full,
+// while an endpoint that is down or unreachable has not served.
+func (b *Balancer) isCongestion(now time.Duration, r *request, a *attempt, result Result, elapsed time.Duration) bool {
+	e := &b.endpoints[a.endpoint]
 	if result == ConnectError {
-		return e.servedAt > 0 && now-e.servedAt < recentlyServed
+		return e.servedAt > 0 && now-e.servedAt < recentlyServedWindow
 	}
 	return result == Overloaded || result == Timeout || result == OK && elapsed > b.cfg.Classes[r.class].LatencyTarget
 }
 
-// noteLate tells the door of an attempt that is out past its aim: its outcome would
-// show a jam only after the clients' whole patience.
-func (b *Balancer) noteLate(now time.Duration, r *request) {
-	if last := len(r.attempts) - 1; r.out > 0 && !r.attempts[last].done && !r.attempts[last].late {
+// markLate counts an attempt as congested once it is in flight past its latency
+// target, since its outcome may not arrive until the client's deadline.
+func (b *Balancer) markLate(now time.Duration, r *request) {
+	if last := len(r.attempts) - 1; r.inFlight > 0 && !r.attempts[last].done && !r.attempts[last].late {
 		r.attempts[last].late = true
-		b.door.late++
-		b.door.observe(true, b.outTotal, b.servedRate.mean(now), b.aimRate.mean(now))
+		b.admission.lateInFlight++
+		b.admission.observe(true, b.inFlight, b.servedRate.mean(now), b.inTargetConcurrency.mean(now))
 	}
 }
--- a/balance/ask_test.go
+++ b/balance/ask_test.go
@@ -89,9 +89,9 @@
 		for _, within := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, time.Hour} {
 			for seed := range uint64(6) {
 				latest, calls, _ := askedDay(t, n, within, seed)
-				t.Logf("%d Balancers, AskWithin %v, seed %d: %v, %d calls", n, within, seed, latest.Round(ms), calls)
+				t.Logf("%d Balancers, MaxWatchInterval %v, seed %d: %v, %d calls", n, within, seed, latest.Round(ms), calls)
 				if latest > 6*time.Second-slack {
-					t.Errorf("%d Balancers, AskWithin %v, seed %d: told %v after the return, want 6 s less %v", n, within, seed, latest, slack)
+					t.Errorf("%d Balancers, MaxWatchInterval %v, seed %d: told %v after the return, want 6 s less %v", n, within, seed, latest, slack)
 				}
 			}
 		}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,11 +1,11 @@
-// Package balance makes the decisions of a load balancer that sits beside a
-// caller: which endpoint gets an attempt, when to try again, when to refuse.
+// Package balance makes the decisions of a client-side load balancer: which
+// endpoint gets an attempt, when to retry and when to refuse a request.
 //
-// A Balancer is told what happens by method calls that carry the time, and acts through
-// a Host. It does no I/O, keeps no clock and starts nothing; the same events and seed
-// give the same actions. It is not safe for concurrent use. The rule for an ordinary
-// request is the ratio approach of Küting et al., "Client-Based Adaptive Load Balancing
-// in Service-Oriented Systems"; see docs/design.md.
+// A Balancer receives events as method calls that carry the time, and acts through a
+// Host. It does no I/O, reads no clock and starts no goroutines; the same events and seed
+// give the same actions. It is not safe for concurrent use. Endpoints are selected by the
+// ratio approach of Küting et al., "Client-Based Adaptive Load Balancing in
+// Service-Oriented Systems"; see docs/design.md.
 package balance
 
 import (
@@ -19,19 +19,19 @@
 	"time"
 )
 
-// RequestID names a request; ids must be unique and below 1<<60.
+// RequestID identifies a request; ids must be unique and below 1<<60.
 type RequestID uint64
 
-// Semantics tells what repeating a request does.
+// Semantics tells whether a request may be repeated.
 type Semantics int
 
 const (
-	Safe   Semantics = iota // any number of repeats is harmless
-	Keyed                   // a group of endpoints drops repeats for a while
-	Unsafe                  // must never run twice
+	Safe   Semantics = iota // may be repeated any number of times
+	Keyed                   // a group of endpoints deduplicates repeats for a limited time
+	Unsafe                  // must not run twice
 )
 
-// Scope is the group of endpoints that drops the repeats of a Keyed request.
+// Scope is the group of endpoints that deduplicates the repeats of a Keyed request.
 type Scope int
 
 const (
@@ -42,40 +42,40 @@
 
 // Class holds the settings of one class of requests.
 type Class struct {
-	LatencyTarget       time.Duration // an answer within it earns full worth; 0 means Deadline
-	Deadline            time.Duration // the client's whole patience
-	Semantics           Semantics
-	Scope               Scope
-	DeduplicationWindow time.Duration // how long a Keyed repeat is dropped
-	Worth               float64
-	LateWorth           float64 // part of Worth that an answer after Aim earns
+	LatencyTarget       time.Duration `json:"Aim"`      // an answer within it earns full Worth; 0 means Deadline
+	Deadline            time.Duration `json:"Deadline"` // total time that the client waits
+	Semantics           Semantics     `json:"Semantics"`
+	Scope               Scope         `json:"Scope"`
+	DeduplicationWindow time.Duration `json:"MemorySpan"` // how long repeats of a Keyed request are deduplicated
+	Worth               float64       `json:"Worth"`
+	LateWorth           float64       `json:"LateWorth"` // part of Worth that an answer after LatencyTarget earns
 }
 
 // Config holds the settings of a Balancer.
 type Config struct {
-	Index                   int // this instance among the tier's balancers
-	Instances               int // how many balancers share the tier
-	Zone                    int
-	Classes                 []Class
-	Entry                   bool      // clients send here, not balancers of a tier above
-	TenantQuotas            []float64 // requests a second within each tenant's share, over all instances; 0 means no share
-	AttemptLimit            int
-	AllowConcurrentAttempts bool // two attempts of a request may be out at once
+	Index                   int       `json:"Index"`     // of this instance among those of the tier
+	Instances               int       `json:"Instances"` // balancers that share the tier
+	Zone                    int       `json:"Zone"`
+	Classes                 []Class   `json:"Classes"`
+	Entry                   bool      `json:"Entry"`   // requests come from clients, not from balancers of another tier
+	TenantQuotas            []float64 `json:"Tenants"` // requests per second of each tenant, over all instances; 0 means no quota
+	AttemptLimit            int       `json:"AttemptLimit"`
+	AllowConcurrentAttempts bool      `json:"MayDuplicate"` // two attempts of a request may be in flight at once
 
-	CrossZonePrice   float64 // points of the goal, as a part of 1, for a crossing per request
-	WorstClassWeight float64 // part of the goal that is the worst served class's share, 0 to 1
-	OverQuotaWorth   float64 // worth of a request beyond its tenant's share
+	CrossZonePrice   float64 `json:"CrossZonePrice"`   // part of the objective (0 to 1) lost per request to another zone
+	WorstClassWeight float64 `json:"WorstClassWeight"` // weight of the worst served class in the objective, 0 to 1
+	OverQuotaWorth   float64 `json:"OverShareWorth"`   // factor on the priority of a request over its tenant's quota
 
-	ColdShare      float64       // an endpoint starts at this share of its capacity, or more
-	RampTime       time.Duration // and has all of it after this
-	OverloadWindow time.Duration // span over which a cold endpoint's load is judged
-	OverloadFactor float64       // so many times its capacity for that long pushes it over; 0 if not known
+	ColdShare      float64       `json:"ColdShare"`    // least share of its capacity that an endpoint starts with
+	RampTime       time.Duration `json:"RampTime"`     // time until an endpoint has its full capacity
+	OverloadWindow time.Duration `json:"OverloadFor"`  // period of sustained load that overloads a cold endpoint
+	OverloadFactor float64       `json:"FallMultiple"` // multiple of its capacity that does so; 0 means unknown
 
-	IdleConnTimeout time.Duration // idle connections close after this
-	Multiplex       int           // attempts that share a connection
+	IdleConnTimeout time.Duration `json:"ConnIdle"`  // after which idle connections are closed
+	Multiplex       int           `json:"Multiplex"` // concurrent attempts per connection
 
-	PullDiscovery    bool          // lists come only after Watch
-	MaxWatchInterval time.Duration // ask again at least this often while not watching
+	PullDiscovery    bool          `json:"AskDiscovery"` // endpoint lists arrive only after Host.Watch
+	MaxWatchInterval time.Duration `json:"AskWithin"`    // upper bound of the interval between Watch calls without a subscription
 }
 
 func (c *Config) validate() error {
@@ -89,29 +89,29 @@
 	case min(c.WorstClassWeight, c.ColdShare) < 0 || max(c.WorstClassWeight, c.ColdShare) > 1:
 		return fmt.Errorf("balance: WorstClassWeight, ColdShare: %v, %v, want 0 to 1", c.WorstClassWeight, c.ColdShare)
 	case c.RampTime < 0 || c.OverloadWindow < 0 || c.OverloadFactor < 0:
-		return errors.New("balance: RampTime, OverloadFor and FallMultiple: want 0 or more")
+		return errors.New("balance: RampTime, OverloadWindow, OverloadFactor: want 0 or more")
 	case c.PullDiscovery && c.MaxWatchInterval <= 0:
-		return errors.New("balance: AskWithin: want more than 0 where AskDiscovery is set")
+		return errors.New("balance: MaxWatchInterval: want more than 0 with PullDiscovery")
 	}
 	return nil
 }
 
-// Host carries out a Balancer's actions. Its methods must not call back.
+// Host carries out a Balancer's actions. Its methods must not call the Balancer.
 type Host interface {
-	// Send starts the request's next attempt; attempts count from 0. The time-out
-	// is all that is left: a shorter one doubles the load when it is high.
+	// Send starts the request's next attempt; attempts are numbered from 0. The timeout
+	// is the request's remaining time, as a shorter one would add retries under high load.
 	Send(id RequestID, addr string, timeout time.Duration)
-	// Refuse ends the request, telling the client that a repeat is harmless.
+	// Refuse ends the request and tells the client that it may safely be repeated.
 	Refuse(id RequestID, retryAfter time.Duration)
-	// Fail ends the request with no promise.
+	// Fail ends the request with an error; it may or may not have run.
 	Fail(id RequestID)
-	// After asks for a Timer event with this token.
+	// After requests a Timer event with this token after d.
 	After(d time.Duration, token uint64)
 	// Watch subscribes to changes of the endpoint list.
 	Watch()
 }
 
-// State is what the list says of an endpoint.
+// State is the state of an endpoint in the endpoint list.
 type State int
 
 const (
@@ -126,30 +126,30 @@
 	State State
 	Zone  int
 	Cell  int
-	Since time.Duration // start of the process; 0 means long ago
+	Since time.Duration // start of its process; 0 means long ago
 }
 
-// ListKind tells how to read a Members event.
+// ListKind tells how the list of a Members event is to be applied.
 type ListKind int
 
 const (
 	Delta      ListKind = iota // changed entries only
-	Full                       // all entries; what is missing is gone
-	Cached                     // all entries, maybe outdated
-	ListFailed                 // asking failed, the old list stands
+	Full                       // all entries; missing endpoints are gone
+	Cached                     // all entries, possibly outdated
+	ListFailed                 // discovery failed; the previous list stays in use
 )
 
-// Result tells how an attempt ended.
+// Result is the outcome of an attempt.
 type Result int
 
 const (
 	OK           Result = iota
 	Error               // the endpoint answered with an error; it may have run
-	Overloaded          // turned away unseen
-	Timeout             // no answer in time; it may have run or still run
+	Overloaded          // rejected before processing; it never ran
+	Timeout             // no answer in time; it may have run or be running
 	ConnectError        // no connection; it never ran
 	Reset               // the connection broke; it may have run
-	Cancelled           // withdrawn; it may have run
+	Cancelled           // cancelled by the caller; it may have run
 	NotSent             // never transmitted
 )
 
@@ -158,9 +158,9 @@
 type attempt struct {
 	endpoint       int
 	sent           time.Duration
-	ratio          float64 // of its class, see Balancer.ratio
+	durationRatio  float64 // of its class at the time of sending
 	done, neverRan bool
-	late           bool // its aim passed while it was out, and the door knows
+	late           bool // counted by markLate as past its latency target
 }
 
 type request struct {
@@ -168,7 +168,7 @@
 	class             int
 	arrived, deadline time.Duration
 	attempts          []attempt
-	out               int
+	inFlight          int
 	closed            bool
 }
 
@@ -176,8 +176,8 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == i })
 }
 
-// firstRun is the first attempt that may have run or may still, or nil.
-func (r *request) firstRun() *attempt {
+// firstMaybeRun returns the first attempt that may have run or be running, or nil.
+func (r *request) firstMaybeRun() *attempt {
 	for k := range r.attempts {
 		if !r.attempts[k].neverRan {
 			return &r.attempts[k]
@@ -186,61 +186,61 @@
 	return nil
 }
 
-// classStats learns how long a class takes beside the others.
+// classStats holds what has been measured of a class.
 type classStats struct {
-	mean, n float64
+	meanSeconds, sampleCount float64
 
-	asked, served float64 // decaying counts at the door and of answers in time
+	requested, servedInTarget float64 // decaying counts of requests and of answers within the latency target
 
-	usual time.Duration // budget that most requests come with
-	votes int           // for it
+	usualBudget      time.Duration // budget of most requests, by majority vote
+	usualBudgetVotes int
 }
 
-const classMemory = 200 // samples over which a class's mean forgets, four times as many as the spread
+const classWindow = 200 // samples averaged for a class; Balancer.relativeVariance averages a quarter of them
 
-// Balancer decides for one caller. Make it with New.
+// Balancer makes the decisions for one caller. Use New to create one.
 type Balancer struct {
 	cfg  Config
 	host Host
 	rng  *rand.Rand
 
-	eps           []endpoint
-	byAddr        map[string]int
-	spare         []int // places in eps that are free again
-	local         int   // how many of ready come first as of the own zone; all where crossings cost nothing
-	zones         []failures
-	ready         []int            // endpoints that the list calls ready, by hash: the ring of subsets
-	draws         [2]time.Duration // when the last two were made from a subset
-	memory        time.Duration    // how long round trips are remembered
-	spread        float64          // variance of a round trip over the square of its endpoint's mean
-	own           [2]int           // length of the last subset's stretch, by part of the ring
-	subsetLength  int              // of both, or of all that is ready until a subset is gathered
-	walked        float64          // sum of growth over the stretch that is being gathered
-	warmth        float64          // its mean, averaged over the time, as is
-	lengthMean    float64          // subsetLength
-	averagedAt    time.Duration    // when they and outMean were
-	averageWeight float64          // of the averages before that in them
-	anyWarm       bool             // the last subset had an endpoint that was warm
-	warmSeen      bool             // the stretch that is being gathered has one
+	endpoints         []endpoint
+	indexByAddr       map[string]int
+	freeSlots         []int // indices of unused elements of endpoints
+	ownZoneReady      int   // length of the part of ready in the own zone; all of it if CrossZonePrice is 0
+	failuresByZone    []failures
+	ready             []int            // indices of ready endpoints by zone and hash: the ring that subsets are taken from
+	subsetPicks       [2]time.Duration // times of the last two selections from the subset
+	sampleRetention   time.Duration    // how long samples are kept
+	relativeVariance  float64          // variance of a round trip divided by the square of its endpoint's mean
+	rangeLengths      [2]int           // lengths of this balancer's ranges, by part of the ring
+	subsetLength      int              // sum of rangeLengths, or of all ready endpoints before the first selection
+	gatheredCapacity  float64          // sum of capacity shares in the ranges being searched
+	meanCapacityShare float64          // time average of the mean capacity share of the subset
+	meanSubsetLength  float64          // time average of subsetLength
+	averagedAt        time.Duration    // when the time averages were last updated
+	decayFactor       float64          // weight of the previous value in the next update of a time average
+	anyWarm           bool             // the last subset had an endpoint with full capacity
+	gatheredWarm      bool             // the ranges being searched have one
 
 	requests map[RequestID]*request
-	held     []RequestID // waiting for an endpoint
-
-	outTotal    int // attempts without an outcome
-	outMean     float64
-	door        admission
-	classes     []classStats
-	servedRate  rate
-	askedRate   rate
-	aimRate     rate // of served requests, each counted with its aim in seconds: how many can be out and be in time
-	cands       []candidate
-	total       float64
-	retryTokens float64
-	watchFails  int
-	watchDue    bool
-}
-
-// Kinds of timer, in the low bits of a token.
+	held     []RequestID // waiting for a ready endpoint
+
+	inFlight            int     // attempts without an outcome
+	meanInFlight        float64 // time average of inFlight
+	admission           admission
+	classes             []classStats
+	servedRate          rate
+	requestRate         rate
+	inTargetConcurrency rate // latency targets (s) of the requests served per second: by Little's law, the attempts in flight that can meet them
+	candidates          []candidate
+	totalWeight         float64
+	retryTokens         float64
+	watchFailures       int
+	watchScheduled      bool
+}
+
+// Kinds of timer, in the low timerBits of a token; the request id is above them.
 const (
 	timerDeadline = iota
 	timerHeld
@@ -249,19 +249,19 @@
 	timerBits = 3
 )
 
-// New returns a Balancer for cfg whose random draws come from seed.
+// New returns a Balancer for cfg whose random numbers are derived from seed.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if host == nil {
 		return nil, errors.New("balance: nil Host")
 	}
 	b := &Balancer{
-		host: host, retryTokens: retryLeast,
-		rng:        rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		byAddr:     map[string]int{},
-		spread:     1,
-		warmth:     1,
-		averagedAt: -10 * rateSpan, // nothing was served yet
-		requests:   map[RequestID]*request{},
+		host: host, retryTokens: minRetryBurst,
+		rng:               rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		indexByAddr:       map[string]int{},
+		relativeVariance:  1,
+		meanCapacityShare: 1,
+		averagedAt:        -10 * rateTimeConstant, // long ago, as nothing was served yet
+		requests:          map[RequestID]*request{},
 	}
 	for _, c := range cfg.Classes {
 		if _, err := b.AddClass(c); err != nil {
@@ -271,66 +271,70 @@
 	return b, b.Reconfigure(cfg)
 }
 
-// Retune takes up new settings, all or none; classes and what has been learnt stand.
+// Reconfigure applies new settings, or none if one is invalid. The classes and all
+// measurements are kept.
 func (b *Balancer) Reconfigure(cfg Config) error {
 	cfg.Classes = b.cfg.Classes
 	if err := cfg.validate(); err != nil {
 		return err
 	}
-	b.cfg, b.door.quotas = cfg, nil
+	b.cfg, b.admission.quotas = cfg, nil
 	for _, perSecond := range cfg.TenantQuotas {
-		b.door.quotas = append(b.door.quotas, quota{perSecond: perSecond / float64(cfg.Instances)})
+		b.admission.quotas = append(b.admission.quotas, quota{perSecond: perSecond / float64(cfg.Instances)})
 	}
 	return nil
 }
 
-// Learnt is of a class or an endpoint: its mean in seconds, of how many samples, failures.
+// Estimate is what was measured of a class or an endpoint: the mean duration in seconds, the
+// number N of samples, and the decaying count of failures.
 type Estimate struct{ Mean, N, Failures float64 }
 
-// Memory is what a Balancer has learnt, for one that goes on in its place.
+// Snapshot holds the measurements of a Balancer, to be passed to its successor. InAim is
+// the number of attempts in flight that can meet their latency targets.
 type Snapshot struct {
 	Limit, Served, InAim float64
 	Classes              []Estimate
 	Endpoints            map[string]Estimate
 }
 
-// Memory tells what has been learnt by now.
+// Snapshot returns the current measurements.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
-	m := Snapshot{b.door.limit, b.servedRate.mean(now), b.aimRate.mean(now), nil, map[string]Estimate{}}
+	m := Snapshot{b.admission.limit, b.servedRate.mean(now), b.inTargetConcurrency.mean(now), nil, map[string]Estimate{}}
 	for i := range b.classes {
-		m.Classes = append(m.Classes, Estimate{Mean: b.classes[i].mean, N: b.classes[i].n})
+		m.Classes = append(m.Classes, Estimate{Mean: b.classes[i].meanSeconds, N: b.classes[i].sampleCount})
 	}
-	for addr, i := range b.byAddr {
-		e := &b.eps[i]
-		m.Endpoints[addr] = Estimate{e.sum / max(1, float64(e.n)), float64(e.n), e.failures.count(now)}
+	for addr, i := range b.indexByAddr {
+		e := &b.endpoints[i]
+		m.Endpoints[addr] = Estimate{e.sampleSum / max(1, float64(e.sampleCount)), float64(e.sampleCount), e.failures.count(now)}
 	}
 	return m
 }
 
-// Recall takes up what another Balancer has learnt, as far as it knows of it.
+// Restore takes over the measurements of another Balancer, for classes and endpoints that
+// both have.
 func (b *Balancer) Restore(now time.Duration, m Snapshot) {
-	b.door.limit = m.Limit
-	b.servedRate, b.aimRate = rateOf(now, m.Served), rateOf(now, m.InAim)
-	b.warmth, b.averagedAt = 1, now // all may have been warm when that was served
+	b.admission.limit = m.Limit
+	b.servedRate, b.inTargetConcurrency = steadyRate(now, m.Served), steadyRate(now, m.InAim)
+	b.meanCapacityShare, b.averagedAt = 1, now // the endpoints may have had full capacity when that was measured
 	for i := range b.classes[:min(len(b.classes), len(m.Classes))] {
-		b.classes[i].mean, b.classes[i].n = m.Classes[i].Mean, m.Classes[i].N
+		b.classes[i].meanSeconds, b.classes[i].sampleCount = m.Classes[i].Mean, m.Classes[i].N
 	}
 	for addr, l := range m.Endpoints {
-		if i, ok := b.byAddr[addr]; ok {
+		if i, ok := b.indexByAddr[addr]; ok {
 			for range min(int(l.N), windowSize) {
-				b.eps[i].addSample(now, l.Mean)
+				b.endpoints[i].addSample(now, l.Mean)
 			}
-			b.eps[i].failures.add(now, l.Failures)
+			b.endpoints[i].failures.add(now, l.Failures)
 		}
 	}
 }
 
-// AddClass makes room for one more class and returns its number; all that is learnt stands.
+// AddClass adds a class and returns its number. All measurements are kept.
 func (b *Balancer) AddClass(c Class) (int, error) {
 	i := len(b.classes)
 	switch {
 	case c.Deadline <= 0 || c.LatencyTarget < 0:
-		return 0, fmt.Errorf("balance: Classes[%d]: Deadline %v and Aim %v, want a Deadline above 0 and no negative Aim", i, c.Deadline, c.LatencyTarget)
+		return 0, fmt.Errorf("balance: Classes[%d]: Deadline %v, LatencyTarget %v, want a Deadline above 0 and a LatencyTarget of 0 or more", i, c.Deadline, c.LatencyTarget)
 	case c.Semantics < Safe || c.Semantics > Unsafe || c.Scope < ScopeAll || c.Scope > ScopeCell:
 		return 0, fmt.Errorf("balance: Classes[%d]: unknown Semantics or Scope", i)
 	case c.LatencyTarget == 0:
@@ -340,268 +344,269 @@
 	return i, nil
 }
 
-// Members takes a list of endpoints, or the news that asking for it failed.
+// Members applies an endpoint list, or the failure to obtain one.
 func (b *Balancer) Members(now time.Duration, kind ListKind, list []Endpoint) {
 	if kind == ListFailed {
-		b.watchFails++
-		b.watchLater()
+		b.watchFailures++
+		b.scheduleWatch()
 		return
 	}
 	if kind == Full || kind == Cached {
-		for i := range b.eps {
-			b.eps[i].list(now, Gone)
+		for i := range b.endpoints {
+			b.endpoints[i].setState(now, Gone)
 		}
 	}
 	for _, entry := range list {
-		b.member(now, entry)
+		b.updateEndpoint(now, entry)
 	}
-	b.forget(now)
-	b.ready, b.local = b.ready[:0], 0
-	for i := range b.eps {
-		if b.eps[i].State == Ready {
+	b.freeGoneEndpoints(now)
+	b.ready, b.ownZoneReady = b.ready[:0], 0
+	for i := range b.endpoints {
+		if b.endpoints[i].State == Ready {
 			b.ready = append(b.ready, i)
-			if b.crossing(i) == 1 {
-				b.local++
+			if b.zoneFactor(i) == 1 {
+				b.ownZoneReady++
 			}
 		}
 	}
 	if b.subsetLength == 0 {
 		b.subsetLength = len(b.ready)
 	}
-	// By hash, the own zone first where crossings are priced.
+	// By hash, with the own zone first if other zones have a price.
 	slices.SortFunc(b.ready, func(i, k int) int {
-		return cmp.Or(cmp.Compare(b.crossing(i), b.crossing(k)), cmp.Compare(b.eps[i].hash, b.eps[k].hash))
+		return cmp.Or(cmp.Compare(b.zoneFactor(i), b.zoneFactor(k)), cmp.Compare(b.endpoints[i].hash, b.endpoints[k].hash))
 	})
 	if kind != Cached {
-		b.watchFails = 0
+		b.watchFailures = 0
 	} else if b.cfg.PullDiscovery {
-		b.watchLater()
+		b.scheduleWatch()
 	}
-	b.release(now)
+	b.dispatchHeld(now)
 }
 
-// crossing is what an endpoint's mean is multiplied by for the price of its zone.
-func (b *Balancer) crossing(i int) float64 {
-	if b.eps[i].Zone == b.cfg.Zone {
+// zoneFactor is the factor on an endpoint's mean for the price of its zone.
+func (b *Balancer) zoneFactor(i int) float64 {
+	if b.endpoints[i].Zone == b.cfg.Zone {
 		return 1
 	}
-	return 1 + b.cfg.CrossZonePrice*crossingWeight
+	return 1 + b.cfg.CrossZonePrice*crossZoneWeight
 }
 
-func (b *Balancer) member(now time.Duration, entry Endpoint) {
-	i, ok := b.byAddr[entry.Addr]
+func (b *Balancer) updateEndpoint(now time.Duration, entry Endpoint) {
+	i, ok := b.indexByAddr[entry.Addr]
 	if !ok {
 		if entry.State == Gone {
 			return
 		}
-		if n := len(b.spare); n > 0 {
-			i, b.spare = b.spare[n-1], b.spare[:n-1]
+		if n := len(b.freeSlots); n > 0 {
+			i, b.freeSlots = b.freeSlots[n-1], b.freeSlots[:n-1]
 		} else {
-			i = len(b.eps)
-			b.eps = append(b.eps, endpoint{})
+			i = len(b.endpoints)
+			b.endpoints = append(b.endpoints, endpoint{})
 		}
-		b.byAddr[entry.Addr] = i
-		h := fnv.New64a() // its place on the ring, on which all balancers agree
+		b.indexByAddr[entry.Addr] = i
+		h := fnv.New64a() // the position on the ring, equal in all balancers
 		h.Write([]byte(entry.Addr))
-		b.eps[i] = endpoint{Endpoint: entry, hash: h.Sum64(), flights: b.eps[i].flights[:0]}
-		b.eps[i].restart(now, b.rng.Float64())
+		b.endpoints[i] = endpoint{Endpoint: entry, hash: h.Sum64(), inFlight: b.endpoints[i].inFlight[:0]}
+		b.endpoints[i].reset(now, b.rng.Float64())
 		return
 	}
-	e := &b.eps[i]
+	e := &b.endpoints[i]
 	if entry.Since != e.Since {
-		e.restart(now, b.rng.Float64())
+		e.reset(now, b.rng.Float64())
 	}
-	e.list(now, entry.State)
+	e.setState(now, entry.State)
 	e.Endpoint = entry
 }
 
-const watchMost = 2500 * time.Millisecond // with the 2 s of a call well within the 6 s after which a change counts as told
-const goneMemory = 30 * time.Second       // what a hiccup of discovery drops comes back well within it
+const maxWatchDelay = 2500 * time.Millisecond // plus a call of 2 s stays below the 6 s within which changes must arrive
+const goneRetention = 30 * time.Second        // longer than a short failure of discovery
 
-// forget frees places of endpoints that are gone, once no request has an attempt there.
-func (b *Balancer) forget(now time.Duration) {
-	for i := range b.eps {
-		e := &b.eps[i]
-		if e.Addr != "" && e.State == Gone && e.refs == 0 && now-e.goneAt >= goneMemory {
-			delete(b.byAddr, e.Addr)
+// freeGoneEndpoints frees the elements of gone endpoints to which no open request has an attempt.
+func (b *Balancer) freeGoneEndpoints(now time.Duration) {
+	for i := range b.endpoints {
+		e := &b.endpoints[i]
+		if e.Addr != "" && e.State == Gone && e.attemptRefs == 0 && now-e.goneAt >= goneRetention {
+			delete(b.indexByAddr, e.Addr)
 			e.Addr = ""
-			b.spare = append(b.spare, i)
+			b.freeSlots = append(b.freeSlots, i)
 		}
 	}
 }
 
-// watchLater asks for the list after a delay that doubles, spread over the fleet.
-func (b *Balancer) watchLater() {
-	if b.watchDue {
+// scheduleWatch calls Host.Watch after an exponential backoff with jitter.
+func (b *Balancer) scheduleWatch() {
+	if b.watchScheduled {
 		return
 	}
-	b.watchDue = true
-	delay := min(b.cfg.MaxWatchInterval/2, watchMost, max(500, 10*time.Duration(b.cfg.Instances))*time.Millisecond<<min(b.watchFails, 8))
+	b.watchScheduled = true
+	delay := min(b.cfg.MaxWatchInterval/2, maxWatchDelay, max(500, 10*time.Duration(b.cfg.Instances))*time.Millisecond<<min(b.watchFailures, 8))
 	b.host.After(time.Duration(float64(delay)*(0.2+0.8*b.rng.Float64())), timerWatch)
 }
 
-// Request takes a client's request that must be answered within budget.
+// Request accepts a client's request that must be answered within budget.
 func (b *Balancer) Request(now time.Duration, id RequestID, class, tenant int, budget time.Duration) {
 	if class < 0 || class >= len(b.classes) || b.requests[id] != nil {
 		return
 	}
 	r := &request{id: id, class: class, arrived: now, deadline: now + budget}
 	b.requests[id] = r
-	if b.cfg.Entry && !b.enter(now, r, tenant) && b.refuse(r, now) {
+	if b.cfg.Entry && !b.admit(now, r, tenant) && b.refuse(r, now) {
 		return
 	}
-	b.after(r, budget, timerDeadline)
-	if aim := b.cfg.Classes[class].LatencyTarget; b.cfg.Entry && aim < budget {
-		b.after(r, aim, timerLate)
+	b.setTimer(r, budget, timerDeadline)
+	if target := b.cfg.Classes[class].LatencyTarget; b.cfg.Entry && target < budget {
+		b.setTimer(r, target, timerLate)
 	}
-	b.askedRate.add(now, 1)
-	b.try(r, now)
+	b.requestRate.add(now, 1)
+	b.dispatch(r, now)
 }
 
-// A retry budget: where nothing is served, further attempts are what keeps it so.
+// The retry budget grows with the served requests, so that retries cannot sustain an overload.
 const (
-	retryShare = 0.2                    // retries for each request that is served
-	retrySpan  = 200 * time.Millisecond // of what is served may be saved up as retries: a fleet must not have saved up a storm
-	retryLeast = 5                      // that a stream however thin may save up
-	retryDelay = 10 * time.Millisecond  // the first wait where no connection came up, doubled each time
+	retriesPerServed  = 0.2                    // retries added per served request
+	retryBurstWindow  = 200 * time.Millisecond // the budget holds at most as many retries as requests are served in this time
+	minRetryBurst     = 5                      // least size of a full budget, for low request rates
+	initialRetryDelay = 10 * time.Millisecond  // without budget, if no endpoint was reached; doubled per attempt
 )
 
-// try sends the next attempt of r if an endpoint can take it, or holds r.
-func (b *Balancer) try(r *request, now time.Duration) {
+// dispatch sends the next attempt of r, or holds r until an endpoint is ready.
+func (b *Balancer) dispatch(r *request, now time.Duration) {
 	switch i := b.pick(r, now); {
 	case i >= 0:
-		// Over a third of all calls take less than half of the endpoint's mean: less is hopeless.
-		if b.eps[i].mean(now)*b.ratio(r.class)/2 <= (r.deadline-now).Seconds() || !b.refuse(r, now) {
+		// Refuse if less than half of the expected duration is left: few calls are that fast.
+		if b.endpoints[i].mean(now)*b.durationRatio(r.class)/2 <= (r.deadline-now).Seconds() || !b.refuse(r, now) {
 			b.send(r, i, now)
 		}
-	case r.out > 0:
+	case r.inFlight > 0:
 	case len(r.attempts) > 0:
-		b.giveUp(r, now)
+		b.refuseOrFail(r, now)
 	default:
-		if len(b.held) > 2*len(b.requests) { // a list may not come for hours
+		if len(b.held) > 2*len(b.requests) { // a list may not arrive for hours
 			b.held = slices.DeleteFunc(b.held, func(id RequestID) bool { return b.requests[id] == nil })
 		}
 		b.held = append(b.held, r.id)
-		b.after(r, (r.deadline-now)/2, timerHeld)
+		b.setTimer(r, (r.deadline-now)/2, timerHeld)
 	}
 }
 
-// after asks for a timer of r.
-func (b *Balancer) after(r *request, d time.Duration, kind uint64) {
+// setTimer requests a timer of r.
+func (b *Balancer) setTimer(r *request, d time.Duration, kind uint64) {
 	b.host.After(d, uint64(r.id)<<timerBits|kind)
 }
 
-// release tries the held requests again.
-func (b *Balancer) release(now time.Duration) {
+// dispatchHeld dispatches the held requests.
+func (b *Balancer) dispatchHeld(now time.Duration) {
 	held := b.held
 	b.held = nil
 	for _, id := range held {
 		if r := b.requests[id]; r != nil && !r.closed && len(r.attempts) == 0 {
-			b.try(r, now)
+			b.dispatch(r, now)
 		}
 	}
 }
 
-// maySend is the condition of every send: open and in time, within the attempt limit, to
-// a ready endpoint, as semantics and cold budget permit. send checks it again.
+// maySend reports whether r may be sent to endpoint i: the request is open and has time and
+// attempts left, the endpoint is ready, and semantics and the cold budget permit it.
 func (b *Balancer) maySend(r *request, i int, now time.Duration) bool {
-	e := &b.eps[i]
-	if r.closed || now >= r.deadline || len(r.attempts) >= b.cfg.AttemptLimit || e.State != Ready || r.out > 0 && !b.cfg.AllowConcurrentAttempts {
+	e := &b.endpoints[i]
+	if r.closed || now >= r.deadline || len(r.attempts) >= b.cfg.AttemptLimit || e.State != Ready || r.inFlight > 0 && !b.cfg.AllowConcurrentAttempts {
 		return false
 	}
-	return b.mayRepeat(r, e, now) && b.coldAllowed(e, now)
+	return b.mayRepeat(r, e, now) && b.coldBudgetAllows(e, now)
 }
 
-// mayRepeat tells whether the semantics of r allow an attempt at e.
+// mayRepeat reports whether the semantics of r allow another attempt, at e.
 func (b *Balancer) mayRepeat(r *request, e *endpoint, now time.Duration) bool {
-	c, a := &b.cfg.Classes[r.class], r.firstRun()
+	c, a := &b.cfg.Classes[r.class], r.firstMaybeRun()
 	if c.Semantics == Safe || a == nil {
 		return true
 	}
-	was := &b.eps[a.endpoint]
+	previous := &b.endpoints[a.endpoint]
 	return c.Semantics == Keyed && now-a.sent < c.DeduplicationWindow &&
-		(c.Scope != ScopeZone || e.Zone == was.Zone) && (c.Scope != ScopeCell || e.Cell == was.Cell)
+		(c.Scope != ScopeZone || e.Zone == previous.Zone) && (c.Scope != ScopeCell || e.Cell == previous.Cell)
 }
 
-// send is the one gate through which every attempt leaves.
+// send starts an attempt if maySend permits it. No other code starts attempts.
 func (b *Balancer) send(r *request, i int, now time.Duration) bool {
 	if !b.maySend(r, i, now) {
 		return false
 	}
-	e := &b.eps[i]
-	ratio := b.ratio(r.class)
-	e.flights = append(e.flights, flight{r, len(r.attempts)})
-	r.attempts = append(r.attempts, attempt{endpoint: i, sent: now, ratio: ratio})
-	e.refs++
-	r.out++
-	b.outTotal++
-	e.tokens--
+	e := &b.endpoints[i]
+	ratio := b.durationRatio(r.class)
+	e.inFlight = append(e.inFlight, attemptRef{r, len(r.attempts)})
+	r.attempts = append(r.attempts, attempt{endpoint: i, sent: now, durationRatio: ratio})
+	e.attemptRefs++
+	r.inFlight++
+	b.inFlight++
+	e.coldTokens--
 	e.sentAt = now
-	e.peaks[0] = max(e.open(now, b.cfg.IdleConnTimeout), (len(e.flights)+b.cfg.Multiplex-1)/b.cfg.Multiplex)
+	e.peakConns[0] = max(e.openConns(now, b.cfg.IdleConnTimeout), (len(e.inFlight)+b.cfg.Multiplex-1)/b.cfg.Multiplex)
 	b.host.Send(r.id, e.Addr, r.deadline-now)
 	return true
 }
 
-// Confirm tells whether an attempt that could not begin at once may still begin.
+// Confirm reports whether an attempt whose start was delayed may still start.
 func (b *Balancer) Confirm(now time.Duration, id RequestID, number int) bool {
 	r := b.requests[id]
 	if r == nil || r.closed || now >= r.deadline {
 		return false
 	}
 	a := &r.attempts[number]
-	a.neverRan = true // so far: it is not what it would repeat
+	a.neverRan = true // so that mayRepeat looks only at the other attempts
 	defer func() { a.neverRan = false }()
-	return b.eps[a.endpoint].State == Ready && b.mayRepeat(r, &b.eps[a.endpoint], now)
+	return b.endpoints[a.endpoint].State == Ready && b.mayRepeat(r, &b.endpoints[a.endpoint], now)
 }
 
-// refuse is the gate for refusals: while a repeat is harmless anywhere.
+// refuse refuses r if the client may safely repeat it anywhere, and reports whether it did.
+// No other code refuses requests.
 func (b *Balancer) refuse(r *request, now time.Duration) bool {
 	c := &b.cfg.Classes[r.class]
-	harmless := c.Semantics == Safe || c.Semantics == Keyed && c.Scope == ScopeAll || r.firstRun() == nil
+	harmless := c.Semantics == Safe || c.Semantics == Keyed && c.Scope == ScopeAll || r.firstMaybeRun() == nil
 	if r.closed || !harmless {
 		return false
 	}
-	b.host.Refuse(r.id, b.comeBack(r, now))
-	b.end(r)
+	b.host.Refuse(r.id, b.retryAfter(r, now))
+	b.closeRequest(r)
 	return true
 }
 
-// comeBack is when a refused client may find room: once about a quarter of what
-// is out has ended (Little's law), spread so that they do not come together.
-func (b *Balancer) comeBack(r *request, now time.Duration) time.Duration {
-	roundTrip := float64(b.outTotal) / max(b.servedRate.mean(now), 1)
+// retryAfter is the time after which about a quarter of the attempts in flight have
+// ended, by Little's law, with jitter so that refused clients do not return together.
+func (b *Balancer) retryAfter(r *request, now time.Duration) time.Duration {
+	roundTrip := float64(b.inFlight) / max(b.servedRate.mean(now), 1)
 	after := time.Duration(roundTrip / 4 * (0.5 + b.rng.Float64()) * float64(time.Second))
 	return max(min(after, (r.deadline-now)/2), 0)
 }
 
-// fail is the one gate for failures.
+// fail fails r unless it is closed. No other code fails requests.
 func (b *Balancer) fail(r *request) {
 	if !r.closed {
 		b.host.Fail(r.id)
-		b.end(r)
+		b.closeRequest(r)
 	}
 }
 
-func (b *Balancer) giveUp(r *request, now time.Duration) {
+func (b *Balancer) refuseOrFail(r *request, now time.Duration) {
 	if !b.refuse(r, now) {
 		b.fail(r)
 	}
 }
 
-// end closes r; its record goes once its last attempt has an outcome.
-func (b *Balancer) end(r *request) {
+// closeRequest closes r, and deletes it once none of its attempts is in flight.
+func (b *Balancer) closeRequest(r *request) {
 	r.closed = true
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		for k := range r.attempts {
-			b.eps[r.attempts[k].endpoint].refs--
+			b.endpoints[r.attempts[k].endpoint].attemptRefs--
 		}
 		delete(b.requests, r.id)
 	}
 }
 
-// Outcome tells how an attempt ended, how long it took, and whether the
-// request has its final answer (by this outcome or before).
-func (b *Balancer) Outcome(now time.Duration, id RequestID, number int, result Result, elapsed time.Duration, over bool) {
+// Outcome records how an attempt ended and how long it took. final tells that the
+// request has its answer, from this attempt or another.
+func (b *Balancer) Outcome(now time.Duration, id RequestID, number int, result Result, elapsed time.Duration, final bool) {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].done {
 		return
@@ -609,59 +614,59 @@
 	a := &r.attempts[number]
 	a.done = true
 	a.neverRan = result.neverRan()
-	r.out--
-	b.outTotal--
-	b.learn(now, r, a, number, result, elapsed)
+	r.inFlight--
+	b.inFlight--
+	b.recordOutcome(now, r, a, number, result, elapsed)
 	if !a.late {
-		b.door.observe(b.congestion(now, r, a, result, elapsed), b.outTotal, b.servedRate.mean(now), b.aimRate.mean(now))
+		b.admission.observe(b.isCongestion(now, r, a, result, elapsed), b.inFlight, b.servedRate.mean(now), b.inTargetConcurrency.mean(now))
 	}
-	delay := retryDelay << min(len(r.attempts), 5)
+	delay := initialRetryDelay << min(len(r.attempts), 5)
 	switch {
-	case over || r.closed:
-		b.end(r)
+	case final || r.closed:
+		b.closeRequest(r)
 	case now < r.deadline && b.retryTokens >= 1:
 		b.retryTokens--
-		b.try(r, now)
-	case r.out > 0:
+		b.dispatch(r, now)
+	case r.inFlight > 0:
 	case now >= r.deadline:
 		b.fail(r)
 	case (result == ConnectError || result == NotSent) && now+2*delay-r.arrived <= min(b.cfg.Classes[r.class].LatencyTarget, r.deadline-r.arrived)/2:
-		// Out of budget: what reached no endpoint waits its turn, which costs none of them anything.
-		b.after(r, time.Duration((1+b.rng.Float64())*float64(delay)), timerHeld)
+		// Without budget, only attempts that reached no endpoint are retried, as they add no load.
+		b.setTimer(r, time.Duration((1+b.rng.Float64())*float64(delay)), timerHeld)
 	default:
-		b.giveUp(r, now)
+		b.refuseOrFail(r, now)
 	}
 }
 
-// learn books an outcome with its endpoint and class.
-func (b *Balancer) learn(now time.Duration, r *request, a *attempt, number int, result Result, elapsed time.Duration) {
-	e := &b.eps[a.endpoint]
-	e.land(flight{r, number})
+// recordOutcome adds an outcome to the measurements of its endpoint, zone and class.
+func (b *Balancer) recordOutcome(now time.Duration, r *request, a *attempt, number int, result Result, elapsed time.Duration) {
+	e := &b.endpoints[a.endpoint]
+	e.removeInFlight(attemptRef{r, number})
 	switch result {
 	case OK:
 		b.servedRate.add(now, 1)
-		b.retryTokens = min(b.retryTokens+retryShare, max(retryLeast, b.servedRate.mean(now)*retrySpan.Seconds()))
-		b.aimRate.add(now, b.cfg.Classes[r.class].LatencyTarget.Seconds())
-		b.door.ok, b.door.took = b.door.ok+1, b.door.took+elapsed.Seconds()
+		b.retryTokens = min(b.retryTokens+retriesPerServed, max(minRetryBurst, b.servedRate.mean(now)*retryBurstWindow.Seconds()))
+		b.inTargetConcurrency.add(now, b.cfg.Classes[r.class].LatencyTarget.Seconds())
+		b.admission.servedCount, b.admission.servedSeconds = b.admission.servedCount+1, b.admission.servedSeconds+elapsed.Seconds()
 		e.servedAt = now
-		took := elapsed.Seconds() / a.ratio
-		if e.n > 0 {
-			d := took*float64(e.n)/e.sum - 1
-			b.spread += (min(d*d, 4) - b.spread) / (classMemory / 4)
+		took := elapsed.Seconds() / a.durationRatio
+		if e.sampleCount > 0 {
+			d := took*float64(e.sampleCount)/e.sampleSum - 1
+			b.relativeVariance += (min(d*d, 4) - b.relativeVariance) / (classWindow / 4)
 		}
 		e.addSample(now, took)
-		e.failures.served(now)
+		e.failures.recordSuccess(now)
 		*b.zoneFailures(e.Zone) = failures{}
 		c := &b.classes[r.class]
 		if elapsed <= b.cfg.Classes[r.class].LatencyTarget {
-			c.served++
+			c.servedInTarget++
 		}
-		c.n = min(c.n+1, classMemory)
-		c.mean += (elapsed.Seconds() - c.mean) / c.n
-	case Error: // may be the fault of a tier behind, or come from all alike: one alone says little
+		c.sampleCount = min(c.sampleCount+1, classWindow)
+		c.meanSeconds += (elapsed.Seconds() - c.meanSeconds) / c.sampleCount
+	case Error: // counts half, as the cause may be a tier behind the endpoint
 		e.failures.add(now, e.failures.count(now)+0.5)
 		if !a.late {
-			b.door.failed, b.door.lost = b.door.failed+1, b.door.lost+elapsed.Seconds()
+			b.admission.failedCount, b.admission.failedSeconds = b.admission.failedCount+1, b.admission.failedSeconds+elapsed.Seconds()
 		}
 	case Overloaded, Timeout, ConnectError, Reset:
 		e.failures.add(now, 1)
@@ -670,43 +675,43 @@
 		b.zoneFailures(e.Zone).add(now, 1)
 	}
 	if result == ConnectError {
-		b.noConn(e, now)
+		b.recordConnectError(e, now)
 	}
 }
 
-// ratio is how much longer a class takes than the mean class. The paper's own
-// remedy for requests of different cost: times are scaled before comparison.
-func (b *Balancer) ratio(class int) float64 {
+// durationRatio is the mean duration of a class divided by that of all classes. Durations
+// are divided by it before comparison, as in the paper for requests of different cost.
+func (b *Balancer) durationRatio(class int) float64 {
 	sum, n := 0.0, 0.0
 	for i := range b.classes {
-		sum += b.classes[i].mean
-		n += min(b.classes[i].n, 1)
+		sum += b.classes[i].meanSeconds
+		n += min(b.classes[i].sampleCount, 1)
 	}
 	c := &b.classes[class]
-	if c.n == 0 || c.mean <= 0 {
+	if c.sampleCount == 0 || c.meanSeconds <= 0 {
 		return 1
 	}
-	return c.mean * n / sum
+	return c.meanSeconds * n / sum
 }
 
-// Withdrawn tells that the client has left.
+// Withdrawn closes a request whose client has left.
 func (b *Balancer) Withdrawn(_ time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.closed {
-		b.end(r)
+		b.closeRequest(r)
 	}
 }
 
-// Close gives up all that is open: the process ends before it could be answered.
+// Close refuses or fails all open requests, before the process ends.
 func (b *Balancer) Close(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		b.giveUp(b.requests[id], now)
+		b.refuseOrFail(b.requests[id], now)
 	}
 }
 
-// Timer tells that a timer asked for with After is due.
+// Timer handles a timer requested by Host.After.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	if token == timerWatch {
-		b.watchDue = false
+		b.watchScheduled = false
 		b.host.Watch()
 		return
 	}
@@ -714,10 +719,10 @@
 	switch {
 	case r == nil || r.closed:
 	case kind == timerLate:
-		b.noteLate(now, r)
+		b.markLate(now, r)
 	case kind == timerDeadline || len(r.attempts) == 0:
-		b.giveUp(r, now)
-	case r.out == 0: // held
-		b.try(r, now)
+		b.refuseOrFail(r, now)
+	case r.inFlight == 0: // a delayed retry
+		b.dispatch(r, now)
 	}
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -70,7 +70,7 @@
 	got := map[string]float64{}
 	for range n {
 		r := &request{deadline: now + time.Second}
-		got[b.eps[b.pick(r, now)].Addr] += 1 / float64(n)
+		got[b.endpoints[b.pick(r, now)].Addr] += 1 / float64(n)
 	}
 	return got
 }
@@ -88,7 +88,7 @@
 	b, _ := newTest(t, testConfig(), "a", "b", "c")
 	for i, mean := range []float64{0.010, 0.020, 0.040} {
 		for range windowSize {
-			b.eps[i].addSample(0, mean)
+			b.endpoints[i].addSample(0, mean)
 		}
 	}
 	got := shares(b, 0, 100000)
@@ -99,12 +99,12 @@
 
 func TestFailuresLowerChanceWithoutZeroing(t *testing.T) {
 	b, _ := newTest(t, testConfig(), "a", "b")
-	for i := range b.eps {
-		b.eps[i].addSample(0, 0.010)
+	for i := range b.endpoints {
+		b.endpoints[i].addSample(0, 0.010)
 	}
-	b.eps[1].failures.add(0, 1) // weight 1/4 of a's, so p is 1/5, and slower than a: both draws must be of it
+	b.endpoints[1].failures.add(0, 1) // weight 1/4 of a's, so p is 1/5, and slower than a: both draws must be of it
 	near(t, "after a failure", shares(b, 0, 100000)["b"], 0.2*0.2)
-	b.eps[1].failures.add(0, 1)
+	b.endpoints[1].failures.add(0, 1)
 	if s := shares(b, 0, 10000)["b"]; s <= 0 || s > 0.15 {
 		t.Errorf("after two failures: got %v, want a small share above 0", s)
 	}
@@ -115,11 +115,11 @@
 // one that is sound it must not win by that.
 func TestSickServerDoesNotWinByItsMean(t *testing.T) {
 	b, _ := newTest(t, testConfig(), "sick", "b", "c", "d")
-	for i := range b.eps {
-		b.eps[i].addSample(0, 0.1)
+	for i := range b.endpoints {
+		b.endpoints[i].addSample(0, 0.1)
 	}
-	b.eps[b.byAddr["sick"]].sum = 0.05
-	b.eps[b.byAddr["sick"]].failures.add(0, 3)
+	b.endpoints[b.indexByAddr["sick"]].sampleSum = 0.05
+	b.endpoints[b.indexByAddr["sick"]].failures.add(0, 3)
 	got := shares(b, 0, 20000)
 	// Its chance is 1/16 of 3 1/16. It is sent to when both draws are of it.
 	if got["sick"] > 0.005 {
@@ -129,7 +129,7 @@
 
 func TestUnsampledCountsAsBest(t *testing.T) {
 	b, _ := newTest(t, testConfig(), "a", "b")
-	b.eps[0].addSample(0, 0.010)
+	b.endpoints[0].addSample(0, 0.010)
 	near(t, "unsampled", shares(b, 0, 100000)["b"], 0.5)
 }
 
@@ -150,10 +150,10 @@
 // must make it look slower.
 func TestSilentServerLosesItsMean(t *testing.T) {
 	b, _ := newTest(t, testConfig(), "a", "b")
-	b.eps[0].addSample(0, 0.010)
-	b.eps[1].addSample(0, 0.010)
-	b.eps[1].flights = append(b.eps[1].flights, flight{of: &request{attempts: []attempt{{ratio: 1}}}})
-	if m := b.eps[1].mean(500 * ms); math.Abs(m-0.255) > 1e-9 {
+	b.endpoints[0].addSample(0, 0.010)
+	b.endpoints[1].addSample(0, 0.010)
+	b.endpoints[1].inFlight = append(b.endpoints[1].inFlight, attemptRef{request: &request{attempts: []attempt{{durationRatio: 1}}}})
+	if m := b.endpoints[1].mean(500 * ms); math.Abs(m-0.255) > 1e-9 {
 		t.Errorf("mean with an attempt out for 500 ms: got %v, want 0.255", m)
 	}
 	if s := shares(b, 500*ms, 10000)["b"]; s > 0.05 {
@@ -188,7 +188,7 @@
 		if !c.again && len(h.failed) != 1 {
 			t.Errorf("%s: want a failure, got refusals %v and failures %v", c.name, h.refused, h.failed)
 		}
-		if c.class == 2 && b.eps[b.byAddr[h.sends[0].addr]].Cell != b.eps[b.byAddr[h.sends[1].addr]].Cell {
+		if c.class == 2 && b.endpoints[b.indexByAddr[h.sends[0].addr]].Cell != b.endpoints[b.indexByAddr[h.sends[1].addr]].Cell {
 			t.Errorf("%s: the repeat left the cell", c.name)
 		}
 	}
@@ -258,11 +258,11 @@
 		"Index":            func(c *Config) { c.Index = 1 },
 		"WorstClassWeight": func(c *Config) { c.WorstClassWeight = 2 },
 		"AttemptLimit":     func(c *Config) { c.AttemptLimit = 0 },
-		"FallMultiple":     func(c *Config) { c.OverloadFactor = -1 },
+		"OverloadFactor":   func(c *Config) { c.OverloadFactor = -1 },
 		"ColdShare":        func(c *Config) { c.ColdShare = 2 },
 		"Deadline":         func(c *Config) { c.Classes[0].Deadline = 0 },
 		"Multiplex":        func(c *Config) { c.Multiplex = 0 },
-		"AskWithin":        func(c *Config) { c.PullDiscovery = true },
+		"MaxWatchInterval": func(c *Config) { c.PullDiscovery = true },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
@@ -282,8 +282,8 @@
 		s := h.sends[done]
 		b.Outcome(ms, s.id, len(b.requests[s.id].attempts)-1, Overloaded, ms, false)
 	}
-	if extra := len(h.sends) - 1000; extra == 0 || extra > retryLeast {
-		t.Errorf("got %d further attempts at once, want 1 to %d", extra, retryLeast)
+	if extra := len(h.sends) - 1000; extra == 0 || extra > minRetryBurst {
+		t.Errorf("got %d further attempts at once, want 1 to %d", extra, minRetryBurst)
 	}
 }
 
@@ -301,7 +301,7 @@
 		if r := b.requests[1]; r == nil || len(r.attempts) != 2 || !b.Confirm(60*ms, 1, 1) {
 			t.Fatalf("semantics %d: the second attempt may not begin, and the first never ran", c.Semantics)
 		}
-		b.eps[b.requests[1].attempts[1].endpoint].State = Draining
+		b.endpoints[b.requests[1].attempts[1].endpoint].State = Draining
 		if b.Confirm(70*ms, 1, 1) {
 			t.Errorf("semantics %d: may begin at what drains", c.Semantics)
 		}
@@ -311,9 +311,9 @@
 // A server that refuses connections keeps its mean, as refusals add no time.
 func TestRefusedConnectionsStopNewOnes(t *testing.T) {
 	b, h := newTest(t, testConfig(), "a", "b")
-	b.eps[0].addSample(0, 0.001)
-	b.eps[1].addSample(0, 0.010)
-	b.learn(0, &request{}, &attempt{endpoint: 0, ratio: 1}, 0, ConnectError, ms)
+	b.endpoints[0].addSample(0, 0.001)
+	b.endpoints[1].addSample(0, 0.010)
+	b.recordOutcome(0, &request{}, &attempt{endpoint: 0, durationRatio: 1}, 0, ConnectError, ms)
 	for i := range RequestID(50) {
 		b.Request(100*ms, i, 0, 0, time.Second)
 	}
@@ -322,7 +322,7 @@
 			t.Fatal("a new connection to the server that refuses them")
 		}
 	}
-	if !b.connectable(&b.eps[0], 2*time.Second) {
+	if !b.connectable(&b.endpoints[0], 2*time.Second) {
 		t.Error("still shunned after two seconds")
 	}
 }
@@ -332,7 +332,7 @@
 func TestBurstSpreadsBeforeTheFirstAnswer(t *testing.T) {
 	b, h := newTest(t, testConfig(), "a", "b", "c", "d")
 	for i, mean := range []float64{0.010, 0.020, 0.020, 0.020} {
-		b.eps[i].addSample(0, mean)
+		b.endpoints[i].addSample(0, mean)
 	}
 	for i := range RequestID(100) {
 		b.Request(ms, i, 0, 0, time.Second)
@@ -367,8 +367,8 @@
 			used[h.sends[i].addr] = true
 			all[h.sends[i].addr] = true
 		}
-		if len(used) > subsetMin {
-			t.Errorf("instance %d used %d endpoints, want at most %d", index, len(used), subsetMin)
+		if len(used) > minSubsetSize {
+			t.Errorf("instance %d used %d endpoints, want at most %d", index, len(used), minSubsetSize)
 		}
 	}
 	if len(all) != 60 {
@@ -390,7 +390,7 @@
 		b.Request(now, i, int(i%2), 0, time.Second)
 		refused[i%2] += len(h.refused) - n
 		if old := i - 40; i >= 40 && b.requests[old] != nil { // 40 ms each; over 20 at once it is late
-			late := time.Duration(40*ms) + time.Duration(max(0, b.outTotal-20))*100*ms
+			late := time.Duration(40*ms) + time.Duration(max(0, b.inFlight-20))*100*ms
 			b.Outcome(now, old, 0, OK, late, true)
 		}
 	}
@@ -403,13 +403,13 @@
 // twice the work, and is kept out from well below the limit on.
 func TestCostlyClassIsShedFirst(t *testing.T) {
 	b, _ := newTest(t, testConfig(), "a")
-	b.classes[0].mean, b.classes[0].n = 0.1, 100
-	b.classes[1].mean, b.classes[1].n = 0.2, 100
-	b.door.limit = 20
+	b.classes[0].meanSeconds, b.classes[0].sampleCount = 0.1, 100
+	b.classes[1].meanSeconds, b.classes[1].sampleCount = 0.2, 100
+	b.admission.limit = 20
 	most := [2]int{}
 	for out := range 20 {
 		for class := range 2 {
-			if b.door.admits(b.value(0, class, -1), 1, out) {
+			if b.admission.admits(b.priority(0, class, -1), 1, out) {
 				most[class] = out
 			}
 		}
@@ -426,12 +426,12 @@
 	over := 0
 	for i := range 1000 {
 		now := time.Duration(i) * 10 * ms
-		if b.value(now, 0, 0) < 1 {
+		if b.priority(now, 0, 0) < 1 {
 			over++
 		} else {
-			b.enter(now, &request{deadline: time.Second}, 0)
+			b.admit(now, &request{deadline: time.Second}, 0)
 		}
-		if b.value(now, 0, 1) < 1 {
+		if b.priority(now, 0, 1) < 1 {
 			t.Fatal("a tenant without a share was held to one")
 		}
 	}
@@ -443,15 +443,15 @@
 // A full connection table is overload; a server that is down is not.
 func TestRefusedConnectionIsCongestionOnlyOfALiveServer(t *testing.T) {
 	b, _ := newTest(t, testConfig(), "a")
-	r, a := &request{}, &attempt{ratio: 1}
-	if b.congestion(time.Second, r, a, ConnectError, ms) {
+	r, a := &request{}, &attempt{durationRatio: 1}
+	if b.isCongestion(time.Second, r, a, ConnectError, ms) {
 		t.Error("a server that never served: counted as congestion")
 	}
-	b.learn(time.Second, r, a, 0, OK, ms)
-	if !b.congestion(1100*ms, r, a, ConnectError, ms) {
+	b.recordOutcome(time.Second, r, a, 0, OK, ms)
+	if !b.isCongestion(1100*ms, r, a, ConnectError, ms) {
 		t.Error("a server that has just served: not counted")
 	}
-	if b.congestion(5*time.Second, r, a, ConnectError, ms) {
+	if b.isCongestion(5*time.Second, r, a, ConnectError, ms) {
 		t.Error("a server silent for 4 s: counted as congestion")
 	}
 }
@@ -459,8 +459,8 @@
 // An answer over an open connection says nothing about new ones.
 func TestSuccessDoesNotEndTheCautionWithConnections(t *testing.T) {
 	b, h := newTest(t, testConfig(), "a", "b")
-	b.learn(0, &request{}, &attempt{endpoint: 0, ratio: 1}, 0, ConnectError, ms)
-	b.learn(ms, &request{}, &attempt{endpoint: 0, ratio: 1}, 0, OK, ms)
+	b.recordOutcome(0, &request{}, &attempt{endpoint: 0, durationRatio: 1}, 0, ConnectError, ms)
+	b.recordOutcome(ms, &request{}, &attempt{endpoint: 0, durationRatio: 1}, 0, OK, ms)
 	for i := range RequestID(20) {
 		b.Request(2*ms, i, 0, 0, time.Second)
 		if h.sends[i].addr == "a" {
@@ -474,7 +474,7 @@
 	cfg := testConfig()
 	cfg.Entry = true
 	b, _ := newTest(t, cfg, "a", "b")
-	b.door.limit, b.door.meanValue, b.door.seen = limitMin, 1, valueMemory
+	b.admission.limit, b.admission.meanPriority, b.admission.prioritySamples = minLimit, 1, priorityWindow
 	admitted := 0
 	for i := range RequestID(20000) {
 		now := time.Duration(i) * ms
@@ -501,12 +501,12 @@
 	}
 	b.Members(0, Full, list)
 	for _, i := range []int{1, 3, 5, 1} {
-		b.learn(0, &request{}, &attempt{endpoint: i, ratio: 1}, 0, Timeout, ms)
+		b.recordOutcome(0, &request{}, &attempt{endpoint: i, durationRatio: 1}, 0, Timeout, ms)
 	}
 	if s := shares(b, 0, 10000)["e7"]; s > 0.03 {
 		t.Errorf("untried server of the cut zone: share %v, want under 0.03", s)
 	}
-	b.learn(0, &request{}, &attempt{endpoint: 7, ratio: 1}, 0, OK, 10*ms)
+	b.recordOutcome(0, &request{}, &attempt{endpoint: 7, durationRatio: 1}, 0, OK, 10*ms)
 	if s := shares(b, 0, 10000)["e7"]; s < 0.1 {
 		t.Errorf("after an answer: share %v, want over 0.1", s)
 	}
@@ -517,13 +517,13 @@
 	cfg := testConfig()
 	cfg.Classes[0].Worth = 10
 	b, _ := newTest(t, cfg, "a")
-	b.classes[0] = classStats{asked: 100, served: 90}
-	b.classes[1] = classStats{asked: 100, served: 10}
-	if b.value(0, 1, 0) >= b.value(0, 0, 0) {
+	b.classes[0] = classStats{requested: 100, servedInTarget: 90}
+	b.classes[1] = classStats{requested: 100, servedInTarget: 10}
+	if b.priority(0, 1, 0) >= b.priority(0, 0, 0) {
 		t.Error("without the weight, ten times the worth should count more")
 	}
 	b.cfg.WorstClassWeight = 0.6
-	if b.value(0, 1, 0) <= b.value(0, 0, 0) {
+	if b.priority(0, 1, 0) <= b.priority(0, 0, 0) {
 		t.Error("with the weight, the class served least should count more")
 	}
 }
@@ -534,11 +534,11 @@
 	cfg.CrossZonePrice = 0.01
 	b, _ := newTest(t, cfg)
 	b.Members(0, Full, []Endpoint{{Addr: "near", State: Ready, Zone: 0}, {Addr: "far", State: Ready, Zone: 1}})
-	b.eps[0].addSample(0, 0.010)
-	b.eps[1].addSample(0, 0.010)
+	b.endpoints[0].addSample(0, 0.010)
+	b.endpoints[1].addSample(0, 0.010)
 	near(t, "far, read twice as slow", shares(b, 0, 100000)["far"], 1.0/9)
 	for range windowSize {
-		b.eps[0].addSample(0, 0.080)
+		b.endpoints[0].addSample(0, 0.080)
 	}
 	if s := shares(b, 0, 10000)["far"]; s < 0.9 {
 		t.Errorf("own zone eight times slower: far got %v, want over 0.9", s)
@@ -552,27 +552,27 @@
 	cfg.Entry = true
 	cfg.Classes[0].LatencyTarget, cfg.Classes[0].Deadline = 200*ms, time.Second
 	b, _ := newTest(t, cfg, "a")
-	b.door.limit = 20
+	b.admission.limit = 20
 	entered := [2]int{}
 	for i := range RequestID(40) {
 		budget := [4]time.Duration{600 * ms, 400 * ms, 600 * ms, 600 * ms}[i%4] // the second has waited 600 ms
-		n := b.outTotal
+		n := b.inFlight
 		b.Request(0, i, 0, 0, budget-time.Duration(i)*time.Microsecond)
 		if i%4 < 2 {
-			entered[i%2] += b.outTotal - n
+			entered[i%2] += b.inFlight - n
 		}
 	}
 	// A last try that has more than the usual left is early, and makes the
 	// usual budget no sign of waiting.
 	last := &request{deadline: 900 * ms}
 	fresh := &request{deadline: 600 * ms}
-	if w := b.waited(last); w != 100*ms {
+	if w := b.earlierWait(last); w != 100*ms {
 		t.Errorf("last try with 900 of 1000 ms left: waited %v, want 100 ms", w)
 	}
-	if w := b.waited(fresh); w != 0 {
+	if w := b.earlierWait(fresh); w != 0 {
 		t.Errorf("usual budget after a longer one: waited %v, want 0", w)
 	}
-	if entered[0] <= entered[1] || b.outTotal < 19 {
+	if entered[0] <= entered[1] || b.inFlight < 19 {
 		t.Errorf("entered: %d fresh, %d late repeats of a limit of 20, want most fresh", entered[0], entered[1])
 	}
 }
@@ -600,8 +600,8 @@
 // to that at once, and later by the share that is late.
 func TestLimitFallsToWhatIsServedWithinAnAim(t *testing.T) {
 	a := admission{limit: 200}
-	for range congestionLeast {
-		a.late++
+	for range minCongestionOutcomes {
+		a.lateInFlight++
 		a.observe(true, 200, 1000, 30)
 	}
 	if a.limit != 30 {
@@ -620,7 +620,7 @@
 	cfg := testConfig()
 	cfg.Classes[0].LatencyTarget = 0
 	b, _ := newTest(t, cfg, "a")
-	if b.congestion(0, &request{}, &attempt{ratio: 1}, OK, cfg.Classes[0].Deadline/2) {
+	if b.isCongestion(0, &request{}, &attempt{durationRatio: 1}, OK, cfg.Classes[0].Deadline/2) {
 		t.Error("an answer within the deadline counted as late")
 	}
 	if cfg.Classes[0].LatencyTarget != 0 {
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -8,160 +8,164 @@
 )
 
 const (
-	windowSize = 20 // completed round trips remembered per endpoint (the paper's averaged variant)
+	windowSize = 20 // samples averaged per endpoint, as in the paper's averaged variant
 
-	// failureHalfLife lets an endpoint that nobody draws win back its chance:
-	// about the time a process restart or a network cut lasts.
+	// failureHalfLife lets an endpoint without requests regain its weight. It is about the
+	// duration of a process restart or a network failure.
 	failureHalfLife = 5 * time.Second
-	failureMost     = 10 // bounds how long a recovered endpoint or zone waits for its share
-
-	noConnMin      = 500 * time.Millisecond // caution after a refused connection: at first an idle one's time to close
-	noConnMax      = 4 * time.Second
-	subsetMin      = 10  // sound endpoints of the smallest stable subset: two draws choose well with a fifth of it lost
-	subsetMost     = 50  // of a stretch, where few balancers are before many endpoints: all are looked at for each request
-	zoneSuspect    = 3   // failures in a row from one zone, over all its endpoints, are no longer single servers
-	crossingWeight = 100 // price of a crossing as time: at one point in a hundred another zone reads twice as slow
+	maxFailures     = 10 // bounds the time until a recovered endpoint or zone has its full weight
+
+	minConnectBackoff    = 500 * time.Millisecond // after a refused connection
+	maxConnectBackoff    = 4 * time.Second
+	minSubsetSize        = 10  // healthy endpoints; enough for two random choices when a fifth of them fail
+	maxRangeLength       = 50  // bounds the search per request where few balancers share many endpoints
+	zoneFailureThreshold = 3   // consecutive failures over all endpoints of a zone that indicate a failure of the zone
+	crossZoneWeight      = 100 // converts CrossZonePrice to latency: at a price of 0.01 another zone counts as twice as slow
 )
 
-// flight is an attempt that has no outcome yet, by its number.
-type flight struct {
-	of     *request
-	number int
+// attemptRef identifies an attempt in flight.
+type attemptRef struct {
+	request *request
+	number  int
 }
 
-// endpoint is what one balancer knows about one server: its list entry and
-// what the balancer's own attempts showed.
+// endpoint holds an endpoint's list entry and the measurements from this balancer's own
+// attempts.
 type endpoint struct {
 	Endpoint
-	hash     uint64
-	ring     [windowSize]sample
-	n, next  int
-	sum      float64
-	failures failures
-	flights  []flight
-	refs     int // attempts of requests that are still known
+	hash                    uint64
+	samples                 [windowSize]sample
+	sampleCount, nextSample int
+	sampleSum               float64
+	failures                failures
+	inFlight                []attemptRef
+	attemptRefs             int // attempts of requests not yet deleted
 
 	servedAt, sentAt time.Duration
-	goneAt           time.Duration // when the list dropped it, while it is Gone
+	goneAt           time.Duration // when its state became Gone
 
-	tokens   float64 // cold budget: sends allowed now
-	tokensAt time.Duration
+	coldTokens   float64 // cold budget: attempts allowed now
+	coldTokensAt time.Duration
 
-	peaks     [2]int // most flights at once in this and the last idle span: connections likely open
-	peakSpan  time.Duration
-	noConnAt  time.Duration // last ConnectError
-	noConnFor time.Duration // caution after it; 0 means none
+	peakConns       [2]int // peaks of connections in use in this and the previous idle timeout: likely still open
+	peakWindowStart time.Duration
+	connectErrorAt  time.Duration // last ConnectError that changed connectBackoff
+	connectBackoff  time.Duration // time after it without new connections; 0 means none
 }
 
-// open is how many connections to e are surely open: those that flights used
-// at once within the last idle span.
-func (e *endpoint) open(now, idle time.Duration) int {
-	if past := now - e.peakSpan; past >= idle/2 {
-		e.peaks = [2]int{len(e.flights), e.peaks[0]}
-		if past >= idle {
-			e.peaks[1] = len(e.flights)
+// openConns returns how many connections to e are open: as many as attempts in flight used
+// at the same time within the idle timeout.
+func (e *endpoint) openConns(now, idle time.Duration) int {
+	if elapsed := now - e.peakWindowStart; elapsed >= idle/2 {
+		e.peakConns = [2]int{len(e.inFlight), e.peakConns[0]}
+		if elapsed >= idle {
+			e.peakConns[1] = len(e.inFlight)
 		}
-		e.peakSpan = now
+		e.peakWindowStart = now
 	}
-	return max(e.peaks[0], e.peaks[1])
+	return max(e.peakConns[0], e.peakConns[1])
 }
 
-// connectable tells whether e takes connections. After a ConnectError, which adds no
-// time to the mean, only open ones are used for a while.
+// connectable reports whether an attempt at e can get a connection. After a ConnectError,
+// which adds no sample to the mean, only open connections are used during the backoff.
 func (b *Balancer) connectable(e *endpoint, now time.Duration) bool {
-	return now-e.noConnAt >= e.noConnFor || (len(e.flights)+1) <= e.open(now, b.cfg.IdleConnTimeout)*max(b.cfg.Multiplex, 1)
+	return now-e.connectErrorAt >= e.connectBackoff || (len(e.inFlight)+1) <= e.openConns(now, b.cfg.IdleConnTimeout)*max(b.cfg.Multiplex, 1)
 }
 
-// noConn books a refused connection; caution doubles with each in a row. A
-// success does not end it: it may have used a connection that was open.
-func (b *Balancer) noConn(e *endpoint, now time.Duration) {
-	n := (len(e.flights) + b.cfg.Multiplex - 1) / b.cfg.Multiplex
-	e.peaks = [2]int{n, n} // none was idle, or it had been used
-	if now-e.noConnAt < e.noConnFor {
-		return // sent before the last one was known
+// recordConnectError doubles the connection backoff. A success does not end the backoff,
+// as it may have used an open connection.
+func (b *Balancer) recordConnectError(e *endpoint, now time.Duration) {
+	n := (len(e.inFlight) + b.cfg.Multiplex - 1) / b.cfg.Multiplex
+	e.peakConns = [2]int{n, n} // an idle connection would have been used
+	if now-e.connectErrorAt < e.connectBackoff {
+		return // sent before the previous error was known
 	}
-	if now-e.noConnAt > 2*noConnMax {
-		e.noConnFor = 0 // that was another trouble
+	if now-e.connectErrorAt > 2*maxConnectBackoff {
+		e.connectBackoff = 0 // unrelated to the previous error
 	}
-	e.noConnFor = min(max(2*e.noConnFor, noConnMin), noConnMax)
-	e.noConnFor += time.Duration(b.rng.Float64() * float64(e.noConnFor) / 2)
-	e.noConnAt = now
+	e.connectBackoff = min(max(2*e.connectBackoff, minConnectBackoff), maxConnectBackoff)
+	e.connectBackoff += time.Duration(b.rng.Float64() * float64(e.connectBackoff) / 2)
+	e.connectErrorAt = now
 }
 
-// list books what the list says.
-func (e *endpoint) list(now time.Duration, s State) {
+// setState applies the state from an endpoint list.
+func (e *endpoint) setState(now time.Duration, s State) {
 	if s == Gone && e.State != Gone {
 		e.goneAt = now
 	}
 	e.State = s
 }
 
-// restart forgets what was measured on the process before this one.
-func (e *endpoint) restart(now time.Duration, phase float64) {
-	e.n, e.next, e.sum, e.failures = 0, 0, 0, failures{}
-	e.tokens, e.tokensAt = phase, now
+// reset discards the measurements of a previous process at this address. phase is the
+// initial cold budget.
+func (e *endpoint) reset(now time.Duration, phase float64) {
+	e.sampleCount, e.nextSample, e.sampleSum, e.failures = 0, 0, 0, failures{}
+	e.coldTokens, e.coldTokensAt = phase, now
 }
 
-// sample is a completed round trip, scaled to the mean class.
+// sample is a completed round trip, divided by the duration ratio of its class.
 type sample struct {
 	at      time.Duration
 	seconds float64
 }
 
 func (e *endpoint) addSample(now time.Duration, seconds float64) {
-	if e.n == windowSize {
-		e.drop()
+	if e.sampleCount == windowSize {
+		e.dropOldestSample()
 	}
-	e.ring[e.next] = sample{now, seconds}
-	e.n, e.next, e.sum = e.n+1, (e.next+1)%windowSize, e.sum+seconds
+	e.samples[e.nextSample] = sample{now, seconds}
+	e.sampleCount, e.nextSample, e.sampleSum = e.sampleCount+1, (e.nextSample+1)%windowSize, e.sampleSum+seconds
 }
 
-// oldest is the first sample of the window; drop forgets it.
-func (e *endpoint) oldest() sample { return e.ring[(e.next-e.n+windowSize)%windowSize] }
+func (e *endpoint) oldestSample() sample {
+	return e.samples[(e.nextSample-e.sampleCount+windowSize)%windowSize]
+}
 
-func (e *endpoint) drop() {
-	e.sum -= e.oldest().seconds
-	if e.n--; e.n == 0 {
-		e.sum = 0 // no rounding stays
+func (e *endpoint) dropOldestSample() {
+	e.sampleSum -= e.oldestSample().seconds
+	if e.sampleCount--; e.sampleCount == 0 {
+		e.sampleSum = 0 // discards rounding errors
 	}
 }
 
-// failures is a count that decays with time.
+// failures is a count that decays exponentially, with failureHalfLife.
 type failures struct {
-	n  float64
-	at time.Duration
+	decayedCount float64
+	at           time.Duration
 }
 
 func (f *failures) add(now time.Duration, n float64) {
-	f.n, f.at = min(f.count(now)+n, failureMost), now
+	f.decayedCount, f.at = min(f.count(now)+n, maxFailures), now
 }
 
-// served halves the count: one that fails three of four calls must not win back all.
-func (f *failures) served(now time.Duration) {
-	f.n, f.at = f.count(now)/2, now
+// recordSuccess halves the count. It does not clear it, so that an endpoint that fails most
+// calls does not regain its full weight.
+func (f *failures) recordSuccess(now time.Duration) {
+	f.decayedCount, f.at = f.count(now)/2, now
 }
 
 func (f *failures) count(now time.Duration) float64 {
-	if f.n == 0 {
+	if f.decayedCount == 0 {
 		return 0
 	}
-	return f.n * math.Exp2(-float64(now-f.at)/float64(failureHalfLife))
+	return f.decayedCount * math.Exp2(-float64(now-f.at)/float64(failureHalfLife))
 }
 
-// chance is what the failures leave of a weight: little, never nothing.
-func (f *failures) chance(now time.Duration) float64 {
+// weightFactor is the factor on a weight for the failures. It is never 0.
+func (f *failures) weightFactor(now time.Duration) float64 {
 	n := 1 + f.count(now)
 	return 1 / (n * n)
 }
 
-// mean is t_i, 0 while nothing is known. An attempt that has been out for longer
-// counts at its age, or a server that fell silent kept its good mean till a time-out.
+// mean is t_i of the paper, or 0 without samples. An attempt in flight for longer than the
+// mean counts with its age, so that an unresponsive endpoint does not keep a low mean until
+// the timeout.
 func (e *endpoint) mean(now time.Duration) float64 {
-	sum, n := e.sum, float64(e.n)
+	sum, n := e.sampleSum, float64(e.sampleCount)
 	known := sum / max(n, 1)
-	for _, f := range e.flights {
-		a := &f.of.attempts[f.number]
-		if age := (now - a.sent).Seconds() / a.ratio; age > known {
+	for _, f := range e.inFlight {
+		a := &f.request.attempts[f.number]
+		if age := (now - a.sent).Seconds() / a.durationRatio; age > known {
 			sum += age
 			n++
 		}
@@ -169,15 +173,15 @@
 	return sum / max(n, 1)
 }
 
-func (e *endpoint) land(landed flight) {
-	if k := slices.Index(e.flights, landed); k >= 0 {
-		e.flights = slices.Delete(e.flights, k, k+1)
+func (e *endpoint) removeInFlight(ended attemptRef) {
+	if k := slices.Index(e.inFlight, ended); k >= 0 {
+		e.inFlight = slices.Delete(e.inFlight, k, k+1)
 	}
 }
 
-// growth is the share of its full capacity that an endpoint surely has: it
-// starts at ColdShare and grows evenly over RampTime.
-func (b *Balancer) growth(e *endpoint, now time.Duration) float64 {
+// capacityShare is the guaranteed share of its full capacity that an endpoint has. It
+// starts at ColdShare and grows linearly over RampTime.
+func (b *Balancer) capacityShare(e *endpoint, now time.Duration) float64 {
 	age := now - e.Since
 	if e.Since == 0 || age >= b.cfg.RampTime {
 		return 1
@@ -186,252 +190,251 @@
 }
 
 const (
-	warmthLeast = 0.01 // settings may let endpoints start at nothing
-	askedPart   = 0.5  // of what is asked: clients may ask several times for one request
+	minCapacityShare = 0.01 // ColdShare may be 0
+	coldRequestShare = 0.5  // of the request rate, as clients may repeat a request several times
 )
 
-// coldAllowed tells whether the cold budget of e has room for one more send, topped up
-// for the time since the last draw that reached it. It grows at the even share of this
-// balancer's served attempts that e would get by its present capacity, times half the
-// multiple that pushes e over (rule 4): the rest is for chance and unequal callers.
-func (b *Balancer) coldAllowed(e *endpoint, now time.Duration) bool {
-	g := b.growth(e, now)
-	if g == 1 {
+// coldBudgetAllows refills the budget of a cold endpoint, one without its full capacity yet,
+// and reports whether it permits an attempt. The refill rate is e's share, by its present
+// capacity, of the attempts that this balancer serves, times half of OverloadFactor. The
+// other half allows for random variation and unequal callers.
+func (b *Balancer) coldBudgetAllows(e *endpoint, now time.Duration) bool {
+	share := b.capacityShare(e, now)
+	if share == 1 {
 		return true
 	}
-	rate := b.coldRate(now) * g
-	e.tokens += rate * max(0, now-max(e.tokensAt, b.draws[0])).Seconds()
-	e.tokensAt = now
-	e.tokens = min(e.tokens, 1+rate*b.cfg.OverloadWindow.Seconds()/2)
-	return e.tokens >= 1
+	rate := b.coldRate(now) * share
+	e.coldTokens += rate * max(0, now-max(e.coldTokensAt, b.subsetPicks[0])).Seconds()
+	e.coldTokensAt = now
+	e.coldTokens = min(e.coldTokens, 1+rate*b.cfg.OverloadWindow.Seconds()/2)
+	return e.coldTokens >= 1
 }
 
-// coldRate is how many sends a second an endpoint with all of its capacity would have at its
-// even share: of what was served, times half the multiple that pushes it over, or, where none
-// is warm and nothing would ever be served without a beginning, of a part of what is asked.
+// coldRate is the refill rate, in attempts per second, for an endpoint with its full
+// capacity. It follows the served rate, or, while no endpoint of the subset has its full
+// capacity, also the request rate: otherwise nothing might ever be served.
 func (b *Balancer) coldRate(now time.Duration) float64 {
-	length := max(float64(b.subsetLength), b.lengthMean)
-	rate := max(1, b.cfg.OverloadFactor/2) * b.servedRate.perSecond(now) / (length * max(b.warmth, warmthLeast))
+	length := max(float64(b.subsetLength), b.meanSubsetLength)
+	rate := max(1, b.cfg.OverloadFactor/2) * b.servedRate.perSecond(now) / (length * max(b.meanCapacityShare, minCapacityShare))
 	if !b.anyWarm {
-		rate = max(rate, askedPart*b.askedRate.mean(now)/length)
+		rate = max(rate, coldRequestShare*b.requestRate.mean(now)/length)
 	}
 	return rate
 }
 
-// averageSubset averages over the time how long the subset is and what share of its full
-// capacity it has, as servedRate averages what it served: what was served by more of them, or
-// while more were warm, is too much for those that are left.
+// averageSubset updates the time averages of the subset's length and capacity share, over
+// the same time as servedRate. A rate served by a larger or warmer subset would overload
+// the endpoints that are left.
 func (b *Balancer) averageSubset(share float64) {
-	b.warmth = b.warmth*b.averageWeight + share*(1-b.averageWeight)
-	b.lengthMean = b.lengthMean*b.averageWeight + float64(b.subsetLength)*(1-b.averageWeight)
+	b.meanCapacityShare = b.meanCapacityShare*b.decayFactor + share*(1-b.decayFactor)
+	b.meanSubsetLength = b.meanSubsetLength*b.decayFactor + float64(b.subsetLength)*(1-b.decayFactor)
 }
 
-// pick draws an endpoint for r by the paper's rule, or returns -1. Each candidate's weight
-// is t_b/t_i; two are drawn with replacement and the lower mean wins, one that failures
-// lower counting as slower by as much: what fails at once would win each draw by the mean
-// of its better days. Where two differ by no more than chance makes of a few round trips,
-// the one with less out wins, then the one that has been left alone for longer.
+// pick selects an endpoint for r by the paper's rule, or returns -1. A candidate's weight is
+// t_b/t_i; two are drawn with replacement and the lower mean wins. Failures raise the mean,
+// as an endpoint that fails quickly may still have a low one. If the difference is within
+// random variation, fewer attempts in flight win, then the longer time without an attempt.
 func (b *Balancer) pick(r *request, now time.Duration) int {
-	if b.gather(r, now, subset) == 0 && b.gather(r, now, connectable) == 0 &&
-		(len(r.attempts) > 0 || b.gather(r, now, anyReady) == 0) {
+	if b.gatherCandidates(r, now, searchSubset) == 0 && b.gatherCandidates(r, now, searchConnectable) == 0 &&
+		(len(r.attempts) > 0 || b.gatherCandidates(r, now, searchAnyReady) == 0) {
 		return -1
 	}
-	low, high := &b.cands[b.draw()], &b.cands[b.draw()]
+	low, high := &b.candidates[b.drawCandidate()], &b.candidates[b.drawCandidate()]
 	if high.mean < low.mean {
 		low, high = high, low
 	}
-	if d := high.mean/low.mean - 1; d*d < low.noise+high.noise && b.crossing(low.index) == b.crossing(high.index) {
-		e, f := &b.eps[low.index], &b.eps[high.index]
-		if cmp.Or(cmp.Compare(len(f.flights), len(e.flights)), cmp.Compare(f.sentAt, e.sentAt)) < 0 {
+	if d := high.mean/low.mean - 1; d*d < low.meanVariance+high.meanVariance && b.zoneFactor(low.index) == b.zoneFactor(high.index) {
+		e, f := &b.endpoints[low.index], &b.endpoints[high.index]
+		if cmp.Or(cmp.Compare(len(f.inFlight), len(e.inFlight)), cmp.Compare(f.sentAt, e.sentAt)) < 0 {
 			return high.index
 		}
 	}
 	return low.index
 }
 
-// candidate is an endpoint that may take the attempt, with its chance.
+// candidate is an endpoint that may get the attempt.
 type candidate struct {
-	index  int
-	mean   float64
-	noise  float64 // variance that the mean has by chance, over its square
-	weight float64
+	index        int
+	mean         float64
+	meanVariance float64 // variance of the mean divided by its square
+	weight       float64
 }
 
-// What a few round trips are worth, which is all that a thin stream has of an endpoint.
+// How samples are weighted. At low request rates there are few for each endpoint.
 const (
-	memoryLeast = 7500 * time.Millisecond // a round trip is remembered for as long,
-	memoryTurns = 3                       // or for as many requests as the endpoint's even share has in it
-	thinWindow  = 10                      // round trips from which on a mean stands for itself
-	unsampled   = 0.5                     // round trips that t_b is worth for one without any
-	shrink      = 5                       // round trips of t_b that thin windows are taken together with in a chance
-	lookChance  = 0.8                     // one that failures leave less has failed just now
-	waryChance  = 0.97                    // for what may not be repeated, or has failed once: it is not what finds out
+	minSampleRetention  = 7500 * time.Millisecond // samples are kept for this time,
+	retentionRequests   = 3                       // or for this many requests at the endpoint's even share, if that is longer
+	reliableSamples     = 10                      // samples from which on a mean is used unadjusted
+	unsampledCount      = 0.5                     // samples that an endpoint without any counts as having, with mean t_b
+	priorSamples        = 5                       // samples of t_b added to the mean of an endpoint with few samples, for its weight
+	suspectFactor       = 0.8                     // weight factor below which an endpoint has failed recently
+	suspectFactorUnsafe = 0.97                    // the same for unsafe requests and retries, which should not probe an endpoint
 )
 
-// Where gather looks, each wider than the last.
+// Sets of endpoints that gatherCandidates searches, each larger than the previous one.
 const (
-	subset      = iota // the stable subset, less what the request has tried
-	connectable        // all but those that refuse connections
-	anyReady           // for a first attempt when every server refuses them
+	searchSubset      = iota // the subset of this balancer, without endpoints already tried
+	searchConnectable        // all ready endpoints that accept connections
+	searchAnyReady           // all ready endpoints, for a first attempt
 )
 
-// The parts of the ring: endpoints of the own zone come first where crossings are priced.
+// The parts of the ring of ready endpoints, see Balancer.ready.
 const (
 	ownZone = iota
 	otherZones
 )
 
-// gather fills b.cands and returns how many there are.
-func (b *Balancer) gather(r *request, now time.Duration, reach int) int {
-	b.cands = b.cands[:0]
-	b.total, b.walked, b.warmSeen = 0, 0, false
+// gatherCandidates fills b.candidates and returns their number.
+func (b *Balancer) gatherCandidates(r *request, now time.Duration, search int) int {
+	b.candidates = b.candidates[:0]
+	b.totalWeight, b.gatheredCapacity, b.gatheredWarm = 0, 0, false
 	want := len(b.ready)
-	if reach == subset {
-		want, b.draws = b.subsetSize(now), [2]time.Duration{b.draws[1], now}
+	if search == searchSubset {
+		want, b.subsetPicks = b.subsetSize(now), [2]time.Duration{b.subsetPicks[1], now}
 	}
-	_, part := b.stretch(len(b.ready), want)
-	among := min(want, b.local) + min(want, len(b.ready)-b.local)
-	b.memory = max(memoryLeast, memoryTurns*time.Duration(float64(min(part, len(b.ready)))/max(b.servedRate.mean(now), 1.0/20)*float64(time.Second)))
-	best := min(b.gatherFrom(ownZone, r, now, reach, want, among), b.gatherFrom(otherZones, r, now, reach, want, among))
-	if reach == subset && b.own != [2]int{} {
-		b.subsetLength = b.own[ownZone] + b.own[otherZones]
-		b.averageSubset(b.walked / float64(b.subsetLength))
-		b.anyWarm = b.warmSeen
+	_, length := b.subsetRange(len(b.ready), want)
+	searched := min(want, b.ownZoneReady) + min(want, len(b.ready)-b.ownZoneReady)
+	b.sampleRetention = max(minSampleRetention, retentionRequests*time.Duration(float64(min(length, len(b.ready)))/max(b.servedRate.mean(now), 1.0/20)*float64(time.Second)))
+	best := min(b.gatherFromPart(ownZone, r, now, search, want, searched), b.gatherFromPart(otherZones, r, now, search, want, searched))
+	if search == searchSubset && b.rangeLengths != [2]int{} {
+		b.subsetLength = b.rangeLengths[ownZone] + b.rangeLengths[otherZones]
+		b.averageSubset(b.gatheredCapacity / float64(b.subsetLength))
+		b.anyWarm = b.gatheredWarm
 	}
 	if math.IsInf(best, 1) {
-		best = 1 // all are unsampled and alike
+		best = 1 // no candidate has samples
 	}
-	once := b.cfg.Classes[r.class].Semantics == Unsafe
-	for k := range b.cands {
-		c := &b.cands[k]
-		e, n := &b.eps[c.index], float64(b.eps[c.index].n)
-		alike := best * b.crossing(c.index)
-		if e.n == 0 { // unsampled counts as t_b, or as what is out shows
-			c.mean, n = max(c.mean, alike), unsampled
+	unsafe := b.cfg.Classes[r.class].Semantics == Unsafe
+	for k := range b.candidates {
+		c := &b.candidates[k]
+		e, n := &b.endpoints[c.index], float64(b.endpoints[c.index].sampleCount)
+		reference := best * b.zoneFactor(c.index)
+		if e.sampleCount == 0 { // t_b, or the age of attempts in flight if higher
+			c.mean, n = max(c.mean, reference), unsampledCount
 		}
-		thin := max(0, 1-n/thinWindow)
-		c.noise, c.weight = b.spread*thin/n, 1
+		uncertainty := max(0, 1-n/reliableSamples)
+		c.meanVariance, c.weight = b.relativeVariance*uncertainty/n, 1
 		if c.mean > best {
-			c.weight = best * (n + thin*shrink) / (n*c.mean + thin*shrink*alike)
+			c.weight = best * (n + uncertainty*priorSamples) / (n*c.mean + uncertainty*priorSamples*reference)
 		}
-		chance := e.failures.chance(now)
-		if chance < lookChance || (once || len(r.attempts) > 0) && chance < waryChance {
-			c.noise = math.Inf(-1) // this is no chance, and nothing to find out with this request
-			if e.n == 0 && once {
-				c.mean, c.weight = c.mean*windowSize, c.weight/4 // failures are all that is known of it
+		factor := e.failures.weightFactor(now)
+		if factor < suspectFactor || (unsafe || len(r.attempts) > 0) && factor < suspectFactorUnsafe {
+			c.meanVariance = math.Inf(-1) // the failures are significant, and this request must not probe the endpoint
+			if e.sampleCount == 0 && unsafe {
+				c.mean, c.weight = c.mean*windowSize, c.weight/4 // nothing but failures is known of the endpoint
 			}
 		}
-		c.weight, c.mean = c.weight*b.growth(e, now)*chance, c.mean/chance
-		if zone := b.zoneFailures(e.Zone); zone.count(now) >= zoneSuspect {
-			c.weight *= zone.chance(now)
+		c.weight, c.mean = c.weight*b.capacityShare(e, now)*factor, c.mean/factor
+		if zone := b.zoneFailures(e.Zone); zone.count(now) >= zoneFailureThreshold {
+			c.weight *= zone.weightFactor(now)
 		}
-		b.total += c.weight
+		b.totalWeight += c.weight
 	}
-	return len(b.cands)
+	return len(b.candidates)
 }
 
-// subsetSize is how many sound endpoints this balancer draws from: a stretch of the
-// ring that is its own, as long as its attempts out at once, as a thin stream would
-// know each server of a large fleet too little. A burst widens it.
+// subsetSize is the number of healthy endpoints in this balancer's subset. It follows the
+// attempts in flight: at a low request rate there would be too few samples for each
+// endpoint of a large fleet.
 func (b *Balancer) subsetSize(now time.Duration) int {
-	b.averageWeight = math.Exp(-float64(now-b.averagedAt) / float64(rateSpan))
+	b.decayFactor = math.Exp(-float64(now-b.averagedAt) / float64(rateTimeConstant))
 	b.averagedAt = now
-	b.outMean = b.outMean*b.averageWeight + float64(b.outTotal)*(1-b.averageWeight)
-	return max(subsetMin, int(math.Ceil(max(b.outMean, float64(b.outTotal)))))
+	b.meanInFlight = b.meanInFlight*b.decayFactor + float64(b.inFlight)*(1-b.decayFactor)
+	return max(minSubsetSize, int(math.Ceil(max(b.meanInFlight, float64(b.inFlight)))))
 }
 
-// stretch is where this balancer's part of a ring begins, and its length, want or more: it
-// ends where another's begins, so that each endpoint is in as many as any other.
-func (b *Balancer) stretch(ring, want int) (start, length int) {
+// subsetRange returns this balancer's range of a ring, of length want or more. It ends where
+// the range of another balancer starts, so that each endpoint is in equally many ranges.
+func (b *Balancer) subsetRange(ring, want int) (start, length int) {
 	start = b.cfg.Index * ring / b.cfg.Instances
-	turns := (want*b.cfg.Instances + ring - 1) / max(ring, 1)
-	return start, min((b.cfg.Index+turns)*ring/b.cfg.Instances-start, max(want, subsetMost))
+	steps := (want*b.cfg.Instances + ring - 1) / max(ring, 1)
+	return start, min((b.cfg.Index+steps)*ring/b.cfg.Instances-start, max(want, maxRangeLength))
 }
 
-// zoneFailures counts what failed in a zone since anything there was served.
+// zoneFailures returns the failure count of a zone, which a success in the zone resets.
 func (b *Balancer) zoneFailures(zone int) *failures {
-	for zone >= len(b.zones) {
-		b.zones = append(b.zones, failures{})
+	for zone >= len(b.failuresByZone) {
+		b.failuresByZone = append(b.failuresByZone, failures{})
 	}
-	return &b.zones[zone]
+	return &b.failuresByZone[zone]
 }
 
-// crowding guards against herding, as what is out shows in no mean yet: where more of
-// ours are out at e than on average in the subset, its mean grows by that ratio.
-func (b *Balancer) crowding(e *endpoint, among int) float64 {
-	even := float64(b.outTotal) / float64(among)
-	return max(1, (1+float64(len(e.flights)))/(1+even))
+// inFlightFactor is the factor on the mean of an endpoint with more attempts in flight than
+// the average of the subset. It prevents herding, as attempts in flight are not in the mean.
+func (b *Balancer) inFlightFactor(e *endpoint, searched int) float64 {
+	average := float64(b.inFlight) / float64(searched)
+	return max(1, (1+float64(len(e.inFlight)))/(1+average))
 }
 
-// gatherFrom adds the candidates of one part of the ring, from this balancer's
-// place on, until it holds want sound endpoints. It returns the lowest mean.
+// gatherFromPart adds the candidates of one part of the ring, starting at this balancer's
+// range, until it has found want healthy endpoints. It returns the lowest mean.
 //
-// Past the stretch no cold one is added: its budget is shared among those that have it in
-// theirs, as many as any other has. More look at it where their own endpoints fail.
-func (b *Balancer) gatherFrom(part int, r *request, now time.Duration, reach, want, among int) float64 {
-	ring := b.ready[:b.local]
+// Cold endpoints beyond the range are skipped: their budget is divided searched the balancers
+// that have them in their ranges.
+func (b *Balancer) gatherFromPart(part int, r *request, now time.Duration, search, want, searched int) float64 {
+	ring := b.ready[:b.ownZoneReady]
 	if part == otherZones {
-		ring = b.ready[b.local:]
+		ring = b.ready[b.ownZoneReady:]
 	}
 	best := math.Inf(1)
-	start, want := b.stretch(len(ring), want)
-	if reach == subset {
-		b.own[part] = min(want, len(ring))
+	start, want := b.subsetRange(len(ring), want)
+	if search == searchSubset {
+		b.rangeLengths[part] = min(want, len(ring))
 	}
 	for k := 0; k < len(ring) && want > 0; k++ {
 		i := ring[(start+k)%len(ring)]
-		e := &b.eps[i]
+		e := &b.endpoints[i]
 		zone := b.zoneFailures(e.Zone)
-		sound := e.failures.count(now) < 1
-		growth := b.growth(e, now)
-		if sound && zone.count(now) < zoneSuspect {
+		healthy := e.failures.count(now) < 1
+		share := b.capacityShare(e, now)
+		if healthy && zone.count(now) < zoneFailureThreshold {
 			want--
 		}
-		if k < b.own[part] {
-			b.walked += growth // sound or not: what the others lack is no reason to push a cold one
-			b.warmSeen = b.warmSeen || growth == 1
-		} else if growth < 1 {
+		if k < b.rangeLengths[part] {
+			b.gatheredCapacity += share // also if unhealthy, as missing capacity must not raise the cold budget
+			b.gatheredWarm = b.gatheredWarm || share == 1
+		} else if share < 1 {
 			continue
 		}
-		if reach == subset && r.tried(i) || reach < anyReady && !b.connectable(e, now) || !b.maySend(r, i, now) {
+		if search == searchSubset && r.tried(i) || search < searchAnyReady && !b.connectable(e, now) || !b.maySend(r, i, now) {
 			continue
 		}
-		for e.n > 0 && now-e.oldest().at > b.memory {
-			e.drop()
+		for e.sampleCount > 0 && now-e.oldestSample().at > b.sampleRetention {
+			e.dropOldestSample()
 		}
-		m := e.mean(now) * b.crowding(e, among) * b.crossing(i)
-		if e.n > 0 && m > 0 && sound {
+		m := e.mean(now) * b.inFlightFactor(e, searched) * b.zoneFactor(i)
+		if e.sampleCount > 0 && m > 0 && healthy {
 			best = min(best, m)
-		} else if e.n > 0 && m > 0 { // one that fails fast must not make the others look slow
-			best = min(best, m/e.failures.chance(now))
+		} else if e.sampleCount > 0 && m > 0 { // an endpoint that fails quickly must not lower best
+			best = min(best, m/e.failures.weightFactor(now))
 		}
-		b.cands = append(b.cands, candidate{index: i, mean: m})
+		b.candidates = append(b.candidates, candidate{index: i, mean: m})
 	}
 	return best
 }
 
-func (b *Balancer) draw() int {
-	x := b.rng.Float64() * b.total
-	for k := range b.cands {
-		if x -= b.cands[k].weight; x < 0 {
+func (b *Balancer) drawCandidate() int {
+	x := b.rng.Float64() * b.totalWeight
+	for k := range b.candidates {
+		if x -= b.candidates[k].weight; x < 0 {
 			return k
 		}
 	}
-	return len(b.cands) - 1
+	return len(b.candidates) - 1
 }
 
-// rate is a decaying sum of what comes a second.
+// rate is an exponentially weighted moving average of amounts per second.
 type rate struct {
 	sum   float64
-	start time.Duration // of what is known
-	at    time.Duration
+	start time.Duration // of the measurement
+	at    time.Duration // of the last update
 }
 
-const rateSpan = 4 * time.Second // long enough to average a bursty second, short enough to follow a surge
+const rateTimeConstant = 4 * time.Second // averages over bursts and still follows a surge
 
-// rateOf is a rate that has had this mean for long.
-func rateOf(now time.Duration, mean float64) rate {
-	return rate{mean * rateSpan.Seconds(), now - 10*rateSpan, now}
+// steadyRate returns a rate that has had this mean for a long time.
+func steadyRate(now time.Duration, mean float64) rate {
+	return rate{mean * rateTimeConstant.Seconds(), now - 10*rateTimeConstant, now}
 }
 
 func (r *rate) add(now time.Duration, x float64) {
@@ -444,19 +447,19 @@
 
 func (r *rate) decay(now time.Duration) {
 	if now > r.at {
-		r.sum *= math.Exp(-float64(now-r.at) / float64(rateSpan))
+		r.sum *= math.Exp(-float64(now-r.at) / float64(rateTimeConstant))
 		r.at = now
 	}
 }
 
-// perSecond is a low estimate in the first seconds of a fresh instance.
+// perSecond is the average. It is too low until several time constants after the start.
 func (r *rate) perSecond(now time.Duration) float64 {
 	r.decay(now)
-	return r.sum / rateSpan.Seconds()
+	return r.sum / rateTimeConstant.Seconds()
 }
 
-// mean is perSecond over the time for which anything is known, and not low.
+// mean is perSecond corrected for the time since the start.
 func (r *rate) mean(now time.Duration) float64 {
-	known := max(now-r.start, rateSpan/4)
-	return r.perSecond(now) / (1 - math.Exp(-float64(known)/float64(rateSpan)))
+	known := max(now-r.start, rateTimeConstant/4)
+	return r.perSecond(now) / (1 - math.Exp(-float64(known)/float64(rateTimeConstant)))
 }
--- a/balance/even_test.go
+++ b/balance/even_test.go
@@ -210,7 +210,7 @@
 
 // Whatever the size of the fleet, its rate and how many nodes are slow: none is left
 // without requests, and nodes that are well again have most of their share once what was
-// known of them has aged, in the time that the rate alone says (memoryLeast, memoryTurns).
+// known of them has aged, in the time that the rate alone says (minSampleRetention, retentionRequests).
 func TestEvenWhateverTheSize(t *testing.T) {
 	const s = time.Second
 	// The same draws each time, unless the command line has others.
@@ -223,10 +223,10 @@
 		each := rapid.Float64Range(0.3, 3).Draw(d, "requests a second a node of each Balancer's subset")
 		every := rapid.IntRange(2, 8).Draw(d, "one of so many is slow")
 		factor := rapid.Float64Range(3, 10).Draw(d, "how many times")
-		subset := float64(min(nodes, subsetMin))
+		subset := float64(min(nodes, minSubsetSize))
 		perSecond := min(each*subset*float64(balancers), 40*float64(nodes)) // an eighth of what sound nodes can do
 		each = perSecond / subset / float64(balancers)
-		age := max(memoryLeast, time.Duration(memoryTurns/each*float64(s)))
+		age := max(minSampleRetention, time.Duration(retentionRequests/each*float64(s)))
 		sick := func(n int) bool { return n%every == 1 }
 		r := newEvenRig(t, evenConfig(), balancers, nodes, rapid.Uint64().Draw(d, "seed"))
 		ill, well := 10*s, 20*s
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -292,10 +292,10 @@
 
 // subsetOf is the stretch of the ring that a Balancer draws from.
 func subsetOf(b *Balancer) map[string]bool {
-	b.gather(&request{id: 1, deadline: time.Hour}, 0, subset)
+	b.gatherCandidates(&request{id: 1, deadline: time.Hour}, 0, searchSubset)
 	got := map[string]bool{}
-	for _, c := range b.cands {
-		got[b.eps[c.index].Addr] = true
+	for _, c := range b.candidates {
+		got[b.endpoints[c.index].Addr] = true
 	}
 	return got
 }
@@ -319,7 +319,7 @@
 				callers[addr]++
 			}
 			share := (c.endpoints + c.instances - 1) / c.instances
-			if want := min(max(subsetMin, share), c.endpoints); len(before[i]) < want-1 || len(before[i]) > want+share {
+			if want := min(max(minSubsetSize, share), c.endpoints); len(before[i]) < want-1 || len(before[i]) > want+share {
 				t.Fatalf("%v: a subset of %d, want %d and what the borders ask for", c, len(before[i]), want)
 			}
 		}
@@ -354,8 +354,8 @@
 // A third of 60 endpoints falls silent under 80 Balancers: no connection comes up
 // there, and what is out gets no answer. Then, for two seconds, all the others answer
 // with errors at once, as a tier does whose own next tier is lost. Attempts for a
-// first try are bounded in the worst span of 2 s: each request that is served adds retryShare
-// of a try again, and each Balancer has saved up what it serves in retrySpan at the most.
+// first try are bounded in the worst span of 2 s: each request that is served adds retriesPerServed
+// of a try again, and each Balancer has saved up what it serves in retryBurstWindow at the most.
 func TestFleetAttemptsBounded(t *testing.T) {
 	const perSecond, cut, sick = 2000.0, 8 * time.Second, 15 * time.Second
 	for seed := range uint64(3) {
@@ -398,10 +398,10 @@
 			for i := k; i < k+4; i++ {
 				a, b = a+all[i], b+first[i]
 			}
-			worst = max(worst, (float64(a)-perSecond*retrySpan.Seconds())/float64(b))
+			worst = max(worst, (float64(a)-perSecond*retryBurstWindow.Seconds())/float64(b))
 		}
 		t.Logf("seed %d: %.3f attempts a first try in the worst 2 s, less what was saved up; %.4f served between the troubles", seed, worst, float64(served)/float64(asked))
-		if bound := 1 + retryShare; worst > bound {
+		if bound := 1 + retriesPerServed; worst > bound {
 			t.Errorf("seed %d: %.3f attempts a first try in the worst 2 s, less what was saved up, want %.2f at most", seed, worst, bound)
 		}
 		if float64(served) < 0.98*float64(asked) {
--- a/balance/mass_test.go
+++ b/balance/mass_test.go
@@ -135,9 +135,9 @@
 // they choose from, each of which asks its own tier twice in a row for a request and
 // fails if a call does. A third of the second tier falls silent and then, for two
 // seconds, all of it answers with errors. Calls that reach the second tier are bounded
-// over both: a first try makes 1 + retryShare attempts in its tier, each of them two
-// calls there, and each of those 1 + retryShare attempts; beside them what each
-// Balancer has saved up: retryLeast where it serves 15 a second in its tier.
+// over both: a first try makes 1 + retriesPerServed attempts in its tier, each of them two
+// calls there, and each of those 1 + retriesPerServed attempts; beside them what each
+// Balancer has saved up: minRetryBurst where it serves 15 a second in its tier.
 func TestMassAttemptsBoundedOverTwoTiers(t *testing.T) {
 	const fronts, middles, perSecond, calls = 50, 100, 1500.0, 2
 	const cut, sick, healed = 6 * time.Second, 10 * time.Second, 12 * time.Second
@@ -206,7 +206,7 @@
 		front.list(Full, ready("w", middles))
 		below.list(Full, ready("l", 2*middles))
 		front.run(16*time.Second, perSecond, 0, 1500*ms)
-		worst, saved := 0.0, perSecond*retrySpan.Seconds()*calls+middles*retryLeast
+		worst, saved := 0.0, perSecond*retryBurstWindow.Seconds()*calls+middles*minRetryBurst
 		for k := 4; k+4 <= 32; k++ {
 			a, b := 0, 0
 			for i := k; i < k+4; i++ {
@@ -215,7 +215,7 @@
 			worst = max(worst, (float64(a)-saved)/float64(b*calls))
 		}
 		t.Logf("seed %d: %.3f attempts a call in the worst 2 s, less what was saved up", seed, worst)
-		if bound := (1 + retryShare) * (1 + retryShare); worst > bound {
+		if bound := (1 + retriesPerServed) * (1 + retriesPerServed); worst > bound {
 			t.Errorf("seed %d: %.3f attempts a call in the worst 2 s, less what was saved up, want %.2f at most", seed, worst, bound)
 		}
 	}
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -152,7 +152,7 @@
 			}
 			f.list(Full, ready("w", 60))
 			f.run(16*time.Second, perSecond, 0, 1500*ms)
-			saved := fleet * max(retryLeast, perSecond/fleet*retrySpan.Seconds())
+			saved := fleet * max(minRetryBurst, perSecond/fleet*retryBurstWindow.Seconds())
 			t.Logf("result %d, seed %d: %.0f retries of %.0f first tries while all fail, %.0f saved up", result, seed, sum(&again, begin, end), sum(&first, begin, end), saved)
 			if n := sum(&again, begin, end); n > saved {
 				t.Errorf("result %d, seed %d: %.0f retries while nothing is served, want the %.0f that were saved up at most", result, seed, n, saved)
--- a/balance/random_test.go
+++ b/balance/random_test.go
@@ -167,8 +167,8 @@
 			c.errorf("request %d was never answered", id)
 		}
 	}
-	if len(b.requests) != 0 || b.outTotal != 0 {
-		c.errorf("%d requests and %d attempts left behind", len(b.requests), b.outTotal)
+	if len(b.requests) != 0 || b.inFlight != 0 {
+		c.errorf("%d requests and %d attempts left behind", len(b.requests), b.inFlight)
 	}
 	return c.trace
 }
--- a/balance/step_test.go
+++ b/balance/step_test.go
@@ -61,10 +61,10 @@
 		var look func()
 		look = func() {
 			for i, b := range f.at {
-				if b.door.limit < limits[i] && f.now < until {
+				if b.admission.limit < limits[i] && f.now < until {
 					cuts[f.now/span]++
 				}
-				limits[i] = b.door.limit
+				limits[i] = b.admission.limit
 			}
 			f.after(5*ms, look)
 		}
--- a/balance/world_test.go
+++ b/balance/world_test.go
@@ -81,8 +81,8 @@
 	b.Outcome(ms, 1, 7, OK, ms, true)
 	b.Outcome(ms, 1, 0, OK, ms, true)
 	b.Outcome(ms, 1, 0, Error, ms, false)
-	if len(h.sends) != 1 || len(b.requests) != 0 || b.outTotal != 0 {
-		t.Errorf("%d sends, %d open, %d out, want 1, 0, 0", len(h.sends), len(b.requests), b.outTotal)
+	if len(h.sends) != 1 || len(b.requests) != 0 || b.inFlight != 0 {
+		t.Errorf("%d sends, %d open, %d out, want 1, 0, 0", len(h.sends), len(b.requests), b.inFlight)
 	}
 }
 
@@ -97,8 +97,8 @@
 		now += time.Second
 		b.Members(now, Full, []Endpoint{{Addr: fmt.Sprint("s-", k), State: Ready}, {Addr: fmt.Sprint("t-", k), State: Ready}})
 	}
-	if most := 2 * int(goneMemory/time.Second+2); len(b.eps) > most || len(b.byAddr) > most {
-		t.Errorf("%d places and %d names for 2 endpoints, want %d at most", len(b.eps), len(b.byAddr), most)
+	if most := 2 * int(goneRetention/time.Second+2); len(b.endpoints) > most || len(b.indexByAddr) > most {
+		t.Errorf("%d places and %d names for 2 endpoints, want %d at most", len(b.endpoints), len(b.indexByAddr), most)
 	}
 
 	b.Members(now, Full, []Endpoint{{Addr: "old", State: Ready}})
@@ -106,22 +106,22 @@
 	if len(h.sends) != 1 || h.sends[0].addr != "old" {
 		t.Fatalf("sends %v, want one to old", h.sends)
 	}
-	place := b.byAddr["old"]
+	place := b.indexByAddr["old"]
 	for k := range 200 {
 		now += time.Second
 		b.Members(now, Full, []Endpoint{{Addr: fmt.Sprint("u-", k), State: Ready}})
 	}
-	if b.byAddr["old"] != place || b.eps[place].Addr != "old" {
+	if b.indexByAddr["old"] != place || b.endpoints[place].Addr != "old" {
 		t.Fatal("the place of an open attempt was given away")
 	}
 	b.Outcome(now, 1, 0, Timeout, time.Second, true)
 	b.Members(now, Full, nil)
-	if _, ok := b.byAddr["old"]; ok {
+	if _, ok := b.indexByAddr["old"]; ok {
 		t.Error("still remembered with nothing open")
 	}
-	for i := range b.eps {
-		if e := &b.eps[i]; len(e.flights) != 0 || e.refs != 0 {
-			t.Errorf("place %d (%s): %d flights, %d references left", i, e.Addr, len(e.flights), e.refs)
+	for i := range b.endpoints {
+		if e := &b.endpoints[i]; len(e.inFlight) != 0 || e.attemptRefs != 0 {
+			t.Errorf("place %d (%s): %d flights, %d references left", i, e.Addr, len(e.inFlight), e.attemptRefs)
 		}
 	}
 }
--- a/cmd/drill/conns.go
+++ b/cmd/drill/conns.go
@@ -1,15 +1,15 @@
 package main
 
-// sweepToken is the timer that looks for idle connections. Requests' tokens lie below.
+// sweepToken is the timer that releases idle connections. The Balancer's tokens are lower.
 const sweepToken = 1 << 62
 
-// conns guesses which of an instance's connections to each endpoint are idle: the
-// simulator opens them as needed and closes those that are idle when told.
-type conns struct {
-	links []*link // in the order of their first use
-	by    map[string]*link
-	out   map[attemptKey]*link
-	armed bool
+// connTracker estimates which connections of an instance are idle. The simulator opens
+// connections as needed and closes idle ones on a RELEASE action.
+type connTracker struct {
+	endpoints      []*endpointConns // in the order of first use
+	byAddr         map[string]*endpointConns
+	inFlight       map[attemptKey]*endpointConns
+	sweepScheduled bool
 }
 
 type attemptKey struct {
@@ -17,60 +17,60 @@
 	number int
 }
 
-// link is what goes on between an instance and one endpoint.
-type link struct {
-	addr string
-	out  int // attempts
-	peak int // most out at once since the last sweep
-	open int // connections that there may be
+// endpointConns counts the connections of an instance to one endpoint.
+type endpointConns struct {
+	addr     string
+	inFlight int // attempts without an outcome
+	peak     int // of inFlight since the last sweep
+	open     int // upper bound of the open connections
 }
 
-// sent books an attempt and tells whether a sweep has to be asked for.
-func (c *conns) sent(id uint64, number int, addr string) (arm bool) {
-	l := c.by[addr]
-	if l == nil {
-		if c.by == nil {
-			c.by, c.out = map[string]*link{}, map[attemptKey]*link{}
+// sent records the start of an attempt and reports whether a sweep has to be scheduled.
+func (c *connTracker) sent(id uint64, number int, addr string) (needsSweep bool) {
+	e := c.byAddr[addr]
+	if e == nil {
+		if c.byAddr == nil {
+			c.byAddr, c.inFlight = map[string]*endpointConns{}, map[attemptKey]*endpointConns{}
 		}
-		l = &link{addr: addr}
-		c.by[addr] = l
-		c.links = append(c.links, l)
+		e = &endpointConns{addr: addr}
+		c.byAddr[addr] = e
+		c.endpoints = append(c.endpoints, e)
 	}
-	c.out[attemptKey{id, number}] = l
-	l.out++
-	l.peak, l.open = max(l.peak, l.out), max(l.open, l.out)
-	arm = !c.armed
-	c.armed = true
-	return arm
+	c.inFlight[attemptKey{id, number}] = e
+	e.inFlight++
+	e.peak, e.open = max(e.peak, e.inFlight), max(e.open, e.inFlight)
+	needsSweep = !c.sweepScheduled
+	c.sweepScheduled = true
+	return needsSweep
 }
 
-// ended books the outcome of an attempt.
-func (c *conns) ended(id uint64, number int) {
+// ended records the end of an attempt.
+func (c *connTracker) ended(id uint64, number int) {
 	k := attemptKey{id, number}
-	if l := c.out[k]; l != nil {
-		l.out--
-		delete(c.out, k)
+	if e := c.inFlight[k]; e != nil {
+		e.inFlight--
+		delete(c.inFlight, k)
 	}
 }
 
-// sweep hands those endpoints to release to which there are connections that were not
-// needed since the last sweep, and tells whether another one is needed.
-func (c *conns) sweep(release func(addr string)) (again bool) {
-	kept := c.links[:0]
-	for _, l := range c.links {
-		if l.open > l.peak {
-			release(l.addr)
-			l.open = l.out
+// sweep calls release for each endpoint with connections that were unused since the last
+// sweep, and reports whether another sweep has to be scheduled.
+func (c *connTracker) sweep(release func(addr string)) (again bool) {
+	kept := c.endpoints[:0]
+	for _, e := range c.endpoints {
+		if e.open > e.peak {
+			release(e.addr)
+			e.open = e.inFlight
 		}
-		l.peak = l.out
-		if l.open == 0 {
-			delete(c.by, l.addr)
+		e.peak = e.inFlight
+		if e.open == 0 {
+			delete(c.byAddr, e.addr)
 			continue
 		}
-		kept = append(kept, l)
+		kept = append(kept, e)
 	}
-	clear(c.links[len(kept):])
-	c.links = kept
-	c.armed = len(kept) > 0
-	return c.armed
+	clear(c.endpoints[len(kept):])
+	c.endpoints = kept
+	c.sweepScheduled = len(kept) > 0
+	return c.sweepScheduled
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,6 +1,5 @@
-// Command drill runs balancers on the simulator's wire: events on standard
-// input, actions on standard output. It decides nothing, and lets go of idle
-// connections as the sidecar does.
+// Command drill runs balancers for the simulator: it reads events from standard input
+// and writes actions to standard output. Idle connections are released as in the sidecar.
 package main
 
 import (
@@ -31,51 +30,51 @@
 	}
 }
 
-// decider is a Balancer, or one whose decisions are captured.
-type decider interface {
+// balancer is a balance.Balancer, or a capture.Tap around one.
+type balancer interface {
 	Members(now time.Duration, kind balance.ListKind, list []balance.Endpoint)
 	Request(now time.Duration, id balance.RequestID, class, tenant int, budget time.Duration)
-	Outcome(now time.Duration, id balance.RequestID, number int, result balance.Result, elapsed time.Duration, over bool)
+	Outcome(now time.Duration, id balance.RequestID, number int, result balance.Result, elapsed time.Duration, final bool)
 	Withdrawn(now time.Duration, id balance.RequestID)
 	Timer(now time.Duration, token uint64)
 }
 
-// host carries one balancer's actions to the wire.
+// host writes the actions of one instance's balancer to the simulator.
 type host struct {
-	number int
-	out    *wire.Writer
-	bal    decider
-	record *recording // nil for none
-	conns  conns
-	keep   time.Duration             // that idle connections are kept for
-	tries  map[balance.RequestID]int // of requests that are owed an answer
+	instance    int
+	out         *wire.Writer
+	balancer    balancer
+	record      *recording // nil without --capture
+	conns       connTracker
+	idleTimeout time.Duration             // after which idle connections are released
+	attempts    map[balance.RequestID]int // number of attempts by open request
 }
 
 func (h *host) Send(id balance.RequestID, addr string, timeout time.Duration) {
-	h.out.Send(h.number, uint64(id), addr, timeout)
-	if h.conns.sent(uint64(id), h.tries[id], addr) {
-		h.out.After(h.number, h.keep, sweepToken)
+	h.out.Send(h.instance, uint64(id), addr, timeout)
+	if h.conns.sent(uint64(id), h.attempts[id], addr) {
+		h.out.After(h.instance, h.idleTimeout, sweepToken)
 	}
-	h.tries[id]++
+	h.attempts[id]++
 }
 
 func (h *host) Refuse(id balance.RequestID, retryAfter time.Duration) {
-	h.out.Refuse(h.number, uint64(id), retryAfter)
-	delete(h.tries, id)
+	h.out.Refuse(h.instance, uint64(id), retryAfter)
+	delete(h.attempts, id)
 }
 
 func (h *host) Fail(id balance.RequestID) {
-	h.out.Fail(h.number, uint64(id))
-	delete(h.tries, id)
+	h.out.Fail(h.instance, uint64(id))
+	delete(h.attempts, id)
 }
 
-func (h *host) After(d time.Duration, token uint64) { h.out.After(h.number, d, token) }
+func (h *host) After(d time.Duration, token uint64) { h.out.After(h.instance, d, token) }
 
-func (h *host) Watch() { h.out.Watch(h.number) }
+func (h *host) Watch() { h.out.Watch(h.instance) }
 
-// run plays in until its end. With a folder each life of an instance is captured in a
-// file of its own there.
-func run(in io.Reader, out io.Writer, captures string) (err error) {
+// run processes events until the end of in. If captureDir is not empty, each start of an
+// instance writes a capture file there.
+func run(in io.Reader, out io.Writer, captureDir string) (err error) {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	hosts := map[int]*host{}
 	defer func() {
@@ -83,7 +82,7 @@
 			err = errors.Join(err, h.record.close())
 		}
 	}()
-	lives := 0
+	starts := 0
 	var e wire.Event
 	for {
 		err := r.Next(&e)
@@ -94,17 +93,17 @@
 			return err
 		}
 		switch e.Kind {
-		case wire.Batch:
-		case wire.EndOf:
+		case wire.BatchStart:
+		case wire.BatchEnd:
 			if err := w.Reply(); err != nil {
 				return err
 			}
-		case wire.Start:
-			lives++
-			if err := start(hosts, w, &e, captures, lives); err != nil {
+		case wire.InstanceStart:
+			starts++
+			if err := start(hosts, w, &e, captureDir, starts); err != nil {
 				return err
 			}
-		case wire.Stop:
+		case wire.InstanceStop:
 			if h := hosts[e.Instance]; h != nil {
 				if err := h.record.close(); err != nil {
 					return err
@@ -119,59 +118,61 @@
 	}
 }
 
-func start(hosts map[int]*host, w *wire.Writer, e *wire.Event, captures string, life int) error {
-	h := &host{number: e.Instance, out: w, tries: map[balance.RequestID]int{}}
+// start starts an instance. Invalid settings are reported to the simulator as a FAULT.
+func start(hosts map[int]*host, w *wire.Writer, e *wire.Event, captureDir string, number int) error {
+	h := &host{instance: e.Instance, out: w, attempts: map[balance.RequestID]int{}}
 	settings, err := wire.ParseSettings(e.Settings)
 	var config balance.Config
 	if err == nil {
 		config = settings.BalancerConfig()
-		h.keep = upstream.OptimalIdleTimeout(settings.ConnPrices())
+		h.idleTimeout = upstream.OptimalIdleTimeout(settings.ConnPrices())
 		err = settings.Err()
 	}
-	if err == nil && captures != "" {
-		if h.record, err = newRecording(captures, e.Instance, life); err != nil {
+	if err == nil && captureDir != "" {
+		if h.record, err = newRecording(captureDir, e.Instance, number); err != nil {
 			return err
 		}
-		h.bal, err = capture.NewTap(config, e.Seed, h, h.record.put)
+		h.balancer, err = capture.NewTap(config, e.Seed, h, h.record.write)
 	} else if err == nil {
-		h.bal, err = balance.New(config, e.Seed, h)
+		h.balancer, err = balance.New(config, e.Seed, h)
 	}
 	if err != nil {
 		w.Fault(e.Instance, err.Error())
 		if h.record == nil {
 			return nil
 		}
-		return errors.Join(h.record.close(), os.Remove(h.record.file.Name())) // it never began
+		return errors.Join(h.record.close(), os.Remove(h.record.file.Name())) // the instance never ran
 	}
 	hosts[e.Instance] = h
 	return nil
 }
 
-// recording is the capture of one life of an instance.
+// recording writes the capture file of one start of an instance.
 type recording struct {
-	file *os.File
-	to   *capture.Writer
+	file   *os.File
+	writer *capture.Writer
 }
 
-func newRecording(dir string, instance, life int) (*recording, error) {
-	f, err := os.Create(filepath.Join(dir, fmt.Sprintf("%d-%d.capture", instance, life)))
+func newRecording(dir string, instance, number int) (*recording, error) {
+	f, err := os.Create(filepath.Join(dir, fmt.Sprintf("%d-%d.capture", instance, number)))
 	if err != nil {
 		return nil, err
 	}
 	return &recording{f, capture.NewWriter(f)}, nil
 }
 
-func (r *recording) put(e *capture.Event) { r.to.Write(e) } // the error shows at close
+func (r *recording) write(e *capture.Event) { r.writer.Write(e) } // errors are returned by close
 
 func (r *recording) close() error {
 	if r == nil {
 		return nil
 	}
-	return errors.Join(r.to.Flush(), r.file.Close())
+	return errors.Join(r.writer.Flush(), r.file.Close())
 }
 
+// deliver passes an event to the instance's balancer.
 func deliver(h *host, e *wire.Event) {
-	b, id := h.bal, balance.RequestID(e.ID)
+	b, id := h.balancer, balance.RequestID(e.ID)
 	switch e.Kind {
 	case wire.Members:
 		b.Members(e.Now, e.ListKind, e.List)
@@ -179,18 +180,18 @@
 		b.Request(e.Now, id, e.Class, e.Tenant, e.Budget)
 	case wire.Outcome:
 		h.conns.ended(e.ID, e.Number)
-		if e.Over {
-			delete(h.tries, id)
+		if e.Final {
+			delete(h.attempts, id)
 		}
-		b.Outcome(e.Now, id, e.Number, e.Result, e.Elapsed, e.Over)
+		b.Outcome(e.Now, id, e.Number, e.Result, e.Elapsed, e.Final)
 	case wire.Withdrawn:
-		delete(h.tries, id)
+		delete(h.attempts, id)
 		b.Withdrawn(e.Now, id)
 	case wire.Timer:
 		if e.ID != sweepToken {
 			b.Timer(e.Now, e.ID)
-		} else if h.conns.sweep(func(addr string) { h.out.Release(h.number, addr) }) {
-			h.out.After(h.number, h.keep, sweepToken)
+		} else if h.conns.sweep(func(addr string) { h.out.Release(h.instance, addr) }) {
+			h.out.After(h.instance, h.idleTimeout, sweepToken)
 		}
 	}
 }
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -10,12 +10,12 @@
 	"gorselink/internal/capture"
 )
 
-// TestTranscripts plays hand-written event files and compares the replies;
-// each is played twice, as the same events must give the same actions.
+// TestTranscripts runs the event files in testdata and compares the actions. Each is run
+// with and without a capture, as the same events must give the same actions.
 func TestTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.in")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no transcripts: %v", err)
+		t.Fatalf("no transcripts in testdata: %v", err)
 	}
 	for _, f := range files {
 		in, err := os.ReadFile(f)
@@ -26,27 +26,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, captures := range []string{"", t.TempDir()} {
+		for _, captureDir := range []string{"", t.TempDir()} {
 			var out bytes.Buffer
-			if err := run(bytes.NewReader(in), &out, captures); err != nil {
+			if err := run(bytes.NewReader(in), &out, captureDir); err != nil {
 				t.Fatalf("%s: %v", f, err)
 			}
 			if out.String() != string(want) {
 				t.Errorf("%s: got\n%s\nwant\n%s", f, out.String(), want)
 			}
-			if captures != "" {
-				replays(t, captures)
+			if captureDir != "" {
+				checkReplay(t, captureDir)
 			}
 		}
 	}
 }
 
-// replays plays what was captured in dir: every decision must be the same.
-func replays(t *testing.T, dir string) {
+// checkReplay replays the captures in dir and checks that every decision is the same.
+func checkReplay(t *testing.T, dir string) {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(dir, "*.capture"))
 	if len(files) == 0 {
-		t.Error("nothing was captured")
+		t.Error("no capture file was written")
 	}
 	for _, path := range files {
 		f, err := os.Open(path)
@@ -56,13 +56,13 @@
 		n, err := capture.Replay(capture.NewReader(f))
 		f.Close()
 		if err != nil || n < 2 {
-			t.Errorf("%s: %d events played: %v", path, n, err)
+			t.Errorf("replay of %s failed after %d events: %v", path, n, err)
 		}
 	}
 }
 
-func TestMalformedInputIsAnError(t *testing.T) {
+func TestRunRejectsMalformedInput(t *testing.T) {
 	if err := run(strings.NewReader("MARK 1\nNONSENSE\n"), &bytes.Buffer{}, ""); err == nil {
-		t.Error("want an error")
+		t.Error("malformed input: got no error")
 	}
 }
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Writer writes actions. Errors show at Flush.
+// Writer writes actions. Write errors are returned by Reply.
 type Writer struct {
 	out *bufio.Writer
 	buf []byte
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: bufio.NewWriterSize(out, 1<<16)}
 }
@@ -28,16 +28,16 @@
 	w.buf = strconv.AppendUint(w.buf, n, 10)
 }
 
-// time writes whole microseconds as seconds.
+// time writes d in seconds, with microsecond precision.
 func (w *Writer) time(d time.Duration) {
 	w.buf = append(w.buf, ' ')
 	us := d.Microseconds()
 	w.buf = strconv.AppendInt(w.buf, us/1e6, 10)
 	w.buf = append(w.buf, '.')
-	frac := us%1e6 + 1e6 // the leading 1 keeps the zeros
-	at := len(w.buf)
-	w.buf = strconv.AppendInt(w.buf, frac, 10)
-	w.buf = append(w.buf[:at], w.buf[at+1:]...)
+	fraction := us%1e6 + 1e6 // the leading 1, removed below, preserves leading zeros
+	start := len(w.buf)
+	w.buf = strconv.AppendInt(w.buf, fraction, 10)
+	w.buf = append(w.buf[:start], w.buf[start+1:]...)
 }
 
 func (w *Writer) text(s string) {
@@ -50,7 +50,7 @@
 	w.out.Write(w.buf)
 }
 
-// Send writes the start of an attempt.
+// Send writes that an attempt starts.
 func (w *Writer) Send(instance int, id uint64, addr string, timeout time.Duration) {
 	w.start("SEND", instance)
 	w.integer(id)
@@ -59,7 +59,7 @@
 	w.end()
 }
 
-// Refuse writes a refusal.
+// Refuse writes that a request is refused.
 func (w *Writer) Refuse(instance int, id uint64, retryAfter time.Duration) {
 	w.start("BOUNCE", instance)
 	w.integer(id)
@@ -67,14 +67,14 @@
 	w.end()
 }
 
-// Fail writes a failure.
+// Fail writes that a request fails.
 func (w *Writer) Fail(instance int, id uint64) {
 	w.start("SURRENDER", instance)
 	w.integer(id)
 	w.end()
 }
 
-// After writes the request for a timer.
+// After writes that a timer is requested.
 func (w *Writer) After(instance int, d time.Duration, token uint64) {
 	w.start("DEFER", instance)
 	w.time(d)
@@ -89,21 +89,21 @@
 	w.end()
 }
 
-// Watch writes the subscription to list changes.
+// Watch writes that an instance subscribes to endpoint list changes.
 func (w *Writer) Watch(instance int) {
 	w.start("FOLLOW", instance)
 	w.integer(1)
 	w.end()
 }
 
-// Fault declares that the decision code has failed.
+// Fault writes that an instance cannot run, and the reason.
 func (w *Writer) Fault(instance int, text string) {
 	w.start("FAULT", instance)
 	w.text(text)
 	w.end()
 }
 
-// Reply ends the reply to a batch and flushes it.
+// Reply ends the reply to a batch and flushes the output.
 func (w *Writer) Reply() error {
 	w.out.WriteString("ACK\n")
 	return w.out.Flush()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,21 +10,20 @@
 	"gorselink/balance"
 )
 
-// Settings is the settings of an instance by path, and the first error met in
-// reading them. The simulator and the real sidecar's configuration use the
-// same names, so both are read here.
+// Settings holds the settings of an instance by path, and the first error found while
+// reading them. The simulator and the configuration of the sidecar use the same paths.
 type Settings struct {
 	values map[string]string
 	err    error
 }
 
-// NewSettings returns the settings that values holds by path.
+// NewSettings returns Settings with values by path.
 func NewSettings(values map[string]string) *Settings {
 	return &Settings{values: values}
 }
 
-// ParseSettings reads the settings of a started instance. Unknown ones are
-// ignored and missing ones stay zero, for balance.New to judge.
+// ParseSettings parses space-separated path=value pairs. Unknown paths are ignored;
+// missing settings are zero, and balance.New validates them.
 func ParseSettings(text string) (*Settings, error) {
 	values := map[string]string{}
 	for _, pair := range strings.Fields(text) {
@@ -37,10 +36,10 @@
 	return NewSettings(values), nil
 }
 
-// Err is the first error met so far.
+// Err returns the first error so far.
 func (s *Settings) Err() error { return s.err }
 
-// Balance is the part of the settings that the Balancer needs.
+// BalancerConfig returns the settings of the Balancer.
 func (s *Settings) BalancerConfig() balance.Config {
 	c := balance.Config{
 		Index:                   s.Integer("Me"),
@@ -62,7 +61,7 @@
 		MaxWatchInterval:        s.Duration("Obligations.AskWithinS"),
 	}
 	for i := range s.Integer("RequestClasses.count") {
-		c.Classes = append(c.Classes, s.class(fmt.Sprintf("RequestClasses.%d.", i)))
+		c.Classes = append(c.Classes, s.classSettings(fmt.Sprintf("RequestClasses.%d.", i)))
 	}
 	for i := range s.Integer("Tenants.count") {
 		c.TenantQuotas = append(c.TenantQuotas, s.number(fmt.Sprintf("Tenants.%d.QuotaPerS", i)))
@@ -70,28 +69,28 @@
 	return c
 }
 
-// ConnPrices are what the goal charges for new connections, by first try, and for open
-// ones on average, over a hundred times the endpoints.
+// ConnPrices returns the prices in the objective: of new connections per first attempt, and
+// of the mean number of open connections divided by a hundred times the endpoints.
 func (s *Settings) ConnPrices() (handshake, connection float64) {
 	return s.number("Prices.Handshake"), s.number("Prices.Connection")
 }
 
-func (s *Settings) class(at string) balance.Class {
+func (s *Settings) classSettings(prefix string) balance.Class {
 	return balance.Class{
-		LatencyTarget:       s.Duration(at + "AimS"),
-		Deadline:            s.Duration(at + "DeadlineS"),
-		Semantics:           balance.Semantics(s.choice(at+"Semantics", "free", "guarded", "single_shot")),
-		Scope:               balance.Scope(s.choice(at+"KeyScope", "all", "zone", "cell")),
-		DeduplicationWindow: s.Duration(at + "MemorySpanS"),
-		Worth:               s.number(at + "Worth"),
-		LateWorth:           s.number(at + "LateWorth"),
+		LatencyTarget:       s.Duration(prefix + "AimS"),
+		Deadline:            s.Duration(prefix + "DeadlineS"),
+		Semantics:           balance.Semantics(s.choice(prefix+"Semantics", "free", "guarded", "single_shot")),
+		Scope:               balance.Scope(s.choice(prefix+"KeyScope", "all", "zone", "cell")),
+		DeduplicationWindow: s.Duration(prefix + "MemorySpanS"),
+		Worth:               s.number(prefix + "Worth"),
+		LateWorth:           s.number(prefix + "LateWorth"),
 	}
 }
 
-// Text reads a text; a missing one is empty.
+// Text returns a setting as it is, or "" if it is missing.
 func (s *Settings) Text(path string) string { return s.values[path] }
 
-// Fail books an error about a setting, unless there was one before.
+// AddError records that a setting is invalid, unless there is an error already.
 func (s *Settings) AddError(path, want string) {
 	if s.err == nil {
 		s.err = fmt.Errorf("setting %s: %q, want %s", path, s.values[path], want)
@@ -111,15 +110,15 @@
 	return f
 }
 
-// Time reads a time in seconds; a missing one is 0.
+// Duration returns a setting in seconds, or 0 if it is missing.
 func (s *Settings) Duration(path string) time.Duration {
 	return time.Duration(math.Round(s.number(path)*1e6)) * time.Microsecond
 }
 
-// maxCount bounds whole-number settings.
+// maxCount bounds integer settings.
 const maxCount = 1 << 20
 
-// Integer reads a whole number from 0 on; a missing one is 0.
+// Integer returns a setting that is an integer of 0 or more, or 0 if it is missing.
 func (s *Settings) Integer(path string) int {
 	f := s.number(path)
 	if f < 0 || f > maxCount || f != math.Trunc(f) {
@@ -133,8 +132,7 @@
 	return s.choice(path, "false", "true") == 1
 }
 
-// choice returns the position of the value among words; the first is the
-// default.
+// choice returns the index of the value in words. The default is the first.
 func (s *Settings) choice(path string, words ...string) int {
 	text, ok := s.values[path]
 	if !ok {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads the simulator's events and writes its actions. It
-// decides nothing. Anything malformed is an error that names the line.
+// Package wire implements the text protocol of the simulator: it reads events and
+// writes actions. Errors about malformed input contain the line number.
 package wire
 
 import (
@@ -19,24 +19,24 @@
 // Kind is the type of an Event.
 type Kind int
 
-// The kinds of event, in the order of their words in kinds.
+// The kinds of event.
 const (
-	Batch   Kind = iota // a batch starts; Now is set
-	EndOf               // a batch ends and wants its reply
-	Start               // an instance starts
-	Stop                // an instance is killed
-	Members             // news of the endpoint list
+	BatchStart    Kind = iota // a batch begins; Now is set
+	BatchEnd                  // a batch ends and needs a reply
+	InstanceStart             // an instance starts
+	InstanceStop              // an instance is killed
+	Members                   // an endpoint list, or the failure to obtain one
 	Request
 	Opened
 	Outcome
 	Withdrawn
 	Timer
-	Probed
-	Peer
+	ProbeResult
+	PeerMessage
 )
 
-// banks is how many numbered lists there are.
-const banks = 16
+// maxLists is the number of endpoint lists that can be defined.
+const maxLists = 16
 
 // Event is one event. Which fields are set depends on Kind.
 type Event struct {
@@ -45,7 +45,7 @@
 	Instance int
 	Seed     uint64
 	Settings string
-	ID       uint64 // request, or the token of a timer
+	ID       uint64 // of the request, or the token of a timer
 	Class    int
 	Tenant   int
 	Flags    int
@@ -53,28 +53,27 @@
 	Number   int // of the attempt
 	Result   balance.Result
 	Elapsed  time.Duration
-	Over     bool
+	Final    bool
 	ListKind balance.ListKind
-	List     []balance.Endpoint // valid until its bank is defined anew
+	List     []balance.Endpoint // valid until the list with its number is defined again
 }
 
-// Reader reads events.
+// Reader reads events and keeps the endpoint lists defined so far.
 type Reader struct {
 	in      *bufio.Reader
 	line    int
 	inBatch bool
 	fields  [][]byte
-	banks   [banks][]balance.Endpoint
-	known   [banks]bool
+	lists   [maxLists][]balance.Endpoint
+	defined [maxLists]bool
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20)}
 }
 
-// Next reads the next event into e. It returns io.EOF at the end of the
-// input between batches.
+// Next reads the next event into e. It returns io.EOF if the input ends between batches.
 func (r *Reader) Next(e *Event) error {
 	text, err := r.read()
 	if err != nil {
@@ -93,7 +92,7 @@
 	}
 	r.line++
 	if err == io.EOF {
-		return nil, fmt.Errorf("line %d: input ends inside a batch or line", r.line)
+		return nil, fmt.Errorf("line %d: input ends inside a batch or a line, want GO and a newline", r.line)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("line %d: %w", r.line, err)
@@ -104,10 +103,10 @@
 func (r *Reader) decode(text []byte, e *Event) error {
 	word, rest, _ := bytes.Cut(text, []byte(" "))
 	if string(word) == "MARK" {
-		return r.mark(rest, e)
+		return r.decodeMark(rest, e)
 	}
 	if !r.inBatch {
-		return fmt.Errorf("%q outside a batch, want MARK", word)
+		return fmt.Errorf("event %q outside a batch, want MARK", word)
 	}
 	now := e.Now
 	*e = Event{Now: now}
@@ -117,46 +116,46 @@
 	r.split(text)
 	switch string(word) {
 	case "GO":
-		e.Kind = EndOf
+		e.Kind = BatchEnd
 		r.inBatch = false
-		return r.want(1)
+		return r.requireFields(1)
 	case "MANIFEST":
-		return r.manifest(e)
+		return r.decodeManifest(e)
 	case "VIEW":
-		return r.view(e)
+		return r.decodeView(e)
 	case "ARRIVAL":
-		return r.arrival(e)
+		return r.decodeArrival(e)
 	case "REPLY":
-		return r.reply(e)
+		return r.decodeReply(e)
 	case "TIMER":
 		e.Kind = Timer
-		return r.plain(e, 3)
+		return r.decodeID(e, 3)
 	case "WITHDRAWN":
 		e.Kind = Withdrawn
-		return r.plain(e, 3)
+		return r.decodeID(e, 3)
 	case "KILLED":
-		e.Kind = Stop
-		return r.plain(e, 2)
+		e.Kind = InstanceStop
+		return r.decodeID(e, 2)
 	case "OPENED":
-		return r.opened(e)
+		return r.decodeOpened(e)
 	case "PING_RESULT":
-		return r.probed(e)
+		return r.decodeProbeResult(e)
 	case "INBOX":
-		e.Kind = Peer
-		return r.instance(e, 4)
+		e.Kind = PeerMessage
+		return r.decodeInstance(e, 4)
 	}
 	return fmt.Errorf("unknown event %q", word)
 }
 
-func (r *Reader) mark(rest []byte, e *Event) error {
+func (r *Reader) decodeMark(rest []byte, e *Event) error {
 	if r.inBatch {
 		return errors.New("MARK inside a batch, want an event or GO")
 	}
-	now, err := seconds(rest)
+	now, err := parseSeconds(rest)
 	if err != nil {
 		return err
 	}
-	*e = Event{Kind: Batch, Now: now}
+	*e = Event{Kind: BatchStart, Now: now}
 	r.inBatch = true
 	return nil
 }
@@ -164,21 +163,21 @@
 func decodeBorn(rest []byte, e *Event) error {
 	parts := strings.SplitN(string(rest), " ", 3)
 	if len(parts) != 3 {
-		return errors.New("BORN: want an instance, a seed and settings")
+		return errors.New("BORN: too few fields, want an instance, a seed and settings")
 	}
-	e.Kind = Start
+	e.Kind = InstanceStart
 	var err error
-	if e.Instance, err = integer([]byte(parts[0])); err != nil {
+	if e.Instance, err = parseInt([]byte(parts[0])); err != nil {
 		return err
 	}
 	if e.Seed, err = strconv.ParseUint(parts[1], 10, 64); err != nil {
-		return fmt.Errorf("BORN: seed %q, want a whole number", parts[1])
+		return fmt.Errorf("BORN: seed %q, want an unsigned integer of 64 bits", parts[1])
 	}
 	e.Settings = parts[2]
 	return nil
 }
 
-// split cuts text into r.fields at its spaces.
+// split splits text at each space into r.fields.
 func (r *Reader) split(text []byte) {
 	r.fields = r.fields[:0]
 	for {
@@ -192,70 +191,70 @@
 	}
 }
 
-func (r *Reader) want(n int) error {
+func (r *Reader) requireFields(n int) error {
 	if len(r.fields) != n {
-		return fmt.Errorf("%s: %d parts, want %d", r.fields[0], len(r.fields), n)
+		return fmt.Errorf("%s: %d fields, want %d", r.fields[0], len(r.fields), n)
 	}
 	return nil
 }
 
-// instance reads the instance of a line of n parts.
-func (r *Reader) instance(e *Event, n int) (err error) {
-	if err := r.want(n); err != nil {
+// decodeInstance decodes the instance of a line of n fields.
+func (r *Reader) decodeInstance(e *Event, n int) (err error) {
+	if err := r.requireFields(n); err != nil {
 		return err
 	}
-	e.Instance, err = integer(r.fields[1])
+	e.Instance, err = parseInt(r.fields[1])
 	return err
 }
 
-// plain reads a line that holds an instance and at most an id.
-func (r *Reader) plain(e *Event, n int) (err error) {
-	if err := r.instance(e, n); err != nil || n == 2 {
+// decodeID decodes a line of n fields, 2 or 3: a word, an instance and possibly an id.
+func (r *Reader) decodeID(e *Event, n int) (err error) {
+	if err := r.decodeInstance(e, n); err != nil || n == 2 {
 		return err
 	}
-	e.ID, err = id(r.fields[2])
+	e.ID, err = parseID(r.fields[2])
 	return err
 }
 
-func (r *Reader) bank(field []byte) (int, error) {
-	n, err := integer(field)
-	if err == nil && n >= banks {
-		err = fmt.Errorf("list number %d, want 0 to %d", n, banks-1)
+func (r *Reader) listNumber(field []byte) (int, error) {
+	n, err := parseInt(field)
+	if err == nil && n >= maxLists {
+		err = fmt.Errorf("list number %d, want 0 to %d", n, maxLists-1)
 	}
 	return n, err
 }
 
-func (r *Reader) manifest(e *Event) error {
-	if err := r.want(3); err != nil {
+func (r *Reader) decodeManifest(e *Event) error {
+	if err := r.requireFields(3); err != nil {
 		return err
 	}
-	n, err := r.bank(r.fields[1])
+	n, err := r.listNumber(r.fields[1])
 	if err != nil {
 		return err
 	}
-	count, err := integer(r.fields[2])
+	count, err := parseInt(r.fields[2])
 	if err != nil {
 		return err
 	}
-	list := r.banks[n][:0]
+	list := r.lists[n][:0]
 	for range count {
 		text, err := r.read()
 		if err != nil {
 			return err
 		}
 		r.split(text)
-		item, err := r.item()
+		entry, err := r.decodeItem()
 		if err != nil {
 			return err
 		}
-		list = append(list, item)
+		list = append(list, entry)
 	}
-	r.banks[n], r.known[n] = list, true
-	return r.following(e)
+	r.lists[n], r.defined[n] = list, true
+	return r.decodeNext(e)
 }
 
-// following reads the event that follows a list.
-func (r *Reader) following(e *Event) error {
+// decodeNext decodes the event that follows a list.
+func (r *Reader) decodeNext(e *Event) error {
 	text, err := r.read()
 	if err != nil {
 		return err
@@ -263,44 +262,44 @@
 	return r.decode(text, e)
 }
 
-func (r *Reader) item() (item balance.Endpoint, err error) {
+func (r *Reader) decodeItem() (entry balance.Endpoint, err error) {
 	if string(r.fields[0]) != "ITEM" {
-		return item, fmt.Errorf("%q, want ITEM", r.fields[0])
+		return entry, fmt.Errorf("list entry starts with %q, want ITEM", r.fields[0])
 	}
-	if err := r.want(8); err != nil {
-		return item, err
+	if err := r.requireFields(8); err != nil {
+		return entry, err
 	}
-	item.Addr = string(r.fields[2])
-	state, err := integer(r.fields[4])
+	entry.Addr = string(r.fields[2])
+	state, err := parseInt(r.fields[4])
 	if err != nil {
-		return item, err
+		return entry, err
 	}
 	switch state {
 	case 0:
-		item.State = balance.Gone
+		entry.State = balance.Gone
 	case 1:
-		item.State = balance.Draining
+		entry.State = balance.Draining
 	case 3:
-		item.State = balance.Ready
+		entry.State = balance.Ready
 	default:
-		return item, fmt.Errorf("ITEM: availability %d, want 0, 1 or 3", state)
+		return entry, fmt.Errorf("ITEM: availability %d, want 0, 1 or 3", state)
 	}
-	if item.Zone, err = optionalInt(r.fields[5]); err != nil {
-		return item, err
+	if entry.Zone, err = parseOptionalInt(r.fields[5]); err != nil {
+		return entry, err
 	}
-	if item.Since, err = optionalSeconds(r.fields[6]); err != nil {
-		return item, err
+	if entry.Since, err = parseOptionalSeconds(r.fields[6]); err != nil {
+		return entry, err
 	}
-	item.Cell, err = optionalInt(r.fields[7])
-	return item, err
+	entry.Cell, err = parseOptionalInt(r.fields[7])
+	return entry, err
 }
 
-func (r *Reader) view(e *Event) error {
+func (r *Reader) decodeView(e *Event) error {
 	e.Kind = Members
-	if err := r.instance(e, 5); err != nil {
+	if err := r.decodeInstance(e, 5); err != nil {
 		return err
 	}
-	scope, err := integer(r.fields[2])
+	scope, err := parseInt(r.fields[2])
 	if err != nil {
 		return err
 	}
@@ -311,38 +310,38 @@
 	if e.ListKind == balance.ListFailed {
 		return nil
 	}
-	n, err := r.bank(r.fields[4])
+	n, err := r.listNumber(r.fields[4])
 	if err != nil {
 		return err
 	}
-	if !r.known[n] {
-		return fmt.Errorf("VIEW: list %d was never given", n)
+	if !r.defined[n] {
+		return fmt.Errorf("VIEW: list %d is not defined, want a MANIFEST for it first", n)
 	}
-	e.List = r.banks[n]
+	e.List = r.lists[n]
 	return nil
 }
 
-func (r *Reader) arrival(e *Event) (err error) {
+func (r *Reader) decodeArrival(e *Event) (err error) {
 	e.Kind = Request
-	if err := r.instance(e, 9); err != nil {
+	if err := r.decodeInstance(e, 9); err != nil {
 		return err
 	}
-	if e.ID, err = id(r.fields[2]); err != nil {
+	if e.ID, err = parseID(r.fields[2]); err != nil {
 		return err
 	}
-	if e.Class, err = integer(r.fields[3]); err != nil {
+	if e.Class, err = parseInt(r.fields[3]); err != nil {
 		return err
 	}
-	if e.Tenant, err = optionalInt(r.fields[4]); err != nil {
+	if e.Tenant, err = parseOptionalInt(r.fields[4]); err != nil {
 		return err
 	}
-	if e.Budget, err = seconds(r.fields[6]); err != nil {
+	if e.Budget, err = parseSeconds(r.fields[6]); err != nil {
 		return err
 	}
-	if _, err = optionalSeconds(r.fields[7]); err != nil {
+	if _, err = parseOptionalSeconds(r.fields[7]); err != nil {
 		return err
 	}
-	e.Flags, err = optionalInt(r.fields[8])
+	e.Flags, err = parseOptionalInt(r.fields[8])
 	return err
 }
 
@@ -351,7 +350,7 @@
 	"NOCONN": balance.ConnectError, "RST": balance.Reset, "CXL": balance.Cancelled, "NOP": balance.NotSent,
 }
 
-func (r *Reader) result(field []byte, e *Event) error {
+func (r *Reader) decodeResult(field []byte, e *Event) error {
 	result, ok := results[string(field)]
 	if !ok {
 		return fmt.Errorf("%s: unknown outcome %q", r.fields[0], field)
@@ -360,98 +359,98 @@
 	return nil
 }
 
-func (r *Reader) reply(e *Event) (err error) {
+func (r *Reader) decodeReply(e *Event) (err error) {
 	e.Kind = Outcome
-	if err := r.instance(e, 9); err != nil {
+	if err := r.decodeInstance(e, 9); err != nil {
 		return err
 	}
-	if e.ID, err = id(r.fields[2]); err != nil {
+	if e.ID, err = parseID(r.fields[2]); err != nil {
 		return err
 	}
-	if e.Number, err = integer(r.fields[3]); err != nil {
+	if e.Number, err = parseInt(r.fields[3]); err != nil {
 		return err
 	}
-	if err := r.result(r.fields[5], e); err != nil {
+	if err := r.decodeResult(r.fields[5], e); err != nil {
 		return err
 	}
-	if e.Elapsed, err = seconds(r.fields[6]); err != nil {
+	if e.Elapsed, err = parseSeconds(r.fields[6]); err != nil {
 		return err
 	}
 	switch string(r.fields[7]) {
 	case "0", "1":
-		e.Over = r.fields[7][0] == '1'
+		e.Final = r.fields[7][0] == '1'
 		return nil
 	}
-	return fmt.Errorf("REPLY: over %q, want 0 or 1", r.fields[7])
+	return fmt.Errorf("REPLY: final flag %q, want 0 or 1", r.fields[7])
 }
 
-func (r *Reader) opened(e *Event) (err error) {
+func (r *Reader) decodeOpened(e *Event) (err error) {
 	e.Kind = Opened
-	if err := r.instance(e, 6); err != nil {
+	if err := r.decodeInstance(e, 6); err != nil {
 		return err
 	}
-	if e.ID, err = id(r.fields[2]); err != nil {
+	if e.ID, err = parseID(r.fields[2]); err != nil {
 		return err
 	}
-	if e.Number, err = integer(r.fields[3]); err != nil {
+	if e.Number, err = parseInt(r.fields[3]); err != nil {
 		return err
 	}
-	e.Elapsed, err = seconds(r.fields[5])
+	e.Elapsed, err = parseSeconds(r.fields[5])
 	return err
 }
 
-func (r *Reader) probed(e *Event) (err error) {
-	e.Kind = Probed
-	if err := r.instance(e, 6); err != nil {
+func (r *Reader) decodeProbeResult(e *Event) (err error) {
+	e.Kind = ProbeResult
+	if err := r.decodeInstance(e, 6); err != nil {
 		return err
 	}
-	if err := r.result(r.fields[3], e); err != nil {
+	if err := r.decodeResult(r.fields[3], e); err != nil {
 		return err
 	}
-	e.Elapsed, err = seconds(r.fields[4])
+	e.Elapsed, err = parseSeconds(r.fields[4])
 	return err
 }
 
-func id(field []byte) (uint64, error) {
+func parseID(field []byte) (uint64, error) {
 	n, err := strconv.ParseUint(string(field), 10, 63)
 	if err != nil {
-		return 0, fmt.Errorf("%q, want a whole number", field)
+		return 0, fmt.Errorf("field %q, want a whole number", field)
 	}
 	return n, nil
 }
 
-func integer(field []byte) (int, error) {
+func parseInt(field []byte) (int, error) {
 	n, err := strconv.ParseUint(string(field), 10, 31)
 	if err != nil {
-		return 0, fmt.Errorf("%q, want a whole number", field)
+		return 0, fmt.Errorf("field %q, want a whole number", field)
 	}
 	return int(n), nil
 }
 
 func absent(field []byte) bool { return len(field) == 1 && field[0] == '-' }
 
-func optionalInt(field []byte) (int, error) {
+func parseOptionalInt(field []byte) (int, error) {
 	if absent(field) {
 		return 0, nil
 	}
-	return integer(field)
+	return parseInt(field)
 }
 
-// maxSeconds keeps a time well inside a time.Duration.
+// maxSeconds bounds times, well within the range of time.Duration.
 const maxSeconds = 4e9
 
-// seconds reads a time, which the simulator counts in microseconds.
-func seconds(field []byte) (time.Duration, error) {
+// parseSeconds parses a time in seconds, with microsecond precision.
+func parseSeconds(field []byte) (time.Duration, error) {
 	f, err := strconv.ParseFloat(string(field), 64)
 	if err != nil || math.IsNaN(f) || f < -maxSeconds || f > maxSeconds {
-		return 0, fmt.Errorf("%q, want a time in seconds", field)
+		return 0, fmt.Errorf("field %q, want a time in seconds", field)
 	}
 	return time.Duration(math.Round(f*1e6)) * time.Microsecond, nil
 }
 
-func optionalSeconds(field []byte) (time.Duration, error) {
+func parseOptionalSeconds(field []byte) (time.Duration, error) {
 	if absent(field) {
 		return 0, nil
 	}
-	return seconds(field)
+	return parseSeconds(field)
 }
