--- a/internal/front/http/begin_test.go
+++ b/internal/front/http/begin_test.go
@@ -12,163 +12,162 @@
 	"gorselink/internal/standin"
 )
 
-// stalled is a caller's connection whose reader does not get to run once it has been brought
-// bytes for the n-th time.
-type stalled struct {
+// blockAfterReadConn is a connection whose n-th read that returns data does not return
+// until release is closed. It simulates a reading goroutine that is not scheduled.
+type blockAfterReadConn struct {
 	*net.TCPConn
-	n    int // guarded by there being one reader at a time that is brought any
-	gate chan struct{}
-	at   chan struct{}
+	n       int // not locked, because only one goroutine reads data at a time
+	release chan struct{}
+	blocked chan struct{} // closed once the read has its data
 }
 
-func (s *stalled) Read(b []byte) (int, error) {
+func (s *blockAfterReadConn) Read(b []byte) (int, error) {
 	n, err := s.TCPConn.Read(b)
 	if n > 0 {
 		if s.n--; s.n == 0 {
-			close(s.at)
-			<-s.gate
+			close(s.blocked)
+			<-s.release
 		}
 	}
 	return n, err
 }
 
-// The goroutine that reads a caller's connection does not get to run, be it before the
-// request, inside its body or while it watches for the caller's leaving, and the caller
-// leaves meanwhile. 0.1 s later whatever the request waits for is there; no attempt begins,
-// first or further. Half of the callers stay, whose requests show what would be sent.
-func TestNothingBeginsAfterWhoLeft(t *testing.T) {
+// The goroutine that reads a caller's connection is blocked when the caller disconnects: before
+// the request, inside its body, or while it watches for a disconnect. No attempt may start 0.1 s
+// later, when the request can proceed. Callers that stay connected show which requests are sent.
+func TestNoAttemptAfterDisconnectWithBlockedReader(t *testing.T) {
 	const callers = 8
-	get1 := func(id string) string { return "GET /view/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\n\r\n" }
-	long := func(id string) string {
+	getRequest := func(id string) string { return "GET /view/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\n\r\n" }
+	postRequest := func(id string) string {
 		return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nContent-Length: 20000\r\n\r\n" + strings.Repeat("b", 20000)
 	}
-	served := func(t *testing.T) *departures {
-		w := newWitness(t, nil)
-		d := newDepartures(t, 8<<20, inService("s-1", w.addr))
-		d.seen = w
-		d.ready = func(int) bool { return true }
-		d.open = func() {}
+	unblocked := func(t *testing.T) *disconnectRig {
+		rec := newRecorder(t, nil)
+		d := newDisconnectRig(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
+		d.recorder = rec
+		d.allWaiting = func(int) bool { return true }
+		d.unblock = func() {}
 		return d
 	}
-	held := func(t *testing.T) *departures {
-		d := served(t)
+	queued := func(t *testing.T) *disconnectRig {
+		d := unblocked(t)
 		d.SetDisabled(map[string]bool{"s-1": true})
-		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
-		d.open = func() { d.SetDisabled(nil) }
+		d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n }
+		d.unblock = func() { d.SetDisabled(nil) }
 		return d
 	}
-	dialling := func(long int64) func(*testing.T) *departures {
-		return func(t *testing.T) *departures {
+	dialing := func(longBodyBytes int64) func(*testing.T) *disconnectRig {
+		return func(t *testing.T) *disconnectRig {
 			l, err := standin.ListenLate()
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.Close() })
-			d := newDepartures(t, long, inService("s-1", l.Addr().String()))
-			d.ready = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
-			d.open = func() {
+			d := newDisconnectRig(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
+			d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
+			d.unblock = func() {
 				if err := l.Open(); err != nil {
 					t.Fatal(err)
 				}
-				d.seen = newWitness(t, l)
+				d.recorder = newRecorder(t, l)
 			}
 			return d
 		}
 	}
-	again := func(say string) func(*testing.T) *departures {
-		return func(t *testing.T) *departures { return brokenOff(t, say) }
+	retried := func(partialResponse string) func(*testing.T) *disconnectRig {
+		return func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, partialResponse) }
 	}
 	for name, c := range map[string]struct {
-		rig     func(*testing.T) *departures
-		text    func(id string) string
-		reads   int  // of the connection until its reader does not get to run
-		another bool // it has read another request, which was served, and then waits behind a read
-		late    bool // it runs again as the way is opened, and not after all is over
+		newRig       func(*testing.T) *disconnectRig
+		text         func(id string) string
+		blockAtRead  int  // the read at which the reading goroutine is blocked; 0 for none
+		afterRequest bool // an earlier request is served first, and the read blocks after it has data
+		releaseFirst bool // the reader continues before requests can proceed, not after the others are served
 	}{
-		"unread":                     {served, get1, 1, false, true},
-		"unread, after another":      {served, get1, 2, true, true},
-		"body unread":                {served, long, 2, false, true},
-		"held":                       {held, get1, 2, false, false},
-		"dialling":                   {dialling(8 << 20), get1, 2, false, false},
-		"a long body, dialling":      {dialling(1), long, 0, false, false}, // its bytes are read by nobody until then
-		"a first attempt that hangs": {again(""), get1, 2, false, false},
-		"half an answer":             {again("HTTP/1.1 200 OK\r\nContent-Le"), get1, 2, false, false},
+		"unread":                {unblocked, getRequest, 1, false, true},
+		"second request unread": {unblocked, getRequest, 2, true, true},
+		"body unread":           {unblocked, postRequest, 2, false, true},
+		"queued":                {queued, getRequest, 2, false, false},
+		"dialing":               {dialing(8 << 20), getRequest, 2, false, false},
+		"long body, dialing":    {dialing(1), postRequest, 0, false, false}, // the body is not read before an attempt starts
+		"first attempt hangs":   {retried(""), getRequest, 2, false, false},
+		"incomplete response":   {retried("HTTP/1.1 200 OK\r\nContent-Le"), getRequest, 2, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := c.rig(t)
-			before := d.Stats().Served
-			var gone, stay []net.Conn
-			var gates, ats []chan struct{}
+			d := c.newRig(t)
+			servedBefore := d.Stats().Served
+			var leaving, staying []net.Conn
+			var releases, allBlocked []chan struct{}
 			for i := range callers {
-				conn := d.join(t, func(c2 net.Conn) net.Conn {
-					if c.another {
-						s := &stalled{TCPConn: c2.(*net.TCPConn), n: c.reads, gate: make(chan struct{}), at: make(chan struct{})}
-						gates, ats = append(gates, s.gate), append(ats, s.at)
+				conn := d.dialWrapped(t, func(serverConn net.Conn) net.Conn {
+					if c.afterRequest {
+						s := &blockAfterReadConn{TCPConn: serverConn.(*net.TCPConn), n: c.blockAtRead, release: make(chan struct{}), blocked: make(chan struct{})}
+						releases, allBlocked = append(releases, s.release), append(allBlocked, s.blocked)
 						return s
 					}
-					g := newGated(c2, c.reads)
-					if c.reads > 0 {
-						gates, ats = append(gates, g.gate), append(ats, g.at)
+					g := newBlockBeforeReadConn(serverConn, c.blockAtRead)
+					if c.blockAtRead > 0 {
+						releases, allBlocked = append(releases, g.release), append(allBlocked, g.blocked)
 					}
 					return g
 				})
-				if c.another {
-					io.WriteString(conn, view(""))
-					if status, _, err := get(bufio.NewReader(conn)); status != 200 {
-						t.Fatalf("answered %d, %v, want 200", status, err)
+				if c.afterRequest {
+					io.WriteString(conn, viewRequest(""))
+					if status, _, err := readResponse(bufio.NewReader(conn)); status != 200 {
+						t.Fatalf("earlier request: status %d, error %v, want 200", status, err)
 					}
 				}
 				id := newID()
 				d.ids[conn] = id
 				io.WriteString(conn, c.text(id))
 				if i%2 == 0 {
-					gone = append(gone, conn)
+					leaving = append(leaving, conn)
 				} else {
-					stay = append(stay, conn)
+					staying = append(staying, conn)
 				}
 			}
-			eventually(t, "all requests wait", func() bool { return d.ready(callers) })
-			for _, at := range ats {
-				<-at // the reader does not get to run from here on
+			eventually(t, "all requests are waiting", func() bool { return d.allWaiting(callers) })
+			for _, blocked := range allBlocked {
+				<-blocked // the reader does not run from here on
 			}
-			for i, conn := range gone {
+			for i, conn := range leaving {
 				if i%2 == 1 {
 					conn.(*net.TCPConn).SetLinger(0)
 				}
 				conn.Close()
 			}
 			time.Sleep(100 * time.Millisecond)
-			free := sync.OnceFunc(func() {
-				for _, g := range gates {
+			releaseReaders := sync.OnceFunc(func() {
+				for _, g := range releases {
 					close(g)
 				}
 			})
-			defer free()
-			if c.late {
-				free()
+			defer releaseReaders()
+			if c.releaseFirst {
+				releaseReaders()
 			}
-			d.open()
-			if !c.late { // until whatever could be sent has been
-				eventually(t, "the requests of who stays are served", func() bool { return d.Stats().Served-before >= len(stay) })
+			d.unblock()
+			if !c.releaseFirst { // until everything that could be sent has been sent
+				eventually(t, "the requests of the remaining callers are served", func() bool { return d.Stats().Served-servedBefore >= len(staying) })
 				time.Sleep(50 * time.Millisecond)
-				free()
+				releaseReaders()
 			}
-			for _, conn := range stay {
-				if status, _, err := get(bufio.NewReader(conn)); status != 200 {
-					t.Errorf("who stays is answered %d, %v, want 200", status, err)
+			for _, conn := range staying {
+				if status, _, err := readResponse(bufio.NewReader(conn)); status != 200 {
+					t.Errorf("remaining caller: status %d, error %v, want 200", status, err)
 				}
-				if n := d.seen.saw(d.ids[conn]); n != 1 {
-					t.Errorf("the witness has seen %d requests of one who stays, want 1", n)
+				if n := d.recorder.count(d.ids[conn]); n != 1 {
+					t.Errorf("endpoint received %d requests of a remaining caller, want 1", n)
 				}
 			}
-			eventually(t, "all requests are over", func() bool { return d.Pool.OpenRequests() == 0 })
-			sent := 0
-			for _, conn := range gone {
-				sent += d.seen.saw(d.ids[conn])
+			eventually(t, "no request is open", func() bool { return d.Pool.OpenRequests() == 0 })
+			attempts := 0
+			for _, conn := range leaving {
+				attempts += d.recorder.count(d.ids[conn])
 			}
-			if sent > 0 {
-				t.Errorf("%d of %d attempts begin after their callers left", sent, len(gone))
+			if attempts > 0 {
+				t.Errorf("%d attempts started for %d disconnected callers, want none", attempts, len(leaving))
 			}
 		})
 	}
--- a/internal/front/http/caller_test.go
+++ b/internal/front/http/caller_test.go
@@ -16,31 +16,32 @@
 	"gorselink/internal/pool"
 )
 
-// rig is a sidecar between a test's callers and one endpoint of its own.
+// rig is a sidecar between the callers of a test and one endpoint.
 type rig struct {
 	*pool.Pool
-	judge    *PlatformRouter
-	callers  *Server
+	router   *PlatformRouter
+	server   *Server
 	addr     string
-	requests atomic.Int64 // that reached the endpoint
-	hold     chan struct{}
+	requests atomic.Int64  // received by the endpoint
+	release  chan struct{} // the endpoint responds once it is closed; nil for at once
 }
 
-// newRig starts a sidecar that holds most callers. Its endpoint answers each
-// request with the path and the body's length, once hold is nil or closed.
-func newRig(t *testing.T, most int, hold chan struct{}) *rig {
+// newRig starts a sidecar for at most maxConns callers. Once release is nil or closed, its
+// endpoint answers each request with the path and the length of the body.
+func newRig(t *testing.T, maxConns int, release chan struct{}) *rig {
 	t.Helper()
-	return newRigOf(t, testConfig(), most, hold)
+	return newRigWithConfig(t, newTestConfig(), maxConns, release)
 }
 
-// largeBody is over the protocol's bound; there is room for one at a time.
-var largeBody = strings.Repeat("0123456789abcdef", 20000)
+// largeResponse is a body over upstream.SmallResponseBytes. The memory for large responses
+// holds one at a time.
+var largeResponse = strings.Repeat("0123456789abcdef", 20000)
 
-// newRigOf is newRig with settings, and with their endpoints if they name some.
-// A path that ends in /now is not held.
-func newRigOf(t *testing.T, cfg *testSettings, most int, hold chan struct{}) *rig {
+// newRigWithConfig is newRig with a configuration. Endpoints that it lists replace the rig's
+// own. The endpoint answers a path that ends in /now at once.
+func newRigWithConfig(t *testing.T, cfg *testConfig, maxConns int, release chan struct{}) *rig {
 	t.Helper()
-	r := &rig{hold: hold}
+	r := &rig{release: release}
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -52,12 +53,12 @@
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.requests.Add(1)
 		n, _ := io.Copy(io.Discard, req.Body)
-		if r.hold != nil && !strings.HasSuffix(req.URL.Path, "/now") {
-			<-r.hold
+		if r.release != nil && !strings.HasSuffix(req.URL.Path, "/now") {
+			<-r.release
 		}
 		if strings.HasSuffix(req.URL.Path, "/large") {
-			w.Header().Set("Content-Length", fmt.Sprint(len(largeBody)))
-			io.WriteString(w, largeBody)
+			w.Header().Set("Content-Length", fmt.Sprint(len(largeResponse)))
+			io.WriteString(w, largeResponse)
 			return
 		}
 		fmt.Fprintf(w, "%s %d", req.URL.Path, n)
@@ -69,11 +70,11 @@
 		}
 	}
 	r.Pool = newPool(t, cfg)
-	r.judge = NewPlatformRouter(r.Pool, testForm(cfg))
-	r.callers = NewServer(r.judge, most, Timeouts{})
+	r.router = NewPlatformRouter(r.Pool, testPlatformConfig(cfg))
+	r.server = NewServer(r.router, maxConns, Timeouts{})
 	l := listen()
 	r.addr = l.Addr().String()
-	go r.callers.Serve(l)
+	go r.server.Serve(l)
 	t.Cleanup(func() {
 		l.Close()
 		srv.Close()
@@ -88,12 +89,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// get reads one answer.
-func get(in *bufio.Reader) (status int, body string, err error) {
+// readResponse reads one response.
+func readResponse(in *bufio.Reader) (status int, body string, err error) {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return 0, "", err
@@ -106,113 +107,113 @@
 
 func newID() string { return fmt.Sprintf("%016x", lastID.Add(1)) }
 
-func view(more string) string {
-	return "GET /view/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\n" + more + "\r\n"
+func viewRequest(rest string) string {
+	return "GET /view/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\n" + rest + "\r\n"
 }
 
-func pay(more string) string {
-	return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\n" + more
+func payRequest(rest string) string {
+	return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\n" + rest
 }
 
-func TestServesOnOneConnection(t *testing.T) {
+func TestSequentialRequestsOnOneConnection(t *testing.T) {
 	r := newRig(t, 4, nil)
 	c := r.dial(t)
 	in := bufio.NewReader(c)
 	for _, q := range []struct{ text, want string }{
-		{view(""), "/view/1 0"},
-		{pay("Content-Length: 5\r\n\r\nhello"), "/pay 5"},
-		{pay("Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), "/pay 3"},
-		{pay("Content-Length: 65536\r\n\r\n" + strings.Repeat("b", 65536)), "/pay 65536"},
-		{view("X-Budget-Ms: 1500\r\n"), "/view/1 0"},
+		{viewRequest(""), "/view/1 0"},
+		{payRequest("Content-Length: 5\r\n\r\nhello"), "/pay 5"},
+		{payRequest("Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), "/pay 3"},
+		{payRequest("Content-Length: 65536\r\n\r\n" + strings.Repeat("b", 65536)), "/pay 65536"},
+		{viewRequest("X-Budget-Ms: 1500\r\n"), "/view/1 0"},
 	} {
 		io.WriteString(c, q.text)
-		if status, body, err := get(in); status != 200 || body != q.want {
-			t.Fatalf("answer %d %q, %v, want 200 %q", status, body, err, q.want)
+		if status, body, err := readResponse(in); status != 200 || body != q.want {
+			t.Fatalf("status %d, body %q, error %v, want 200 with body %q", status, body, err, q.want)
 		}
 	}
 }
 
-// Answers past the protocol's bound are passed on, and leave room for the next.
-func TestLargeAnswersOneAfterAnother(t *testing.T) {
+// The memory for a large response is released for the next one.
+func TestLargeResponsesInSequence(t *testing.T) {
 	r := newRig(t, 4, nil)
 	c := r.dial(t)
 	in := bufio.NewReader(c)
 	for i := range 4 {
-		io.WriteString(c, strings.Replace(view(""), "/view/1", "/view/large", 1))
-		if status, body, err := get(in); status != 200 || body != largeBody {
-			t.Fatalf("answer %d: %d with %d bytes, %v, want 200 with %d", i, status, len(body), err, len(largeBody))
+		io.WriteString(c, strings.Replace(viewRequest(""), "/view/1", "/view/large", 1))
+		if status, body, err := readResponse(in); status != 200 || body != largeResponse {
+			t.Fatalf("response %d: status %d, %d bytes, error %v, want 200 with %d bytes", i, status, len(body), err, len(largeResponse))
 		}
 	}
 }
 
-// What cannot be used is answered, or closed on, and reaches no endpoint.
-func TestTurnsAwayWhatCannotBeUsed(t *testing.T) {
+// Invalid requests get an error response and are not forwarded.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	r := newRig(t, 64, nil)
-	hidden := view("")
+	hidden := viewRequest("")
 	for _, c := range []struct {
 		name, text string
 		status     int
 	}{
-		{"noise", "\x00\x01\x02 noise\r\n\r\n", 400},
+		{"invalid bytes", "\x00\x01\x02 noise\r\n\r\n", 400},
 		{"head without end", "GET /view HTTP/1.1\r\n" + strings.Repeat("X-Pad: pppppppppp\r\n", 4000), 431},
-		{"no colon", view("no colon here\r\n"), 400},
-		{"hidden request", pay(fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(hidden)+5, hidden)), 400},
-		{"two lengths", pay("Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcd"), 400},
-		{"negative length", pay("Content-Length: -4\r\n\r\nabcd"), 400},
-		{"huge length", pay("Content-Length: 99999999999999999\r\n\r\nabcd"), 413},
-		{"bad chunk", pay("Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\nabcd\r\n0\r\n\r\n"), 400},
-		{"endless chunks", pay("Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("c", 4096)+"\r\n", 300)), 413},
-		{"long body", pay("Content-Length: 8388608\r\n\r\n" + strings.Repeat("b", 8<<20)), 413},
-		{"no such class", strings.Replace(view(""), "/view", "/views", 1), 404},
-		{"a host in the path", strings.Replace(view(""), "/view", "//x/view", 1), 404},
+		{"field without colon", viewRequest("no colon here\r\n"), 400},
+		{"request hidden in the body", payRequest(fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(hidden)+5, hidden)), 400},
+		{"conflicting lengths", payRequest("Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcd"), 400},
+		{"negative length", payRequest("Content-Length: -4\r\n\r\nabcd"), 400},
+		{"huge length", payRequest("Content-Length: 99999999999999999\r\n\r\nabcd"), 413},
+		{"bad chunk", payRequest("Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\nabcd\r\n0\r\n\r\n"), 400},
+		{"too many chunks", payRequest("Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("c", 4096)+"\r\n", 300)), 413},
+		{"body too long", payRequest("Content-Length: 8388608\r\n\r\n" + strings.Repeat("b", 8<<20)), 413},
+		{"unknown class", strings.Replace(viewRequest(""), "/view", "/views", 1), 404},
+		{"host in the path", strings.Replace(viewRequest(""), "/view", "//x/view", 1), 404},
 		{"no id", "GET /view HTTP/1.1\r\nHost: x\r\n\r\n", 400},
-		{"two ids", view("X-Call-Id: 00ff\r\n"), 400},
-		{"odd id", "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: a b\r\n\r\n", 400},
-		{"budget no number", view("X-Budget-Ms: soon\r\n"), 400},
-		{"budget empty", view("X-Budget-Ms: \r\n"), 400},
-		{"budget zero", view("X-Budget-Ms: 0\r\n"), 400},
-		{"budget negative", view("X-Budget-Ms: -5\r\n"), 400},
-		{"budget overflow", view("X-Budget-Ms: 99999999999999999999999\r\n"), 400},
-		{"method", "POST /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\nContent-Length: 0\r\n\r\n", 400},
-		{"key of the wrong class", pay("Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n"), 400},
+		{"duplicate id field", viewRequest("X-Call-Id: 00ff\r\n"), 400},
+		{"space in the id", "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: a b\r\n\r\n", 400},
+		{"budget not a number", viewRequest("X-Budget-Ms: soon\r\n"), 400},
+		{"budget empty", viewRequest("X-Budget-Ms: \r\n"), 400},
+		{"budget zero", viewRequest("X-Budget-Ms: 0\r\n"), 400},
+		{"budget negative", viewRequest("X-Budget-Ms: -5\r\n"), 400},
+		{"budget overflow", viewRequest("X-Budget-Ms: 99999999999999999999999\r\n"), 400},
+		{"wrong method", "POST /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\nContent-Length: 0\r\n\r\n", 400},
+		{"key in a class without keys", payRequest("Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n"), 400},
 		{"no host", "GET /view HTTP/1.1\r\nX-Call-Id: " + newID() + "\r\n\r\n", 400},
-		{"many at once", strings.Repeat(view(""), 20), 400},
+		{"pipelined requests", strings.Repeat(viewRequest(""), 20), 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			before := r.requests.Load()
 			conn := r.dial(t)
 			if _, err := io.WriteString(conn, c.text); err != nil {
-				t.Fatalf("the answer could not be had, writing: %v", err)
+				t.Fatalf("write request: %v", err)
 			}
-			status, _, err := get(bufio.NewReader(conn))
+			status, _, err := readResponse(bufio.NewReader(conn))
 			if err != nil || status != c.status {
-				t.Errorf("status %d, %v, want %d", status, err, c.status)
+				t.Errorf("status %d, error %v, want %d", status, err, c.status)
 			}
 			if n := r.requests.Load() - before; n != 0 {
-				t.Errorf("%d requests reached the endpoint", n)
+				t.Errorf("endpoint received %d requests, want 0", n)
 			}
 		})
 	}
 }
 
-func TestHalfARequestReachesNobody(t *testing.T) {
+func TestIncompleteRequestIsNotForwarded(t *testing.T) {
 	r := newRig(t, 4, nil)
 	c := r.dial(t)
-	io.WriteString(c, pay("Content-Length: 10\r\n\r\nhalf"))
+	io.WriteString(c, payRequest("Content-Length: 10\r\n\r\nhalf"))
 	c.(*net.TCPConn).CloseWrite()
-	if status, _, err := get(bufio.NewReader(c)); err == nil && status < 400 {
-		t.Errorf("status %d, want an error or a close", status)
+	if status, _, err := readResponse(bufio.NewReader(c)); err == nil && status < 400 {
+		t.Errorf("status %d, want an error status or a closed connection", status)
 	}
 	if n := r.requests.Load(); n != 0 {
-		t.Errorf("%d requests reached the endpoint", n)
+		t.Errorf("endpoint received %d requests, want 0", n)
 	}
 }
 
-// Silence, a slow head and a stalled body all end by themselves.
-func TestStalledCallersAreLetGo(t *testing.T) {
+// A caller that sends nothing, or stops within a head or body, is disconnected.
+func TestStalledCallersTimeOut(t *testing.T) {
 	r := newRig(t, 8, nil)
 	for name, text := range map[string]string{
-		"silence": "", "slow head": "GET /view HT", "stalled body": pay("Content-Length: 10\r\n\r\nhalf"),
+		"no input": "", "slow head": "GET /view HT", "stalled body": payRequest("Content-Length: 10\r\n\r\nhalf"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -221,97 +222,97 @@
 			io.WriteString(c, text)
 			all, err := io.ReadAll(c)
 			if err != nil {
-				t.Fatalf("left with no word and no close: %v", err)
+				t.Fatalf("connection was not closed: %v", err)
 			}
 			if text != "" && !strings.HasPrefix(string(all), "HTTP/1.1 408 ") {
-				t.Errorf("answer %q, want 408", all)
+				t.Errorf("response %q, want status 408", all)
 			}
 			if d := time.Since(start); d < helloTimeout/2 {
-				t.Errorf("closed after %v, too soon for a slow caller", d)
+				t.Errorf("connection closed after %v, sooner than half of helloTimeout", d)
 			}
 		})
 	}
 }
 
-// An id belongs to one request, also when that one has just been answered.
-func TestIDsAreNotSharedOrRepeated(t *testing.T) {
-	hold := make(chan struct{})
-	r := newRig(t, 8, hold)
-	first, text := r.dial(t), pay("Content-Length: 0\r\n\r\n")
+// An id cannot be used again while its request is open, nor shortly after its response.
+func TestDuplicateIDsAreRejected(t *testing.T) {
+	release := make(chan struct{})
+	r := newRig(t, 8, release)
+	first, text := r.dial(t), payRequest("Content-Length: 0\r\n\r\n")
 	io.WriteString(first, text)
-	eventually(t, "the first at the endpoint", func() bool { return r.requests.Load() == 1 })
-	again := func() {
+	eventually(t, "the endpoint has the first request", func() bool { return r.requests.Load() == 1 })
+	sendDuplicate := func() {
 		t.Helper()
 		c := r.dial(t)
 		io.WriteString(c, text)
-		if status, _, err := get(bufio.NewReader(c)); status != http.StatusConflict {
-			t.Errorf("the same id: status %d, %v, want 409", status, err)
+		if status, _, err := readResponse(bufio.NewReader(c)); status != http.StatusConflict {
+			t.Errorf("duplicate id: status %d, error %v, want 409", status, err)
 		}
 	}
-	again()
-	close(hold)
-	if status, _, err := get(bufio.NewReader(first)); status != 200 {
-		t.Fatalf("the first: status %d, %v, want 200", status, err)
+	sendDuplicate()
+	close(release)
+	if status, _, err := readResponse(bufio.NewReader(first)); status != 200 {
+		t.Fatalf("first request: status %d, error %v, want 200", status, err)
 	}
-	again()
+	sendDuplicate()
 	if n := r.requests.Load(); n != 1 {
-		t.Errorf("%d requests reached the endpoint, want 1", n)
+		t.Errorf("endpoint received %d requests, want 1", n)
 	}
 }
 
-func TestSeenIDsForget(t *testing.T) {
+func TestSeenIDsExpire(t *testing.T) {
 	s := SeenIDs{retention: time.Second}
 	for i := range 5 * maxIDsPerGeneration {
 		if !s.recordAt(fmt.Sprint(i), 0) {
-			t.Fatalf("id %d taken for one seen", i)
+			t.Fatalf("new id %d was reported as seen", i)
 		}
 		if n := len(s.current) + len(s.previous); n > 2*maxIDsPerGeneration {
-			t.Fatalf("%d ids held", n)
+			t.Fatalf("%d ids are remembered, more than two generations", n)
 		}
 	}
 	last := fmt.Sprint(5*maxIDsPerGeneration - 1)
 	if s.recordAt(last, time.Second) || !s.recordAt(last, 3*time.Second) {
-		t.Error("want an id known within the span and forgotten after two")
+		t.Error("want the id known at the retention time and forgotten after more than twice that")
 	}
 }
 
-// At the limit the silent give way to who asks, and a request that was taken
-// is never given up.
-func TestSilentConnectionsGiveWay(t *testing.T) {
-	hold := make(chan struct{})
-	r := newRig(t, 4, hold)
+// When all connections are in use, a new one replaces a connection without a request. An open
+// request is still answered.
+func TestSilentConnectionsAreEvicted(t *testing.T) {
+	release := make(chan struct{})
+	r := newRig(t, 4, release)
 	busy := r.dial(t)
-	io.WriteString(busy, view(""))
-	eventually(t, "the first at the endpoint", func() bool { return r.requests.Load() == 1 })
-	var silent sync.WaitGroup
+	io.WriteString(busy, viewRequest(""))
+	eventually(t, "the endpoint has the first request", func() bool { return r.requests.Load() == 1 })
+	var readers sync.WaitGroup
 	for range 40 {
 		c := r.dial(t)
-		silent.Go(func() { io.Copy(io.Discard, c) })
+		readers.Go(func() { io.Copy(io.Discard, c) })
 	}
 	probe := r.dial(t)
 	io.WriteString(probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	if status, _, err := get(bufio.NewReader(probe)); status != 200 {
-		t.Errorf("behind silent connections: status %d, %v, want 200", status, err)
+	if status, _, err := readResponse(bufio.NewReader(probe)); status != 200 {
+		t.Errorf("readiness check with silent connections open: status %d, error %v, want 200", status, err)
 	}
-	close(hold)
-	if status, _, err := get(bufio.NewReader(busy)); status != 200 {
-		t.Errorf("the request taken: status %d, %v, want 200", status, err)
+	close(release)
+	if status, _, err := readResponse(bufio.NewReader(busy)); status != 200 {
+		t.Errorf("open request: status %d, error %v, want 200", status, err)
 	}
-	silent.Wait()
+	readers.Wait()
 }
 
-// With a request open on every connection a new one is closed, not left to wait.
-func TestFullMeansAClose(t *testing.T) {
-	hold := make(chan struct{})
-	r := newRig(t, 2, hold)
-	defer close(hold)
+// If every connection has an open request, a new connection is closed at once.
+func TestConnectionIsRefusedWhenAllAreActive(t *testing.T) {
+	release := make(chan struct{})
+	r := newRig(t, 2, release)
+	defer close(release)
 	for range 2 {
-		io.WriteString(r.dial(t), view(""))
+		io.WriteString(r.dial(t), viewRequest(""))
 	}
-	eventually(t, "both at the endpoint", func() bool { return r.requests.Load() == 2 })
+	eventually(t, "the endpoint has both requests", func() bool { return r.requests.Load() == 2 })
 	c := r.dial(t)
 	if _, err := c.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-		t.Errorf("read: %v, want the end of the connection", err)
+		t.Errorf("read error %v, want a closed connection", err)
 	}
 }
 
@@ -320,65 +321,65 @@
 	return ok && ne.Timeout()
 }
 
-// Who sends on before the answer is there still gets the answer, and no more.
-func TestTooEarlyBytesDoNotEatTheAnswer(t *testing.T) {
-	hold := make(chan struct{})
-	r := newRig(t, 4, hold)
+// A caller that pipelines requests gets the response to the first one and no other.
+func TestEarlyBytesDoNotLoseTheResponse(t *testing.T) {
+	release := make(chan struct{})
+	r := newRig(t, 4, release)
 	c := r.dial(t)
-	io.WriteString(c, view(""))
-	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
-	io.WriteString(c, strings.Repeat(view(""), 2000))
-	close(hold)
+	io.WriteString(c, viewRequest(""))
+	eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
+	io.WriteString(c, strings.Repeat(viewRequest(""), 2000))
+	close(release)
 	in := bufio.NewReader(c)
-	if status, _, err := get(in); status != 200 {
-		t.Errorf("status %d, %v, want 200", status, err)
+	if status, _, err := readResponse(in); status != 200 {
+		t.Errorf("status %d, error %v, want 200", status, err)
 	}
-	if status, _, err := get(in); err == nil {
-		t.Errorf("a second answer, status %d", status)
+	if status, _, err := readResponse(in); err == nil {
+		t.Errorf("got a second response, status %d", status)
 	}
 	if n := r.requests.Load(); n != 1 {
-		t.Errorf("%d requests reached the endpoint, want 1", n)
+		t.Errorf("endpoint received %d requests, want 1", n)
 	}
 }
 
-// A drain answers what was taken, tells that the connection ends, and ends.
-func TestDrainAnswersWhatWasTaken(t *testing.T) {
-	hold := make(chan struct{})
-	r := newRig(t, 8, hold)
-	idler := r.dial(t)
+// A drain closes idle connections, answers open requests with Connection: close, and returns.
+func TestDrainAnswersOpenRequests(t *testing.T) {
+	release := make(chan struct{})
+	r := newRig(t, 8, release)
+	idle := r.dial(t)
 	busy := r.dial(t)
-	io.WriteString(busy, view(""))
-	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
+	io.WriteString(busy, viewRequest(""))
+	eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
 	done := make(chan struct{})
 	go func() {
-		r.judge.MarkDraining()
-		r.callers.Drain(time.Now().Add(patience))
+		r.router.MarkDraining()
+		r.server.Drain(time.Now().Add(testTimeout))
 		close(done)
 	}()
-	if _, err := idler.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the idle connection: %v, want its end", err)
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("idle connection: read error %v, want EOF", err)
 	}
-	close(hold)
+	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("answer %v, %v, want 200 and the end of the connection", resp, err)
+		t.Errorf("response %v, error %v, want status 200 with Connection: close", resp, err)
 	}
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Error("the drain did not end")
+	case <-time.After(testTimeout):
+		t.Error("Drain did not return")
 	}
 }
 
-// Who leaves takes the request along: nothing is kept for it.
-func TestLeavingEndsTheRequest(t *testing.T) {
-	hold := make(chan struct{})
-	r := newRig(t, 4, hold)
-	defer close(hold)
+// A request whose caller disconnects is withdrawn, and its connection to the endpoint closes.
+func TestDisconnectWithdrawsTheRequest(t *testing.T) {
+	release := make(chan struct{})
+	r := newRig(t, 4, release)
+	defer close(release)
 	c := r.dial(t)
-	io.WriteString(c, view(""))
-	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
+	io.WriteString(c, viewRequest(""))
+	eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
 	c.Close()
-	eventually(t, "nothing kept, long before the deadline", func() bool { return r.Pool.OpenRequests() == 0 })
-	eventually(t, "the connection to the endpoint closed", func() bool { return r.Conns().OpenConns() == 0 })
+	eventually(t, "no request is open", func() bool { return r.Pool.OpenRequests() == 0 })
+	eventually(t, "the connection to the endpoint is closed", func() bool { return r.Conns().OpenConns() == 0 })
 }
--- a/internal/front/http/close_test.go
+++ b/internal/front/http/close_test.go
@@ -13,203 +13,203 @@
 	"gorselink/internal/sock"
 )
 
-// Whatever ends a connection, a request that has been read is answered first, whole: served,
-// or told what became of it. What has not been read may be sent once more.
-func TestEveryCloseAnswersWhatWasRead(t *testing.T) {
-	const some = 100 * time.Millisecond // for what must not happen
-	for name, way := range map[string]func(t *testing.T) (conn net.Conn, want int){
-		"gives way as its first request has been read": func(t *testing.T) (net.Conn, int) {
+// Whatever closes a connection, a request that has been read gets a complete response. A caller
+// without a response may retry a request that has run.
+func TestEveryCloseAnswersReadRequests(t *testing.T) {
+	const settleTime = 100 * time.Millisecond // for the close to take effect while the reader is blocked
+	for name, setup := range map[string]func(t *testing.T) (conn net.Conn, want int){
+		"evicted after reading the first request": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			conn, free := r.readAndHeld(t, 1)
+			conn, unblock := r.connBlockedAfterRead(t, 1)
 			r.dial(t)
-			r.awaitHurry(t)
-			free()
+			r.awaitCloseRequest(t)
+			unblock()
 			return conn, 200
 		},
-		"gives way as its second request has been read": func(t *testing.T) (net.Conn, int) {
+		"evicted after reading the second request": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			conn, free := r.readAndHeld(t, 2)
+			conn, unblock := r.connBlockedAfterRead(t, 2)
 			r.dial(t)
-			r.awaitHurry(t)
-			free()
+			r.awaitCloseRequest(t)
+			unblock()
 			return conn, 200
 		},
-		"gives way as its rejection is held back": func(t *testing.T) (net.Conn, int) {
+		"evicted while its rejection is delayed": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
 			conn := r.dial(t)
 			in := bufio.NewReader(conn)
 			for range 2 {
-				io.WriteString(conn, strings.Replace(view(""), "/view", "/none", 1))
-				if status, _, err := get(in); status != 404 {
-					t.Fatalf("answered %d, %v, want 404", status, err)
+				io.WriteString(conn, strings.Replace(viewRequest(""), "/view", "/none", 1))
+				if status, _, err := readResponse(in); status != 404 {
+					t.Fatalf("status %d, error %v, want 404", status, err)
 				}
 			}
-			io.WriteString(conn, strings.Replace(view(""), "/view", "/none", 1))
-			eventually(t, "the answer waits", func() bool {
-				r.callers.mu.Lock()
-				defer r.callers.mu.Unlock()
-				return r.callers.conns[stateRejected].Len() == 1
+			io.WriteString(conn, strings.Replace(viewRequest(""), "/view", "/none", 1))
+			eventually(t, "the rejection is delayed", func() bool {
+				r.server.mu.Lock()
+				defer r.server.mu.Unlock()
+				return r.server.conns[stateRejected].Len() == 1
 			})
 			r.dial(t)
 			return conn, 404
 		},
-		"finds no place": func(t *testing.T) (net.Conn, int) {
-			r, free := fullRig(t)
-			defer free()
+		"refused": func(t *testing.T) (net.Conn, int) {
+			r, unblock := fullRig(t)
+			defer unblock()
 			conn := r.dial(t)
-			io.WriteString(conn, view(""))
-			return readWhole(t, conn), 503
+			io.WriteString(conn, viewRequest(""))
+			return awaitPeerClose(t, conn), 503
 		},
-		"finds no place, with more behind": func(t *testing.T) (net.Conn, int) {
-			r, free := fullRig(t)
-			defer free()
-			text := pay("Content-Length: 60000\r\n\r\n" + strings.Repeat("b", 60000))
-			return readWhole(t, r.joinWritten(t, text)), 503
+		"refused, followed by unread input": func(t *testing.T) (net.Conn, int) {
+			r, unblock := fullRig(t)
+			defer unblock()
+			text := payRequest("Content-Length: 60000\r\n\r\n" + strings.Repeat("b", 60000))
+			return awaitPeerClose(t, r.dialWithPendingInput(t, text)), 503
 		},
-		"finds no place, handed over": func(t *testing.T) (net.Conn, int) {
-			r, free := fullRig(t)
-			defer free()
-			conn, here := connected(t)
-			r.callers.Resume(here, []byte(view("")))
-			return readWhole(t, conn), 503
+		"refused after a handover": func(t *testing.T) (net.Conn, int) {
+			r, unblock := fullRig(t)
+			defer unblock()
+			conn, serverConn := connected(t)
+			r.server.Resume(serverConn, []byte(viewRequest("")))
+			return awaitPeerClose(t, conn), 503
 		},
-		"meets a fault before it is sent on": func(t *testing.T) (net.Conn, int) {
+		"panic before the request is forwarded": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			r.callers.router = faultyJudge{}
+			r.server.router = panickingRouter{}
 			conn := r.dial(t)
-			io.WriteString(conn, view(""))
+			io.WriteString(conn, viewRequest(""))
 			return conn, 503
 		},
-		"meets a fault once it may have run": func(t *testing.T) (net.Conn, int) {
+		"panic after the request may have run": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			conn := r.join(t, func(c net.Conn) net.Conn { return &faultyWriter{TCPConn: c.(*net.TCPConn)} })
-			io.WriteString(conn, view(""))
+			conn := r.dialWrapped(t, func(c net.Conn) net.Conn { return &panickingConn{TCPConn: c.(*net.TCPConn)} })
+			io.WriteString(conn, viewRequest(""))
 			return conn, 500
 		},
-		"meets a fault while it is watched": func(t *testing.T) (net.Conn, int) {
-			hold := make(chan struct{})
-			r := newRig(t, 1, hold)
-			conn := r.join(t, func(c net.Conn) net.Conn { return &faultyWriter{TCPConn: c.(*net.TCPConn)} })
-			io.WriteString(conn, view(""))
-			eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
+		"panic while the caller is watched": func(t *testing.T) (net.Conn, int) {
+			release := make(chan struct{})
+			r := newRig(t, 1, release)
+			conn := r.dialWrapped(t, func(c net.Conn) net.Conn { return &panickingConn{TCPConn: c.(*net.TCPConn)} })
+			io.WriteString(conn, viewRequest(""))
+			eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
 			time.Sleep(2 * watchDelay)
-			close(hold)
+			close(release)
 			return conn, 500
 		},
-		"bad bytes, and more behind": func(t *testing.T) (net.Conn, int) {
+		"invalid request, followed by unread input": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			return r.joinWritten(t, "\x00 noise\r\n\r\n"+strings.Repeat("x", 40000)), 400
+			return r.dialWithPendingInput(t, "\x00 noise\r\n\r\n"+strings.Repeat("x", 40000)), 400
 		},
-		"the last answer, and more behind": func(t *testing.T) (net.Conn, int) {
-			hold := make(chan struct{})
-			r := newRig(t, 1, hold)
+		"last response, followed by unread input": func(t *testing.T) (net.Conn, int) {
+			release := make(chan struct{})
+			r := newRig(t, 1, release)
 			conn := r.dial(t)
-			io.WriteString(conn, view("Connection: close\r\n"))
-			eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
+			io.WriteString(conn, viewRequest("Connection: close\r\n"))
+			eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
 			io.WriteString(conn, strings.Repeat("x", 40000))
-			close(hold)
-			return readWhole(t, conn), 200
+			close(release)
+			return awaitPeerClose(t, conn), 200
 		},
-		"a drain as it has been read": func(t *testing.T) (net.Conn, int) {
+		"drain after reading the first request": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			conn, free := r.readAndHeld(t, 1)
-			go r.callers.Drain(time.Now().Add(patience))
-			time.Sleep(some)
-			free()
+			conn, unblock := r.connBlockedAfterRead(t, 1)
+			go r.server.Drain(time.Now().Add(testTimeout))
+			time.Sleep(settleTime)
+			unblock()
 			return conn, 200
 		},
-		"a drain as the second has been read": func(t *testing.T) (net.Conn, int) {
+		"drain after reading the second request": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			conn, free := r.readAndHeld(t, 2)
-			go r.callers.Drain(time.Now().Add(patience))
-			time.Sleep(some)
-			free()
+			conn, unblock := r.connBlockedAfterRead(t, 2)
+			go r.server.Drain(time.Now().Add(testTimeout))
+			time.Sleep(settleTime)
+			unblock()
 			return conn, 200
 		},
-		"the end as it has been read": func(t *testing.T) (net.Conn, int) {
+		"reading stopped after reading the request": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			conn, free := r.readAndHeld(t, 1)
-			r.callers.SetResponseDeadline(time.Now())
-			r.callers.StopReading()
-			free()
+			conn, unblock := r.connBlockedAfterRead(t, 1)
+			r.server.SetResponseDeadline(time.Now())
+			r.server.StopReading()
+			unblock()
 			return conn, 503
 		},
-		"a handover as it has been read": func(t *testing.T) (net.Conn, int) {
+		"handover after reading the request": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			conn, free := r.readAndHeld(t, 2)
-			r.callers.SetHandover(func(_ net.Conn, ahead []byte) error {
+			conn, unblock := r.connBlockedAfterRead(t, 2)
+			r.server.SetHandover(func(_ net.Conn, ahead []byte) error {
 				if len(ahead) > 0 {
-					t.Errorf("passed on with %d bytes that have been read", len(ahead))
+					t.Errorf("connection was handed over with %d bytes already read", len(ahead))
 				}
-				return errors.New("nobody there")
+				return errors.New("no receiving process")
 			})
-			free()
+			unblock()
 			return conn, 200
 		},
-		"its wait ends as it has been read": func(t *testing.T) (net.Conn, int) {
+		"idle timeout after reading the request": func(t *testing.T) (net.Conn, int) {
 			r := newRig(t, 1, nil)
-			r.callers.timeouts = Timeouts{Hello: some / 2, Request: requestTimeout, Idle: some / 2}
-			conn, free := r.readAndHeld(t, 2)
-			time.Sleep(some)
-			free()
+			r.server.timeouts = Timeouts{Hello: settleTime / 2, Request: requestTimeout, Idle: settleTime / 2}
+			conn, unblock := r.connBlockedAfterRead(t, 2)
+			time.Sleep(settleTime)
+			unblock()
 			return conn, 200
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			conn, want := way(t)
+			conn, want := setup(t)
 			in := bufio.NewReader(conn)
-			if status, _, err := get(in); status != want {
-				t.Errorf("answered %d, %v, want %d", status, err, want)
+			if status, _, err := readResponse(in); status != want {
+				t.Errorf("status %d, error %v, want %d", status, err, want)
 			}
-			if !strings.Contains(name, "more behind") {
+			if !strings.Contains(name, "followed by unread input") {
 				return
 			}
-			// Bytes that nobody has read make a close a reset, which eats the answer of who is
-			// slower to read than this client.
+			// Closing a connection with unread input resets it, and a slow caller loses the
+			// response.
 			if _, err := in.ReadByte(); err != io.EOF {
-				t.Errorf("behind the answer: %v, want the end", err)
+				t.Errorf("after the response: error %v, want EOF", err)
 			}
 		})
 	}
 }
 
-// fullRig is a rig with one place, on which a request is out until it is freed.
-func fullRig(t *testing.T) (r *rig, free func()) {
+// fullRig returns a rig whose only connection has an open request until unblock is called.
+func fullRig(t *testing.T) (r *rig, unblock func()) {
 	t.Helper()
-	hold := make(chan struct{})
-	r = newRig(t, 1, hold)
-	io.WriteString(r.dial(t), view(""))
-	eventually(t, "the request at the endpoint", func() bool { return r.requests.Load() == 1 })
-	return r, func() { close(hold) }
+	release := make(chan struct{})
+	r = newRig(t, 1, release)
+	io.WriteString(r.dial(t), viewRequest(""))
+	eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
+	return r, func() { close(release) }
 }
 
-// readAndHeld is a connection whose n-th request has been read, and whoever reads it does
-// not get to run until it is freed.
-func (r *rig) readAndHeld(t *testing.T, n int) (conn net.Conn, free func()) {
+// connBlockedAfterRead returns a connection whose n-th request has been read. The goroutine that
+// read it is blocked until unblock is called.
+func (r *rig) connBlockedAfterRead(t *testing.T, n int) (conn net.Conn, unblock func()) {
 	t.Helper()
-	s := &stalled{n: n, gate: make(chan struct{}), at: make(chan struct{})}
-	conn = r.join(t, func(c net.Conn) net.Conn { s.TCPConn = c.(*net.TCPConn); return s })
+	s := &blockAfterReadConn{n: n, release: make(chan struct{}), blocked: make(chan struct{})}
+	conn = r.dialWrapped(t, func(c net.Conn) net.Conn { s.TCPConn = c.(*net.TCPConn); return s })
 	in := bufio.NewReader(conn)
 	for range n - 1 {
-		io.WriteString(conn, view(""))
-		if status, _, err := get(in); status != 200 {
-			t.Fatalf("answered %d, %v, want 200", status, err)
+		io.WriteString(conn, viewRequest(""))
+		if status, _, err := readResponse(in); status != 200 {
+			t.Fatalf("earlier request: status %d, error %v, want 200", status, err)
 		}
 	}
-	io.WriteString(conn, view(""))
-	<-s.at
-	return conn, func() { close(s.gate) }
+	io.WriteString(conn, viewRequest(""))
+	<-s.blocked
+	return conn, func() { close(s.release) }
 }
 
-// awaitHurry waits until a connection is asked to give way.
-func (r *rig) awaitHurry(t *testing.T) {
+// awaitCloseRequest waits until a connection is asked to close.
+func (r *rig) awaitCloseRequest(t *testing.T) {
 	t.Helper()
-	eventually(t, "it is asked to give way", func() bool {
-		r.callers.mu.Lock()
-		defer r.callers.mu.Unlock()
+	eventually(t, "a connection is asked to close", func() bool {
+		r.server.mu.Lock()
+		defer r.server.mu.Unlock()
 		for st := range stateActive {
-			if e := r.callers.conns[st].Front(); e != nil && e.Value.closeRequested {
+			if e := r.server.conns[st].Front(); e != nil && e.Value.closeRequested {
 				return true
 			}
 		}
@@ -217,8 +217,9 @@
 	})
 }
 
-// joinWritten is join with a connection on which all of text has come before it is taken.
-func (r *rig) joinWritten(t *testing.T, text string) net.Conn {
+// dialWithPendingInput opens a connection on which all of text has arrived before the server
+// receives it.
+func (r *rig) dialWithPendingInput(t *testing.T, text string) net.Conn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -230,42 +231,42 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
-	here, err := l.Accept()
+	serverConn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.callers.HandleConn(here)
+	r.server.HandleConn(serverConn)
 	return c
 }
 
-// readWhole waits until the other side of conn has ended before anything is read, as a
-// client would that is late: a reset would eat what it has not read.
-func readWhole(t *testing.T, conn net.Conn) net.Conn {
+// awaitPeerClose waits until the server has closed its end of conn. Nothing has been read by then,
+// as with a slow caller, so a reset would lose the response.
+func awaitPeerClose(t *testing.T, conn net.Conn) net.Conn {
 	t.Helper()
-	eventually(t, "the connection ends", func() bool { return sock.NewPoller(conn).State() == sock.Closed })
+	eventually(t, "the server closes the connection", func() bool { return sock.NewPoller(conn).State() == sock.Closed })
 	return conn
 }
 
-// faultyJudge fails on every request.
-type faultyJudge struct{}
+// panickingRouter panics on every request.
+type panickingRouter struct{}
 
-func (faultyJudge) ReadyStatus() int { return 200 }
+func (panickingRouter) ReadyStatus() int { return 200 }
 
-func (faultyJudge) Route(*Request) (*Plan, *Rejection) { panic("a planted fault") }
+func (panickingRouter) Route(*Request) (*Plan, *Rejection) { panic("test panic") }
 
-// faultyWriter fails on the first write.
-type faultyWriter struct {
+// panickingConn panics on the first write.
+type panickingConn struct {
 	*net.TCPConn
 	wrote atomic.Bool
 }
 
-func (w *faultyWriter) Write(b []byte) (int, error) {
+func (w *panickingConn) Write(b []byte) (int, error) {
 	if !w.wrote.Swap(true) {
-		panic("a planted fault")
+		panic("test panic")
 	}
 	return w.TCPConn.Write(b)
 }
--- a/internal/front/http/door_test.go
+++ b/internal/front/http/door_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// doorRig is a rig where clients enter, whose classes have an aim.
-func doorRig(t *testing.T, hold chan struct{}) *rig {
+// entryRig returns a rig at the entry tier whose classes have a target latency (Aim).
+func entryRig(t *testing.T, release chan struct{}) *rig {
 	t.Helper()
-	cfg := testConfig()
+	cfg := newTestConfig()
 	cfg.Balance.Entry = true
 	for i := range cfg.Balance.Classes {
 		cfg.Balance.Classes[i].LatencyTarget = 500 * time.Millisecond
-		cfg.Balance.Classes[i].Deadline = patience
+		cfg.Balance.Classes[i].Deadline = testTimeout
 	}
-	return newRigOf(t, cfg, 128, hold)
+	return newRigWithConfig(t, cfg, 128, release)
 }
 
-// ask sends n requests at once, each on a connection of its own. Their answers
-// come over the channel.
-func (r *rig) ask(t *testing.T, n int, path string) <-chan int {
+// sendRequests sends n requests at once, each on a new connection. The channel receives the status
+// of each response.
+func (r *rig) sendRequests(t *testing.T, n int, path string) <-chan int {
 	t.Helper()
 	statuses := make(chan int, n)
 	for range n {
 		c := r.dial(t)
-		io.WriteString(c, strings.Replace(view(""), "/view/1", path, 1))
+		io.WriteString(c, strings.Replace(viewRequest(""), "/view/1", path, 1))
 		go func() {
-			status, _, _ := get(bufio.NewReader(c))
+			status, _, _ := readResponse(bufio.NewReader(c))
 			c.Close()
 			statuses <- status
 		}()
@@ -39,8 +39,8 @@
 	return statuses
 }
 
-// refusals counts those among n answers.
-func refusals(statuses <-chan int, n int) (refused int) {
+// countRefused returns how many of n responses have a status other than 200.
+func countRefused(statuses <-chan int, n int) (refused int) {
 	for range n {
 		if <-statuses != 200 {
 			refused++
@@ -49,66 +49,66 @@
 	return refused
 }
 
-// Two late ones of ten are chance, and close the door on nobody.
-func TestFewLateAnswersRefuseNobody(t *testing.T) {
-	hold := make(chan struct{})
-	r := doorRig(t, hold)
-	if n := refusals(r.ask(t, 8, "/view/now"), 8); n > 0 {
-		t.Fatalf("%d of the first 8 refused", n)
+// Two late responses of ten are within chance, and no request is refused because of them.
+func TestFewLateResponsesCauseNoRefusals(t *testing.T) {
+	release := make(chan struct{})
+	r := entryRig(t, release)
+	if n := countRefused(r.sendRequests(t, 8, "/view/now"), 8); n > 0 {
+		t.Fatalf("%d of the first 8 requests were refused, want 0", n)
 	}
-	slow := r.ask(t, 2, "/view/1")
-	time.Sleep(time.Second) // twice the aim
-	more := r.ask(t, 8, "/view/1")
-	eventually(t, "all are out or refused", func() bool { return r.requests.Load()+int64(len(more)) >= 18 })
-	close(hold)
-	if n := refusals(slow, 2) + refusals(more, 8); n > 0 {
-		t.Errorf("%d of 10 refused", n)
+	late := r.sendRequests(t, 2, "/view/1")
+	time.Sleep(time.Second) // twice Aim
+	later := r.sendRequests(t, 8, "/view/1")
+	eventually(t, "all requests have been sent or refused", func() bool { return r.requests.Load()+int64(len(later)) >= 18 })
+	close(release)
+	if n := countRefused(late, 2) + countRefused(later, 8); n > 0 {
+		t.Errorf("%d of 10 requests were refused, want 0", n)
 	}
 }
 
-// Once a jam has closed the door of an instance that is a second old, it lets
-// in what it has been serving all along within an aim.
-func TestYoungDoorKnowsWhatIsServed(t *testing.T) {
-	hold := make(chan struct{})
-	r := doorRig(t, hold)
-	for range 6 { // the rig's endpoint gets 32 connections at most
-		if n := refusals(r.ask(t, 10, "/view/now"), 10); n > 0 {
-			t.Fatalf("%d of the first 60 refused", n)
+// Once delayed responses limit admission at an instance that is a second old, it still admits as
+// many requests as it has usually served within the target latency.
+func TestNewInstanceAdmitsItsServedRate(t *testing.T) {
+	release := make(chan struct{})
+	r := entryRig(t, release)
+	for range 6 { // in batches, because the endpoint gets at most 32 connections
+		if n := countRefused(r.sendRequests(t, 10, "/view/now"), 10); n > 0 {
+			t.Fatalf("%d of 10 requests in a first batch were refused, want 0", n)
 		}
 	}
-	jam := r.ask(t, 30, "/view/1")
-	time.Sleep(time.Second) // twice the aim
-	for len(jam) < 30 {
+	blocked := r.sendRequests(t, 30, "/view/1")
+	time.Sleep(time.Second) // twice Aim
+	for len(blocked) < 30 {
 		select {
-		case hold <- struct{}{}: // lets one go
+		case release <- struct{}{}: // one request completes
 		case <-time.After(time.Millisecond):
 		}
 	}
-	reached := r.requests.Load()
-	more := r.ask(t, 10, "/view/1")
-	eventually(t, "10 are out or refused", func() bool { return r.requests.Load()-reached+int64(len(more)) >= 10 })
-	close(hold)
-	if n := refusals(more, 10); n > 0 {
-		t.Errorf("%d of 10 refused after 60 were served within a second", n)
+	requestsBefore := r.requests.Load()
+	later := r.sendRequests(t, 10, "/view/1")
+	eventually(t, "10 requests have been sent or refused", func() bool { return r.requests.Load()-requestsBefore+int64(len(later)) >= 10 })
+	close(release)
+	if n := countRefused(later, 10); n > 0 {
+		t.Errorf("%d of 10 requests were refused after 60 were served within a second, want 0", n)
 	}
 }
 
-// A jam closes the door; whoever is refused then is told when to come back.
-func TestRefusalsTellWhenToComeBack(t *testing.T) {
-	hold := make(chan struct{})
-	r := doorRig(t, hold)
-	jam := r.ask(t, 20, "/view/1")
-	time.Sleep(time.Second) // twice the aim
+// A request that is refused because responses are delayed gets a Retry-After.
+func TestRefusalsCarryRetryAfter(t *testing.T) {
+	release := make(chan struct{})
+	r := entryRig(t, release)
+	blocked := r.sendRequests(t, 20, "/view/1")
+	time.Sleep(time.Second) // twice Aim
 	c := r.dial(t)
-	io.WriteString(c, view(""))
+	io.WriteString(c, viewRequest(""))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("answer %v, %v, want a refusal", resp, err)
+		t.Fatalf("response %v, error %v, want status 503", resp, err)
 	}
 	text := resp.Header.Get("Retry-After")
-	if after, err := strconv.ParseFloat(text, 64); err != nil || after <= 0 || after > patience.Seconds()/2 {
-		t.Errorf("Retry-After %q, want a part of the client's time in seconds", text)
+	if after, err := strconv.ParseFloat(text, 64); err != nil || after <= 0 || after > testTimeout.Seconds()/2 {
+		t.Errorf("Retry-After %q, want a positive number of seconds, at most half the deadline", text)
 	}
-	close(hold)
-	refusals(jam, 20)
+	close(release)
+	countRefused(blocked, 20)
 }
--- a/internal/front/http/gone_test.go
+++ b/internal/front/http/gone_test.go
@@ -18,74 +18,73 @@
 	"gorselink/internal/standin"
 )
 
-// goneAfter is how long after its client has left an attempt may still begin.
-const goneAfter = 100 * time.Millisecond
+// attemptCutoff is how long after the disconnect of its client an attempt may still start.
+const attemptCutoff = 100 * time.Millisecond
 
-// A client leaves, by an end or a reset, while its request waits in any way there is, and
-// whoever reads its connection does not get to run meanwhile, or does. No attempt is whole
-// at an endpoint more than 0.1 s after that, first or further. Half of the clients stay;
-// their requests show what the endpoint would have seen.
-func TestNoAttemptAfterClientLeft(t *testing.T) {
+// A client closes or resets its connection while its request waits, with the goroutine that reads
+// the connection running or blocked. No attempt may be complete at an endpoint more than
+// attemptCutoff later. Clients that stay connected show what the endpoint receives.
+func TestNoAttemptAfterDisconnect(t *testing.T) {
 	const clients = 8
-	// Early bytes that fill the buffers of the connection, so that no end shows behind them.
+	// Early bytes that fill the receive buffer, so that the close behind them is not visible.
 	flood := strings.Repeat("e", 160<<10)
-	get1 := func(id string) string { return "GET /view/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\n\r\n" }
-	long := func(id string) string {
+	getRequest := func(id string) string { return "GET /view/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\n\r\n" }
+	postRequest := func(id string) string {
 		return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nContent-Length: 20000\r\n\r\n" + strings.Repeat("b", 20000)
 	}
-	chunked := func(id string) string {
+	chunkedPost := func(id string) string {
 		return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nTransfer-Encoding: chunked\r\n\r\n4e20\r\n" + strings.Repeat("b", 20000) + "\r\n0\r\n\r\n"
 	}
 	for name, w := range map[string]struct {
-		rig    func(*testing.T) *departures
-		text   func(id string) string
-		early  string // sent by who leaves, right before
-		reads  int    // of the connection until its reader does not get to run; 0 for never
-		after  bool   // it does not get to run behind its read, not before it
-		late   bool   // it runs again as the way is opened, not once all is over
-		resume bool   // another process has passed the connection on, having read the request
+		newRig         func(*testing.T) *disconnectRig
+		text           func(id string) string
+		earlyBytes     string // sent right before the disconnect
+		blockAtRead    int    // the read at which the reading goroutine is blocked; 0 for none
+		blockAfterRead bool   // the goroutine is blocked after the read, not before it
+		releaseFirst   bool   // it continues before requests can proceed, not after the others are served
+		resume         bool   // another process has read the request and handed the connection over
 	}{
-		"queued":                            {rig: queuedWay, text: get1},
-		"queued, nobody watches":            {rig: queuedWay, text: get1, reads: 2},
-		"queued, more sent":                 {rig: queuedWay, text: get1, early: "x"},
-		"queued, more sent, nobody watches": {rig: queuedWay, text: get1, early: "x", reads: 2},
-		"queued, flooded":                   {rig: queuedWay, text: get1, early: flood},
-		"queued, flooded, nobody watches":   {rig: queuedWay, text: get1, early: flood, reads: 2},
-		"dialling, nobody watches":          {rig: diallingWay(8 << 20), text: get1, reads: 2},
-		"dialling, flooded":                 {rig: diallingWay(8 << 20), text: get1, early: flood, reads: 2},
-		"connections rest":                  {rig: restingWay, text: get1, reads: 2},
-		"an attempt hangs":                  {rig: func(t *testing.T) *departures { return brokenOff(t, "") }, text: get1, reads: 2},
-		"an attempt hangs, flooded":         {rig: func(t *testing.T) *departures { return brokenOff(t, "") }, text: get1, early: flood, reads: 2},
-		"half an answer":                    {rig: func(t *testing.T) *departures { return brokenOff(t, "HTTP/1.1 200 OK\r\nContent-Le") }, text: get1, reads: 2},
-		"rejected, then dialling":           {rig: rejectedWay, text: get1, reads: 2},
-		"unread":                            {rig: openWay, text: get1, reads: 1, late: true},
-		"unread, flooded":                   {rig: openWay, text: get1, early: flood, reads: 1, late: true},
-		"read, and held up":                 {rig: openWay, text: get1, reads: 1, after: true, late: true},
-		"read, and held up, flooded":        {rig: openWay, text: get1, early: flood, reads: 1, after: true, late: true},
-		"body unread":                       {rig: openWay, text: long, reads: 2, late: true},
-		"body read, and held up":            {rig: openWay, text: long, reads: 2, after: true, late: true},
-		"a long body waits":                 {rig: diallingWay(1), text: long},
-		"a long body waits, more sent":      {rig: diallingWay(1), text: long, early: "x"},
-		"a long body waits, flooded":        {rig: diallingWay(1), text: long, early: flood},
-		"a long chunked body waits":         {rig: diallingWay(1), text: chunked, early: flood},
-		"a long body stops":                 {rig: streamingWay, text: long, reads: 2, after: true, late: true},
-		"handed over, queued":               {rig: queuedWay, text: get1, resume: true, reads: 1},
-		"handed over, flooded":              {rig: queuedWay, text: get1, early: flood, resume: true, reads: 1},
+		"queued":                             {newRig: queuedRig, text: getRequest},
+		"queued, reader blocked":             {newRig: queuedRig, text: getRequest, blockAtRead: 2},
+		"queued, early byte":                 {newRig: queuedRig, text: getRequest, earlyBytes: "x"},
+		"queued, early byte, reader blocked": {newRig: queuedRig, text: getRequest, earlyBytes: "x", blockAtRead: 2},
+		"queued, flooded":                    {newRig: queuedRig, text: getRequest, earlyBytes: flood},
+		"queued, flooded, reader blocked":    {newRig: queuedRig, text: getRequest, earlyBytes: flood, blockAtRead: 2},
+		"dialing, reader blocked":            {newRig: dialingRig(8 << 20), text: getRequest, blockAtRead: 2},
+		"dialing, flooded":                   {newRig: dialingRig(8 << 20), text: getRequest, earlyBytes: flood, blockAtRead: 2},
+		"connections in reuse delay":         {newRig: reuseDelayRig, text: getRequest, blockAtRead: 2},
+		"attempt hangs":                      {newRig: func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, "") }, text: getRequest, blockAtRead: 2},
+		"attempt hangs, flooded":             {newRig: func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, "") }, text: getRequest, earlyBytes: flood, blockAtRead: 2},
+		"incomplete response":                {newRig: func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, "HTTP/1.1 200 OK\r\nContent-Le") }, text: getRequest, blockAtRead: 2},
+		"rejected, then dialing":             {newRig: rejectedRig, text: getRequest, blockAtRead: 2},
+		"unread":                             {newRig: unblockedRig, text: getRequest, blockAtRead: 1, releaseFirst: true},
+		"unread, flooded":                    {newRig: unblockedRig, text: getRequest, earlyBytes: flood, blockAtRead: 1, releaseFirst: true},
+		"blocked after read":                 {newRig: unblockedRig, text: getRequest, blockAtRead: 1, blockAfterRead: true, releaseFirst: true},
+		"blocked after read, flooded":        {newRig: unblockedRig, text: getRequest, earlyBytes: flood, blockAtRead: 1, blockAfterRead: true, releaseFirst: true},
+		"body unread":                        {newRig: unblockedRig, text: postRequest, blockAtRead: 2, releaseFirst: true},
+		"blocked after body read":            {newRig: unblockedRig, text: postRequest, blockAtRead: 2, blockAfterRead: true, releaseFirst: true},
+		"long body waits":                    {newRig: dialingRig(1), text: postRequest},
+		"long body waits, early byte":        {newRig: dialingRig(1), text: postRequest, earlyBytes: "x"},
+		"long body waits, flooded":           {newRig: dialingRig(1), text: postRequest, earlyBytes: flood},
+		"long chunked body waits":            {newRig: dialingRig(1), text: chunkedPost, earlyBytes: flood},
+		"blocked within long body":           {newRig: streamingRig, text: postRequest, blockAtRead: 2, blockAfterRead: true, releaseFirst: true},
+		"handed over, queued":                {newRig: queuedRig, text: getRequest, resume: true, blockAtRead: 1},
+		"handed over, flooded":               {newRig: queuedRig, text: getRequest, earlyBytes: flood, resume: true, blockAtRead: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := w.rig(t)
-			before := d.Stats().Served
-			var gone, stay []net.Conn
-			var gates, ats []chan struct{}
+			d := w.newRig(t)
+			servedBefore := d.Stats().Served
+			var leaving, staying []net.Conn
+			var releases, allBlocked []chan struct{}
 			for i := range clients {
 				id := newID()
-				conn := d.connect(t, func(here net.Conn) net.Conn {
-					gate, at, held := held(here, w.reads, w.after)
-					if gate != nil {
-						gates, ats = append(gates, gate), append(ats, at)
+				conn := d.connect(t, func(serverConn net.Conn) net.Conn {
+					release, blocked, wrapped := blockReads(serverConn, w.blockAtRead, w.blockAfterRead)
+					if release != nil {
+						releases, allBlocked = append(releases, release), append(allBlocked, blocked)
 					}
-					return held
+					return wrapped
 				}, w.resume, w.text(id))
 				conn.(*net.TCPConn).SetWriteBuffer(1 << 20)
 				d.ids[conn] = id
@@ -93,220 +92,220 @@
 					io.WriteString(conn, w.text(id))
 				}
 				if i%2 == 0 {
-					gone = append(gone, conn)
+					leaving = append(leaving, conn)
 				} else {
-					stay = append(stay, conn)
+					staying = append(staying, conn)
 				}
 			}
-			eventually(t, "all requests wait", func() bool { return d.ready(clients) })
-			for _, at := range ats {
-				<-at // the reader does not get to run from here on
+			eventually(t, "all requests are waiting", func() bool { return d.allWaiting(clients) })
+			for _, blocked := range allBlocked {
+				<-blocked // the reader does not run from here on
 			}
-			for i, conn := range gone {
-				io.WriteString(conn, w.early)
+			for i, conn := range leaving {
+				io.WriteString(conn, w.earlyBytes)
 				if i%2 == 1 {
 					conn.(*net.TCPConn).SetLinger(0)
 				}
 				conn.Close()
 			}
-			left := time.Now()
-			time.Sleep(goneAfter)
-			free := sync.OnceFunc(func() {
-				for _, gate := range gates {
-					close(gate)
+			leftAt := time.Now()
+			time.Sleep(attemptCutoff)
+			releaseReaders := sync.OnceFunc(func() {
+				for _, release := range releases {
+					close(release)
 				}
 			})
-			defer free()
-			if w.late {
-				free()
+			defer releaseReaders()
+			if w.releaseFirst {
+				releaseReaders()
 			}
-			d.open()
-			if !w.late {
-				eventually(t, "the requests of who stays are served", func() bool { return d.Stats().Served-before >= len(stay) })
-				free()
+			d.unblock()
+			if !w.releaseFirst {
+				eventually(t, "the requests of the remaining clients are served", func() bool { return d.Stats().Served-servedBefore >= len(staying) })
+				releaseReaders()
 			}
-			for _, conn := range stay {
-				if status, _, err := get(bufio.NewReader(conn)); status != 200 {
-					t.Errorf("who stays is answered %d, %v, want 200", status, err)
+			for _, conn := range staying {
+				if status, _, err := readResponse(bufio.NewReader(conn)); status != 200 {
+					t.Errorf("remaining client: status %d, error %v, want 200", status, err)
 				}
 			}
-			eventually(t, "all requests are over", func() bool { return d.Pool.OpenRequests() == 0 })
-			for _, conn := range stay {
-				if n := d.seen.saw(d.ids[conn]); n != 1 {
-					t.Errorf("the endpoint has seen %d requests of one who stays, want 1", n)
+			eventually(t, "no request is open", func() bool { return d.Pool.OpenRequests() == 0 })
+			for _, conn := range staying {
+				if n := d.recorder.count(d.ids[conn]); n != 1 {
+					t.Errorf("endpoint received %d requests of a remaining client, want 1", n)
 				}
 			}
-			for i, conn := range gone {
-				if at := d.seen.lastSaw(d.ids[conn]); at.Sub(left) > goneAfter {
-					t.Errorf("client %d: an attempt is whole %v after it has left", i, at.Sub(left))
+			for i, conn := range leaving {
+				if arrival := d.recorder.lastArrival(d.ids[conn]); arrival.Sub(leftAt) > attemptCutoff {
+					t.Errorf("client %d: an attempt arrived %v after the disconnect", i, arrival.Sub(leftAt))
 				}
 			}
 		})
 	}
 }
 
-// held is a connection whose reader does not get to run before its n-th read, or behind
-// the n-th that brings bytes.
-func held(c net.Conn, n int, after bool) (gate, at chan struct{}, conn net.Conn) {
+// blockReads wraps c so that its reader is blocked before the n-th read or, if after is set, after
+// the n-th read that returns data. With n 0 it returns c unchanged.
+func blockReads(c net.Conn, n int, blockAfterRead bool) (release, blocked chan struct{}, conn net.Conn) {
 	if n == 0 {
 		return nil, nil, c
 	}
-	if after {
-		s := &stalled{TCPConn: c.(*net.TCPConn), n: n, gate: make(chan struct{}), at: make(chan struct{})}
-		return s.gate, s.at, s
+	if blockAfterRead {
+		s := &blockAfterReadConn{TCPConn: c.(*net.TCPConn), n: n, release: make(chan struct{}), blocked: make(chan struct{})}
+		return s.release, s.blocked, s
 	}
-	g := newGated(c, n)
-	return g.gate, g.at, g
+	g := newBlockBeforeReadConn(c, n)
+	return g.release, g.blocked, g
 }
 
-// connect makes a connection whose other end the sidecar has as wrapped by wrap, taken or, with
-// what another process has read of it, resumed.
-func (d *departures) connect(t *testing.T, wrap func(net.Conn) net.Conn, resume bool, ahead string) net.Conn {
+// connect opens a connection whose server end is wrapped by wrap. If resume is set, the connection
+// is handed over with ahead already read.
+func (d *disconnectRig) connect(t *testing.T, wrap func(net.Conn) net.Conn, resume bool, ahead string) net.Conn {
 	t.Helper()
-	c, there := connected(t)
+	c, serverConn := connected(t)
 	if resume {
-		d.callers.Resume(wrap(there), []byte(ahead))
+		d.server.Resume(wrap(serverConn), []byte(ahead))
 	} else {
-		d.callers.HandleConn(wrap(there))
+		d.server.HandleConn(wrap(serverConn))
 	}
 	return c
 }
 
-// openWay is one in which nothing waits at the sidecar.
-func openWay(t *testing.T) *departures {
-	w := newWitness(t, nil)
-	d := newDepartures(t, 8<<20, inService("s-1", w.addr))
-	d.seen, d.open = w, func() {}
-	d.ready = func(int) bool { return true }
+// unblockedRig returns a rig in which requests do not wait.
+func unblockedRig(t *testing.T) *disconnectRig {
+	rec := newRecorder(t, nil)
+	d := newDisconnectRig(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
+	d.recorder, d.unblock = rec, func() {}
+	d.allWaiting = func(int) bool { return true }
 	return d
 }
 
-// streamingWay is one in which a body is sent on while it comes.
-func streamingWay(t *testing.T) *departures {
-	w := newWitness(t, nil)
-	d := newDepartures(t, 1, inService("s-1", w.addr))
-	d.seen, d.open = w, func() {}
-	d.ready = func(int) bool { return true }
+// streamingRig returns a rig that forwards bodies while they arrive.
+func streamingRig(t *testing.T) *disconnectRig {
+	rec := newRecorder(t, nil)
+	d := newDisconnectRig(t, 1, inServiceEndpoint("s-1", rec.addr))
+	d.recorder, d.unblock = rec, func() {}
+	d.allWaiting = func(int) bool { return true }
 	return d
 }
 
-// queuedWay has no endpoint until it is opened.
-func queuedWay(t *testing.T) *departures {
-	d := openWay(t)
+// queuedRig returns a rig without an available endpoint until unblock is called.
+func queuedRig(t *testing.T) *disconnectRig {
+	d := unblockedRig(t)
 	d.SetDisabled(map[string]bool{"s-1": true})
-	d.ready = func(n int) bool { return d.Pool.OpenRequests() == n }
-	d.open = func() { d.SetDisabled(nil) }
+	d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n }
+	d.unblock = func() { d.SetDisabled(nil) }
 	return d
 }
 
-// diallingWay has an endpoint whose connections come up when it is opened.
-func diallingWay(long int64) func(*testing.T) *departures {
-	return func(t *testing.T) *departures {
+// dialingRig returns a rig whose endpoint accepts connections only once unblock is called.
+func dialingRig(longBodyBytes int64) func(*testing.T) *disconnectRig {
+	return func(t *testing.T) *disconnectRig {
 		l, err := standin.ListenLate()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		d := newDepartures(t, long, inService("s-1", l.Addr().String()))
-		d.ready = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
-		d.open = func() {
+		d := newDisconnectRig(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
+		d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
+		d.unblock = func() {
 			if err := l.Open(); err != nil {
 				t.Fatal(err)
 			}
-			d.seen = newWitness(t, l)
+			d.recorder = newRecorder(t, l)
 		}
 		return d
 	}
 }
 
-// restingWay has a connection for each of some clients to its endpoint, all of which rest
-// for longer than a client takes to leave.
-func restingWay(t *testing.T) *departures {
-	w := newWitness(t, nil)
-	d := newRestingDepartures(t, 8<<20, 4*goneAfter, inService("s-1", w.addr))
-	d.seen, d.open = w, func() {}
+// reuseDelayRig returns a rig with one connection per client to its endpoint. None may be reused
+// until after the clients have disconnected.
+func reuseDelayRig(t *testing.T) *disconnectRig {
+	rec := newRecorder(t, nil)
+	d := newDisconnectRigWithReuseDelay(t, 8<<20, 4*attemptCutoff, inServiceEndpoint("s-1", rec.addr))
+	d.recorder, d.unblock = rec, func() {}
 	d.SetDisabled(map[string]bool{"s-1": true})
-	var first []net.Conn
+	var conns []net.Conn
 	for range 8 {
-		c := d.join(t, func(c net.Conn) net.Conn { return c })
-		io.WriteString(c, view(""))
-		first = append(first, c)
+		c := d.dialWrapped(t, func(c net.Conn) net.Conn { return c })
+		io.WriteString(c, viewRequest(""))
+		conns = append(conns, c)
 	}
-	eventually(t, "requests that each want a connection", func() bool { return d.Pool.OpenRequests() == len(first) })
+	eventually(t, "each request waits for a connection", func() bool { return d.Pool.OpenRequests() == len(conns) })
 	d.SetDisabled(nil)
-	for _, c := range first {
-		if status, _, err := get(bufio.NewReader(c)); status != 200 {
-			t.Fatalf("answered %d, %v, want 200", status, err)
+	for _, c := range conns {
+		if status, _, err := readResponse(bufio.NewReader(c)); status != 200 {
+			t.Fatalf("status %d, error %v, want 200", status, err)
 		}
 		c.Close()
 	}
-	d.ready = func(int) bool { return true }
+	d.allWaiting = func(int) bool { return true }
 	return d
 }
 
-// rejectedWay has an endpoint that rejects all requests once they are there, and for the
-// next attempts another one whose connections come up when it is opened.
-func rejectedWay(t *testing.T) *departures {
+// rejectedRig returns a rig in which one endpoint rejects all requests once it has received them.
+// The endpoint for the next attempts accepts connections only once unblock is called.
+func rejectedRig(t *testing.T) *disconnectRig {
 	var mu sync.Mutex
-	there, reject := 0, make(chan struct{})
+	received, rejectNow := 0, make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
-		there++
+		received++
 		mu.Unlock()
-		<-reject
+		<-rejectNow
 		w.Header().Set("X-Rejected", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(srv.Close)
-	late, err := standin.ListenLate()
+	lateListener, err := standin.ListenLate()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { late.Close() })
-	d := newDepartures(t, 8<<20, inService("late", late.Addr().String()),
-		inService("rejects", srv.Listener.Addr().String()), inService("first", newWitness(t, nil).addr))
+	t.Cleanup(func() { lateListener.Close() })
+	d := newDisconnectRig(t, 8<<20, inServiceEndpoint("late", lateListener.Addr().String()),
+		inServiceEndpoint("rejects", srv.Listener.Addr().String()), inServiceEndpoint("first", newRecorder(t, nil).addr))
 	d.SetDisabled(map[string]bool{"late": true, "rejects": true})
-	d.earnRetries(t)
+	d.earnRetryBudget(t)
 	d.SetDisabled(map[string]bool{"late": true, "first": true})
-	d.open = func() {
-		if err := late.Open(); err != nil {
+	d.unblock = func() {
+		if err := lateListener.Open(); err != nil {
 			t.Fatal(err)
 		}
-		d.seen = newWitness(t, late)
+		d.recorder = newRecorder(t, lateListener)
 	}
-	rejected := sync.OnceFunc(func() {
+	rejectAll := sync.OnceFunc(func() {
 		d.SetDisabled(map[string]bool{"rejects": true, "first": true})
-		close(reject)
+		close(rejectNow)
 	})
-	t.Cleanup(rejected)
-	d.ready = func(n int) bool {
+	t.Cleanup(rejectAll)
+	d.allWaiting = func(n int) bool {
 		mu.Lock()
-		all := there == n
+		all := received == n
 		mu.Unlock()
 		if all {
-			rejected()
+			rejectAll()
 		}
 		return d.Stats().LaterAttempts == n
 	}
 	return d
 }
 
-// A body that is sent on while it comes may have lain unread, whole, since its client left,
-// and its watcher may not have got to run either: the read that would bring the end of it
-// says so. Bytes behind a body may hide an end, and are an error as behind a body that is held.
-func TestReadOfABodyTellsWhoLeft(t *testing.T) {
+// A whole streamed body may have been unread since its caller disconnected, with no goroutine
+// watching. The read of its last bytes then fails. It also fails if extra bytes follow the body,
+// because they may hide a disconnect.
+func TestStreamedBodyReadDetectsDisconnect(t *testing.T) {
 	for _, c := range []struct {
-		name, coding, text, behind string
-		leaves                     bool
-		want                       error
+		name, framingField, text, extra string
+		disconnects                     bool
+		want                            error
 	}{
-		{"stays", "Content-Length: 4", "body", "", false, nil},
-		{"leaves", "Content-Length: 4", "body", "", true, errCallerLeft},
-		{"leaves behind more", "Content-Length: 4", "body", "x", true, errCallerLeft},
-		{"more", "Content-Length: 4", "body", "x", false, errUnexpectedBytes},
-		{"chunked, stays", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", false, nil},
-		{"chunked, leaves", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", true, errCallerLeft},
-		{"chunked, more", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "x", false, errUnexpectedBytes},
+		{"connected", "Content-Length: 4", "body", "", false, nil},
+		{"disconnected", "Content-Length: 4", "body", "", true, errCallerLeft},
+		{"disconnected after extra byte", "Content-Length: 4", "body", "x", true, errCallerLeft},
+		{"extra byte", "Content-Length: 4", "body", "x", false, errUnexpectedBytes},
+		{"chunked, connected", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", false, nil},
+		{"chunked, disconnected", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "", true, errCallerLeft},
+		{"chunked, extra byte", "Transfer-Encoding: chunked", "4\r\nbody\r\n0\r\n\r\n", "x", false, errUnexpectedBytes},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -314,33 +313,33 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			there, err := net.Dial("tcp", l.Addr().String())
+			client, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer there.Close()
-			here, err := l.Accept()
+			defer client.Close()
+			serverConn, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer here.Close()
-			k := newCallerConn(NewServer(nil, 1, Timeouts{}), here)
-			fmt.Fprintf(there, "POST /pay HTTP/1.1\r\nHost: x\r\n%s\r\n\r\n%s%s", c.coding, c.text, c.behind)
-			head, err := framing.PeekHead(k.in)
+			defer serverConn.Close()
+			caller := newCallerConn(NewServer(nil, 1, Timeouts{}), serverConn)
+			fmt.Fprintf(client, "POST /pay HTTP/1.1\r\nHost: x\r\n%s\r\n\r\n%s%s", c.framingField, c.text, c.extra)
+			head, err := framing.PeekHead(caller.in)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := k.req.ParseRequest(head); err != nil {
+			if err := caller.req.ParseRequest(head); err != nil {
 				t.Fatal(err)
 			}
-			k.in.Discard(len(head))
-			if c.leaves {
-				there.Close()
-				eventually(t, "the end has come", func() bool { return k.peer.State() == sock.Closed })
+			caller.in.Discard(len(head))
+			if c.disconnects {
+				client.Close()
+				eventually(t, "the disconnect is visible", func() bool { return caller.peer.State() == sock.Closed })
 			}
-			body := &checkedBody{k, &bodyReader{in: k.in, head: &k.req.Head, maxBytes: 1 << 20}}
+			body := &checkedBody{caller, &bodyReader{in: caller.in, head: &caller.req.Head, maxBytes: 1 << 20}}
 			if got, err := io.ReadAll(body); !errors.Is(err, c.want) || err == nil && string(got) != "body" {
-				t.Errorf("%q, %v, want %v", got, err, c.want)
+				t.Errorf("read %q, error %v, want error %v", got, err, c.want)
 			}
 		})
 	}
--- a/internal/front/http/hurry_test.go
+++ b/internal/front/http/hurry_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// A client with less time than the mean call takes is tried all the same, and
-// refused only where hardly any call is so quick.
-func TestClientsInAHurryAreTried(t *testing.T) {
-	hold := make(chan struct{})
-	r := newRig(t, 16, hold)
-	slow := r.ask(t, 3, "/view/1")
-	time.Sleep(time.Second) // the mean from here on, at the least
-	close(hold)
-	if n := refusals(slow, 3); n > 0 {
-		t.Fatalf("%d of the first 3 refused", n)
+// A request with less time than the mean response time is still tried. It is refused only if
+// hardly any response is that fast.
+func TestShortBudgetsAreTried(t *testing.T) {
+	release := make(chan struct{})
+	r := newRig(t, 16, release)
+	slow := r.sendRequests(t, 3, "/view/1")
+	time.Sleep(time.Second) // the least mean response time from here on
+	close(release)
+	if n := countRefused(slow, 3); n > 0 {
+		t.Fatalf("%d of the first 3 requests were refused, want 0", n)
 	}
 	for _, c := range []struct {
 		budget string
 		want   int
 	}{{"900", 200}, {"300", 503}} {
 		conn := r.dial(t)
-		io.WriteString(conn, strings.Replace(view("X-Budget-Ms: "+c.budget+"\r\n"), "/view/1", "/view/now", 1))
-		if status, _, err := get(bufio.NewReader(conn)); status != c.want {
-			t.Errorf("with %s ms: %d, %v, want %d", c.budget, status, err, c.want)
+		io.WriteString(conn, strings.Replace(viewRequest("X-Budget-Ms: "+c.budget+"\r\n"), "/view/1", "/view/now", 1))
+		if status, _, err := readResponse(bufio.NewReader(conn)); status != c.want {
+			t.Errorf("budget of %s ms: status %d, error %v, want %d", c.budget, status, err, c.want)
 		}
 	}
 }
--- a/internal/front/http/rig_test.go
+++ b/internal/front/http/rig_test.go
@@ -11,17 +11,17 @@
 	"gorselink/internal/upstream"
 )
 
-// patience bounds every wait of these tests; a sound run needs far less.
-const patience = 20 * time.Second
+// testTimeout bounds every wait in these tests.
+const testTimeout = 20 * time.Second
 
-// testSettings are those of a rig's pool.
-type testSettings struct {
+// testConfig is the configuration of a rig's pool.
+type testConfig struct {
 	Known   nodes.List
 	Balance balance.Config
 }
 
-func testConfig() *testSettings {
-	return &testSettings{
+func newTestConfig() *testConfig {
+	return &testConfig{
 		Balance: balance.Config{
 			Instances: 1, AttemptLimit: 3, Multiplex: 1, IdleConnTimeout: 5 * time.Second, RampTime: 5 * time.Second,
 			Classes: []balance.Class{
@@ -32,7 +32,7 @@
 	}
 }
 
-func newPool(t *testing.T, cfg *testSettings) *pool.Pool {
+func newPool(t *testing.T, cfg *testConfig) *pool.Pool {
 	t.Helper()
 	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: cfg.Balance.IdleConnTimeout, MaxConns: 32, LargeResponseBytes: 400 << 10})
 	t.Cleanup(conns.Close)
@@ -49,24 +49,26 @@
 	return p
 }
 
+// eventually waits until ok returns true, and fails the test after testTimeout. what states
+// the condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-func testForm(cfg *testSettings) *PlatformConfig {
+func testPlatformConfig(cfg *testConfig) *PlatformConfig {
 	return &PlatformConfig{Classes: map[string]PlatformClass{
 		"view": {Class: cfg.Balance.Classes[0], Number: 0},
 		"pay":  {Class: cfg.Balance.Classes[1], Number: 1},
 	}}
 }
 
-// connected returns both ends of a connection on loopback. The client's is closed at the end
-// of the test, and ends its reads and writes in time.
+// connected returns both ends of a loopback connection. The client end is closed when the
+// test ends, and its reads and writes time out after testTimeout.
 func connected(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,7 +80,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	client.SetDeadline(time.Now().Add(patience))
+	client.SetDeadline(time.Now().Add(testTimeout))
 	if server, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/http/sick_test.go
+++ b/internal/front/http/sick_test.go
@@ -11,22 +11,22 @@
 	"gorselink/internal/nodes"
 )
 
-// An endpoint that fails three calls of four, and those faster than any good
-// answer, is drawn little though it serves one now and then.
-func TestSickEndpointIsDrawnLittle(t *testing.T) {
-	const work = 20 * time.Millisecond // of the good ones; the sick one is quick
-	var sick, all atomic.Int64
-	cfg := testConfig()
+// An endpoint that fails three requests of four faster than the others answer is rarely selected,
+// although some of its responses succeed.
+func TestFailingEndpointIsSelectedRarely(t *testing.T) {
+	const serviceTime = 20 * time.Millisecond // of the working endpoints; the failing one responds at once
+	var failing, total atomic.Int64
+	cfg := newTestConfig()
 	cfg.Balance.AttemptLimit = 1
 	for i := range 4 {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-			all.Add(1)
-			if i == 0 && sick.Add(1)%4 != 0 {
+			total.Add(1)
+			if i == 0 && failing.Add(1)%4 != 0 {
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
 			if i > 0 {
-				time.Sleep(work)
+				time.Sleep(serviceTime)
 			}
 			fmt.Fprint(w, "good")
 		}))
@@ -35,14 +35,14 @@
 			Name: fmt.Sprintf("s-%d", i), Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService,
 		})
 	}
-	r := newRigOf(t, cfg, 64, nil)
+	r := newRigWithConfig(t, cfg, 64, nil)
 	for range 200 {
-		<-r.ask(t, 1, "/view/1")
+		<-r.sendRequests(t, 1, "/view/1")
 	}
-	if n := all.Load(); n < 200 {
-		t.Fatalf("%d of 200 requests reached an endpoint", n)
+	if n := total.Load(); n < 200 {
+		t.Fatalf("endpoints received %d of 200 requests", n)
 	}
-	if n := sick.Load(); n > 200/5 {
-		t.Errorf("%d of 200 calls at the sick endpoint, want a fifth at most", n)
+	if n := failing.Load(); n > 200/5 {
+		t.Errorf("failing endpoint received %d of 200 requests, want a fifth at most", n)
 	}
 }
--- a/internal/front/http/told_test.go
+++ b/internal/front/http/told_test.go
@@ -14,90 +14,90 @@
 	"gorselink/internal/standin"
 )
 
-// A body that is sent on while it comes: what is told for it is all of its caller's time
-// while some of the body is still to come, and what is left of it where the body has been
-// here for as long as the request has waited, though nobody has read it yet.
-func TestToldTimeIsWhatIsLeft(t *testing.T) {
-	const budget = patience / 2
-	const size = 20 << 10 // fits into the buffers of the connection, and is no part of the head
+// A streamed request is forwarded with the caller's whole time limit while part of its body has not
+// arrived. If all of it has arrived, the time that the request has waited is subtracted, even if
+// the body has not been read.
+func TestForwardedBudgetIsRemainingTime(t *testing.T) {
+	const budget = testTimeout / 2
+	const size = 20 << 10 // fits the receive buffer but not the buffer for the head
 	for name, c := range map[string]struct {
-		late, coming, chunked bool
+		delayed, bodyLater, chunked bool
 	}{
-		"at once":                      {},
-		"late":                         {late: true},
-		"late, still coming":           {late: true, coming: true},
-		"late, chunked":                {late: true, chunked: true},
-		"late, chunked, still coming":  {late: true, coming: true, chunked: true},
-		"at once, and still coming":    {coming: true},
-		"at once, chunked, and coming": {coming: true, chunked: true},
+		"sent at once":                                 {},
+		"connection delayed":                           {delayed: true},
+		"connection delayed, body incomplete":          {delayed: true, bodyLater: true},
+		"connection delayed, chunked":                  {delayed: true, chunked: true},
+		"connection delayed, chunked, body incomplete": {delayed: true, bodyLater: true, chunked: true},
+		"sent at once, body incomplete":                {bodyLater: true},
+		"sent at once, chunked, body incomplete":       {bodyLater: true, chunked: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			type told struct {
+			type received struct {
 				budget time.Duration
 				at     time.Time
 			}
-			heard := make(chan told, 8)
+			requests := make(chan received, 8)
 			srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				now := time.Now()
 				ms, _ := strconv.Atoi(r.Header.Get("X-Budget-Ms"))
-				heard <- told{time.Duration(ms) * time.Millisecond, now}
+				requests <- received{time.Duration(ms) * time.Millisecond, now}
 				io.Copy(io.Discard, r.Body)
 				io.WriteString(w, "ok")
 			}))
-			var late *standin.Late
-			if c.late {
+			var lateListener *standin.Late
+			if c.delayed {
 				var err error
-				if late, err = standin.ListenLate(); err != nil {
+				if lateListener, err = standin.ListenLate(); err != nil {
 					t.Fatal(err)
 				}
 				srv.Listener.Close()
-				srv.Listener = late
+				srv.Listener = lateListener
 			}
 			t.Cleanup(srv.Close)
-			// One byte for long bodies, and none for short ones: all are sent on.
-			d := newDepartures(t, 1, inService("s-1", srv.Listener.Addr().String()))
+			// With one byte of memory for long bodies and none for short ones, every body is streamed.
+			d := newDisconnectRig(t, 1, inServiceEndpoint("s-1", srv.Listener.Addr().String()))
 			d.Pool.SetLimits(pool.Limits{LongBytes: 1})
-			if !c.late {
+			if !c.delayed {
 				srv.Start()
 			}
-			d.serve()
+			d.startAccepting()
 			conn := d.dial(t)
 			coding, data := "Content-Length: "+strconv.Itoa(size), strings.Repeat("b", size)
 			if c.chunked {
 				coding, data = "Transfer-Encoding: chunked", strconv.FormatInt(size, 16)+"\r\n"+data+"\r\n0\r\n\r\n"
 			}
 			head := "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + newID() + "\r\nX-Budget-Ms: " + strconv.Itoa(int((budget + transitMargin).Milliseconds())) + "\r\n" + coding + "\r\n\r\n"
-			began := time.Now()
-			if c.coming {
+			start := time.Now()
+			if c.bodyLater {
 				io.WriteString(conn, head)
 			} else {
 				io.WriteString(conn, head+data)
 			}
-			most := budget
-			if c.late {
-				eventually(t, "it waits for the connection", func() bool { return d.Pool.Stats().FirstAttempts == 1 && d.Conns().OpenConns() == 1 })
-				taken := time.Now()
+			longest := budget
+			if c.delayed {
+				eventually(t, "the request waits for its connection", func() bool { return d.Pool.Stats().FirstAttempts == 1 && d.Conns().OpenConns() == 1 })
+				waitStart := time.Now()
 				time.Sleep(200 * time.Millisecond)
-				most -= time.Since(taken)
-				if err := late.Open(); err != nil {
+				longest -= time.Since(waitStart)
+				if err := lateListener.Open(); err != nil {
 					t.Fatal(err)
 				}
 				srv.Start()
 			}
-			got := <-heard
-			if c.coming {
+			got := <-requests
+			if c.bodyLater {
 				io.WriteString(conn, data)
 			}
-			if status, _, err := get(bufio.NewReader(conn)); status != 200 {
-				t.Fatalf("answered %d, %v, want 200", status, err)
+			if status, _, err := readResponse(bufio.NewReader(conn)); status != 200 {
+				t.Fatalf("status %d, error %v, want 200", status, err)
 			}
-			least := budget - got.at.Sub(began) - time.Millisecond
-			if c.coming {
-				least, most = budget, budget
+			shortest := budget - got.at.Sub(start) - time.Millisecond
+			if c.bodyLater {
+				shortest, longest = budget, budget
 			}
-			if got.budget < least || got.budget > most {
-				t.Errorf("told %v, want %v to %v", got.budget, least, most)
+			if got.budget < shortest || got.budget > longest {
+				t.Errorf("endpoint received a budget of %v, want %v to %v", got.budget, shortest, longest)
 			}
 		})
 	}
