--- a/internal/pool/age_test.go
+++ b/internal/pool/age_test.go
@@ -16,114 +16,115 @@
 	"gorselink/internal/nodes"
 )
 
-// aged is a Pool whose clocks move by hand.
-type aged struct {
+// manualClockPool is a Pool with manual clocks and one source, whose lists the test delivers.
+type manualClockPool struct {
 	*Pool
-	t      *testing.T
-	clocks *clock.Manual
-	index  uint64
+	t         *testing.T
+	clocks    *clock.Manual
+	lastIndex uint64
 }
 
-const agedRamp = 10 * time.Second
+const testRampTime = 10 * time.Second
 
-func agedConfig(clocks *clock.Manual) Config {
+func manualClockConfig(clocks *clock.Manual) Config {
 	cfg := testConfig()
-	cfg.Balance.RampTime, cfg.Balance.ColdShare = agedRamp, 0.1
+	cfg.Balance.RampTime, cfg.Balance.ColdShare = testRampTime, 0.1
 	cfg.Balance.OverloadWindow, cfg.Balance.OverloadFactor = 2*time.Second, 2
 	cfg.Clock = clocks.Clock()
 	return cfg
 }
 
-func newAged(t *testing.T, clocks *clock.Manual, cfg Config) *aged {
+func newManualClockPool(t *testing.T, clocks *clock.Manual, cfg Config) *manualClockPool {
 	t.Helper()
-	a := &aged{Pool: newPool(t, cfg), t: t, clocks: clocks}
-	a.sources = []*source{{Source: nodes.NewDiscovery("127.0.0.1:1", nodes.PushTimes(0)), number: 1, cancel: func() {}}}
-	return a
+	p := &manualClockPool{Pool: newPool(t, cfg), t: t, clocks: clocks}
+	p.sources = []*source{{Source: nodes.NewDiscovery("127.0.0.1:1", nodes.PushTimes(0)), number: 1, cancel: func() {}}}
+	return p
 }
 
-// stamped is an entry with a start.
-func stamped(name string, stamp int64) nodes.Endpoint {
-	return nodes.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: nodes.InService, SinceMs: stamp}
+// endpointSince returns an endpoint with the given timestamp.
+func endpointSince(name string, sinceMs int64) nodes.Endpoint {
+	return nodes.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: nodes.InService, SinceMs: sinceMs}
 }
 
-// tell has the source tell entries, the whole list or what has changed.
-func (a *aged) tell(whole bool, list ...nodes.Endpoint) {
-	a.index++
-	a.handleList(a.sources[0], nodes.List{Index: a.index, Snapshot: whole, Endpoints: list})
+// receiveList delivers a list from the source: a snapshot, or the changed endpoints only.
+func (p *manualClockPool) receiveList(snapshot bool, list ...nodes.Endpoint) {
+	p.lastIndex++
+	p.handleList(p.sources[0], nodes.List{Index: p.lastIndex, Snapshot: snapshot, Endpoints: list})
 }
 
-// sinceOf is the start of an endpoint as the Balancer was told.
-func (a *aged) sinceOf(name string) time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	e, ok := a.balancerView[name]
+// startOf returns the start time of an endpoint that the Balancer was given.
+func (p *manualClockPool) startOf(name string) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	e, ok := p.balancerView[name]
 	if !ok {
-		a.t.Fatalf("%s is not known", name)
+		p.t.Fatalf("%s is not known", name)
 	}
 	return e.Since
 }
 
-// ago is the stamp of what started so long before now by a right clock.
-func ago(trueNow time.Time, age time.Duration) int64 { return trueNow.Add(-age).UnixMilli() }
+// timestampAgo returns the timestamp of a process that started age before trueNow.
+func timestampAgo(trueNow time.Time, age time.Duration) int64 { return trueNow.Add(-age).UnixMilli() }
 
-// wallOffsets are how far the wall clock of this machine may be from that of whoever stamps.
+// wallOffsets are the differences tested between the wall clock of this machine and that of the
+// machine that writes the timestamps.
 var wallOffsets = []time.Duration{0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour}
 
-// An endpoint that is told of beside known ones is no older than the last list without it,
-// whatever its stamp says and whatever the wall clock of this machine has been set to, and
-// no younger than now: it gets what a cold one may get, and its even share after one ramp.
-func TestFreshEndpointWithAnyStampIsCold(t *testing.T) {
+// A new endpoint beside known ones starts between the last list without it and now, whatever
+// its timestamp and the wall clock of this machine are. It gets the share of a cold endpoint at
+// first and an equal share after one ramp.
+func TestNewEndpointIsColdWhateverItsTimestamp(t *testing.T) {
 	for _, offset := range wallOffsets {
-		for _, way := range []string{"change", "whole list", "restart", "change in a long watch"} {
-			quiet := 700 * time.Millisecond // between the last list without it and the one with it
-			if way == "change in a long watch" {
-				quiet = 20 * time.Second
+		for _, delivery := range []string{"delta", "snapshot", "restart", "delta in a long watch"} {
+			sincePreviousList := 700 * time.Millisecond // between the last list without it and the one with it
+			if delivery == "delta in a long watch" {
+				sincePreviousList = 20 * time.Second
 			}
 			clocks := clock.NewManual(offset)
 			trueNow := clocks.Clock().Wall().Add(-offset)
-			for name, stamp := range map[string]int64{
+			for name, sinceMs := range map[string]int64{
 				"0":            0,
 				"negative":     -1,
-				"least":        math.MinInt64,
-				"now":          ago(trueNow, 0),
-				"an hour ago":  ago(trueNow, time.Hour),
-				"5 s ago":      ago(trueNow, 5*time.Second),
-				"in 5 s":       ago(trueNow, -5*time.Second),
-				"in an hour":   ago(trueNow, -time.Hour),
-				"in 200 years": ago(trueNow, -200*365*24*time.Hour),
-				"most":         math.MaxInt64,
+				"minimum":      math.MinInt64,
+				"now":          timestampAgo(trueNow, 0),
+				"an hour ago":  timestampAgo(trueNow, time.Hour),
+				"5 s ago":      timestampAgo(trueNow, 5*time.Second),
+				"in 5 s":       timestampAgo(trueNow, -5*time.Second),
+				"in an hour":   timestampAgo(trueNow, -time.Hour),
+				"in 200 years": timestampAgo(trueNow, -200*365*24*time.Hour),
+				"maximum":      math.MaxInt64,
 			} {
-				t.Run(fmt.Sprintf("clock %+v/%s/%s", offset, way, name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("clock %+v/%s/%s", offset, delivery, name), func(t *testing.T) {
 					clocks := clock.NewManual(offset)
-					p := newAged(t, clocks, agedConfig(clocks))
-					known := []nodes.Endpoint{stamped("a", 0), stamped("b", ago(trueNow, 24*time.Hour))}
-					p.tell(true, known...)
+					p := newManualClockPool(t, clocks, manualClockConfig(clocks))
+					known := []nodes.Endpoint{endpointSince("a", 0), endpointSince("b", timestampAgo(trueNow, 24*time.Hour))}
+					p.receiveList(true, known...)
 					clocks.Advance(time.Minute)
-					if way == "restart" {
-						p.tell(false, stamped("c", ago(trueNow, 12*time.Hour)))
+					if delivery == "restart" {
+						p.receiveList(false, endpointSince("c", timestampAgo(trueNow, 12*time.Hour)))
 						clocks.Advance(time.Minute)
 					}
-					p.tell(false) // nothing new, but it tells that all is up to date
-					heard := p.now()
-					clocks.Advance(quiet)
-					if way == "change in a long watch" {
-						heard = p.now() - maxWatchDelay // which told the change when it was made
+					p.receiveList(false) // an empty delta confirms that the list is current
+					lastSync := p.now()
+					clocks.Advance(sincePreviousList)
+					if delivery == "delta in a long watch" {
+						lastSync = p.now() - maxWatchDelay // an open watch reports a change within this delay
 					}
-					if way == "whole list" {
-						p.tell(true, append(known, stamped("c", stamp))...)
+					if delivery == "snapshot" {
+						p.receiveList(true, append(known, endpointSince("c", sinceMs))...)
 					} else {
-						p.tell(false, stamped("c", stamp))
+						p.receiveList(false, endpointSince("c", sinceMs))
 					}
-					since := p.sinceOf("c")
-					if since < heard || since > p.now() {
-						t.Errorf("since %v, want one from %v, the last list without it, to %v", since, heard, p.now())
+					start := p.startOf("c")
+					if start < lastSync || start > p.now() {
+						t.Errorf("start %v, want it between %v, the last list without the endpoint, and %v", start, lastSync, p.now())
 					}
-					if p.sinceOf("a") != 0 || p.sinceOf("b") > -12*time.Hour {
-						t.Errorf("the others count as started at %v and %v", p.sinceOf("a"), p.sinceOf("b"))
+					if p.startOf("a") != 0 || p.startOf("b") > -12*time.Hour {
+						t.Errorf("the known endpoints have the starts %v and %v, want 0 and at least 12 h ago", p.startOf("a"), p.startOf("b"))
 					}
-					cold, warm := p.shares(t, "c")
+					cold, warm := p.attemptShares(t, "c")
 					if cold > 0.2 || warm < 0.25 {
-						t.Errorf("it gets %.2f of the attempts at first and %.2f after the ramp, want some 0.05 and a third", cold, warm)
+						t.Errorf("it gets %.2f of the attempts at first and %.2f after the ramp, want about 0.05 and a third", cold, warm)
 					}
 				})
 			}
@@ -131,129 +132,129 @@
 	}
 }
 
-// A reload names another discovery while endpoints come. What its first word tells of the
-// list that is known is bounded by the last word of the one before; a whole list that names
-// none of the known endpoints is of another service, whose stamps are all there is.
-func TestFreshEndpointInTheFirstWordOfAnotherSource(t *testing.T) {
+// After a reload to another discovery service, its first list bounds the start of a new endpoint
+// by the last list of the previous source. A snapshot without any known endpoint belongs to
+// another service and is not bounded.
+func TestNewEndpointInFirstListOfNewSource(t *testing.T) {
 	const gap = 700 * time.Millisecond
 	for name, c := range map[string]struct {
-		whole   bool
-		list    []string
-		bounded bool
+		snapshot bool
+		names    []string
+		bounded  bool
 	}{
-		"a change":                       {false, []string{"new"}, true},
-		"a change beside a known one":    {false, []string{"a", "new"}, true},
-		"the whole list":                 {true, []string{"a", "b", "new"}, true},
-		"the whole list of another tier": {true, []string{"new"}, false},
+		"delta":                       {false, []string{"new"}, true},
+		"delta with a known endpoint": {false, []string{"a", "new"}, true},
+		"snapshot":                    {true, []string{"a", "b", "new"}, true},
+		"snapshot of another service": {true, []string{"new"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clocks := clock.NewManual(0)
-			p := newAged(t, clocks, agedConfig(clocks))
-			p.tell(true, stamped("a", 0), stamped("b", 0))
+			p := newManualClockPool(t, clocks, manualClockConfig(clocks))
+			p.receiveList(true, endpointSince("a", 0), endpointSince("b", 0))
 			clocks.Advance(time.Minute)
-			p.tell(false)
-			heard := p.now()
+			p.receiveList(false)
+			lastSync := p.now()
 			clocks.Advance(gap)
 			next := &source{Source: p.sources[0].Source, number: 2, cancel: func() {}}
 			p.sources = append(p.sources, next)
-			l := nodes.List{Index: p.index + 1, Snapshot: c.whole}
-			for _, name := range c.list {
-				e := stamped(name, 0)
+			l := nodes.List{Index: p.lastIndex + 1, Snapshot: c.snapshot}
+			for _, name := range c.names {
+				e := endpointSince(name, 0)
 				if name == "new" {
-					e.SinceMs = ago(clocks.Clock().Wall(), time.Hour)
+					e.SinceMs = timestampAgo(clocks.Clock().Wall(), time.Hour)
 				}
 				l.Endpoints = append(l.Endpoints, e)
 			}
 			p.handleList(next, l)
-			if since := p.sinceOf("new"); (since == heard) != c.bounded || !c.bounded && since > -50*time.Minute {
-				t.Errorf("since %v, last heard at %v, want it bounded: %t", since, heard, c.bounded)
+			if start := p.startOf("new"); (start == lastSync) != c.bounded || !c.bounded && start > -50*time.Minute {
+				t.Errorf("start %v, previous list at %v, want it bounded: %t", start, lastSync, c.bounded)
 			}
 		})
 	}
 }
 
-// A source that tells starts takes the place of one that knows none, with the same names.
-// The stamps that it is the first to tell are no restarts.
-func TestStampsAfterAListWithoutThem(t *testing.T) {
+// When a source with timestamps replaces an undated one with the same endpoint names, the new
+// timestamps do not count as restarts.
+func TestTimestampsAfterUndatedList(t *testing.T) {
 	clocks := clock.NewManual(0)
-	p := newAged(t, clocks, agedConfig(clocks))
-	first := p.sources[0].Source
+	p := newManualClockPool(t, clocks, manualClockConfig(clocks))
+	discovery := p.sources[0].Source
 	p.sources[0].Source = &nodes.File{}
-	p.handleList(p.sources[0], entries("127.0.0.1:1", "127.0.0.1:2"))
+	p.handleList(p.sources[0], undatedList("127.0.0.1:1", "127.0.0.1:2"))
 	clocks.Advance(time.Minute)
-	p.sources = append(p.sources, &source{Source: first, number: 2, cancel: func() {}})
-	stamp := ago(clocks.Clock().Wall(), time.Hour)
-	p.handleList(p.sources[1], nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{stamped("127.0.0.1:1", stamp), stamped("127.0.0.1:2", stamp)}})
-	for name, age := range p.agesNow() {
+	p.sources = append(p.sources, &source{Source: discovery, number: 2, cancel: func() {}})
+	sinceMs := timestampAgo(clocks.Clock().Wall(), time.Hour)
+	p.handleList(p.sources[1], nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{endpointSince("127.0.0.1:1", sinceMs), endpointSince("127.0.0.1:2", sinceMs)}})
+	for name, age := range p.balancerAges() {
 		if age < 59*time.Minute {
-			t.Errorf("%s counts as %v old, want an hour", name, age)
+			t.Errorf("%s has the age %v, want an hour", name, age)
 		}
 	}
-	if n := len(p.agesNow()); n != 2 {
-		t.Errorf("%d have an age, want 2", n)
+	if n := len(p.balancerAges()); n != 2 {
+		t.Errorf("%d endpoints have an age, want 2", n)
 	}
 }
 
-// shares are the parts of all attempts that an endpoint gets in the first second and, in
-// virtual time, after its ramp, from a Balancer that was told what the Pool's was.
-func (a *aged) shares(t *testing.T, name string) (first, after float64) {
+// attemptShares returns the shares of all attempts that an endpoint gets in the first second and
+// after its ramp, in virtual time, from a Balancer with the same endpoints as the Pool's.
+func (p *manualClockPool) attemptShares(t *testing.T, name string) (first, after float64) {
 	t.Helper()
-	h := &recorder{}
-	cfg := a.cfg.Balance
+	host := &attemptCounter{}
+	cfg := p.cfg.Balance
 	cfg.Entry = false
-	b, err := balance.New(cfg, 1, h)
+	b, err := balance.New(cfg, 1, host)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, end := a.now(), a.now()
+	now, end := p.now(), p.now()
 	var entries []balance.Endpoint
-	for _, e := range a.balancerView {
+	for _, e := range p.balancerView {
 		entries = append(entries, e)
 	}
 	b.Members(now, balance.Full, entries)
 	id := balance.RequestID(0)
-	play := func(span time.Duration) (share float64) {
-		h.sent = map[string]int{}
+	run := func(span time.Duration) (share float64) {
+		host.attempts = map[string]int{}
 		n := 0
 		for end += span; now < end; now += 20 * time.Millisecond {
 			id++
-			h.last = ""
+			host.lastAddr = ""
 			b.Request(now, id, 0, -1, time.Second)
-			if h.last != "" {
+			if host.lastAddr != "" {
 				n++
 				b.Outcome(now+4*time.Millisecond, id, 0, balance.OK, 4*time.Millisecond, true)
 			}
 		}
-		return float64(h.sent[name]) / float64(n)
+		return float64(host.attempts[name]) / float64(n)
 	}
-	first = play(time.Second)
-	play(agedRamp)
-	return first, play(5 * time.Second)
+	first = run(time.Second)
+	run(testRampTime)
+	return first, run(5 * time.Second)
 }
 
-// recorder is a balance.Host that counts attempts.
-type recorder struct {
-	sent map[string]int
-	last string
+// attemptCounter is a balance.Host that counts attempts by endpoint.
+type attemptCounter struct {
+	attempts map[string]int
+	lastAddr string
 }
 
-func (r *recorder) Send(_ balance.RequestID, addr string, _ time.Duration) {
-	r.sent[addr]++
-	r.last = addr
+func (c *attemptCounter) Send(_ balance.RequestID, addr string, _ time.Duration) {
+	c.attempts[addr]++
+	c.lastAddr = addr
 }
-func (r *recorder) Refuse(balance.RequestID, time.Duration) {}
-func (r *recorder) Fail(balance.RequestID)                  {}
-func (r *recorder) After(time.Duration, uint64)             {}
-func (r *recorder) Watch()                                  {}
+func (r *attemptCounter) Refuse(balance.RequestID, time.Duration) {}
+func (r *attemptCounter) Fail(balance.RequestID)                  {}
+func (r *attemptCounter) After(time.Duration, uint64)             {}
+func (r *attemptCounter) Watch()                                  {}
 
-// ages are how old the Balancer takes the ready endpoints for, and the draining ones with
-// a minus; those that have been there for long are left out.
-func (a *aged) agesNow() map[string]time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// balancerAges returns the ages of the endpoints by the starts that the Balancer was given, as
+// negative numbers for draining endpoints. It omits endpoints that started long ago.
+func (p *manualClockPool) balancerAges() map[string]time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	ages := map[string]time.Duration{}
-	for name, e := range a.balancerView {
-		switch age := a.now() - e.Since; {
+	for name, e := range p.balancerView {
+		switch age := p.now() - e.Since; {
 		case e.Since == 0:
 		case e.State == balance.Draining:
 			ages[name] = -age
@@ -264,111 +265,111 @@
 	return ages
 }
 
-// wrongClocks are clocks beside a right one.
-type wrongClocks struct {
+// skewedClocks are manual clocks with a second wall clock that is never stepped.
+type skewedClocks struct {
 	*clock.Manual
-	start, wall time.Time // when they were made, by the monotonic and the right wall clock
+	start, trueStartWall time.Time // creation time on the monotonic and the correct wall clock
 }
 
-func newWrongClocks() *wrongClocks {
+func newSkewedClocks() *skewedClocks {
 	m := clock.NewManual(0)
-	return &wrongClocks{m, m.Clock().Now(), m.Clock().Wall()}
+	return &skewedClocks{m, m.Clock().Now(), m.Clock().Wall()}
 }
 
-// truth is what a right wall clock shows.
-func (w *wrongClocks) truth() time.Time { return w.wall.Add(w.Clock().Since(w.start)) }
+// trueWall returns the time of the correct wall clock.
+func (c *skewedClocks) trueWall() time.Time { return c.trueStartWall.Add(c.Clock().Since(c.start)) }
 
-// stepMoment is a moment in which the wall clock is stepped.
-type stepMoment struct {
-	gap  time.Duration            // between the list that is the first to tell of an endpoint and the one before
-	ages map[string]time.Duration // of some of the endpoints in the end
-	play func(t *testing.T, clocks *wrongClocks, step func()) *aged
+// stepScenario is a sequence of lists and operator actions with a step of the wall clock.
+type stepScenario struct {
+	listInterval time.Duration            // between the first list with an endpoint and the list before it
+	wantAges     map[string]time.Duration // final ages of some of the endpoints
+	run          func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool
 }
 
-// stepMoments are moments in which the wall clock is stepped, by step, and what then comes.
-// Each ends with what the Balancer takes the endpoints for.
-var stepMoments = map[string]stepMoment{
-	"before anything new": {500 * time.Millisecond, map[string]time.Duration{"fresh": 100 * time.Millisecond, "late": 500 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+// stepScenarios step the wall clock by calling step, each at another point. Each returns the
+// Pool, whose final ages are compared.
+var stepScenarios = map[string]stepScenario{
+	"before a new endpoint": {500 * time.Millisecond, map[string]time.Duration{"fresh": 100 * time.Millisecond, "late": 500 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		step()
 		clocks.Advance(500 * time.Millisecond)
-		p.tell(false, stamped("fresh", ago(clocks.truth(), 100*time.Millisecond)), stamped("late", ago(clocks.truth(), 3*time.Second)))
+		p.receiveList(false, endpointSince("fresh", timestampAgo(clocks.trueWall(), 100*time.Millisecond)), endpointSince("late", timestampAgo(clocks.trueWall(), 3*time.Second)))
 		return p
 	}},
-	"in a long watch": {maxWatchDelay, map[string]time.Duration{"late": maxWatchDelay - 200*time.Millisecond, "wrong": maxWatchDelay}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"during a long watch": {maxWatchDelay, map[string]time.Duration{"late": maxWatchDelay - 200*time.Millisecond, "wrong": maxWatchDelay}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		step()
 		clocks.Advance(20 * time.Second)
-		p.tell(false, stamped("late", ago(clocks.truth(), maxWatchDelay-200*time.Millisecond)), stamped("wrong", ago(clocks.truth(), time.Hour)))
+		p.receiveList(false, endpointSince("late", timestampAgo(clocks.trueWall(), maxWatchDelay-200*time.Millisecond)), endpointSince("wrong", timestampAgo(clocks.trueWall(), time.Hour)))
 		return p
 	}},
-	"in a ramp": {500 * time.Millisecond, map[string]time.Duration{"fresh": 4200 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"during a ramp": {500 * time.Millisecond, map[string]time.Duration{"fresh": 4200 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		clocks.Advance(500 * time.Millisecond)
-		fresh := stamped("fresh", ago(clocks.truth(), 200*time.Millisecond))
-		p.tell(false, fresh)
+		fresh := endpointSince("fresh", timestampAgo(clocks.trueWall(), 200*time.Millisecond))
+		p.receiveList(false, fresh)
 		clocks.Advance(3 * time.Second)
 		step()
-		p.tell(false, fresh)
+		p.receiveList(false, fresh)
 		clocks.Advance(time.Second)
-		p.tell(true, stamped("old", 0), stamped("dated", p.known["dated"].SinceMs), fresh)
+		p.receiveList(true, endpointSince("old", 0), endpointSince("dated", p.known["dated"].SinceMs), fresh)
 		p.SetDisabled(nil)
 		return p
 	}},
-	"in a drain that is taken back": {500 * time.Millisecond, map[string]time.Duration{"fresh": 2200 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"during a drain that is cancelled": {500 * time.Millisecond, map[string]time.Duration{"fresh": 2200 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		clocks.Advance(500 * time.Millisecond)
-		fresh := stamped("fresh", ago(clocks.truth(), 200*time.Millisecond))
-		p.tell(false, fresh)
-		drains := fresh
-		drains.Status = nodes.Terminating
+		fresh := endpointSince("fresh", timestampAgo(clocks.trueWall(), 200*time.Millisecond))
+		p.receiveList(false, fresh)
+		draining := fresh
+		draining.Status = nodes.Terminating
 		clocks.Advance(time.Second)
-		p.tell(false, drains)
+		p.receiveList(false, draining)
 		step()
 		clocks.Advance(time.Second)
-		p.tell(false, fresh)
+		p.receiveList(false, fresh)
 		return p
 	}},
-	"in a drain by hand": {500 * time.Millisecond, map[string]time.Duration{"old": 2100 * time.Millisecond, "dated": time.Second}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"while disabled by an operator": {500 * time.Millisecond, map[string]time.Duration{"old": 2100 * time.Millisecond, "dated": time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		p.SetDisabled(map[string]bool{"old": true, "dated": true})
 		clocks.Advance(3 * time.Second)
 		step()
 		clocks.Advance(3 * time.Second)
 		p.SetDisabled(map[string]bool{"dated": true})
 		clocks.Advance(500 * time.Millisecond)
-		p.tell(false)
+		p.receiveList(false)
 		clocks.Advance(500 * time.Millisecond)
-		p.tell(false, stamped("old", ago(clocks.truth(), 100*time.Millisecond))) // it was restarted
+		p.receiveList(false, endpointSince("old", timestampAgo(clocks.trueWall(), 100*time.Millisecond))) // restarted
 		clocks.Advance(time.Second)
 		p.SetDisabled(nil)
 		clocks.Advance(time.Second)
 		return p
 	}},
-	"after a drain by hand": {0, map[string]time.Duration{"old": agedRamp + 30*time.Second}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"after being enabled again": {0, map[string]time.Duration{"old": testRampTime + 30*time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		p.SetDisabled(map[string]bool{"old": true, "dated": true})
 		clocks.Advance(time.Second)
 		p.SetDisabled(nil)
-		clocks.Advance(agedRamp + 30*time.Second) // short of what it is remembered for
+		clocks.Advance(testRampTime + 30*time.Second) // less than the time for which the period is kept
 		step()
 		p.SetDisabled(nil)
 		return p
 	}},
-	"in a hand-over": {3 * time.Second, map[string]time.Duration{"old": 3 * time.Second, "fresh": 3200 * time.Millisecond, "missed": 2 * time.Second, "wrong": 3100 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"during a handover": {3 * time.Second, map[string]time.Duration{"old": 3 * time.Second, "fresh": 3200 * time.Millisecond, "missed": 2 * time.Second, "wrong": 3100 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		p.SetDisabled(map[string]bool{"old": true, "dated": true})
 		clocks.Advance(500 * time.Millisecond)
-		p.tell(false, stamped("fresh", ago(clocks.truth(), 100*time.Millisecond)))
-		p.tell(false, stamped("wrong", ago(clocks.truth(), time.Hour)), stamped("fixed", ago(clocks.truth(), 0)))
+		p.receiveList(false, endpointSince("fresh", timestampAgo(clocks.trueWall(), 100*time.Millisecond)))
+		p.receiveList(false, endpointSince("wrong", timestampAgo(clocks.trueWall(), time.Hour)), endpointSince("disabled", timestampAgo(clocks.trueWall(), 0)))
 		clocks.Advance(100 * time.Millisecond)
-		p.SetDisabled(map[string]bool{"dated": true, "fixed": true})
+		p.SetDisabled(map[string]bool{"dated": true, "disabled": true})
 		clocks.Advance(2 * time.Second)
 		text, err := json.Marshal(p.LearnedState())
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg := agedConfig(clocks.Manual)
+		cfg := manualClockConfig(clocks.Manual)
 		cfg.Known = p.List()
 		step()
 		var m LearnedState
@@ -376,158 +377,159 @@
 			t.Fatal(err)
 		}
 		cfg.Ages = m.Ages
-		next := newAged(t, clocks.Manual, cfg)
+		next := newManualClockPool(t, clocks.Manual, cfg)
 		next.Restore(m)
-		next.SetDisabled(map[string]bool{"dated": true, "fixed": true})
+		next.SetDisabled(map[string]bool{"dated": true, "disabled": true})
 		clocks.Advance(time.Second)
 		next.SetDisabled(map[string]bool{"dated": true})
-		next.index = p.index
-		next.tell(false, stamped("missed", ago(clocks.truth(), 2*time.Second)), stamped("fresh", p.known["fresh"].SinceMs))
+		next.lastIndex = p.lastIndex
+		next.receiveList(false, endpointSince("missed", timestampAgo(clocks.trueWall(), 2*time.Second)), endpointSince("fresh", p.known["fresh"].SinceMs))
 		return next
 	}},
-	"in a reload": {3 * time.Second, map[string]time.Duration{"fresh": 3100 * time.Millisecond, "wrong": 3500 * time.Millisecond, "missed": 500 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"during a reload": {3 * time.Second, map[string]time.Duration{"fresh": 3100 * time.Millisecond, "wrong": 3500 * time.Millisecond, "missed": 500 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		clocks.Advance(500 * time.Millisecond)
-		p.tell(false, stamped("fresh", ago(clocks.truth(), 100*time.Millisecond)), stamped("wrong", ago(clocks.truth(), time.Hour)))
+		p.receiveList(false, endpointSince("fresh", timestampAgo(clocks.trueWall(), 100*time.Millisecond)), endpointSince("wrong", timestampAgo(clocks.trueWall(), time.Hour)))
 		clocks.Advance(2 * time.Second)
 		step()
-		cfg := agedConfig(clocks.Manual)
+		cfg := manualClockConfig(clocks.Manual)
 		cfg.Known, cfg.Ages = p.List(), p.Ages()
-		next := newAged(t, clocks.Manual, cfg)
+		next := newManualClockPool(t, clocks.Manual, cfg)
 		clocks.Advance(time.Second)
-		next.tell(true, append(p.List().Endpoints, stamped("missed", ago(clocks.truth(), 500*time.Millisecond)))...)
+		next.receiveList(true, append(p.List().Endpoints, endpointSince("missed", timestampAgo(clocks.trueWall(), 500*time.Millisecond)))...)
 		return next
 	}},
-	"in an outage of discovery": {8 * time.Second, map[string]time.Duration{"new3": 3 * time.Second, "new8": 8 * time.Second}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"during a discovery outage": {8 * time.Second, map[string]time.Duration{"new3": 3 * time.Second, "new8": 8 * time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		clocks.Advance(4 * time.Second)
 		step()
 		clocks.Advance(4 * time.Second)
-		p.sources[0].watchOpen = false // its calls have failed
-		list := []nodes.Endpoint{stamped("old", 0), stamped("dated", ago(clocks.truth(), time.Second))}
+		p.sources[0].watchOpen = false // the calls have failed
+		list := []nodes.Endpoint{endpointSince("old", 0), endpointSince("dated", timestampAgo(clocks.trueWall(), time.Second))}
 		for s := range 9 {
-			list = append(list, stamped(fmt.Sprint("new", s), ago(clocks.truth(), time.Duration(s)*time.Second)))
+			list = append(list, endpointSince(fmt.Sprint("new", s), timestampAgo(clocks.trueWall(), time.Duration(s)*time.Second)))
 		}
-		p.tell(true, list...)
+		p.receiveList(true, list...)
 		return p
 	}},
-	"in a list that leaves some out": {500 * time.Millisecond, map[string]time.Duration{"fresh": 2100 * time.Millisecond}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"while missing from the list": {500 * time.Millisecond, map[string]time.Duration{"fresh": 2100 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		clocks.Advance(500 * time.Millisecond)
-		fresh := stamped("fresh", ago(clocks.truth(), 100*time.Millisecond))
-		p.tell(false, fresh)
+		fresh := endpointSince("fresh", timestampAgo(clocks.trueWall(), 100*time.Millisecond))
+		p.receiveList(false, fresh)
 		clocks.Advance(time.Second)
-		p.tell(true, stamped("old", 0))
+		p.receiveList(true, endpointSince("old", 0))
 		step()
 		clocks.Advance(time.Second)
-		p.tell(true, stamped("old", 0), fresh)
+		p.receiveList(true, endpointSince("old", 0), fresh)
 		return p
 	}},
-	"in a file that tells starts": {0, map[string]time.Duration{"new": time.Second, "wrong": time.Second}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newKnowing(t, clocks)
+	"in a file with timestamps": {0, map[string]time.Duration{"new": time.Second, "wrong": time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newSyncedPool(t, clocks)
 		p.sources[0].Source = &nodes.File{}
-		clocks.Advance(time.Hour) // without a change
+		clocks.Advance(time.Hour) // no change
 		step()
-		p.tell(true, stamped("old", 0), stamped("dated", p.known["dated"].SinceMs), stamped("new", ago(clocks.truth(), 0)), stamped("wrong", ago(clocks.truth(), time.Hour)))
+		p.receiveList(true, endpointSince("old", 0), endpointSince("dated", p.known["dated"].SinceMs), endpointSince("new", timestampAgo(clocks.trueWall(), 0)), endpointSince("wrong", timestampAgo(clocks.trueWall(), time.Hour)))
 		clocks.Advance(time.Second)
 		return p
 	}},
-	"in a list that knows no starts": {0, map[string]time.Duration{"one": time.Second, "three": 4 * time.Second, "four": 3 * time.Second}, func(t *testing.T, clocks *wrongClocks, step func()) *aged {
-		p := newAged(t, clocks.Manual, agedConfig(clocks.Manual))
+	"in an undated list": {0, map[string]time.Duration{"one": time.Second, "three": 4 * time.Second, "four": 3 * time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+		p := newManualClockPool(t, clocks.Manual, manualClockConfig(clocks.Manual))
 		p.sources[0].Source = &nodes.File{}
-		tell := func(names ...string) {
-			l := entries(names...)
+		receive := func(names ...string) {
+			l := undatedList(names...)
 			p.handleList(p.sources[0], l)
 			clocks.Advance(time.Second)
 		}
-		tell("one", "two")
+		receive("one", "two")
 		clocks.Advance(time.Hour)
-		tell("one", "two", "three")
+		receive("one", "two", "three")
 		step()
-		tell("one", "two", "three", "four")
-		tell("two", "three", "four")
-		tell("one", "two", "three", "four") // and back
+		receive("one", "two", "three", "four")
+		receive("two", "three", "four")
+		receive("one", "two", "three", "four") // "one" returns
 		return p
 	}},
 }
 
-// newKnowing is a Pool that has known two endpoints for some time.
-func newKnowing(t *testing.T, clocks *wrongClocks) *aged {
+// newSyncedPool returns a Pool that has known two endpoints for a minute and has a current list:
+// "old" has no timestamp, and "dated" has one from an hour before the first list.
+func newSyncedPool(t *testing.T, clocks *skewedClocks) *manualClockPool {
 	t.Helper()
-	p := newAged(t, clocks.Manual, agedConfig(clocks.Manual))
-	p.tell(true, stamped("old", 0), stamped("dated", ago(clocks.truth(), time.Hour)))
+	p := newManualClockPool(t, clocks.Manual, manualClockConfig(clocks.Manual))
+	p.receiveList(true, endpointSince("old", 0), endpointSince("dated", timestampAgo(clocks.trueWall(), time.Hour)))
 	clocks.Advance(time.Minute)
-	p.tell(false)
+	p.receiveList(false)
 	return p
 }
 
-// Whenever the wall clock is stepped, and by however much, the Balancer is told the same as
-// if it had not been. Where it was wrong from the start, an endpoint's age may be wrong by
-// the time between the first list that tells of it and the one before, and not by more.
-func TestWallClockStepsChangeNothing(t *testing.T) {
-	const rounding = time.Millisecond // of stamps
-	nothing := func() {}
-	for name, moment := range stepMoments {
+// A step of the wall clock does not change the starts that the Balancer is given. A wall clock
+// that is wrong from the beginning makes an age wrong by at most the time between the first list
+// with the endpoint and the list before it.
+func TestWallClockStepsDoNotAffectStarts(t *testing.T) {
+	const rounding = time.Millisecond // resolution of timestamps
+	noStep := func() {}
+	for name, scenario := range stepScenarios {
 		t.Run(name, func(t *testing.T) {
-			right := moment.play(t, newWrongClocks(), nothing).agesNow()
-			for name, want := range moment.ages {
-				if d := (right[name] - want).Abs(); d > rounding {
-					t.Errorf("with right clocks %s has the age %v, want %v", name, right[name], want)
+			unstepped := scenario.run(t, newSkewedClocks(), noStep).balancerAges()
+			for name, want := range scenario.wantAges {
+				if d := (unstepped[name] - want).Abs(); d > rounding {
+					t.Errorf("with correct clocks %s has the age %v, want %v", name, unstepped[name], want)
 				}
 			}
-			near := func(what string, got map[string]time.Duration, slack time.Duration) {
+			checkAges := func(situation string, got map[string]time.Duration, tolerance time.Duration) {
 				t.Helper()
-				for name, want := range right {
-					if d := (got[name] - want).Abs(); d > slack {
-						t.Errorf("%s: %s has the age %v, want %v", what, name, got[name], want)
+				for name, want := range unstepped {
+					if d := (got[name] - want).Abs(); d > tolerance {
+						t.Errorf("%s: %s has the age %v, want %v", situation, name, got[name], want)
 					}
 				}
-				if len(got) != len(right) {
-					t.Errorf("%s: ages %v, want %v", what, got, right)
+				if len(got) != len(unstepped) {
+					t.Errorf("%s: ages %v, want %v", situation, got, unstepped)
 				}
 			}
-			for _, span := range wallOffsets[1:] {
-				clocks := newWrongClocks()
-				got := moment.play(t, clocks, func() { clocks.Step(span) }).agesNow()
-				near(fmt.Sprintf("stepped by %v", span), got, rounding)
+			for _, offset := range wallOffsets[1:] {
+				clocks := newSkewedClocks()
+				got := scenario.run(t, clocks, func() { clocks.Step(offset) }).balancerAges()
+				checkAges(fmt.Sprintf("stepped by %v", offset), got, rounding)
 
-				clocks = newWrongClocks()
-				clocks.Step(span)
-				got = moment.play(t, clocks, nothing).agesNow()
-				if stamped, ok := right["dated"]; ok { // the first list of a process has nothing else to go by
-					got["dated"] = stamped
+				clocks = newSkewedClocks()
+				clocks.Step(offset)
+				got = scenario.run(t, clocks, noStep).balancerAges()
+				if age, ok := unstepped["dated"]; ok { // no bound applies to the first list of a process
+					got["dated"] = age
 				}
-				near(fmt.Sprintf("wrong by %v from the start", span), got, moment.gap+rounding)
+				checkAges(fmt.Sprintf("wrong by %v from the beginning", offset), got, scenario.listInterval+rounding)
 			}
 		})
 	}
 }
 
-// What appears after an outage of discovery may be as old as the outage: its calls have
-// failed, so that no watch has stood. It is taken for no older than the last answer.
-func TestAgeAfterAnOutageOfDiscovery(t *testing.T) {
-	const outage, early, late = 1600 * time.Millisecond, time.Second, 500 * time.Millisecond // for a busy machine
-	for _, asks := range []bool{false, true} {
-		t.Run(fmt.Sprintf("asks %t", asks), func(t *testing.T) {
+// An endpoint that appears after an outage of discovery may have started at any time during the
+// outage, because no watch was open. Its start is bounded by the last list before the outage.
+func TestStartAfterDiscoveryOutage(t *testing.T) {
+	const outage, maxEarly, maxLate = 1600 * time.Millisecond, time.Second, 500 * time.Millisecond // the last two are tolerances for a busy machine
+	for _, onDemand := range []bool{false, true} {
+		t.Run(fmt.Sprintf("on demand %t", onDemand), func(t *testing.T) {
 			t.Parallel()
-			var down, back atomic.Bool
-			var began atomic.Int64 // stamp of what is new
+			var down, recovered atomic.Bool
+			var newSinceMs atomic.Int64 // correct timestamp of the new endpoint
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				const entry = `{"name":%q,"address":"127.0.0.1:1","zone":"a","group":0,"status":"in_service","since_ms":%d}`
 				switch {
 				case down.Load():
 					http.Error(w, "down", http.StatusServiceUnavailable)
-				case back.Load():
-					fmt.Fprintf(w, `{"index":2,"snapshot":true,"endpoints":[`+entry+","+entry+","+entry+`]}`, "old", 0, "right", began.Load(), "wrong", 1)
+				case recovered.Load():
+					fmt.Fprintf(w, `{"index":2,"snapshot":true,"endpoints":[`+entry+","+entry+","+entry+`]}`, "old", 0, "right", newSinceMs.Load(), "wrong", 1)
 				default:
-					time.Sleep(10 * time.Millisecond) // a short watch
+					time.Sleep(10 * time.Millisecond) // answers before the wait of the watch ends
 					fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[`+entry+`]}`, "old", 0)
 				}
 			}))
 			defer server.Close()
 			cfg := testConfig()
 			times := nodes.PushTimes(0)
-			if asks {
+			if onDemand {
 				cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval, times = true, 400*time.Millisecond, nodes.AskTimes()
 			}
 			cfg.Source = nodes.NewDiscovery(server.Listener.Addr().String(), times)
@@ -537,20 +539,20 @@
 			go p.Run(ctx)
 			eventually(t, "the first list", p.HasList)
 			down.Store(true)
-			last := p.now()
-			began.Store(time.Now().UnixMilli())
+			lastSync := p.now()
+			newSinceMs.Store(time.Now().UnixMilli())
 			time.Sleep(outage)
-			back.Store(true)
+			recovered.Store(true)
 			down.Store(false)
-			since := func(name string) time.Duration {
+			startOf := func(name string) time.Duration {
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				return p.balancerView[name].Since
 			}
-			eventually(t, "the list after the outage", func() bool { return since("right") != 0 })
+			eventually(t, "the list after the outage", func() bool { return startOf("right") != 0 })
 			for _, name := range []string{"right", "wrong"} {
-				if at := since(name); at < last-early || at > last+late {
-					t.Errorf("%s counts as started at %v, want %v, when discovery was last heard", name, at, last)
+				if start := startOf(name); start < lastSync-maxEarly || start > lastSync+maxLate {
+					t.Errorf("%s has the start %v, want about %v, the last list before the outage", name, start, lastSync)
 				}
 			}
 		})
--- a/internal/pool/alarms_test.go
+++ b/internal/pool/alarms_test.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Timers fire once each, in the order of their times, and a burst does not keep its memory.
+// Each timer fires once, in the order of the due times, and the queue shrinks after a burst.
 func TestTimersFireInOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var q timerQueue
-	var want []time.Duration
+	var pending []time.Duration
 	now, token := time.Duration(0), uint64(0)
-	times := map[uint64]time.Duration{}
+	dueTimes := map[uint64]time.Duration{}
 	for range 20000 {
 		if rng.IntN(3) > 0 {
 			at := now + time.Duration(rng.IntN(1000))
-			earliest := len(want) == 0 || at < slices.Min(want)
+			earliest := len(pending) == 0 || at < slices.Min(pending)
 			token++
-			times[token] = at
+			dueTimes[token] = at
 			if first := q.push(timerEntry{at, token}); first != earliest {
-				t.Fatalf("pushed %v: first %t, want %t", at, first, earliest)
+				t.Fatalf("push of a timer due at %v: earliest %t, want %t", at, first, earliest)
 			}
-			want = append(want, at)
+			pending = append(pending, at)
 			continue
 		}
 		now += time.Duration(rng.IntN(20))
 		for {
-			got, ok := q.pop(now)
+			fired, ok := q.pop(now)
 			if !ok {
 				break
 			}
-			i := slices.Index(want, times[got])
-			if times[got] > now || i < 0 || times[got] != slices.Min(want) {
-				t.Fatalf("at %v: timer of %v fired", now, times[got])
+			i := slices.Index(pending, dueTimes[fired])
+			if dueTimes[fired] > now || i < 0 || dueTimes[fired] != slices.Min(pending) {
+				t.Fatalf("at %v: the timer due at %v fired out of order", now, dueTimes[fired])
 			}
-			want = slices.Delete(want, i, i+1)
-			delete(times, got)
+			pending = slices.Delete(pending, i, i+1)
+			delete(dueTimes, fired)
 		}
-		if len(want) > 0 && slices.Min(want) <= now {
-			t.Fatalf("at %v a timer of %v has not fired", now, slices.Min(want))
+		if len(pending) > 0 && slices.Min(pending) <= now {
+			t.Fatalf("at %v: the timer due at %v has not fired", now, slices.Min(pending))
 		}
 	}
 	for i := range 100000 {
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -17,65 +17,65 @@
 	"gorselink/internal/upstream"
 )
 
-// runs counts what has come whole, by path.
-type runs struct {
-	mu sync.Mutex
-	of map[string]int
+// requestCounter counts complete requests by path.
+type requestCounter struct {
+	mu     sync.Mutex
+	byPath map[string]int
 }
 
-func (r *runs) add(path string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.of == nil {
-		r.of = map[string]int{}
+func (c *requestCounter) add(path string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byPath == nil {
+		c.byPath = map[string]int{}
 	}
-	r.of[path]++
+	c.byPath[path]++
 }
 
-func (r *runs) count(path string) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.of[path]
+func (c *requestCounter) count(path string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byPath[path]
 }
 
-// twoNodes is a pool before a node that serves and another one, with a class that is safe
-// and one that must not run twice. It has the budget to try some requests again.
-func twoNodes(t *testing.T, other string, dial time.Duration) (*Pool, *runs) {
+// newTwoNodePool returns a Pool with a healthy node and the one at otherAddr, whose class 0 is safe
+// and class 1 unsafe. Its retry budget allows some retries.
+func newTwoNodePool(t *testing.T, otherAddr string, dialTimeout time.Duration) (*Pool, *requestCounter) {
 	t.Helper()
-	sound := &runs{}
+	healthy := &requestCounter{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		sound.add(r.URL.Path)
+		healthy.add(r.URL.Path)
 		io.WriteString(w, "ok")
 	}))
 	t.Cleanup(srv.Close)
 	cfg := testConfig()
 	cfg.Balance.RampTime = 0
-	cfg.Balance.Classes = []balance.Class{{Deadline: patience, Worth: 1}, {Deadline: patience, Worth: 1, Semantics: balance.Unsafe}}
+	cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, Worth: 1}, {Deadline: testTimeout, Worth: 1, Semantics: balance.Unsafe}}
 	cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{
-		{Name: "sound", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService},
-		{Name: "other", Address: other, Zone: "a", Status: nodes.InService},
+		{Name: "healthy", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService},
+		{Name: "other", Address: otherAddr, Zone: "a", Status: nodes.InService},
 	}}
-	conns := upstream.New(upstream.Config{DialTimeout: dial, IdleTimeout: 5 * time.Second, MaxConns: 64})
+	conns := upstream.New(upstream.Config{DialTimeout: dialTimeout, IdleTimeout: 5 * time.Second, MaxConns: 64})
 	t.Cleanup(conns.Close)
 	p, err := New(cfg, conns)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 60 {
-		none := &Request{Tenant: -1, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
-		if err := p.Submit(none); err != nil {
+		expired := &Request{Tenant: -1, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
+		if err := p.Submit(expired); err != nil {
 			t.Fatal(err)
 		}
-		<-none.Answer()
-		p.Done(none)
+		<-expired.Answer()
+		p.Done(expired)
 	}
-	return p, sound
+	return p, healthy
 }
 
-// one makes a request of a class to its end.
-func one(t *testing.T, p *Pool, class int, path string) Verdict {
+// doClassRequest makes one request of a class and returns its verdict.
+func doClassRequest(t *testing.T, p *Pool, class int, path string) Verdict {
 	t.Helper()
-	r := &Request{Class: class, Tenant: -1, Budget: patience, Outgoing: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: class == 1}}
+	r := &Request{Class: class, Tenant: -1, Budget: testTimeout, Outgoing: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: class == 1}}
 	if err := p.Submit(r); err != nil {
 		t.Fatal(err)
 	}
@@ -88,31 +88,30 @@
 	return a.Verdict
 }
 
-// Connections to one of two endpoints come up later than the time that they are given.
-// What was to go there goes to the other one, once, whether or not it may run twice, and
-// nothing of it reaches the first one when it comes up after all.
-func TestConnectionsComeUpTooLate(t *testing.T) {
+// Requests whose connection times out are sent once to the other endpoint, including unsafe ones.
+// The first endpoint receives none of them when it accepts connections later.
+func TestConnectTimeoutFailsOver(t *testing.T) {
 	late, err := standin.ListenLate()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, sound := twoNodes(t, late.Addr().String(), 150*time.Millisecond)
-	p.SetDisabled(map[string]bool{"sound": true}) // so that the first choice is the late one
+	p, healthy := newTwoNodePool(t, late.Addr().String(), 150*time.Millisecond)
+	p.SetDisabled(map[string]bool{"healthy": true}) // makes the late endpoint the first choice
 	const requests = 8
-	var all sync.WaitGroup
+	var pending sync.WaitGroup
 	for i := range requests {
-		all.Go(func() {
-			if v := one(t, p, i%2, fmt.Sprint("/", i)); v != Served {
+		pending.Go(func() {
+			if v := doClassRequest(t, p, i%2, fmt.Sprint("/", i)); v != Served {
 				t.Errorf("request %d: verdict %v, want it served", i, v)
 			}
 		})
 	}
-	eventually(t, "all are being dialled", func() bool { return p.conns.OpenConns() == requests })
+	eventually(t, "all requests are dialling", func() bool { return p.conns.OpenConns() == requests })
 	p.SetDisabled(nil)
-	all.Wait()
-	time.Sleep(250 * time.Millisecond) // 0.4 s after the first was dialled
-	there := &runs{}
-	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { there.add(r.URL.Path) }))
+	pending.Wait()
+	time.Sleep(250 * time.Millisecond) // at least 0.4 s after the first dial
+	lateNode := &requestCounter{}
+	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { lateNode.add(r.URL.Path) }))
 	srv.Listener.Close()
 	srv.Listener = late
 	if err := late.Open(); err != nil {
@@ -120,22 +119,21 @@
 	}
 	srv.Start()
 	defer srv.Close()
-	time.Sleep(1200 * time.Millisecond) // the kernel knocks again after 1 s
+	time.Sleep(1200 * time.Millisecond) // the kernel sends the next SYN after 1 s
 	for i := range requests {
-		if n, m := sound.count(fmt.Sprint("/", i)), there.count(fmt.Sprint("/", i)); n != 1 || m != 0 {
-			t.Errorf("request %d ran %d times, and %d times where it came up late", i, n, m)
+		if n, m := healthy.count(fmt.Sprint("/", i)), lateNode.count(fmt.Sprint("/", i)); n != 1 || m != 0 {
+			t.Errorf("request %d: ran %d times at the healthy endpoint and %d times at the late one, want 1 and 0", i, n, m)
 		}
 	}
 }
 
-// An endpoint takes a whole request and dies before it answers, inside the head of its
-// answer or inside the body. What must not run twice has failed, and neither is sent again
-// nor called harmless to repeat; what may is served by the other endpoint.
-func TestEndpointDiesUnderARequest(t *testing.T) {
-	for name, said := range map[string]string{
-		"before":          "",
-		"inside the head": "HTTP/1.1 200 OK\r\nContent-Le",
-		"inside the body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+// If an endpoint resets the connection before the end of its response, an unsafe request fails
+// without a retry and without the verdict Refused. A safe one is served by the other endpoint.
+func TestNodeFailsDuringRequest(t *testing.T) {
+	for name, response := range map[string]string{
+		"before the response": "",
+		"inside the header":   "HTTP/1.1 200 OK\r\nContent-Le",
+		"inside the body":     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -144,7 +142,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.Close() })
-			died := &runs{}
+			failing := &requestCounter{}
 			var p *Pool
 			go func() {
 				for {
@@ -157,24 +155,24 @@
 						if err != nil {
 							return
 						}
-						died.add(r.URL.Path)
-						p.SetDisabled(map[string]bool{"other": true}) // the next choice is the other one
-						io.WriteString(c, said)
-						time.Sleep(10 * time.Millisecond) // a reset would overtake what was said
+						failing.add(r.URL.Path)
+						p.SetDisabled(map[string]bool{"other": true}) // makes the healthy endpoint the next choice
+						io.WriteString(c, response)
+						time.Sleep(10 * time.Millisecond) // a reset at once would discard the response
 						c.(*net.TCPConn).SetLinger(0)
 						c.Close()
 					}()
 				}
 			}()
-			p, sound := twoNodes(t, l.Addr().String(), time.Second)
+			p, healthy := newTwoNodePool(t, l.Addr().String(), time.Second)
 			for class, want := range []Verdict{Served, Failed} {
-				p.SetDisabled(map[string]bool{"sound": true})
+				p.SetDisabled(map[string]bool{"healthy": true})
 				path := fmt.Sprint("/", class)
-				if v := one(t, p, class, path); v != want {
+				if v := doClassRequest(t, p, class, path); v != want {
 					t.Errorf("class %d: verdict %v, want %v", class, v, want)
 				}
-				if n, again := died.count(path), sound.count(path); n != 1 || again != 1-class {
-					t.Errorf("class %d: %d attempts where it died, %d elsewhere", class, n, again)
+				if n, retries := failing.count(path), healthy.count(path); n != 1 || retries != 1-class {
+					t.Errorf("class %d: %d attempts at the failing endpoint and %d at the healthy one", class, n, retries)
 				}
 			}
 		})
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -17,63 +17,63 @@
 	"gorselink/internal/upstream"
 )
 
-// Errors of connect(2) and socket(2) that come from this machine, whatever the endpoint.
-var ownErrors = []syscall.Errno{
+// localErrnos are errors of connect(2) and socket(2) that this machine causes.
+var localErrnos = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.EPERM, syscall.EACCES,
 }
 
-// Errors that may be this machine's or the endpoint's.
-var unclearErrors = []syscall.Errno{
+// ambiguousErrnos are errors that this machine or the endpoint may cause.
+var ambiguousErrnos = []syscall.Errno{
 	syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EHOSTDOWN, syscall.ENONET, syscall.ETIMEDOUT,
 }
 
-// faultyDialer is a dialer some of whose dials fail as the system makes them fail.
+// faultyDialer is a dialer that makes some dials fail with a system error.
 type faultyDialer struct {
 	net.Dialer
 
-	mu     sync.Mutex
-	errno  syscall.Errno
-	fail   int    // so many dials are still to fail
-	always string // those to this address fail always
+	mu           sync.Mutex
+	errno        syscall.Errno
+	failuresLeft int    // dials that are still to fail
+	failingAddr  string // dials to this address always fail
 }
 
 func (d *faultyDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	if d.fails(address) {
+	if d.shouldFail(address) {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", d.errno)}
 	}
 	return d.Dialer.DialContext(ctx, network, address)
 }
 
-func (d *faultyDialer) fails(address string) bool {
+func (d *faultyDialer) shouldFail(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if address == d.always {
+	if address == d.failingAddr {
 		return true
 	}
-	if d.fail > 0 {
-		d.fail--
+	if d.failuresLeft > 0 {
+		d.failuresLeft--
 		return true
 	}
 	return false
 }
 
-// dialPool is a Pool of so many nodes that connects by d.
-func dialPool(t *testing.T, d *faultyDialer, nodesThere int) (*Pool, []*standin.Node) {
+// newDialerPool starts nodeCount nodes and returns a Pool that connects to them with d.
+func newDialerPool(t *testing.T, d *faultyDialer, nodeCount int) (*Pool, []*standin.Node) {
 	t.Helper()
 	cfg := testConfig()
-	for i := range cfg.Balance.Classes { // no request runs out of time on a busy machine
-		cfg.Balance.Classes[i].Deadline, cfg.Balance.Classes[i].LatencyTarget = patience, patience
+	for i := range cfg.Balance.Classes { // long enough for a busy machine
+		cfg.Balance.Classes[i].Deadline, cfg.Balance.Classes[i].LatencyTarget = testTimeout, testTimeout
 	}
 	cfg.Known = nodes.List{Snapshot: true}
-	var all []*standin.Node
-	for i := range nodesThere {
+	var servers []*standin.Node
+	for i := range nodeCount {
 		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("s-", i)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
-		all = append(all, n)
+		servers = append(servers, n)
 		cfg.Known.Endpoints = append(cfg.Known.Endpoints, nodes.Endpoint{Name: n.Name(), Address: n.Addr(), Zone: "a", Status: nodes.InService})
 	}
 	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: 5 * time.Second, MaxConns: 32, PassThroughStatus: true, Dialer: d})
@@ -82,18 +82,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p, all
+	return p, servers
 }
 
-// ask makes one request and returns how it ended.
-func (p *Pool) ask(t *testing.T, method, id string) Verdict {
+// doMethodRequest makes one request, unsafe with POST and safe otherwise, and returns its verdict.
+func (p *Pool) doMethodRequest(t *testing.T, method, callID string) Verdict {
 	class := 0
 	if method == "POST" {
 		class = 1
 	}
 	r := &Request{
-		Class: class, Tenant: -1, Budget: patience,
-		Outgoing: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: framing.Fields{{Name: "X-Call-Id", Value: id}}},
+		Class: class, Tenant: -1, Budget: testTimeout,
+		Outgoing: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: framing.Fields{{Name: "X-Call-Id", Value: callID}}},
 	}
 	if err := p.Submit(r); err != nil {
 		t.Error(err)
@@ -108,73 +108,73 @@
 	return a.Verdict
 }
 
-// For a moment no dial of this machine succeeds: no request is refused, none runs twice, and
-// no attempt ends with a word against an endpoint.
-func TestDialFailuresOfThisMachineBlameNoEndpoint(t *testing.T) {
+// While all dials fail for a short time, every request is served once and no attempt counts
+// against an endpoint.
+func TestLocalDialErrorsDoNotCountAgainstEndpoints(t *testing.T) {
 	const requests = 12
-	for _, errno := range append(append([]syscall.Errno(nil), ownErrors...), unclearErrors...) {
+	for _, errno := range append(append([]syscall.Errno(nil), localErrnos...), ambiguousErrnos...) {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			d := &faultyDialer{errno: errno, fail: 3 * requests}
-			p, all := dialPool(t, d, 3)
-			var done sync.WaitGroup
+			d := &faultyDialer{errno: errno, failuresLeft: 3 * requests}
+			p, servers := newDialerPool(t, d, 3)
+			var pending sync.WaitGroup
 			for i := range requests {
-				done.Go(func() {
+				pending.Go(func() {
 					method := "GET"
 					if i%3 == 0 {
 						method = "POST"
 					}
-					if v := p.ask(t, method, fmt.Sprint(method, i)); v != Served {
-						t.Errorf("%s %d: verdict %d, want it served", method, i, v)
+					if v := p.doMethodRequest(t, method, fmt.Sprint(method, i)); v != Served {
+						t.Errorf("%s %d: verdict %d, want Served", method, i, v)
 					}
 				})
 			}
-			done.Wait()
-			runs := map[string]int{}
-			for _, n := range all {
+			pending.Wait()
+			runsByCallID := map[string]int{}
+			for _, n := range servers {
 				for id, k := range n.Runs() {
-					runs[id] += k
+					runsByCallID[id] += k
 				}
 			}
-			for id, k := range runs {
+			for id, k := range runsByCallID {
 				if k != 1 {
-					t.Errorf("%s has run %d times", id, k)
+					t.Errorf("request %s ran %d times, want once", id, k)
 				}
 			}
 			st := p.Stats()
 			for result, k := range st.Results {
 				if k > 0 && balance.Result(result) != balance.OK && balance.Result(result) != balance.NotSent {
-					t.Errorf("%d attempts ended with result %d", k, result)
+					t.Errorf("%d attempts ended with result %d, want only OK and NotSent", k, result)
 				}
 			}
-			if len(runs) != requests || d.fail > 0 {
-				t.Errorf("%d requests have run, want %d; %d failures are still to come", len(runs), requests, d.fail)
+			if len(runsByCallID) != requests || d.failuresLeft > 0 {
+				t.Errorf("%d requests ran, want %d; %d dial failures are left, want 0", len(runsByCallID), requests, d.failuresLeft)
 			}
 		})
 	}
 }
 
-// One endpoint alone cannot be dialled for long: the requests go to another one. Of an error
-// that may be the endpoint's it is told so, of others nothing.
-func TestEndpointThatCannotBeDialledIsLeftAlone(t *testing.T) {
-	for _, errno := range append(append([]syscall.Errno(nil), ownErrors...), unclearErrors...) {
+// While dials to one endpoint fail, its requests are served by the others. The failures count
+// against the endpoint only if it may have caused the error.
+func TestDialErrorsOfOneEndpointFailOver(t *testing.T) {
+	for _, errno := range append(append([]syscall.Errno(nil), localErrnos...), ambiguousErrnos...) {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			d := &faultyDialer{errno: errno}
-			p, all := dialPool(t, d, 3)
-			d.always = all[0].Addr()
+			p, servers := newDialerPool(t, d, 3)
+			d.failingAddr = servers[0].Addr()
 			stop := make(chan struct{})
-			var other sync.WaitGroup
-			for i := range 3 { // others are reached all the time
-				other.Go(func() {
+			var background sync.WaitGroup
+			for i := range 3 { // dials to the other endpoints succeed all the time
+				background.Go(func() {
 					for k := 0; ; k++ {
 						select {
 						case <-stop:
 							return
 						default:
 						}
-						if v := p.ask(t, "GET", fmt.Sprint("beside", i, k)); v != Served {
-							t.Errorf("request %d beside: verdict %d, want it served", k, v)
+						if v := p.doMethodRequest(t, "GET", fmt.Sprint("background", i, k)); v != Served {
+							t.Errorf("background request %d: verdict %d, want Served", k, v)
 							return
 						}
 						time.Sleep(time.Millisecond)
@@ -182,23 +182,23 @@
 				})
 			}
 			for i := range 20 {
-				if v := p.ask(t, "GET", fmt.Sprint(i)); v != Served {
-					t.Errorf("request %d: verdict %d, want it served", i, v)
+				if v := p.doMethodRequest(t, "GET", fmt.Sprint(i)); v != Served {
+					t.Errorf("request %d: verdict %d, want Served", i, v)
 				}
 			}
 			close(stop)
-			other.Wait()
+			background.Wait()
 			st := p.Stats()
-			told := st.Results[balance.ConnectError]
-			if own := faultIsOwn(errno); own && told > 0 || !own && told == 0 {
-				t.Errorf("%d attempts blame the endpoint: %v", told, st.Results)
+			connectErrors := st.Results[balance.ConnectError]
+			if local := isLocalErrno(errno); local && connectErrors > 0 || !local && connectErrors == 0 {
+				t.Errorf("%d attempts count against the endpoint: %v", connectErrors, st.Results)
 			}
 		})
 	}
 }
 
-func faultIsOwn(errno syscall.Errno) bool {
-	for _, e := range ownErrors {
+func isLocalErrno(errno syscall.Errno) bool {
+	for _, e := range localErrnos {
 		if e == errno {
 			return true
 		}
@@ -206,17 +206,17 @@
 	return false
 }
 
-// What this machine has held up is not the endpoint's time.
-func TestTimeLostHereIsNotTheEndpoints(t *testing.T) {
-	d := &faultyDialer{errno: syscall.ENOBUFS, fail: 7} // 355 ms of waits
-	p, all := dialPool(t, d, 1)
+// Delays from local dial errors do not increase the mean response time of the endpoint.
+func TestLocalDelayDoesNotCountAgainstEndpoint(t *testing.T) {
+	d := &faultyDialer{errno: syscall.ENOBUFS, failuresLeft: 7} // 355 ms of delays between dials
+	p, servers := newDialerPool(t, d, 1)
 	began := time.Now()
-	if v := p.ask(t, "GET", "1"); v != Served {
-		t.Fatalf("verdict %d", v)
+	if v := p.doMethodRequest(t, "GET", "1"); v != Served {
+		t.Fatalf("verdict %d, want Served", v)
 	}
 	took := time.Since(began)
-	mean := p.LearnedState().Balancer.Endpoints[all[0].Name()].Mean
+	mean := p.LearnedState().Balancer.Endpoints[servers[0].Name()].Mean
 	if mean <= 0 || took < 300*time.Millisecond || mean > took.Seconds()-0.3 {
-		t.Errorf("the endpoint's mean is %.3f s after a request of %v, of which 355 ms were lost here", mean, took)
+		t.Errorf("the endpoint's mean is %.3f s after a request of %v, of which 355 ms were local delays", mean, took)
 	}
 }
--- a/internal/pool/gone_test.go
+++ b/internal/pool/gone_test.go
@@ -8,39 +8,38 @@
 	"gorselink/internal/upstream"
 )
 
-// leaver is a caller that leaves in the moment it is asked the n-th time, and each time takes
-// so long to be looked at.
-type leaver struct {
-	n     int64
-	slow  time.Duration
-	asked atomic.Int64
+// disconnectingCaller is a Caller that disconnects at check number disconnectAt, or never if that
+// is 0. Each check takes checkDelay.
+type disconnectingCaller struct {
+	disconnectAt int64
+	checkDelay   time.Duration
+	checks       atomic.Int64
 }
 
-func (l *leaver) Disconnected() bool {
-	n := l.asked.Add(1)
-	time.Sleep(l.slow)
-	return l.n > 0 && n >= l.n
+func (c *disconnectingCaller) Disconnected() bool {
+	n := c.checks.Add(1)
+	time.Sleep(c.checkDelay)
+	return c.disconnectAt > 0 && n >= c.disconnectAt
 }
 
-// Every attempt looks at its caller as the last step before it begins, however short a time
-// ago the request came: the process may have been held up since it read the clock. A look
-// that takes long, as the process does not get to run in it, is taken once more.
-func TestEveryAttemptLooksAtItsCaller(t *testing.T) {
+// The caller is checked as the last step before each attempt, even if the request has just been
+// submitted, because the process may have been suspended. A check that takes too long is repeated.
+func TestCallerIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
-		caller *leaver
-		want   Verdict
-		looks  int64
-		runs   int
+		caller       *disconnectingCaller
+		wantVerdict  Verdict
+		minChecks    int64
+		wantRequests int
 	}{
-		"stays":                     {&leaver{}, Served, 1, 1},
-		"has left":                  {&leaver{n: 1}, CallerGone, 1, 0},
-		"leaves under a slow look":  {&leaver{n: 2, slow: 2 * confirmInterval}, CallerGone, 2, 0},
-		"leaves between two others": {&leaver{n: 3, slow: 2 * confirmInterval}, CallerGone, 3, 0},
+		"connected":                                {&disconnectingCaller{}, Served, 1, 1},
+		"disconnected":                             {&disconnectingCaller{disconnectAt: 1}, CallerGone, 1, 0},
+		"disconnects during a slow check":          {&disconnectingCaller{disconnectAt: 2, checkDelay: 2 * confirmInterval}, CallerGone, 2, 0},
+		"disconnects during a repeated slow check": {&disconnectingCaller{disconnectAt: 3, checkDelay: 2 * confirmInterval}, CallerGone, 3, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, sound := twoNodes(t, "127.0.0.1:1", time.Second)
+			p, healthy := newTwoNodePool(t, "127.0.0.1:1", time.Second)
 			p.SetDisabled(map[string]bool{"other": true})
-			r := &Request{Tenant: -1, Budget: patience, Caller: c.caller, Outgoing: upstream.Request{Method: "GET", URI: "/x", Host: "x"}}
+			r := &Request{Tenant: -1, Budget: testTimeout, Caller: c.caller, Outgoing: upstream.Request{Method: "GET", URI: "/x", Host: "x"}}
 			if err := p.Submit(r); err != nil {
 				t.Fatal(err)
 			}
@@ -50,9 +49,9 @@
 				a.Upstream.Release()
 			}
 			p.Done(r)
-			// On a busy machine a look may be slow by itself, and then there is another one.
-			if n := c.caller.asked.Load(); a.Verdict != c.want || n < c.looks || sound.count("/x") != c.runs {
-				t.Errorf("verdict %v after %d looks, %d runs, want %v, %d or more, %d", a.Verdict, n, sound.count("/x"), c.want, c.looks, c.runs)
+			// On a busy machine a check may be slow by itself and is then repeated.
+			if n := c.caller.checks.Load(); a.Verdict != c.wantVerdict || n < c.minChecks || healthy.count("/x") != c.wantRequests {
+				t.Errorf("verdict %v after %d checks and %d requests at the endpoint, want %v, at least %d and %d", a.Verdict, n, healthy.count("/x"), c.wantVerdict, c.minChecks, c.wantRequests)
 			}
 		})
 	}
--- a/internal/pool/members_test.go
+++ b/internal/pool/members_test.go
@@ -15,8 +15,8 @@
 	"gorselink/internal/upstream"
 )
 
-// patience bounds every wait of these tests; a sound run needs far less.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of these tests.
+const testTimeout = 20 * time.Second
 
 func testConfig() Config {
 	return Config{
@@ -44,46 +44,48 @@
 	return p
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+// eventually waits until ok returns true.
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting for: %s", condition)
 		}
 	}
 }
 
-const listed = `{"index":%d,"snapshot":%t,"endpoints":[{"name":%q,"address":"127.0.0.1:1","zone":"a","group":0,"status":"in_service","since_ms":0}]}`
+// listResponse is the format of a discovery response with one endpoint.
+const listResponse = `{"index":%d,"snapshot":%t,"endpoints":[{"name":%q,"address":"127.0.0.1:1","zone":"a","group":0,"status":"in_service","since_ms":0}]}`
 
-// The old discovery service is heeded until the new one has told its list, and
-// no longer: its endpoints go, and so does its watch.
-func TestMoveLeavesNoGap(t *testing.T) {
+// The previous discovery service is followed until the new one has delivered its list. Then its
+// endpoints are removed and its watch ends.
+func TestPreviousSourceIsFollowedUntilNewListArrives(t *testing.T) {
 	changes := make(chan string)
-	ended := make(chan struct{})
-	end := sync.OnceFunc(func() { close(ended) })
+	oldWatchEnded := make(chan struct{})
+	endOldWatch := sync.OnceFunc(func() { close(oldWatchEnded) })
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !r.URL.Query().Has("after") {
-			fmt.Fprintf(w, listed, 40, true, "old-1")
+			fmt.Fprintf(w, listResponse, 40, true, "old-1")
 			return
 		}
 		select {
 		case name := <-changes:
-			fmt.Fprintf(w, listed, 41, false, name)
+			fmt.Fprintf(w, listResponse, 41, false, name)
 		case <-r.Context().Done():
-			end()
-		case <-time.After(patience):
+			endOldWatch()
+		case <-time.After(testTimeout):
 		}
 	}))
 	defer old.Close()
-	tell := make(chan struct{})
+	sendNewList := make(chan struct{})
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
 			<-r.Context().Done()
 			return
 		}
 		select {
-		case <-tell:
-			fmt.Fprintf(w, listed, 3, true, "new-1")
+		case <-sendNewList:
+			fmt.Fprintf(w, listResponse, 3, true, "new-1")
 		case <-r.Context().Done():
 		}
 	}))
@@ -95,46 +97,46 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go p.Run(ctx)
-	knows := func(want ...string) func() bool {
+	namesAre := func(want ...string) func() bool {
 		return func() bool { return slices.Equal(p.conns.Names(), want) }
 	}
-	eventually(t, "the first list", knows("old-1"))
+	eventually(t, "the first list", namesAre("old-1"))
 	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.PushTimes(0)))
 	changes <- "old-2"
-	eventually(t, "a change told by the old service after the move", knows("old-1", "old-2"))
-	close(tell)
-	eventually(t, "the list made whole from the new service", knows("new-1"))
+	eventually(t, "a change from the previous service after the switch", namesAre("old-1", "old-2"))
+	close(sendNewList)
+	eventually(t, "the list of the new service", namesAre("new-1"))
 	select {
-	case <-ended:
-	case <-time.After(patience):
-		t.Fatal("the old watch did not end")
+	case <-oldWatchEnded:
+	case <-time.After(testTimeout):
+		t.Fatal("the watch of the previous service did not end")
 	}
 }
 
-// A source that goes on where the one before was, and lags behind it, does not bring back
-// what has been told to drain; what it tells once it has caught up counts.
-func TestLaggingSourceBringsNothingBack(t *testing.T) {
+// A new source that lags behind the version of the previous one does not make a draining endpoint
+// available again. Its changes apply once it has caught up, and its snapshots always do.
+func TestOutdatedListOfNewSourceIsIgnored(t *testing.T) {
 	p := newPool(t, testConfig())
-	one, two := &source{Source: nodes.Fixed{}, number: 1, cancel: func() {}}, &source{Source: nodes.Fixed{}, number: 2, cancel: func() {}}
-	p.sources = []*source{one, two}
+	oldSource, newSource := &source{Source: nodes.Fixed{}, number: 1, cancel: func() {}}, &source{Source: nodes.Fixed{}, number: 2, cancel: func() {}}
+	p.sources = []*source{oldSource, newSource}
 	entry := func(status nodes.Status) []nodes.Endpoint {
 		return []nodes.Endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "a", Status: status}}
 	}
-	p.handleList(one, nodes.List{Index: 40, Snapshot: true, Endpoints: entry(nodes.InService)})
-	p.handleList(one, nodes.List{Index: 43, Endpoints: entry(nodes.Terminating)})
-	p.handleList(two, nodes.List{Index: 42, Endpoints: entry(nodes.InService)}) // what was so before 43
+	p.handleList(oldSource, nodes.List{Index: 40, Snapshot: true, Endpoints: entry(nodes.InService)})
+	p.handleList(oldSource, nodes.List{Index: 43, Endpoints: entry(nodes.Terminating)})
+	p.handleList(newSource, nodes.List{Index: 42, Endpoints: entry(nodes.InService)}) // older than 43
 	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != nodes.Terminating {
-		t.Fatalf("list %+v after a word that is older, want s-1 to drain", l)
+		t.Fatalf("list %+v after an older change, want s-1 draining", l)
 	}
 	if index, known := p.ListVersion(); index != 43 || !known {
-		t.Errorf("version %d, %t, want 43", index, known)
+		t.Errorf("version %d, known %t, want 43, true", index, known)
 	}
-	p.handleList(two, nodes.List{Index: 44, Endpoints: entry(nodes.InService)})
+	p.handleList(newSource, nodes.List{Index: 44, Endpoints: entry(nodes.InService)})
 	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != nodes.InService {
-		t.Errorf("list %+v after a newer word, want s-1 back", l)
+		t.Errorf("list %+v after a newer change, want s-1 in service", l)
 	}
-	p.handleList(two, nodes.List{Index: 2, Snapshot: true, Endpoints: entry(nodes.Terminating)}) // begun anew
+	p.handleList(newSource, nodes.List{Index: 2, Snapshot: true, Endpoints: entry(nodes.Terminating)}) // the versions of this source restarted
 	if index, _ := p.ListVersion(); index != 2 {
-		t.Errorf("version %d after a whole list, want 2", index)
+		t.Errorf("version %d after a snapshot, want 2", index)
 	}
 }
--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -11,9 +11,9 @@
 	"gorselink/internal/upstream"
 )
 
-// What a pool has learnt goes to the next one by class and name, also where the
-// next one numbers its classes otherwise and knows other nodes.
-func TestMemoryGoesOn(t *testing.T) {
+// Restore matches learned state by class and endpoint name, also if the next Pool numbers its
+// classes differently and knows other endpoints.
+func TestRestoreMatchesClassesAndEndpoints(t *testing.T) {
 	view := balance.Class{LatencyTarget: time.Second, Deadline: time.Second, Semantics: balance.Safe, Worth: 1}
 	pay := balance.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Semantics: balance.Unsafe, Worth: 1}
 	list := func(names ...string) (l nodes.List) {
@@ -22,7 +22,7 @@
 		}
 		return l
 	}
-	make := func(l nodes.List, classes ...balance.Class) *Pool {
+	create := func(l nodes.List, classes ...balance.Class) *Pool {
 		p, err := New(Config{Name: "test", Known: l, Balance: balance.Config{
 			Instances: 1, AttemptLimit: 3, Multiplex: 1, Entry: true, RampTime: time.Second, Classes: classes,
 		}}, upstream.New(upstream.Config{MaxConns: 1}))
@@ -31,44 +31,43 @@
 		}
 		return p
 	}
-	was := make(list("a", "b"), view, pay)
+	previous := create(list("a", "b"), view, pay)
 	want := balance.Snapshot{
 		Limit: 12, Served: 40, InAim: 30,
 		Classes:   []balance.Estimate{{Mean: 0.1, N: 50}, {Mean: 0.3, N: 20}},
 		Endpoints: map[string]balance.Estimate{"a": {Mean: 0.2, N: 7, Failures: 2}, "b": {Mean: 0.4, N: 20}},
 	}
-	was.Restore(LearnedState{Balancer: want, Classes: []balance.Class{view, pay}})
-	text, err := json.Marshal(was.LearnedState())
+	previous.Restore(LearnedState{Balancer: want, Classes: []balance.Class{view, pay}})
+	text, err := json.Marshal(previous.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m LearnedState
-	if err := json.Unmarshal(text, &m); err != nil {
+	var state LearnedState
+	if err := json.Unmarshal(text, &state); err != nil {
 		t.Fatal(err)
 	}
-	next := make(list("b", "c"), pay, view)
-	next.Restore(m)
+	next := create(list("b", "c"), pay, view)
+	next.Restore(state)
 	got := next.LearnedState().Balancer
 	near := func(a, b float64) bool { return a > b*0.98 && a < b*1.02 }
 	if got.Limit != 12 || !near(got.Served, 40) || !near(got.InAim, 30) {
 		t.Errorf("limit %v, served %v, in aim %v, want 12, 40, 30", got.Limit, got.Served, got.InAim)
 	}
 	if !near(got.Classes[0].Mean, 0.3) || got.Classes[0].N != 20 || !near(got.Classes[1].Mean, 0.1) {
-		t.Errorf("classes %+v, want those of pay and view", got.Classes)
+		t.Errorf("classes %+v, want the learned state of pay and view in this order", got.Classes)
 	}
 	if b := got.Endpoints["b"]; !near(b.Mean, 0.4) || b.N != 20 {
-		t.Errorf("b: %+v, want what was learnt", b)
+		t.Errorf("endpoint b: %+v, want the restored state", b)
 	}
 	if _, ok := got.Endpoints["a"]; ok || got.Endpoints["c"] != (balance.Estimate{}) {
-		t.Errorf("endpoints %+v, want nothing of a and c", got.Endpoints)
+		t.Errorf("endpoints %+v, want no entry for a and an empty one for c", got.Endpoints)
 	}
 }
 
-// What a process that knows no ages hands over is taken up, with all that operators have said
-// counting as done now, however far its wall clock is off; and it finds the times that it
-// knows in what is handed to it.
-func TestMemoryOfAProcessThatKnowsNoAges(t *testing.T) {
-	type olderMemory struct { // as it was written before there were ages
+// State from a process that does not support Ages is restored with all operator changes counted
+// as made now, whatever its wall clock. State for such a process contains wall-clock times.
+func TestRestoreWithoutAges(t *testing.T) {
+	type stateWithoutAges struct { // the JSON format of processes that do not support Ages
 		Learnt  balance.Snapshot
 		Classes []balance.Class
 		Out     map[string]int64
@@ -76,40 +75,40 @@
 	}
 	for _, offset := range wallOffsets {
 		clocks := clock.NewManual(offset)
-		cfg := agedConfig(clocks)
-		cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{stamped("a", 0), stamped("b", 0), stamped("c", 0)}}
-		minute := clocks.Clock().Wall().Add(-offset - time.Minute).UnixMilli()
-		text, err := json.Marshal(olderMemory{Out: map[string]int64{"a": minute}, Back: map[string]DisabledPeriod{"b": {minute, minute + 1000}}})
+		cfg := manualClockConfig(clocks)
+		cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{endpointSince("a", 0), endpointSince("b", 0), endpointSince("c", 0)}}
+		minuteAgo := clocks.Clock().Wall().Add(-offset - time.Minute).UnixMilli()
+		text, err := json.Marshal(stateWithoutAges{Out: map[string]int64{"a": minuteAgo}, Back: map[string]DisabledPeriod{"b": {minuteAgo, minuteAgo + 1000}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		var m LearnedState
-		if err := json.Unmarshal(text, &m); err != nil {
+		var state LearnedState
+		if err := json.Unmarshal(text, &state); err != nil {
 			t.Fatal(err)
 		}
-		cfg.Ages = m.Ages
-		p := newAged(t, clocks, cfg)
-		p.Restore(m)
+		cfg.Ages = state.Ages
+		p := newManualClockPool(t, clocks, cfg)
+		p.Restore(state)
 		p.SetDisabled(map[string]bool{"a": true})
-		if got := p.agesNow(); len(got) != 1 || got["b"] > time.Millisecond {
-			t.Errorf("clock off by %v: ages %v, want b as if it had come back now", offset, got)
+		if got := p.balancerAges(); len(got) != 1 || got["b"] > time.Millisecond {
+			t.Errorf("clock offset %v: ages %v, want only b, enabled now", offset, got)
 		}
 		clocks.Advance(time.Second)
 		p.SetDisabled(nil)
-		if got := p.agesNow(); len(got) != 2 || got["a"] != 0 {
-			t.Errorf("clock off by %v: ages %v, want a as if it had come back now", offset, got)
+		if got := p.balancerAges(); len(got) != 2 || got["a"] != 0 {
+			t.Errorf("clock offset %v: ages %v, want two, with a enabled now", offset, got)
 		}
 
 		if text, err = json.Marshal(p.LearnedState()); err != nil {
 			t.Fatal(err)
 		}
-		var older olderMemory
-		if err := json.Unmarshal(text, &older); err != nil {
+		var written stateWithoutAges
+		if err := json.Unmarshal(text, &written); err != nil {
 			t.Fatal(err)
 		}
 		now := clocks.Clock().Wall().UnixMilli()
-		if r := older.Back["a"]; r.End != now || r.Start != now-1000 {
-			t.Errorf("clock off by %v: handed on as %+v at %d", offset, r, now)
+		if r := written.Back["a"]; r.End != now || r.Start != now-1000 {
+			t.Errorf("clock offset %v: period %+v written at %d, want it to end then and last 1 s", offset, r, now)
 		}
 	}
 }
--- a/internal/pool/out_test.go
+++ b/internal/pool/out_test.go
@@ -10,99 +10,99 @@
 	"gorselink/internal/nodes"
 )
 
-// What operators leave out drains whatever the list says of it, also where it is
-// listed anew; what they put back is cold from then on, until the list dates its
-// start later than it went out.
-func TestOutAndBack(t *testing.T) {
+// A disabled endpoint drains whatever its listed status is, also when it is listed again. An
+// endpoint that is enabled again counts as started at that time, until the list reports a start
+// after it was disabled.
+func TestDisableAndEnable(t *testing.T) {
 	cfg := testConfig()
 	list := func(sinceMs int64) nodes.List {
-		l := entries("127.0.0.1:1", "127.0.0.1:2")
+		l := undatedList("127.0.0.1:1", "127.0.0.1:2")
 		l.Undated = false
 		l.Endpoints[0].SinceMs = sinceMs
 		return l
 	}
 	cfg.Known = list(0)
 	p := newPool(t, cfg)
-	tell := func(l nodes.List) {
+	applyFull := func(l nodes.List) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.applyList(balance.Full, l)
 	}
-	is := func(when string, state balance.State, cold bool) {
+	check := func(when string, state balance.State, cold bool) {
 		t.Helper()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if e := p.balancerView["127.0.0.1:1"]; e.State != state || (e.Since != 0) != cold {
-			t.Errorf("%s: state %d, since %v, want state %d, cold %t", when, e.State, e.Since, state, cold)
+			t.Errorf("%s: state %d, start %v, want state %d, cold %t", when, e.State, e.Since, state, cold)
 		}
 		if e := p.balancerView["127.0.0.1:2"]; e.State != balance.Ready || e.Since != 0 {
-			t.Errorf("%s: the other one is %+v", when, e)
+			t.Errorf("%s: the other endpoint is %+v, want it ready and warm", when, e)
 		}
 	}
-	is("at first", balance.Ready, false)
-	out := map[string]bool{"127.0.0.1:1": true, "127.0.0.1:9": true} // one is not listed now
-	p.SetDisabled(out)
-	is("out", balance.Draining, false)
-	tell(list(0))
-	is("listed again", balance.Draining, false)
-	p.SetDisabled(out)
-	is("out twice", balance.Draining, false)
+	check("initially", balance.Ready, false)
+	disabled := map[string]bool{"127.0.0.1:1": true, "127.0.0.1:9": true} // the second one is not listed
+	p.SetDisabled(disabled)
+	check("disabled", balance.Draining, false)
+	applyFull(list(0))
+	check("disabled, and listed again", balance.Draining, false)
+	p.SetDisabled(disabled)
+	check("disabled twice", balance.Draining, false)
 	p.SetDisabled(nil)
-	is("back", balance.Ready, true)
-	tell(list(0))
-	is("back, and listed as before", balance.Ready, true)
-	next := newPool(t, cfg) // the process that comes next, by a list that knows no better
+	check("enabled", balance.Ready, true)
+	applyFull(list(0))
+	check("enabled, and listed as before", balance.Ready, true)
+	next := newPool(t, cfg) // the next process, with a list from before the change
 	next.Restore(p.LearnedState())
 	next.SetDisabled(nil)
 	if e := next.balancerView["127.0.0.1:1"]; e.State != balance.Ready || e.Since == 0 {
-		t.Errorf("in the next process: %+v, want it cold", e)
+		t.Errorf("in the next process: %+v, want it ready and cold", e)
 	}
-	before := p.balancerView["127.0.0.1:1"].Since
-	last := p.lastSync
-	tell(list(time.Now().Add(-time.Hour).UnixMilli()))
-	if got := p.balancerView["127.0.0.1:1"].Since; got < before || got != last {
-		t.Errorf("since %v after its stamp has changed, want %v, when the old one was last told, and not before its return at %v", got, last, before)
+	previousStart := p.balancerView["127.0.0.1:1"].Since
+	lastSync := p.lastSync
+	applyFull(list(time.Now().Add(-time.Hour).UnixMilli()))
+	if got := p.balancerView["127.0.0.1:1"].Since; got < previousStart || got != lastSync {
+		t.Errorf("start %v after a change of the timestamp, want %v, the last list with the previous one, and not before it was enabled at %v", got, lastSync, previousStart)
 	}
-	before = p.balancerView["127.0.0.1:1"].Since
-	dated := time.Now().Add(time.Second)
-	tell(list(dated.UnixMilli()))
-	if got := p.balancerView["127.0.0.1:1"].Since; got <= before {
-		t.Errorf("since %v, want the start that is listed, after %v", got, before)
+	previousStart = p.balancerView["127.0.0.1:1"].Since
+	restartedAt := time.Now().Add(time.Second)
+	applyFull(list(restartedAt.UnixMilli()))
+	if got := p.balancerView["127.0.0.1:1"].Since; got <= previousStart {
+		t.Errorf("start %v, want the listed start, after %v", got, previousStart)
 	}
 }
 
-// A start that was listed before an endpoint went out, and still is once it is back, says
-// nothing of what was done to it meanwhile.
-func TestOutAndBackWithTheStampOfBefore(t *testing.T) {
+// A timestamp from before an endpoint was disabled does not change the start of the enabled
+// endpoint, because the list may not have reported a restart yet.
+func TestEnabledEndpointWithUnchangedTimestamp(t *testing.T) {
 	cfg := testConfig()
-	cfg.Known = entries("127.0.0.1:1", "127.0.0.1:2")
+	cfg.Known = undatedList("127.0.0.1:1", "127.0.0.1:2")
 	cfg.Known.Undated = false
 	cfg.Known.Endpoints[0].SinceMs = time.Now().Add(-time.Hour).UnixMilli()
 	p := newPool(t, cfg)
 	p.SetDisabled(map[string]bool{"127.0.0.1:1": true})
 	p.SetDisabled(nil)
-	back := p.balancerView["127.0.0.1:1"].Since
-	if back <= 0 {
-		t.Errorf("since %v once it is back, want the moment of its return", back)
+	enabledAt := p.balancerView["127.0.0.1:1"].Since
+	if enabledAt <= 0 {
+		t.Errorf("start %v after it was enabled, want the time at which it was enabled", enabledAt)
 	}
 	for range 2 {
 		p.mu.Lock()
 		p.applyList(balance.Full, cfg.Known)
 		p.mu.Unlock()
-		if got := p.balancerView["127.0.0.1:1"].Since; got != back {
-			t.Errorf("a start before it went out moved its start from %v to %v", back, got)
+		if got := p.balancerView["127.0.0.1:1"].Since; got != enabledAt {
+			t.Errorf("a timestamp from before it was disabled changed the start from %v to %v", enabledAt, got)
 		}
 	}
 }
 
-// Names that were listed once stay known, a bounded number of them.
-func TestNamesStayKnown(t *testing.T) {
+// The names of endpoints that left the list stay known, up to a limit.
+func TestFormerNamesStayKnown(t *testing.T) {
 	cfg := testConfig()
-	cfg.Known = entries("127.0.0.1:1")
+	cfg.Known = undatedList("127.0.0.1:1")
 	p := newPool(t, cfg)
 	p.AddKnownNames([]string{"before"})
 	p.mu.Lock()
-	p.applyList(balance.Full, entries("127.0.0.1:2"))
+	p.applyList(balance.Full, undatedList("127.0.0.1:2"))
 	p.mu.Unlock()
 	for name, want := range map[string]bool{"127.0.0.1:1": true, "127.0.0.1:2": true, "before": true, "never": false} {
 		if got := p.Knows(name); got != want {
@@ -110,7 +110,7 @@
 		}
 	}
 	if names := p.KnownNames(); !slices.Contains(names, "127.0.0.1:1") || !slices.Contains(names, "before") || !slices.Contains(names, "127.0.0.1:2") {
-		t.Errorf("names %q", names)
+		t.Errorf("known names %q, want the current, the former and the added one", names)
 	}
 	var many []string
 	for i := range 2 * maxFormerNames {
@@ -118,6 +118,6 @@
 	}
 	p.AddKnownNames(many)
 	if n := len(p.KnownNames()); n > maxFormerNames+1 {
-		t.Errorf("%d names are remembered", n)
+		t.Errorf("%d known names, want the limit and the listed endpoint at most", n)
 	}
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -13,7 +13,8 @@
 	"gorselink/internal/upstream"
 )
 
-func entries(addrs ...string) (l nodes.List) {
+// undatedList returns a snapshot without start times, in which each address is also the name.
+func undatedList(addrs ...string) (l nodes.List) {
 	l = nodes.List{Snapshot: true, Undated: true}
 	for _, a := range addrs {
 		l.Endpoints = append(l.Endpoints, nodes.Endpoint{Name: a, Address: a, Status: nodes.InService})
@@ -21,50 +22,50 @@
 	return l
 }
 
-// In a list that knows no starts, what was there at first is warm, what joins
-// others is cold from then on, and what takes the place of all others is warm.
-func TestUndatedNodes(t *testing.T) {
+// In an undated list, the first endpoints and those that replace all others are warm. An endpoint
+// that is added to known ones is cold.
+func TestStartsInUndatedLists(t *testing.T) {
 	cfg := testConfig()
-	cfg.Known = entries("127.0.0.1:1", "127.0.0.1:2")
+	cfg.Known = undatedList("127.0.0.1:1", "127.0.0.1:2")
 	p := newPool(t, cfg)
-	tell := func(addrs ...string) {
+	applyFull := func(addrs ...string) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.applyList(balance.Full, entries(addrs...))
+		p.applyList(balance.Full, undatedList(addrs...))
 	}
-	cold := func(want ...bool) {
+	checkCold := func(want ...bool) {
 		t.Helper()
 		for i, e := range p.List().Endpoints {
 			if e.SinceMs != 0 != want[i] {
-				t.Errorf("%s since %d, want cold %t", e.Name, e.SinceMs, want[i])
+				t.Errorf("%s: since_ms %d, want cold %t", e.Name, e.SinceMs, want[i])
 			}
 		}
 	}
-	cold(false, false)
-	tell("127.0.0.1:1", "127.0.0.1:2")
-	cold(false, false)
-	tell("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
-	cold(false, false, true)
-	since := p.List().Endpoints[2].SinceMs
+	checkCold(false, false)
+	applyFull("127.0.0.1:1", "127.0.0.1:2")
+	checkCold(false, false)
+	applyFull("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+	checkCold(false, false, true)
+	sinceMs := p.List().Endpoints[2].SinceMs
 	time.Sleep(5 * time.Millisecond)
-	tell("127.0.0.1:2", "127.0.0.1:3") // the first goes
-	cold(false, true)
-	if again := p.List().Endpoints[1].SinceMs; again != since {
-		t.Errorf("the start of a node that stays moved from %d to %d", since, again)
-	}
-	tell("127.0.0.1:1", "127.0.0.1:2") // and comes back
-	cold(true, false)
-	tell("127.0.0.1:7", "127.0.0.1:8")
-	cold(false, false)
-	tell()
-	tell("127.0.0.1:7")
-	cold(false)
+	applyFull("127.0.0.1:2", "127.0.0.1:3") // the first one leaves
+	checkCold(false, true)
+	if got := p.List().Endpoints[1].SinceMs; got != sinceMs {
+		t.Errorf("the start of a node that stays listed changed from %d to %d", sinceMs, got)
+	}
+	applyFull("127.0.0.1:1", "127.0.0.1:2") // and returns
+	checkCold(true, false)
+	applyFull("127.0.0.1:7", "127.0.0.1:8")
+	checkCold(false, false)
+	applyFull()
+	applyFull("127.0.0.1:7")
+	checkCold(false)
 }
 
-// ask submits one safe request to p and returns its answer.
-func ask(t *testing.T, p *Pool, again bool) (Answer, error) {
+// doRequest makes one safe request and returns its answer.
+func doRequest(t *testing.T, p *Pool, resubmitted bool) (Answer, error) {
 	t.Helper()
-	r := &Request{Tenant: -1, Budget: patience, Resubmitted: again, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
+	r := &Request{Tenant: -1, Budget: testTimeout, Resubmitted: resubmitted, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
 	if err := p.Submit(r); err != nil {
 		return Answer{}, err
 	}
@@ -82,11 +83,11 @@
 	}
 	t.Cleanup(n.Close)
 	cfg := testConfig()
-	cfg.Known = entries(n.Addr())
+	cfg.Known = undatedList(n.Addr())
 	p := newPool(t, cfg)
-	want := func(again bool, want error) {
+	check := func(resubmitted bool, want error) {
 		t.Helper()
-		a, err := ask(t, p, again)
+		a, err := doRequest(t, p, resubmitted)
 		if !errors.Is(err, want) || err == nil && a.Verdict != Served {
 			t.Errorf("answer %+v, error %v, want %v", a, err, want)
 		}
@@ -94,37 +95,37 @@
 			a.Upstream.Release()
 		}
 	}
-	want(false, nil)
+	check(false, nil)
 	p.Retire()
-	want(false, ErrRetired)
-	want(true, nil)
+	check(false, ErrRetired)
+	check(true, nil)
 	p.Reactivate()
-	want(false, nil)
+	check(false, nil)
 	p.SetLimits(Limits{Requests: 1, BodyBytes: 1})
 	n.Set(standin.Freeze)
 	done := make(chan Answer)
-	go func() { a, _ := ask(t, p, false); done <- a }()
-	// The node has an idle connection as well, so that the pool tells first.
-	eventually(t, "it is in the pool and at the node", func() bool { return p.OpenRequests() == 1 && n.Open() == 1 })
-	want(false, ErrFull)
-	want(true, ErrFull)
+	go func() { a, _ := doRequest(t, p, false); done <- a }()
+	// The node also has an idle connection, so the limit of the Pool is reached first.
+	eventually(t, "the request is open in the Pool and at the node", func() bool { return p.OpenRequests() == 1 && n.Open() == 1 })
+	check(false, ErrFull)
+	check(true, ErrFull)
 	if after := p.RetryAfter(); after < minRetryAfter || after > maxRetryAfter {
-		t.Errorf("come back after %v", after)
+		t.Errorf("RetryAfter is %v, want it within its bounds", after)
 	}
 	n.Set(standin.Serve)
 	if a := <-done; a.Verdict != Served {
-		t.Errorf("%+v", a)
+		t.Errorf("answer %+v, want Served", a)
 	}
 	if s := p.Stats(); s.Submitted != 4 || s.Served != 4 || s.Full != 2 || p.OpenRequests() != 0 {
-		t.Errorf("%+v, %d open", s, p.OpenRequests())
+		t.Errorf("stats %+v with %d open requests, want 4 submitted, 4 served, 2 full and 0 open", s, p.OpenRequests())
 	}
 }
 
-// The last word of a node that failed is the answer when nobody serves, and
-// every answer that is not given is released.
-func TestNodesOwnErrorIsPassedOn(t *testing.T) {
+// If no node serves a request, the last error response of a node is the answer. All other
+// responses are released.
+func TestNodeErrorIsPassedThrough(t *testing.T) {
 	cfg := testConfig()
-	var all []*standin.Node
+	var servers []*standin.Node
 	for i := range 2 {
 		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("n-", i)})
 		if err != nil {
@@ -132,42 +133,42 @@
 		}
 		t.Cleanup(n.Close)
 		n.Set(standin.Error)
-		all = append(all, n)
-		cfg.Known.Endpoints = append(cfg.Known.Endpoints, entries(n.Addr()).Endpoints...)
+		servers = append(servers, n)
+		cfg.Known.Endpoints = append(cfg.Known.Endpoints, undatedList(n.Addr()).Endpoints...)
 	}
 	p := newPool(t, cfg)
-	a, err := ask(t, p, false)
+	a, err := doRequest(t, p, false)
 	if err != nil || a.Verdict != Failed || a.Upstream == nil || a.Upstream.Status != 500 || len(a.Upstream.Body) == 0 {
-		t.Fatalf("%+v, %v", a, err)
+		t.Fatalf("answer %+v, error %v, want Failed with the response of a node", a, err)
 	}
 	a.Upstream.Release()
-	for _, n := range all {
+	for _, n := range servers {
 		n.Vanish()
 	}
-	if a, err = ask(t, p, false); err != nil || a.Upstream != nil || a.Verdict == Served {
-		t.Errorf("nodes that are gone: %+v, %v", a, err)
+	if a, err = doRequest(t, p, false); err != nil || a.Upstream != nil || a.Verdict == Served {
+		t.Errorf("after the nodes have stopped: answer %+v, error %v, want no response", a, err)
 	}
 }
 
-// A class that is new is learnt of once; one that there is has its number.
-func TestClassNumbers(t *testing.T) {
+// ClassNumber adds a new class once and returns the number of an existing one.
+func TestClassNumber(t *testing.T) {
 	p := newPool(t, testConfig())
 	c := balance.Class{Deadline: time.Second, Semantics: balance.Safe, Worth: 3}
 	first, err := p.ClassNumber(c)
 	again, err2 := p.ClassNumber(c)
 	known, err3 := p.ClassNumber(testConfig().Balance.Classes[1])
 	if first != 2 || again != 2 || known != 1 || err != nil || err2 != nil || err3 != nil || p.ClassCount() != 3 {
-		t.Errorf("%d %d %d of %d, %v %v %v", first, again, known, p.ClassCount(), err, err2, err3)
+		t.Errorf("class numbers %d, %d and %d of %d classes, want 2, 2 and 1 of 3; errors %v, %v, %v", first, again, known, p.ClassCount(), err, err2, err3)
 	}
 	if _, err := p.ClassNumber(balance.Class{}); err == nil {
-		t.Error("a class without a deadline was taken")
+		t.Error("a class without a deadline was accepted")
 	}
 }
 
-// Run ends with its context, and its source with it.
-func TestRunEnds(t *testing.T) {
+// Run returns when its context ends.
+func TestRunEndsWithItsContext(t *testing.T) {
 	cfg := testConfig()
-	cfg.Source = nodes.Fixed(entries("127.0.0.1:1").Endpoints)
+	cfg.Source = nodes.Fixed(undatedList("127.0.0.1:1").Endpoints)
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -176,7 +177,7 @@
 	cancel()
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		t.Fatal("it did not end")
+	case <-time.After(testTimeout):
+		t.Fatal("Run did not return after its context ended")
 	}
 }
--- a/internal/pool/release_test.go
+++ b/internal/pool/release_test.go
@@ -19,18 +19,19 @@
 	"gorselink/internal/upstream"
 )
 
-// tally is a node that remembers when it was last asked.
-type tally struct {
+// countingNode is a node that counts its requests and records the time of the last one.
+type countingNode struct {
 	*httptest.Server
-	asked atomic.Int64
-	last  atomic.Int64 // Unix ns
+	requests    atomic.Int64
+	lastRequest atomic.Int64 // Unix ns
 }
 
-func newTally(t *testing.T, l net.Listener) *tally {
-	n := &tally{}
+// newCountingNode starts a countingNode on l, or on a free port if l is nil.
+func newCountingNode(t *testing.T, l net.Listener) *countingNode {
+	n := &countingNode{}
 	n.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n.asked.Add(1)
-		n.last.Store(time.Now().UnixNano())
+		n.requests.Add(1)
+		n.lastRequest.Store(time.Now().UnixNano())
 		io.WriteString(w, "ok")
 	}))
 	if l != nil {
@@ -42,14 +43,15 @@
 	return n
 }
 
-func (n *tally) address() string { return n.Server.Listener.Addr().String() }
+func (n *countingNode) address() string { return n.Server.Listener.Addr().String() }
 
-// asks makes requests of a class one after another until stop, and counts how each ended.
-func asks(p *Pool, class int, stop <-chan struct{}) (ends [CallerGone + 1]int) {
+// sendRequests makes requests of a class one after another until stop is closed and counts their
+// verdicts.
+func sendRequests(p *Pool, class int, stop <-chan struct{}) (verdicts [CallerGone + 1]int) {
 	for {
 		select {
 		case <-stop:
-			return ends
+			return verdicts
 		case <-time.After(3 * time.Millisecond):
 		}
 		r := &Request{Class: class, Tenant: -1, Budget: 2 * time.Second, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x", NonIdempotent: class == 1}}
@@ -61,15 +63,14 @@
 		if a.Upstream != nil {
 			a.Upstream.Release()
 		}
-		ends[a.Verdict]++
+		verdicts[a.Verdict]++
 		p.Done(r)
 	}
 }
 
-// Half of six nodes are replaced step by step while discovery turns away two calls in
-// three. A node gets nothing new once its end has been told, the news comes within the
-// time by which it counts as told, and no request is lost to it.
-func TestReleaseWhileDiscoveryTurnsAway(t *testing.T) {
+// Three of six nodes are replaced one by one while discovery rejects two of three calls. Each drain
+// is delivered within AskWithin, a draining node gets no new requests, and no request is lost.
+func TestRollingReplacementDuringDiscoveryErrors(t *testing.T) {
 	const askWithin = 4 * time.Second
 	type change struct {
 		Name    string `json:"name"`
@@ -80,32 +81,32 @@
 		SinceMs int64  `json:"since_ms"`
 	}
 	var mu sync.Mutex
-	var changes []change // the index is their number
-	calls, told := 0, 0
-	toldAt := map[string]time.Time{}
+	var changes []change // the list index is their number
+	calls, answered := 0, 0
+	drainSentAt := map[string]time.Time{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		calls++
-		bad := calls%3 != 0
+		reject := calls%3 != 0
 		mu.Unlock()
-		if bad {
+		if reject {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		after, err := strconv.Atoi(r.URL.Query().Get("after"))
-		whole := err != nil
-		for end := time.Now().Add(500 * time.Millisecond); !whole && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		snapshot := err != nil
+		for end := time.Now().Add(500 * time.Millisecond); !snapshot && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			mu.Lock()
-			news := len(changes) > after
+			changed := len(changes) > after
 			mu.Unlock()
-			if news || r.Context().Err() != nil {
+			if changed || r.Context().Err() != nil {
 				break
 			}
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		list := changes[after:]
-		if whole {
+		if snapshot {
 			now := map[string]change{}
 			for _, c := range changes {
 				now[c.Name] = c
@@ -115,28 +116,28 @@
 				list = append(list, c)
 			}
 		}
-		body, _ := json.Marshal(map[string]any{"index": len(changes), "snapshot": whole, "endpoints": list})
+		body, _ := json.Marshal(map[string]any{"index": len(changes), "snapshot": snapshot, "endpoints": list})
 		w.Write(body)
-		told++
+		answered++
 		for _, c := range list {
-			if _, ok := toldAt[c.Name]; !ok && c.Status == string(nodes.Terminating) {
-				toldAt[c.Name] = time.Now()
+			if _, ok := drainSentAt[c.Name]; !ok && c.Status == string(nodes.Terminating) {
+				drainSentAt[c.Name] = time.Now()
 			}
 		}
 	}))
 	t.Cleanup(srv.Close)
-	all := map[string]*tally{}
-	tell := func(name, status string) {
-		if all[name] == nil {
-			all[name] = newTally(t, nil)
+	nodesByName := map[string]*countingNode{}
+	addChange := func(name, status string) {
+		if nodesByName[name] == nil {
+			nodesByName[name] = newCountingNode(t, nil)
 		}
-		c := change{Name: name, Address: all[name].address(), Zone: "a", Status: status}
+		c := change{Name: name, Address: nodesByName[name].address(), Zone: "a", Status: status}
 		mu.Lock()
 		changes = append(changes, c)
 		mu.Unlock()
 	}
 	for i := range 6 {
-		tell(fmt.Sprintf("old-%d", i), string(nodes.InService))
+		addChange(fmt.Sprintf("old-%d", i), string(nodes.InService))
 	}
 	cfg := testConfig()
 	cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
@@ -148,59 +149,58 @@
 	eventually(t, "the first list", p.HasList)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	var bad atomic.Int64
+	var unserved atomic.Int64
 	for i := range 4 {
 		callers.Go(func() {
-			ends := asks(p, i%2, stop)
-			bad.Add(int64(ends[Refused] + ends[Failed] + ends[TimedOut]))
+			verdicts := sendRequests(p, i%2, stop)
+			unserved.Add(int64(verdicts[Refused] + verdicts[Failed] + verdicts[TimedOut]))
 		})
 	}
-	began := map[string]time.Time{}
+	drainAddedAt := map[string]time.Time{}
 	for i := range 3 {
 		time.Sleep(200 * time.Millisecond)
-		tell(fmt.Sprintf("new-%d", i), string(nodes.InService))
+		addChange(fmt.Sprintf("new-%d", i), string(nodes.InService))
 		name := fmt.Sprintf("old-%d", i)
-		began[name] = time.Now()
-		tell(name, string(nodes.Terminating))
+		drainAddedAt[name] = time.Now()
+		addChange(name, string(nodes.Terminating))
 	}
-	eventually(t, "all is told", func() bool {
+	eventually(t, "all drains are delivered", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(toldAt) == 3
+		return len(drainSentAt) == 3
 	})
-	time.Sleep(time.Second) // in which nothing may come
+	time.Sleep(time.Second) // draining nodes must get no requests in this time
 	close(stop)
 	callers.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	for name, at := range toldAt {
-		if took := at.Sub(began[name]); took > askWithin {
-			t.Errorf("%s: told after %v, want %v at most", name, took, askWithin)
+	for name, sentAt := range drainSentAt {
+		if took := sentAt.Sub(drainAddedAt[name]); took > askWithin {
+			t.Errorf("%s: drain delivered after %v, want at most %v", name, took, askWithin)
 		}
-		// The rule allows 2 s; what was sent as the news came arrives a moment later.
-		if last := time.Unix(0, all[name].last.Load()); last.After(at.Add(500 * time.Millisecond)) {
-			t.Errorf("%s drains and is asked %v after that was told", name, last.Sub(at))
+		// The drain grace is 2 s; a request that is sent as the list arrives is received later.
+		if last := time.Unix(0, nodesByName[name].lastRequest.Load()); last.After(sentAt.Add(500 * time.Millisecond)) {
+			t.Errorf("%s received a request %v after its drain was delivered", name, last.Sub(sentAt))
 		}
 	}
-	for name, n := range all {
-		if n.asked.Load() == 0 {
-			t.Errorf("%s is never asked", name)
+	for name, n := range nodesByName {
+		if n.requests.Load() == 0 {
+			t.Errorf("%s received no request", name)
 		}
 	}
-	if n := bad.Load(); n > 0 {
-		t.Errorf("%d requests refused or failed in a release without any fault", n)
+	if n := unserved.Load(); n > 0 {
+		t.Errorf("%d requests were refused, failed or timed out, want none", n)
 	}
-	if calls < 2*told {
-		t.Errorf("%d of %d calls were heard: discovery did not turn away two in three", told, calls)
+	if calls < 2*answered {
+		t.Errorf("discovery answered %d of %d calls, want it to reject two of three", answered, calls)
 	}
 }
 
-// An address is used again: its node goes, and another one comes there under a new name
-// while the old connections are still kept. What must not run twice is not lost to them,
-// and what was learnt of the one is not held against the other.
-func TestAddressUsedAgain(t *testing.T) {
-	first, steady := newTally(t, nil), newTally(t, nil)
-	entry := func(name string, n *tally, status nodes.Status, since time.Time) nodes.Endpoint {
+// A node is replaced by another one with a new name at the same address while connections to the
+// old one are still kept. No unsafe request fails on these connections.
+func TestAddressIsReusedByAnotherNode(t *testing.T) {
+	first, steady := newCountingNode(t, nil), newCountingNode(t, nil)
+	entry := func(name string, n *countingNode, status nodes.Status, since time.Time) nodes.Endpoint {
 		e := nodes.Endpoint{Name: name, Address: n.address(), Zone: "a", Status: status}
 		if !since.IsZero() {
 			e.SinceMs = since.UnixMilli()
@@ -214,49 +214,49 @@
 	p := newPool(t, cfg)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	ask := func() (total func() [CallerGone + 1]int) {
+	startCallers := func() (total func() [CallerGone + 1]int) {
 		var mu sync.Mutex
 		var sum [CallerGone + 1]int
 		stop = make(chan struct{})
 		for range 4 {
 			callers.Go(func() {
-				ends := asks(p, 1, stop)
+				verdicts := sendRequests(p, 1, stop)
 				mu.Lock()
 				defer mu.Unlock()
-				for i, n := range ends {
+				for i, n := range verdicts {
 					sum[i] += n
 				}
 			})
 		}
 		return func() [CallerGone + 1]int { close(stop); callers.Wait(); return sum }
 	}
-	ends := ask()
-	eventually(t, "both are asked", func() bool { return first.asked.Load() > 20 && steady.asked.Load() > 20 })
-	if sum := ends(); sum[Failed]+sum[TimedOut]+sum[Refused] > 0 {
-		t.Fatalf("served, refused, failed, late, left: %v with two sound nodes", sum)
+	stopCallers := startCallers()
+	eventually(t, "both nodes have received requests", func() bool { return first.requests.Load() > 20 && steady.requests.Load() > 20 })
+	if sum := stopCallers(); sum[Failed]+sum[TimedOut]+sum[Refused] > 0 {
+		t.Fatalf("served, refused, failed, late, left: %v with two healthy nodes, want only served", sum)
 	}
 
 	address := first.address()
-	first.Close() // its process dies, and its connections with it
+	first.Close() // its process exits, which ends its connections
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := newTally(t, l)
+	second := newCountingNode(t, l)
 	p.mu.Lock()
 	p.applyList(balance.Delta, nodes.List{Endpoints: []nodes.Endpoint{
 		entry("s-1", first, "terminated", time.Time{}),
 		entry("s-2", second, nodes.InService, time.Now().Add(-time.Minute)),
 	}})
 	p.mu.Unlock()
-	was := first.asked.Load()
-	ends = ask()
-	eventually(t, "the new one is asked", func() bool { return second.asked.Load() > 50 && steady.asked.Load() > 50 })
-	if sum := ends(); sum[Failed]+sum[TimedOut]+sum[Refused] > 0 {
-		t.Errorf("served, refused, failed, late, left: %v once another node is at the address", sum)
+	before := first.requests.Load()
+	stopCallers = startCallers()
+	eventually(t, "the new node has received requests", func() bool { return second.requests.Load() > 50 && steady.requests.Load() > 50 })
+	if sum := stopCallers(); sum[Failed]+sum[TimedOut]+sum[Refused] > 0 {
+		t.Errorf("served, refused, failed, late, left: %v with another node at the address, want only served", sum)
 	}
-	if n := first.asked.Load() - was; n > 0 {
-		t.Errorf("the node that is gone got %d requests", n)
+	if n := first.requests.Load() - before; n > 0 {
+		t.Errorf("the replaced node received %d requests", n)
 	}
 	names := p.conns.Names()
 	if len(names) != 2 {
--- a/internal/pool/slow_test.go
+++ b/internal/pool/slow_test.go
@@ -13,15 +13,15 @@
 	"gorselink/internal/nodes"
 )
 
-// slowDiscovery answers each call late and in small pieces. One endpoint of its list drains
-// once it is told to.
-func slowDiscovery(t *testing.T, late, piece time.Duration, drains *atomic.Bool) *httptest.Server {
+// newSlowDiscovery starts a discovery service that sends each answer after answerDelay, in pieces
+// with pauses of pieceDelay. Its endpoint drains once draining is set.
+func newSlowDiscovery(t *testing.T, answerDelay, pieceDelay time.Duration, draining *atomic.Bool) *httptest.Server {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(late)
+		time.Sleep(answerDelay)
 		index, status := 7, nodes.InService
 		wait, _ := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 		for end := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
-			if drains.Load() {
+			if draining.Load() {
 				index, status = 8, nodes.Terminating
 			}
 			if after := r.URL.Query().Get("after"); after != fmt.Sprint(index) || time.Now().After(end) || r.Context().Err() != nil {
@@ -35,54 +35,53 @@
 				return
 			}
 			w.(http.Flusher).Flush()
-			time.Sleep(piece)
+			time.Sleep(pieceDelay)
 		}
 	}))
 	t.Cleanup(srv.Close)
 	return srv
 }
 
-// Discovery is slow: its answers come late, and in pieces with pauses between them. The first
-// list is there, and a drain is heard within the 6 s after which it counts as told, whether
-// lists are pushed or asked for.
-func TestSlowDiscoveryIsHeard(t *testing.T) {
+// From a slow discovery service, the first list arrives and a drain is received within 6 s, both
+// for pushed and for on-demand lists.
+func TestDrainFromSlowDiscovery(t *testing.T) {
 	t.Parallel()
-	var all sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, c := range []struct {
-		name        string
-		asked       bool
-		late, piece time.Duration
+		name                    string
+		onDemand                bool
+		answerDelay, pieceDelay time.Duration
 	}{
-		{"pushed, late", false, 100 * time.Millisecond, 0},
-		{"pushed, in pieces", false, 0, 15 * time.Millisecond},
-		{"asked, late", true, 700 * time.Millisecond, 0},
-		{"asked, in pieces", true, 0, 80 * time.Millisecond},
-		{"asked, late and in pieces", true, 300 * time.Millisecond, 40 * time.Millisecond},
+		{"push, late", false, 100 * time.Millisecond, 0},
+		{"push, in pieces", false, 0, 15 * time.Millisecond},
+		{"on demand, late", true, 700 * time.Millisecond, 0},
+		{"on demand, in pieces", true, 0, 80 * time.Millisecond},
+		{"on demand, late and in pieces", true, 300 * time.Millisecond, 40 * time.Millisecond},
 	} {
-		var drains atomic.Bool
-		srv := slowDiscovery(t, c.late, c.piece, &drains)
+		var draining atomic.Bool
+		srv := newSlowDiscovery(t, c.answerDelay, c.pieceDelay, &draining)
 		times := nodes.PushTimes(2 * time.Second)
-		if c.asked {
+		if c.onDemand {
 			times = nodes.AskTimes()
 		}
-		p := follows(t, c.asked, nodes.NewDiscovery(strings.TrimPrefix(srv.URL, "http://"), times))
-		all.Go(func() {
-			time.Sleep(200 * time.Millisecond) // a watch is open
+		p := newFollowingPool(t, c.onDemand, nodes.NewDiscovery(strings.TrimPrefix(srv.URL, "http://"), times))
+		pending.Go(func() {
+			time.Sleep(200 * time.Millisecond) // until a watch is open
 			began := time.Now()
-			drains.Store(true)
-			for !drained(p)() {
-				if time.Since(began) > patience {
-					t.Errorf("%s: the drain is not heard", c.name)
+			draining.Store(true)
+			for !drainReceived(p)() {
+				if time.Since(began) > testTimeout {
+					t.Errorf("%s: the drain was not received", c.name)
 					return
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
 			took := time.Since(began)
-			t.Logf("%s: heard after %v", c.name, took.Round(time.Millisecond))
+			t.Logf("%s: drain received after %v", c.name, took.Round(time.Millisecond))
 			if took > 6*time.Second {
-				t.Errorf("%s: heard after %v, want 6 s at most", c.name, took)
+				t.Errorf("%s: drain received after %v, want at most 6 s", c.name, took)
 			}
 		})
 	}
-	all.Wait()
+	pending.Wait()
 }
--- a/internal/pool/told_test.go
+++ b/internal/pool/told_test.go
@@ -18,23 +18,24 @@
 	"gorselink/internal/upstream"
 )
 
-// told is what an endpoint was told, and when it had read it.
-type told struct {
+// receivedBudget is the budget in a request that an endpoint received, and when it had read the
+// header.
+type receivedBudget struct {
 	budget time.Duration
 	at     time.Time
 }
 
-// teller is an endpoint that tells what it is told, and serves.
-type teller struct {
+// budgetRecorder is an endpoint that records the budget in each request and serves it.
+type budgetRecorder struct {
 	net.Listener
-	heard    chan told
-	waits    chan struct{}  // for each connection that stands and brings nothing
-	answered chan time.Time // just before each answer
+	budgets     chan receivedBudget
+	idleConns   chan struct{}  // receives a value for each connection without a request
+	answerTimes chan time.Time // just before each answer
 }
 
-func (e *teller) serve() {
+func (b *budgetRecorder) serve() {
 	for {
-		c, err := e.Accept()
+		c, err := b.Accept()
 		if err != nil {
 			return
 		}
@@ -43,7 +44,7 @@
 			in := bufio.NewReader(c)
 			c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			if _, err := in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-				e.waits <- struct{}{}
+				b.idleConns <- struct{}{}
 			}
 			c.SetReadDeadline(time.Time{})
 			for {
@@ -56,155 +57,155 @@
 				if err != nil {
 					ms = -1
 				}
-				e.heard <- told{time.Duration(ms) * time.Millisecond, now}
+				b.budgets <- receivedBudget{time.Duration(ms) * time.Millisecond, now}
 				io.Copy(io.Discard, r.Body)
-				e.answered <- time.Now()
+				b.answerTimes <- time.Now()
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			}
 		}()
 	}
 }
 
-func newTeller(t *testing.T, l net.Listener) *teller {
+// newBudgetRecorder returns a budgetRecorder that listens on l, or on a free port if l is nil.
+func newBudgetRecorder(t *testing.T, l net.Listener) *budgetRecorder {
 	t.Helper()
-	e := &teller{Listener: l, heard: make(chan told, 8), waits: make(chan struct{}, 64), answered: make(chan time.Time, 8)}
+	b := &budgetRecorder{Listener: l, budgets: make(chan receivedBudget, 8), idleConns: make(chan struct{}, 64), answerTimes: make(chan time.Time, 8)}
 	if l == nil {
 		var err error
-		if e.Listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		if b.Listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	t.Cleanup(func() { e.Close() })
-	return e
+	t.Cleanup(func() { b.Close() })
+	return b
 }
 
-// What an attempt tells its endpoint is what is left as its head is written: not more, which
-// is the time that was left before the wait was over, and no less than what was left once
-// the endpoint had read it. The test stops the clock at the end of the wait, from outside,
-// so that it says the same on a busy machine.
-func TestToldTimeIsWhatIsLeft(t *testing.T) {
-	const budget = patience
+// The budget that an attempt forwards is the time left when its header is written: at most the
+// time left at the end of a delay before that, and at least the time left when the endpoint has
+// read the header. Both are measured by the test, so that it also holds on a busy machine.
+func TestForwardedBudgetIsRemainingTime(t *testing.T) {
+	const budget = testTimeout
 	const wait = 200 * time.Millisecond
 	for name, c := range map[string]struct {
-		late    bool // connections to the endpoint come up late
-		resting bool // it has one, which rests
-		held    bool // Confirm has to wait
-		unrun   bool // the goroutine that makes the attempt does not get to run
-		further bool // a first attempt has broken off
-		dialled bool // a first connection has not come up
-		once    bool
-		upload  bool // there is a body to be sent on while it comes
-		coming  bool // of which some is still to come
+		slowConnect           bool // the connection to the endpoint is established late
+		reuseDelay            bool // the connection may be reused only after a delay
+		confirmBlocked        bool // Confirm waits for the mutex
+		startDelayed          bool // the goroutine of the attempt starts late
+		retryAfterClose       bool // the connection of a first attempt is closed
+		retryAfterDialTimeout bool // the dial of a first attempt times out
+		nonIdempotent         bool
+		upload                bool // the request has a streamed body
+		uploadIncomplete      bool // part of the body has not been received
 	}{
-		"at once":                            {},
-		"not run":                            {unrun: true},
-		"late":                               {late: true},
-		"late, once":                         {late: true, once: true},
-		"resting":                            {resting: true},
-		"resting, once":                      {resting: true, once: true},
-		"after Confirm":                      {late: true, held: true},
-		"further":                            {further: true},
-		"further, late":                      {further: true, late: true},
-		"further, late, after Confirm":       {further: true, late: true, held: true},
-		"further, once":                      {dialled: true, once: true},
-		"upload":                             {upload: true},
-		"upload still coming":                {upload: true, coming: true},
-		"upload, late":                       {upload: true, late: true},
-		"upload still coming, late":          {upload: true, coming: true, late: true},
-		"upload, after Confirm":              {upload: true, late: true, held: true},
-		"upload, resting":                    {upload: true, resting: true},
-		"upload, not run":                    {upload: true, unrun: true},
-		"upload, further":                    {upload: true, dialled: true},
-		"upload, further, once":              {upload: true, dialled: true, once: true},
-		"upload still coming, further, once": {upload: true, dialled: true, once: true, coming: true},
-		"upload, further, late and after Confirm": {upload: true, dialled: true, late: true, held: true},
+		"no delay":                        {},
+		"late start":                      {startDelayed: true},
+		"slow connect":                    {slowConnect: true},
+		"slow connect, non-idempotent":    {slowConnect: true, nonIdempotent: true},
+		"reuse delay":                     {reuseDelay: true},
+		"reuse delay, non-idempotent":     {reuseDelay: true, nonIdempotent: true},
+		"Confirm blocked":                 {slowConnect: true, confirmBlocked: true},
+		"retry after close":               {retryAfterClose: true},
+		"retry after close, slow connect": {retryAfterClose: true, slowConnect: true},
+		"retry after close, slow connect, Confirm blocked": {retryAfterClose: true, slowConnect: true, confirmBlocked: true},
+		"retry after dial timeout, non-idempotent":         {retryAfterDialTimeout: true, nonIdempotent: true},
+		"upload":                                           {upload: true},
+		"incomplete upload":                                {upload: true, uploadIncomplete: true},
+		"upload, slow connect":                             {upload: true, slowConnect: true},
+		"incomplete upload, slow connect":                  {upload: true, uploadIncomplete: true, slowConnect: true},
+		"upload, Confirm blocked":                          {upload: true, slowConnect: true, confirmBlocked: true},
+		"upload, reuse delay":                              {upload: true, reuseDelay: true},
+		"upload, late start":                               {upload: true, startDelayed: true},
+		"upload, retry after dial timeout":                 {upload: true, retryAfterDialTimeout: true},
+		"upload, retry after dial timeout, non-idempotent": {upload: true, retryAfterDialTimeout: true, nonIdempotent: true},
+		"incomplete upload, retry after dial timeout, non-idempotent":     {upload: true, retryAfterDialTimeout: true, nonIdempotent: true, uploadIncomplete: true},
+		"upload, retry after dial timeout, slow connect, Confirm blocked": {upload: true, retryAfterDialTimeout: true, slowConnect: true, confirmBlocked: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var at *teller
+			var endpoint *budgetRecorder
 			var late *standin.Late
-			if c.late {
+			if c.slowConnect {
 				var err error
 				if late, err = standin.ListenLate(); err != nil {
 					t.Fatal(err)
 				}
-				at = newTeller(t, late)
+				endpoint = newBudgetRecorder(t, late)
 			} else {
-				at = newTeller(t, nil)
-				go at.serve()
+				endpoint = newBudgetRecorder(t, nil)
+				go endpoint.serve()
 			}
 			cfg := testConfig()
 			cfg.Balance.RampTime = 0
 			semantics := balance.Safe
-			if c.once {
+			if c.nonIdempotent {
 				semantics = balance.Unsafe
 			}
 			cfg.Balance.Classes = []balance.Class{{Deadline: budget, Worth: 1, Semantics: semantics}}
-			in := func(name string, l net.Listener) nodes.Endpoint {
+			listed := func(name string, l net.Listener) nodes.Endpoint {
 				return nodes.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Status: nodes.InService}
 			}
-			cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{in("teller", at)}}
-			var ended time.Time // of the first attempt, not later than it was
-			before := make(chan struct{})
-			end := make(chan struct{})
-			if c.further {
-				l := newTeller(t, nil)
-				cfg.Known.Endpoints = append(cfg.Known.Endpoints, in("other", l))
+			cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{listed("recorder", endpoint)}}
+			var firstEndedAt time.Time // end of the first attempt, or slightly earlier
+			firstReceived := make(chan struct{})
+			breakFirst := make(chan struct{})
+			if c.retryAfterClose {
+				other := newBudgetRecorder(t, nil)
+				cfg.Known.Endpoints = append(cfg.Known.Endpoints, listed("other", other))
 				go func() {
-					c, err := l.Accept()
+					c, err := other.Accept()
 					if err != nil {
 						return
 					}
 					http.ReadRequest(bufio.NewReader(c))
-					close(before)
-					<-end
+					close(firstReceived)
+					<-breakFirst
 					c.Close()
 				}()
 			}
-			if c.dialled {
-				l, err := standin.ListenLate()
+			if c.retryAfterDialTimeout {
+				other, err := standin.ListenLate()
 				if err != nil {
 					t.Fatal(err)
 				}
-				t.Cleanup(func() { l.Close() })
-				cfg.Known.Endpoints = append(cfg.Known.Endpoints, in("other", l))
+				t.Cleanup(func() { other.Close() })
+				cfg.Known.Endpoints = append(cfg.Known.Endpoints, listed("other", other))
 			}
-			up := upstream.Config{DialTimeout: patience, IdleTimeout: patience, MaxConns: 32, MaxStreamBytes: 1 << 20}
-			if c.resting {
-				up.ReuseDelay = wait
+			upstreamConfig := upstream.Config{DialTimeout: testTimeout, IdleTimeout: testTimeout, MaxConns: 32, MaxStreamBytes: 1 << 20}
+			if c.reuseDelay {
+				upstreamConfig.ReuseDelay = wait
 			}
-			if c.dialled {
-				up.DialTimeout = wait
-				if c.late {
-					up.DialTimeout = 1500 * time.Millisecond // the kernel knocks once more after 1 s
+			if c.retryAfterDialTimeout {
+				upstreamConfig.DialTimeout = wait
+				if c.slowConnect {
+					upstreamConfig.DialTimeout = 1500 * time.Millisecond // the kernel sends the next SYN after 1 s
 				}
 			}
-			conns := upstream.New(up)
+			conns := upstream.New(upstreamConfig)
 			t.Cleanup(conns.Close)
 			p, err := New(cfg, conns)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for range 60 { // whose shares make up the budget of what is tried again
-				none := &Request{Tenant: -1, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
-				if err := p.Submit(none); err != nil {
+			for range 60 { // each adds to the retry budget
+				expired := &Request{Tenant: -1, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
+				if err := p.Submit(expired); err != nil {
 					t.Fatal(err)
 				}
-				<-none.Answer()
-				p.Done(none)
+				<-expired.Answer()
+				p.Done(expired)
 			}
-			if c.further || c.dialled {
-				p.SetDisabled(map[string]bool{"teller": true})
+			if c.retryAfterClose || c.retryAfterDialTimeout {
+				p.SetDisabled(map[string]bool{"recorder": true})
 			}
 			request := func() *Request {
-				r := &Request{Tenant: -1, Budget: budget, Outgoing: upstream.Request{Method: "POST", URI: "/", Host: "x", NonIdempotent: c.once}}
+				r := &Request{Tenant: -1, Budget: budget, Outgoing: upstream.Request{Method: "POST", URI: "/", Host: "x", NonIdempotent: c.nonIdempotent}}
 				if c.upload {
-					r.Outgoing.Upload = &upstream.Upload{Remaining: strings.NewReader("body"), Length: 4, Incomplete: func() bool { return c.coming }}
+					r.Outgoing.Upload = &upstream.Upload{Remaining: strings.NewReader("body"), Length: 4, Incomplete: func() bool { return c.uploadIncomplete }}
 				}
 				return r
 			}
-			var over time.Time // the wait, not later than it was
-			if c.resting {
+			var waitEndedAt time.Time // end of the delay, or slightly earlier
+			if c.reuseDelay {
 				r := request()
 				r.Outgoing.Upload = nil
 				if err := p.Submit(r); err != nil {
@@ -214,81 +215,81 @@
 				a := <-r.Answer()
 				a.Upstream.Release()
 				p.Done(r)
-				<-at.heard
-				over = (<-at.answered).Add(wait)
+				<-endpoint.budgets
+				waitEndedAt = (<-endpoint.answerTimes).Add(wait)
 			}
 			r := request()
 			began := time.Now()
 			if err := p.Submit(r); err != nil {
 				t.Fatal(err)
 			}
-			taken := time.Now()
-			if c.further || c.dialled {
-				p.SetDisabled(map[string]bool{"other": true}) // before the attempt is made
+			submittedAt := time.Now()
+			if c.retryAfterClose || c.retryAfterDialTimeout {
+				p.SetDisabled(map[string]bool{"other": true}) // before the attempt
 			}
-			if c.unrun {
+			if c.startDelayed {
 				time.Sleep(wait)
-				over = time.Now()
+				waitEndedAt = time.Now()
 			}
 			go p.RunFirstAttempt(r)
-			if c.further {
-				<-before
+			if c.retryAfterClose {
+				<-firstReceived
 				time.Sleep(wait)
-				ended = time.Now()
-				close(end)
+				firstEndedAt = time.Now()
+				close(breakFirst)
 			}
-			if c.dialled {
-				ended = taken.Add(up.DialTimeout)
+			if c.retryAfterDialTimeout {
+				firstEndedAt = submittedAt.Add(upstreamConfig.DialTimeout)
 				eventually(t, "the first attempt is over", func() bool { return p.Stats().LaterAttempts > 0 })
 			}
-			if over.IsZero() {
-				over = ended
+			if waitEndedAt.IsZero() {
+				waitEndedAt = firstEndedAt
 			}
-			if c.late {
-				again := 0
-				if c.further || c.dialled {
-					again = 1
+			if c.slowConnect {
+				laterAttempts := 0
+				if c.retryAfterClose || c.retryAfterDialTimeout {
+					laterAttempts = 1
 				}
-				eventually(t, "the late connection is being dialled", func() bool { s := p.Stats(); return conns.OpenConns() > 0 && s.LaterAttempts == again })
+				eventually(t, "the late endpoint is being dialled", func() bool { s := p.Stats(); return conns.OpenConns() > 0 && s.LaterAttempts == laterAttempts })
 				time.Sleep(wait)
-				if c.held {
+				if c.confirmBlocked {
 					p.mu.Lock()
 				}
-				over = time.Now()
+				waitEndedAt = time.Now()
 				if err := late.Open(); err != nil {
 					t.Fatal(err)
 				}
-				go at.serve()
-				if c.held {
-					<-at.waits
+				go endpoint.serve()
+				if c.confirmBlocked {
+					<-endpoint.idleConns
 					time.Sleep(wait)
-					over = time.Now()
+					waitEndedAt = time.Now()
 					p.mu.Unlock()
 				}
 			}
 			a := <-r.Answer()
 			if a.Verdict != Served {
-				t.Fatalf("verdict %v", a.Verdict)
+				t.Fatalf("verdict %v, want Served", a.Verdict)
 			}
-			got := <-at.heard
+			got := <-endpoint.budgets
 			a.Upstream.Release()
 			p.Done(r)
-			if c.coming {
+			if c.uploadIncomplete {
 				if got.budget != budget {
-					t.Errorf("told %v, want %v: the time of a body begins with its last byte", got.budget, budget)
+					t.Errorf("forwarded budget %v, want %v: the budget starts at the last byte of the body", got.budget, budget)
 				}
 				return
 			}
 			most := budget
-			if !over.IsZero() {
-				most = budget - over.Sub(taken)
+			if !waitEndedAt.IsZero() {
+				most = budget - waitEndedAt.Sub(submittedAt)
 			}
-			least := budget - got.at.Sub(began) - time.Millisecond // told whole
+			least := budget - got.at.Sub(began) - time.Millisecond // the header has whole milliseconds
 			if got.budget > most || got.budget < least {
-				t.Errorf("told %v, want %v to %v", got.budget, least, most)
+				t.Errorf("forwarded budget %v, want %v to %v", got.budget, least, most)
 			}
 			if most != budget && budget-most < wait-20*time.Millisecond {
-				t.Errorf("waited for %v, want about %v: nothing is shown", budget-most, wait)
+				t.Errorf("the attempt was delayed by %v, want about %v, so the test shows nothing", budget-most, wait)
 			}
 		})
 	}
