--- a/balance/ask_test.go
+++ b/balance/ask_test.go
@@ -25,7 +25,7 @@
 	f := a.f
 	a.calls = append(a.calls, f.now)
 	b := f.at[i]
-	fails := func(after time.Duration) { f.after(after, func() { b.Members(f.now, Failed, nil) }) }
+	fails := func(after time.Duration) { f.after(after, func() { b.Members(f.now, ListFailed, nil) }) }
 	switch {
 	case !a.up() && a.hangs():
 		fails(limit)
@@ -48,7 +48,7 @@
 // within 100 ms.
 func askedDay(t *testing.T, n int, within time.Duration, seed uint64) (latest time.Duration, calls, most int) {
 	cfg := fleetConfig()
-	cfg.AskDiscovery, cfg.AskWithin = true, within
+	cfg.PullDiscovery, cfg.MaxWatchInterval = true, within
 	rng := rand.New(rand.NewPCG(seed, 9))
 	back := 12*time.Second + time.Duration(rng.Int64N(int64(3*time.Second)))
 	f := newFleet(t, cfg, n, seed)
@@ -89,9 +89,9 @@
 		for _, within := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, time.Hour} {
 			for seed := range uint64(6) {
 				latest, calls, _ := askedDay(t, n, within, seed)
-				t.Logf("%d Balancers, AskWithin %v, seed %d: %v, %d calls", n, within, seed, latest.Round(ms), calls)
+				t.Logf("%d Balancers, MaxWatchInterval %v, seed %d: %v, %d calls", n, within, seed, latest.Round(ms), calls)
 				if latest > 6*time.Second-slack {
-					t.Errorf("%d Balancers, AskWithin %v, seed %d: told %v after the return, want 6 s less %v", n, within, seed, latest, slack)
+					t.Errorf("%d Balancers, MaxWatchInterval %v, seed %d: told %v after the return, want 6 s less %v", n, within, seed, latest, slack)
 				}
 			}
 		}
--- a/balance/mass_test.go
+++ b/balance/mass_test.go
@@ -90,7 +90,7 @@
 							f.after(time.Duration(f.rng.Int64N(int64(time.Second))), func() {
 								c := cfg
 								c.Index, c.Instances, c.AttemptLimit = i, balancers, 3
-								if err := b.Retune(c); err != nil {
+								if err := b.Reconfigure(c); err != nil {
 									t.Error(err)
 								}
 								b.Members(f.now, Full, whole())
@@ -103,15 +103,15 @@
 				for _, start := range since {
 					left += cfg.ColdShare + (1-cfg.ColdShare)*min(1, (began+wave-start).Seconds()/cfg.RampTime.Seconds())
 				}
-				able := perSecond / left * cfg.OverloadFor.Seconds() // of a whole one in the span
+				able := perSecond / left * cfg.OverloadWindow.Seconds() // of a whole one in the span
 				most, cold := 0.0, 0
 				for addr, start := range since {
 					times, first := sends[addr], 0
 					for k, at := range times {
-						for at-times[first] >= cfg.OverloadFor {
+						for at-times[first] >= cfg.OverloadWindow {
 							first++
 						}
-						age := (times[first] - start + cfg.OverloadFor/2).Seconds()
+						age := (times[first] - start + cfg.OverloadWindow/2).Seconds()
 						most = max(most, float64(k-first+1)/able/min(1, cfg.ColdShare+(1-cfg.ColdShare)*age/cfg.RampTime.Seconds()))
 						if at-start < cfg.RampTime {
 							cold++
@@ -119,11 +119,11 @@
 					}
 				}
 				t.Logf("seed %d: at most %.2f times what an endpoint can do, %d sends to cold ones", seed, most, cold)
-				if bound := cfg.FallMultiple * slowest; most > bound {
-					t.Errorf("seed %d: an endpoint was sent %.2f times what it can do for %v, want %.2f at most", seed, most, cfg.OverloadFor, bound)
+				if bound := cfg.OverloadFactor * slowest; most > bound {
+					t.Errorf("seed %d: an endpoint was sent %.2f times what it can do for %v, want %.2f at most", seed, most, cfg.OverloadWindow, bound)
 				}
 				// Restarts begin with nothing to their credit: half of the even share is owed.
-				if even := able / cfg.OverloadFor.Seconds() * cfg.RampTime.Seconds() * (1 + cfg.ColdShare) / 2 * replaced; float64(cold) < even/2 {
+				if even := able / cfg.OverloadWindow.Seconds() * cfg.RampTime.Seconds() * (1 + cfg.ColdShare) / 2 * replaced; float64(cold) < even/2 {
 					t.Errorf("seed %d: cold endpoints got %d sends, want half of their even share of %.0f at least", seed, cold, even)
 				}
 			}
@@ -135,9 +135,9 @@
 // they choose from, each of which asks its own tier twice in a row for a request and
 // fails if a call does. A third of the second tier falls silent and then, for two
 // seconds, all of it answers with errors. Calls that reach the second tier are bounded
-// over both: a first try makes 1 + retryShare attempts in its tier, each of them two
-// calls there, and each of those 1 + retryShare attempts; beside them what each
-// Balancer has saved up: retryLeast where it serves 15 a second in its tier.
+// over both: a first try makes 1 + retriesPerServed attempts in its tier, each of them two
+// calls there, and each of those 1 + retriesPerServed attempts; beside them what each
+// Balancer has saved up: minRetryBurst where it serves 15 a second in its tier.
 func TestMassAttemptsBoundedOverTwoTiers(t *testing.T) {
 	const fronts, middles, perSecond, calls = 50, 100, 1500.0, 2
 	const cut, sick, healed = 6 * time.Second, 10 * time.Second, 12 * time.Second
@@ -206,7 +206,7 @@
 		front.list(Full, ready("w", middles))
 		below.list(Full, ready("l", 2*middles))
 		front.run(16*time.Second, perSecond, 0, 1500*ms)
-		worst, saved := 0.0, perSecond*retrySpan.Seconds()*calls+middles*retryLeast
+		worst, saved := 0.0, perSecond*retryBurstWindow.Seconds()*calls+middles*minRetryBurst
 		for k := 4; k+4 <= 32; k++ {
 			a, b := 0, 0
 			for i := k; i < k+4; i++ {
@@ -215,7 +215,7 @@
 			worst = max(worst, (float64(a)-saved)/float64(b*calls))
 		}
 		t.Logf("seed %d: %.3f attempts a call in the worst 2 s, less what was saved up", seed, worst)
-		if bound := (1 + retryShare) * (1 + retryShare); worst > bound {
+		if bound := (1 + retriesPerServed) * (1 + retriesPerServed); worst > bound {
 			t.Errorf("seed %d: %.3f attempts a call in the worst 2 s, less what was saved up, want %.2f at most", seed, worst, bound)
 		}
 	}
@@ -343,14 +343,14 @@
 			}
 		}
 		f.run(25*time.Second, perSecond, 0, 1500*ms)
-		able, most := perSecond/0.6/100*cfg.OverloadFor.Seconds(), 0.0 // where the fleet is used to 0.6
+		able, most := perSecond/0.6/100*cfg.OverloadWindow.Seconds(), 0.0 // where the fleet is used to 0.6
 		for _, times := range sends {
 			first := 0
 			for k, at := range times {
-				for at-times[first] >= cfg.OverloadFor {
+				for at-times[first] >= cfg.OverloadWindow {
 					first++
 				}
-				age := (times[first] - back + cfg.OverloadFor/2).Seconds()
+				age := (times[first] - back + cfg.OverloadWindow/2).Seconds()
 				most = max(most, float64(k-first+1)/able/min(1, cfg.ColdShare+(1-cfg.ColdShare)*age/cfg.RampTime.Seconds()))
 			}
 		}
