--- a/internal/config/product.go
+++ b/internal/config/product.go
@@ -100,9 +100,9 @@
 func (n *Nodes) Open() nodes.Source {
 	switch {
 	case n.File != "":
-		return &nodes.File{Path: n.File, Every: n.Refresh}
+		return &nodes.File{Path: n.File, Interval: n.Refresh}
 	case n.Discovery != "":
-		return nodes.NewDiscovery(n.Discovery, nodes.PushTimes(0))
+		return nodes.NewDiscovery(n.Discovery, nodes.LocalAgentTimeouts(0))
 	}
 	return n.Fixed
 }
@@ -411,14 +411,14 @@
 	if list := t.Texts("nodes"); t.Has("nodes") {
 		var fixed nodes.Fixed
 		for i, s := range list {
-			e, err := nodes.ParseNode(strings.Fields(s))
+			e, err := nodes.ParseEndpoint(strings.Fields(s))
 			if err != nil {
 				t.Wrong(tomlfile.Index(t.At("nodes"), i), tomlfile.Show(s), "a node: "+err.Error())
 				continue
 			}
 			fixed = append(fixed, e)
 		}
-		if err := fixed.Check(); err != nil {
+		if err := fixed.Validate(); err != nil {
 			t.Wrong(t.At("nodes"), err.Error(), "each node once")
 		}
 		if len(list) == 0 {
--- a/internal/fleet/accept_test.go
+++ b/internal/fleet/accept_test.go
@@ -14,7 +14,7 @@
 )
 
 // operatedReady is a sidecar that is ready, and that nobody operates.
-type operatedReady struct{ Operated }
+type operatedReady struct{ Controller }
 
 func (operatedReady) Ready() bool { return true }
 
@@ -24,7 +24,7 @@
 		l := standin.Fail(listen(t), errno)
 		s := NewConsole(operatedReady{})
 		ended := make(chan error, 1)
-		go func() { ended <- s.Serve(NewBounded(l)) }()
+		go func() { ended <- s.Serve(NewLimitedListener(l)) }()
 		client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 		resp, err := client.Get("http://" + l.Addr().String() + "/ready")
 		if err != nil {
@@ -52,10 +52,10 @@
 			t.Fatal(err)
 		}
 		l := standin.Fail(inner, errno)
-		s := &Successors{l: acceptloop.Wrap(l), done: make(chan struct{})}
+		s := &SuccessorListener{l: acceptloop.Wrap(l), done: make(chan struct{})}
 		ended := make(chan struct{})
 		go func() {
-			s.serve(front, func() any { return "state" }, func(*Link) {}, func(*Link) {})
+			s.serve(front, func() any { return "state" }, func(*HandoverLink) {}, func(*HandoverLink) {})
 			close(ended)
 		}()
 		var got string
--- a/internal/fleet/console.go
+++ b/internal/fleet/console.go
@@ -15,15 +15,15 @@
 )
 
 // Operated is what operators can do with a sidecar by hand.
-type Operated interface {
+type Controller interface {
 	// Ready tells whether the process can serve.
 	Ready() bool
 	// Listed tells whether an endpoint has ever been listed.
-	Listed(id string) bool
+	EverListed(id string) bool
 	// Out leaves an endpoint out, or puts it back; it holds from the return on.
-	Out(id string, out bool) error
+	SetDisabled(id string, out bool) error
 	// Drain empties the sidecar, or ends that.
-	Drain(on bool) error
+	SetDrained(on bool) error
 }
 
 const (
@@ -46,7 +46,7 @@
 //	POST /drain, POST /undrain                empty the sidecar, or end that
 //
 // A status of 2xx means yes; any other means no and changes nothing.
-func NewConsole(op Operated) *http.Server {
+func NewConsole(op Controller) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !op.Ready() {
@@ -63,7 +63,7 @@
 				answer(w, http.StatusBadRequest, err)
 				return
 			}
-			if err := op.Drain(on); err != nil {
+			if err := op.SetDrained(on); err != nil {
 				answer(w, http.StatusInternalServerError, err)
 				return
 			}
@@ -83,7 +83,7 @@
 }
 
 // target answers calls that take an endpoint out or put it back.
-func target(op Operated, out bool) http.HandlerFunc {
+func target(op Controller, out bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var call struct {
 			Target string `json:"target"`
@@ -97,10 +97,10 @@
 			answer(w, http.StatusBadRequest, fmt.Errorf(`want {"target":"ID"}: %w`, err))
 		case call.Target == "":
 			answer(w, http.StatusBadRequest, errors.New(`want {"target":"ID"}: no target`))
-		case !op.Listed(call.Target):
+		case !op.EverListed(call.Target):
 			answer(w, http.StatusNotFound, fmt.Errorf("endpoint %.80q has never been listed", call.Target))
 		default:
-			if err := op.Out(call.Target, out); err != nil {
+			if err := op.SetDisabled(call.Target, out); err != nil {
 				answer(w, http.StatusInternalServerError, err)
 				return
 			}
@@ -128,7 +128,7 @@
 // the bound takes the place of the oldest: those that bring a call are gone in
 // milliseconds, so that the oldest is one that says nothing. A listener that
 // waited for room would let the silent ones shut out everybody.
-type Bounded struct {
+type LimitedListener struct {
 	net.Listener
 	most int
 
@@ -138,12 +138,12 @@
 
 // NewBounded returns l, bounded for the console. Its Accept fails only once l is closed:
 // http.Server gives a listener up at most errors of the system.
-func NewBounded(l net.Listener) *Bounded {
-	return &Bounded{Listener: acceptloop.Wrap(l), most: consoleConns}
+func NewLimitedListener(l net.Listener) *LimitedListener {
+	return &LimitedListener{Listener: acceptloop.Wrap(l), most: consoleConns}
 }
 
 // Accept implements net.Listener.
-func (b *Bounded) Accept() (net.Conn, error) {
+func (b *LimitedListener) Accept() (net.Conn, error) {
 	nc, err := b.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -164,7 +164,7 @@
 
 type boundedConn struct {
 	net.Conn
-	of *Bounded
+	of *LimitedListener
 }
 
 // Close implements net.Conn.
--- a/internal/fleet/durable_test.go
+++ b/internal/fleet/durable_test.go
@@ -22,10 +22,10 @@
 	modelDir  = "/run/sidecar"
 )
 
-func ignore(Said) {}
+func ignore(OperatorState) {}
 
 // marksIn opens the marks of a modelled disk, as the next process does.
-func marksIn(t *testing.T, disk *durabletest.Model) *Marks {
+func marksIn(t *testing.T, disk *durabletest.Model) *OperatorStore {
 	t.Helper()
 	m, err := openMarks(disk, modelDir, ignore)
 	if err != nil {
@@ -35,9 +35,9 @@
 }
 
 // nextSays is what the next process reads after a loss of power.
-func nextSays(t *testing.T, disk *durabletest.Model, kept func(string) bool) Said {
+func nextSays(t *testing.T, disk *durabletest.Model, kept func(string) bool) OperatorState {
 	t.Helper()
-	return marksIn(t, disk.AfterPowerLoss(kept)).Said()
+	return marksIn(t, disk.AfterPowerLoss(kept)).State()
 }
 
 // fates are what may become of what was not synced when the power is lost.
@@ -50,30 +50,30 @@
 // word is something that operators say.
 type word struct {
 	name   string
-	before func(*Marks) error
-	say    func(*Marks) error
-	want   Said
+	before func(*OperatorStore) error
+	say    func(*OperatorStore) error
+	want   OperatorState
 }
 
 var (
-	drain   = func(m *Marks) error { return m.Drain(true) }
-	undrain = func(m *Marks) error { return m.Drain(false) }
-	disable = func(m *Marks) error { return m.Out("a/b", true) }
-	enable  = func(m *Marks) error { return m.Out("a/b", false) }
-	first   = func(m *Marks) error { return m.Out("first", true) }
+	drain   = func(m *OperatorStore) error { return m.SetDrained(true) }
+	undrain = func(m *OperatorStore) error { return m.SetDrained(false) }
+	disable = func(m *OperatorStore) error { return m.SetDisabled("a/b", true) }
+	enable  = func(m *OperatorStore) error { return m.SetDisabled("a/b", false) }
+	first   = func(m *OperatorStore) error { return m.SetDisabled("first", true) }
 
 	words = []word{
-		{"drain", first, drain, Said{Drained: true, Out: map[string]bool{"first": true}}},
-		{"drain again", drain, drain, Said{Drained: true, Out: map[string]bool{}}},
-		{"undrain", drain, undrain, Said{Out: map[string]bool{}}},
-		{"disable", first, disable, Said{Out: map[string]bool{"first": true, "a/b": true}}},
-		{"enable", disable, enable, Said{Out: map[string]bool{}}},
-		{"the very first word", nil, drain, Said{Drained: true, Out: map[string]bool{}}},
+		{"drain", first, drain, OperatorState{Drained: true, Disabled: map[string]bool{"first": true}}},
+		{"drain again", drain, drain, OperatorState{Drained: true, Disabled: map[string]bool{}}},
+		{"undrain", drain, undrain, OperatorState{Disabled: map[string]bool{}}},
+		{"disable", first, disable, OperatorState{Disabled: map[string]bool{"first": true, "a/b": true}}},
+		{"enable", disable, enable, OperatorState{Disabled: map[string]bool{}}},
+		{"the very first word", nil, drain, OperatorState{Drained: true, Disabled: map[string]bool{}}},
 	}
 )
 
 // begun is a disk and a process at which w is about to be said.
-func begun(t *testing.T, w word) (*durabletest.Model, *Marks) {
+func begun(t *testing.T, w word) (*durabletest.Model, *OperatorStore) {
 	t.Helper()
 	disk := durabletest.NewModel(modelRoot)
 	m := marksIn(t, disk)
@@ -93,7 +93,7 @@
 	for _, w := range words {
 		t.Run(w.name, func(t *testing.T) {
 			disk, m := begun(t, w)
-			was := m.Said()
+			was := m.State()
 			disk.Fault(nil)
 			if err := w.say(m); err != nil {
 				t.Fatal(err)
@@ -118,7 +118,7 @@
 }
 
 // failsAt says a word while some steps of the disk fail.
-func failsAt(t *testing.T, w word, was Said, fails func(durabletest.Step) bool, cause error) {
+func failsAt(t *testing.T, w word, was OperatorState, fails func(durabletest.Step) bool, cause error) {
 	t.Helper()
 	disk, m := begun(t, w)
 	var at []string
@@ -137,19 +137,19 @@
 			t.Errorf("%v: error %v, want one that names %v", at, err, cause)
 		}
 	}
-	if s := m.Said(); !s.equal(want) {
+	if s := m.State(); !s.equal(want) {
 		t.Errorf("%v: told %v, and in memory stands %+v, want %+v", at, err, s, want)
 	}
 	m.Look() // while it goes on
 	disk.Fault(nil)
-	if err := m.Look(); err != nil || !m.Said().equal(want) {
-		t.Errorf("%v: looked at, the folder says %+v (%v), want %+v", at, m.Said(), err, want)
+	if err := m.Look(); err != nil || !m.State().equal(want) {
+		t.Errorf("%v: looked at, the folder says %+v (%v), want %+v", at, m.State(), err, want)
 	}
 	if err := m.settle(); err != nil {
 		t.Errorf("%v: %v", at, err)
 	}
-	if err := m.Look(); err != nil || !m.Said().equal(want) {
-		t.Errorf("%v: with all put back, the folder says %+v (%v), want %+v", at, m.Said(), err, want)
+	if err := m.Look(); err != nil || !m.State().equal(want) {
+		t.Errorf("%v: with all put back, the folder says %+v (%v), want %+v", at, m.State(), err, want)
 	}
 	for fate, kept := range fates {
 		if s := nextSays(t, disk, kept); !s.equal(want) {
@@ -159,7 +159,7 @@
 }
 
 // killedAt has the power fail right before a step.
-func killedAt(t *testing.T, w word, was Said, step int) {
+func killedAt(t *testing.T, w word, was OperatorState, step int) {
 	t.Helper()
 	disk, m := begun(t, w)
 	disk.Fault(func(s durabletest.Step) error {
@@ -189,18 +189,18 @@
 		}
 		return nil
 	})
-	if err := m.Drain(true); !errors.Is(err, syscall.EIO) {
+	if err := m.SetDrained(true); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("error %v, want %v", err, syscall.EIO)
 	}
 	disk.Fault(nil)
 	next := marksIn(t, disk)
-	if !next.Said().Drained {
+	if !next.State().Drained {
 		t.Fatal("the file was put back at once: that was no test")
 	}
 	done := make(chan struct{})
 	defer close(done)
 	go m.Watch(done)
-	for end := time.Now().Add(patience); next.Said().Drained; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); next.State().Drained; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("what operators were told had failed holds in the next process")
 		}
@@ -208,7 +208,7 @@
 			t.Fatal(err)
 		}
 	}
-	if m.Said().Drained {
+	if m.State().Drained {
 		t.Error("the process takes itself for drained")
 	}
 }
@@ -218,7 +218,7 @@
 // folder later.
 func TestMarksOutlastTheirFolder(t *testing.T) {
 	disk, m := begun(t, words[3])
-	want := m.Said()
+	want := m.State()
 	unreadable := func(s durabletest.Step) error {
 		if s.Op == "list" {
 			return syscall.EIO
@@ -226,24 +226,24 @@
 		return nil
 	}
 	disk.Fault(unreadable)
-	if err := m.Look(); !errors.Is(err, syscall.EIO) || !m.Said().equal(want) {
-		t.Errorf("unreadable: %v, %+v, want %+v", err, m.Said(), want)
+	if err := m.Look(); !errors.Is(err, syscall.EIO) || !m.State().equal(want) {
+		t.Errorf("unreadable: %v, %+v, want %+v", err, m.State(), want)
 	}
 	next := marksIn(t, disk)
 	disk.Fault(nil)
-	if err := next.Look(); err != nil || !next.Said().equal(want) {
-		t.Errorf("the next process: %v, %+v, want %+v", err, next.Said(), want)
+	if err := next.Look(); err != nil || !next.State().equal(want) {
+		t.Errorf("the next process: %v, %+v, want %+v", err, next.State(), want)
 	}
 	back := disk.Vanish(modelDir)
-	if err := m.Look(); err == nil || !m.Said().equal(want) {
-		t.Errorf("gone: %v, %+v, want %+v", err, m.Said(), want)
+	if err := m.Look(); err == nil || !m.State().equal(want) {
+		t.Errorf("gone: %v, %+v, want %+v", err, m.State(), want)
 	}
-	if err := m.Drain(true); err == nil || !m.Said().equal(want) {
-		t.Errorf("said while it is gone: %v, %+v, want %+v", err, m.Said(), want)
+	if err := m.SetDrained(true); err == nil || !m.State().equal(want) {
+		t.Errorf("said while it is gone: %v, %+v, want %+v", err, m.State(), want)
 	}
 	back()
-	if err := m.Look(); err != nil || !m.Said().equal(want) {
-		t.Errorf("there again: %v, %+v, want %+v", err, m.Said(), want)
+	if err := m.Look(); err != nil || !m.State().equal(want) {
+		t.Errorf("there again: %v, %+v, want %+v", err, m.State(), want)
 	}
 }
 
@@ -252,25 +252,25 @@
 func TestMarksAreSeenWhateverTheDate(t *testing.T) {
 	dir := t.TempDir()
 	date := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	a, err := OpenMarks(dir, ignore)
+	a, err := OpenOperatorStore(dir, ignore)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := OpenMarks(dir, ignore)
+	b, err := OpenOperatorStore(dir, ignore)
 	if err != nil {
 		t.Fatal(err)
 	}
 	drained := false
 	for _, step := range []time.Duration{0, 0, 0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour, 0} {
 		date, drained = date.Add(step), !drained
-		if err := a.Drain(drained); err != nil {
+		if err := a.SetDrained(drained); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Chtimes(dir, date, date); err != nil {
 			t.Fatal(err)
 		}
-		if err := b.Look(); err != nil || b.Said().Drained != drained {
-			t.Errorf("clock set by %v: drained %v (%v), want %v", step, b.Said().Drained, err, drained)
+		if err := b.Look(); err != nil || b.State().Drained != drained {
+			t.Errorf("clock set by %v: drained %v (%v), want %v", step, b.State().Drained, err, drained)
 		}
 	}
 }
@@ -285,12 +285,12 @@
 			t.Fatal(err)
 		}
 	}
-	want := Said{Drained: true, Out: map[string]bool{"/": true, "s-1": true}}
-	m, err := OpenMarks(dir, ignore)
-	if err != nil || !m.Said().equal(want) {
-		t.Fatalf("read %+v, %v, want %+v", m.Said(), err, want)
+	want := OperatorState{Drained: true, Disabled: map[string]bool{"/": true, "s-1": true}}
+	m, err := OpenOperatorStore(dir, ignore)
+	if err != nil || !m.State().equal(want) {
+		t.Fatalf("read %+v, %v, want %+v", m.State(), err, want)
 	}
-	if err := errors.Join(m.Out("/", false), m.Out("a b", true), m.Drain(true)); err != nil {
+	if err := errors.Join(m.SetDisabled("/", false), m.SetDisabled("a b", true), m.SetDrained(true)); err != nil {
 		t.Fatal(err)
 	}
 	sizes := map[string]int64{}
@@ -317,18 +317,18 @@
 }
 
 // markedOnly is a sidecar of which there are the marks alone.
-type markedOnly struct{ *Marks }
+type markedOnly struct{ *OperatorStore }
 
-func (markedOnly) Ready() bool        { return true }
-func (markedOnly) Listed(string) bool { return true }
+func (markedOnly) Ready() bool            { return true }
+func (markedOnly) EverListed(string) bool { return true }
 
 // The console says yes to what will be found after a loss of power in that moment, and no
 // to what failed and holds nowhere.
 func TestConsoleSaysYesToWhatIsOnTheDisk(t *testing.T) {
 	for _, c := range []struct {
 		path, body string
-		before     func(*Marks) error
-		want       Said
+		before     func(*OperatorStore) error
+		want       OperatorState
 	}{
 		{"/drain", "", first, words[0].want},
 		{"/undrain", "", drain, words[2].want},
@@ -336,7 +336,7 @@
 		{"/endpoints/enable", `{"target":"a/b"}`, disable, words[4].want},
 	} {
 		disk, m := begun(t, word{before: c.before})
-		was := m.Said()
+		was := m.State()
 		door := NewConsole(markedOnly{m}).Handler
 		post := func() *httptest.ResponseRecorder {
 			answer := httptest.NewRecorder()
@@ -349,12 +349,12 @@
 			}
 			return nil
 		})
-		if a := post(); a.Code != http.StatusInternalServerError || !strings.Contains(a.Body.String(), syscall.EIO.Error()) || !m.Said().equal(was) {
-			t.Errorf("%s on a disk that fails: %d %q, and it holds %+v, want %+v", c.path, a.Code, a.Body, m.Said(), was)
+		if a := post(); a.Code != http.StatusInternalServerError || !strings.Contains(a.Body.String(), syscall.EIO.Error()) || !m.State().equal(was) {
+			t.Errorf("%s on a disk that fails: %d %q, and it holds %+v, want %+v", c.path, a.Code, a.Body, m.State(), was)
 		}
 		disk.Fault(nil)
-		if a := post(); a.Code != http.StatusOK || !m.Said().equal(c.want) {
-			t.Errorf("%s: %d %q, and it holds %+v, want %+v", c.path, a.Code, a.Body, m.Said(), c.want)
+		if a := post(); a.Code != http.StatusOK || !m.State().equal(c.want) {
+			t.Errorf("%s: %d %q, and it holds %+v, want %+v", c.path, a.Code, a.Body, m.State(), c.want)
 		}
 		if s := nextSays(t, disk, nil); !s.equal(c.want) {
 			t.Errorf("%s: yes, and the next process reads %+v, want %+v", c.path, s, c.want)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -29,19 +29,19 @@
 // called by, and in the next one; a folder that cannot be is an error.
 func TestMarksAreShared(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "marks")
-	heard := make(chan Said, 100)
-	a, err := OpenMarks(dir, func(Said) {})
+	heard := make(chan OperatorState, 100)
+	a, err := OpenOperatorStore(dir, func(OperatorState) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := OpenMarks(dir, func(s Said) { heard <- s })
+	b, err := OpenOperatorStore(dir, func(s OperatorState) { heard <- s })
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	defer close(done)
 	go b.Watch(done)
-	next := func(what string, ok func(Said) bool) {
+	next := func(what string, ok func(OperatorState) bool) {
 		t.Helper()
 		for end := time.After(patience); ; {
 			select {
@@ -56,33 +56,33 @@
 	}
 	ids := []string{"s-1", "..", "a/b", "%2F", "out-", "ä é", "drained"}
 	for _, id := range ids {
-		if err := a.Out(id, true); err != nil {
+		if err := a.SetDisabled(id, true); err != nil {
 			t.Fatal(err)
 		}
-		next(id+" is out", func(s Said) bool { return s.Out[id] && !s.Drained })
+		next(id+" is out", func(s OperatorState) bool { return s.Disabled[id] && !s.Drained })
 	}
-	if err := a.Drain(true); err != nil {
+	if err := a.SetDrained(true); err != nil {
 		t.Fatal(err)
 	}
-	next("drained", func(s Said) bool { return s.Drained && len(s.Out) == len(ids) })
-	c, err := OpenMarks(dir, func(Said) {})
-	if err != nil || !c.Said().equal(a.Said()) {
-		t.Errorf("the next process: %+v, %v, want %+v", c.Said(), err, a.Said())
+	next("drained", func(s OperatorState) bool { return s.Drained && len(s.Disabled) == len(ids) })
+	c, err := OpenOperatorStore(dir, func(OperatorState) {})
+	if err != nil || !c.State().equal(a.State()) {
+		t.Errorf("the next process: %+v, %v, want %+v", c.State(), err, a.State())
 	}
 	for _, id := range ids {
-		if err := c.Out(id, false); err != nil {
+		if err := c.SetDisabled(id, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	next("all are back", func(s Said) bool { return len(s.Out) == 0 && s.Drained })
-	if err := a.Out(strings.Repeat("x", 2*maxName), true); err == nil || a.Said().Out[strings.Repeat("x", 2*maxName)] {
+	next("all are back", func(s OperatorState) bool { return len(s.Disabled) == 0 && s.Drained })
+	if err := a.SetDisabled(strings.Repeat("x", 2*maxName), true); err == nil || a.State().Disabled[strings.Repeat("x", 2*maxName)] {
 		t.Error("an id that no file can be called by was taken")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenMarks(filepath.Join(file, "marks"), func(Said) {}); err == nil {
+	if _, err := OpenOperatorStore(filepath.Join(file, "marks"), func(OperatorState) {}); err == nil {
 		t.Error("a folder inside a file")
 	}
 }
@@ -96,8 +96,8 @@
 	}
 	front := listen(t)
 	state := strings.Repeat("0123456789", 30_000)
-	ready := make(chan *Link, 1)
-	s, err := AwaitSuccessor(dir, front, func() any { return state }, func(*Link) {}, func(l *Link) { ready <- l })
+	ready := make(chan *HandoverLink, 1)
+	s, err := ListenForSuccessor(dir, front, func() any { return state }, func(*HandoverLink) {}, func(l *HandoverLink) { ready <- l })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,10 +107,10 @@
 		t.Fatalf("%d bytes of state, want %d; %v", len(got), len(state), err)
 	}
 	defer over.Close()
-	if err := link.Ready(); err != nil {
+	if err := link.SendReady(); err != nil {
 		t.Fatal(err)
 	}
-	var old *Link
+	var old *HandoverLink
 	select {
 	case old = <-ready:
 	case <-time.After(patience):
@@ -132,12 +132,12 @@
 	if _, err := io.ReadFull(taken, ahead); err != nil {
 		t.Fatal(err)
 	}
-	go link.Take(func(c net.Conn, ahead []byte) {
+	go link.ReceiveConns(func(c net.Conn, ahead []byte) {
 		line, err := bufio.NewReader(c).ReadString('\n')
 		fmt.Fprintf(c, "%s%s %v\n", ahead, strings.TrimSpace(line), err)
 		c.Close()
 	})
-	if err := old.Pass(taken, ahead); err != nil {
+	if err := old.SendConn(taken, ahead); err != nil {
 		t.Fatal(err)
 	}
 	taken.Close()
@@ -164,7 +164,7 @@
 		t.Errorf("a dead socket: %v, %v, want nobody", l, err)
 	}
 	var number int
-	s, err = AwaitSuccessor(dir, over, func() any { return "text" }, func(*Link) {}, func(*Link) {})
+	s, err = ListenForSuccessor(dir, over, func() any { return "text" }, func(*HandoverLink) {}, func(*HandoverLink) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -52,26 +52,26 @@
 
 // Link connects two processes of one sidecar while the new one takes the place
 // of the old one. Either of them sees the other's end as the end of the Link.
-type Link struct {
+type HandoverLink struct {
 	conn *net.UnixConn
 	mu   sync.Mutex // of sending
 	done chan struct{}
 	once sync.Once
 }
 
-func newLink(c *net.UnixConn) *Link { return &Link{conn: c, done: make(chan struct{})} }
+func newLink(c *net.UnixConn) *HandoverLink { return &HandoverLink{conn: c, done: make(chan struct{})} }
 
 // Done is closed once the other side is gone, or Close has been called.
-func (l *Link) Done() <-chan struct{} { return l.done }
+func (l *HandoverLink) Done() <-chan struct{} { return l.done }
 
 // Close ends the Link.
-func (l *Link) Close() {
+func (l *HandoverLink) Close() {
 	l.once.Do(func() { close(l.done) })
 	l.conn.Close()
 }
 
 // send sends one message, with the descriptor of what it is about, if any.
-func (l *Link) send(kind byte, text []byte, about syscall.Conn, limit time.Duration) error {
+func (l *HandoverLink) send(kind byte, text []byte, about syscall.Conn, limit time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	msg := append([]byte{kind}, text...)
@@ -94,7 +94,7 @@
 }
 
 // receive reads one message.
-func (l *Link) receive(buf []byte) (kind byte, text []byte, about *os.File, err error) {
+func (l *HandoverLink) receive(buf []byte) (kind byte, text []byte, about *os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, flags, _, err := l.conn.ReadMsgUnix(buf, oob)
 	if err != nil {
@@ -142,11 +142,11 @@
 }
 
 // Ready tells the old process that this one serves.
-func (l *Link) Ready() error { return l.send(readyMark, nil, nil, passTime) }
+func (l *HandoverLink) SendReady() error { return l.send(readyMark, nil, nil, passTime) }
 
 // Pass hands a caller's connection to the new process, and what has been read of
 // it. The connection of this process is still to be closed.
-func (l *Link) Pass(c net.Conn, ahead []byte) error {
+func (l *HandoverLink) SendConn(c net.Conn, ahead []byte) error {
 	s, ok := c.(syscall.Conn)
 	if !ok || len(ahead) > mostAhead {
 		return errors.New("handover: not a socket, or too much of it has been read")
@@ -156,7 +156,7 @@
 
 // Take hands each connection that the old process passes on to take, until the
 // old process is gone. It must be called once, by the new process.
-func (l *Link) Take(take func(c net.Conn, ahead []byte)) {
+func (l *HandoverLink) ReceiveConns(take func(c net.Conn, ahead []byte)) {
 	defer l.Close()
 	buf := make([]byte, mostAhead+1)
 	for {
@@ -182,7 +182,7 @@
 // TakeOver asks the process that serves in the folder dir for its listener and
 // its state, which must be JSON for what state points to. The Link is nil if there
 // is none. After an error state is as before, and the old process serves on.
-func TakeOver(dir string, state any) (*Link, net.Listener, error) {
+func TakeOver(dir string, state any) (*HandoverLink, net.Listener, error) {
 	c, err := net.DialTimeout("unixpacket", filepath.Join(dir, socketName), helloTime)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -202,7 +202,7 @@
 }
 
 // hear reads the state to its end.
-func (l *Link) hear(state any) (net.Listener, error) {
+func (l *HandoverLink) hear(state any) (net.Listener, error) {
 	var text []byte
 	buf := make([]byte, mostPart+1)
 	for {
@@ -242,7 +242,7 @@
 }
 
 // Successors takes in the processes that are to take this one's place.
-type Successors struct {
+type SuccessorListener struct {
 	l net.Listener // of the one goroutine that serves, once it is set
 
 	mu     sync.Mutex
@@ -255,7 +255,7 @@
 // called once it serves, and Done of the Link tells if it ends again. While the
 // folder does not take the socket, the process that was found there stays so, and
 // this one tries again.
-func AwaitSuccessor(dir string, listener net.Listener, state func() any, begins, ready func(*Link)) (*Successors, error) {
+func ListenForSuccessor(dir string, listener net.Listener, state func() any, begins, ready func(*HandoverLink)) (*SuccessorListener, error) {
 	about, ok := listener.(syscall.Conn)
 	if !ok {
 		return nil, errors.New("handover: the listener is no socket")
@@ -265,7 +265,7 @@
 	if errors.Is(err, syscall.EINVAL) { // a path that is too long stays so
 		return nil, err
 	}
-	s := &Successors{done: make(chan struct{})}
+	s := &SuccessorListener{done: make(chan struct{})}
 	if err == nil {
 		s.hold(l)
 		go s.serve(about, state, begins, ready)
@@ -299,7 +299,7 @@
 }
 
 // retry tries to be found until it is; false if that is not wanted any more.
-func (s *Successors) retry(path string) bool {
+func (s *SuccessorListener) retry(path string) bool {
 	for wait := awaitLeast; ; wait = min(2*wait, awaitMost) {
 		select {
 		case <-s.done:
@@ -314,7 +314,7 @@
 }
 
 // hold keeps the listener; false if it is not wanted any more.
-func (s *Successors) hold(l net.Listener) bool {
+func (s *SuccessorListener) hold(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -326,7 +326,7 @@
 }
 
 // Close ends the waiting for a successor.
-func (s *Successors) Close() {
+func (s *SuccessorListener) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -339,7 +339,7 @@
 	}
 }
 
-func (s *Successors) serve(about syscall.Conn, state func() any, begins, ready func(*Link)) {
+func (s *SuccessorListener) serve(about syscall.Conn, state func() any, begins, ready func(*HandoverLink)) {
 	for {
 		c, err := s.l.Accept()
 		if err != nil {
@@ -369,7 +369,7 @@
 }
 
 // tell sends the state.
-func (l *Link) tell(state any, about syscall.Conn) error {
+func (l *HandoverLink) tell(state any, about syscall.Conn) error {
 	text, err := json.Marshal(state)
 	if err != nil {
 		return err
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -130,8 +130,8 @@
 func TestOldProcessOutlastsTheNew(t *testing.T) {
 	dir := t.TempDir()
 	front := listen(t)
-	begun := make(chan *Link, 100)
-	s, err := AwaitSuccessor(dir, front, func() any { return bigState() }, func(l *Link) { begun <- l }, func(*Link) {})
+	begun := make(chan *HandoverLink, 100)
+	s, err := ListenForSuccessor(dir, front, func() any { return bigState() }, func(l *HandoverLink) { begun <- l }, func(*HandoverLink) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 				t.Fatal(err)
 			}
 			front := listen(t)
-			s, err := AwaitSuccessor(dir, front, func() any { return grown{Count: 3} }, func(*Link) {}, func(*Link) {})
+			s, err := ListenForSuccessor(dir, front, func() any { return grown{Count: 3} }, func(*HandoverLink) {}, func(*HandoverLink) {})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -227,10 +227,10 @@
 		})
 	}
 	long := filepath.Join(t.TempDir(), strings.Repeat("x", 200))
-	if _, err := AwaitSuccessor(long, listen(t), nil, nil, nil); err == nil {
+	if _, err := ListenForSuccessor(long, listen(t), nil, nil, nil); err == nil {
 		t.Error("a path that no socket can have")
 	}
-	s, err := AwaitSuccessor(filepath.Join(t.TempDir(), "none"), listen(t), nil, nil, nil)
+	s, err := ListenForSuccessor(filepath.Join(t.TempDir(), "none"), listen(t), nil, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/marks.go
+++ b/internal/fleet/marks.go
@@ -24,14 +24,14 @@
 // in the others and in the next one. A name is there or not, and nothing can tear
 // it; a list in one file would need a lock against two processes that write at
 // once. Without a folder the marks are of the process.
-type Marks struct {
+type OperatorStore struct {
 	dir    string
 	disk   durable.FS
-	notify func(Said)
+	notify func(OperatorState)
 	broken error // why nothing can be kept, see UnusableMarks; nil as a rule
 
 	mu     sync.Mutex
-	said   Said
+	said   OperatorState
 	listed bool // the folder has been read once
 	rooted bool // the folder's own name is on the disk
 
@@ -42,12 +42,14 @@
 }
 
 // Said is what the marks say at one moment.
-type Said struct {
-	Out     map[string]bool // endpoints by id; not to be changed
-	Drained bool
+type OperatorState struct {
+	Disabled map[string]bool // endpoints by id; not to be changed
+	Drained  bool
 }
 
-func (s Said) equal(o Said) bool { return s.Drained == o.Drained && maps.Equal(s.Out, o.Out) }
+func (s OperatorState) equal(o OperatorState) bool {
+	return s.Drained == o.Drained && maps.Equal(s.Disabled, o.Disabled)
+}
 
 const (
 	outMark     = "out-"
@@ -68,12 +70,12 @@
 // empty dir keeps them in the process. All that is said is handed to notify,
 // one call at a time, at once with what stands there. A folder that cannot be
 // read for now says nothing yet, and Watch tries again.
-func OpenMarks(dir string, notify func(Said)) (*Marks, error) {
+func OpenOperatorStore(dir string, notify func(OperatorState)) (*OperatorStore, error) {
 	return openMarks(durable.OS{}, dir, notify)
 }
 
-func openMarks(disk durable.FS, dir string, notify func(Said)) (*Marks, error) {
-	m := &Marks{dir: dir, disk: disk, notify: notify, said: Said{Out: map[string]bool{}}, owed: map[string]bool{}}
+func openMarks(disk durable.FS, dir string, notify func(OperatorState)) (*OperatorStore, error) {
+	m := &OperatorStore{dir: dir, disk: disk, notify: notify, said: OperatorState{Disabled: map[string]bool{}}, owed: map[string]bool{}}
 	if err := m.Look(); errors.Is(err, syscall.ENOTDIR) { // that does not pass
 		return nil, err
 	}
@@ -86,14 +88,14 @@
 // UnusableMarks returns marks for a folder that can never be used, as the cause says.
 // They say nothing, and all that operators say to them fails with the cause: a word that
 // would be forgotten with the process must not be taken for one that is kept.
-func UnusableMarks(cause error, notify func(Said)) *Marks {
-	m := &Marks{notify: notify, said: Said{Out: map[string]bool{}}, broken: cause}
+func UnusableOperatorStore(cause error, notify func(OperatorState)) *OperatorStore {
+	m := &OperatorStore{notify: notify, said: OperatorState{Disabled: map[string]bool{}}, broken: cause}
 	notify(m.said)
 	return m
 }
 
 // Said is what the marks say now.
-func (m *Marks) Said() Said {
+func (m *OperatorStore) State() OperatorState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.said
@@ -101,23 +103,23 @@
 
 // Out marks an endpoint as out, or takes that back. Once it returns nil, that is
 // on the disk and notify has been told; after an error nothing has changed.
-func (m *Marks) Out(id string, out bool) error {
-	return m.mark(outMark+url.QueryEscape(id), out, func(s *Said) {
-		s.Out = maps.Clone(s.Out)
+func (m *OperatorStore) SetDisabled(id string, out bool) error {
+	return m.mark(outMark+url.QueryEscape(id), out, func(s *OperatorState) {
+		s.Disabled = maps.Clone(s.Disabled)
 		if out {
-			s.Out[id] = true
+			s.Disabled[id] = true
 		} else {
-			delete(s.Out, id)
+			delete(s.Disabled, id)
 		}
 	})
 }
 
 // Drain marks the sidecar as drained, or takes that back, as Out does.
-func (m *Marks) Drain(on bool) error {
-	return m.mark(drainedMark, on, func(s *Said) { s.Drained = on })
+func (m *OperatorStore) SetDrained(on bool) error {
+	return m.mark(drainedMark, on, func(s *OperatorState) { s.Drained = on })
 }
 
-func (m *Marks) mark(name string, on bool, change func(*Said)) error {
+func (m *OperatorStore) mark(name string, on bool, change func(*OperatorState)) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.broken != nil {
@@ -136,7 +138,7 @@
 
 // file puts a mark on the disk or takes it off. After an error the folder is as
 // before, or will be: what is left of the change is owed.
-func (m *Marks) file(name string, on bool) error {
+func (m *OperatorStore) file(name string, on bool) error {
 	if len(name) > maxName {
 		return fmt.Errorf("a name of %d bytes, want %d at most", len(name), maxName)
 	}
@@ -159,7 +161,7 @@
 
 // put makes the file of a mark or removes it. It tells whether the name is now
 // another than before, which may be so with an error as well.
-func (m *Marks) put(name string, on bool) (changed bool, err error) {
+func (m *OperatorStore) put(name string, on bool) (changed bool, err error) {
 	path := filepath.Join(m.dir, name)
 	if on {
 		return durable.Touch(m.disk, path, 0o600)
@@ -170,7 +172,7 @@
 // root makes the folder, and puts its name on the disk: a mark is worth no more
 // than the folder that it is in. One that was there and is gone is not made again,
 // as an empty one would take back all that was said.
-func (m *Marks) root() error {
+func (m *OperatorStore) root() error {
 	if m.rooted {
 		return nil
 	}
@@ -187,7 +189,7 @@
 }
 
 // settle tries to put back what is owed.
-func (m *Marks) settle() error {
+func (m *OperatorStore) settle() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var failed error
@@ -202,7 +204,7 @@
 }
 
 // tell hands on what is said if it is new; the mutex is held.
-func (m *Marks) tell(next Said) {
+func (m *OperatorStore) tell(next OperatorState) {
 	if next.equal(m.said) {
 		return
 	}
@@ -213,7 +215,7 @@
 // Look reads the folder. It does so each time: the folder's date would tell of a
 // change only as long as nobody sets the clock. If it cannot be read, what was
 // said last stands.
-func (m *Marks) Look() error {
+func (m *OperatorStore) Look() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.dir == "" {
@@ -233,7 +235,7 @@
 }
 
 // list gives the names in the folder, which is made if it has never been there.
-func (m *Marks) list() ([]string, error) {
+func (m *OperatorStore) list() ([]string, error) {
 	if !m.listed {
 		if err := m.disk.MkdirAll(m.dir, 0o700); err != nil {
 			return nil, err
@@ -245,15 +247,15 @@
 }
 
 // read gives what the files of a folder say.
-func read(there map[string]bool) Said {
-	s := Said{Out: map[string]bool{}, Drained: there[drainedMark]}
+func read(there map[string]bool) OperatorState {
+	s := OperatorState{Disabled: map[string]bool{}, Drained: there[drainedMark]}
 	for name, is := range there {
 		escaped, ok := strings.CutPrefix(name, outMark)
 		if !is || !ok {
 			continue
 		}
 		if id, err := url.QueryUnescape(escaped); err == nil {
-			s.Out[id] = true
+			s.Disabled[id] = true
 		}
 	}
 	return s
@@ -261,7 +263,7 @@
 
 // Watch looks for what other processes are told, and tries again what is owed,
 // until done is closed.
-func (m *Marks) Watch(done <-chan struct{}) {
+func (m *OperatorStore) Watch(done <-chan struct{}) {
 	if m.dir == "" {
 		return
 	}
--- a/internal/nodes/discovery.go
+++ b/internal/nodes/discovery.go
@@ -12,10 +12,10 @@
 )
 
 // Times are how long calls of a Discovery may take.
-type Times struct {
-	Wait   time.Duration // that a watch may wait for news
-	Answer time.Duration // that it gets beyond its wait, and a connection to come up
-	List   time.Duration // that a call for the whole list gets, or one that does not wait
+type Timeouts struct {
+	LongPoll  time.Duration // that a watch may wait for news
+	Response  time.Duration // that it gets beyond its wait, and a connection to come up
+	Immediate time.Duration // that a call for the whole list gets, or one that does not wait
 }
 
 // usualGrace is the drain grace where none is told.
@@ -28,21 +28,21 @@
 // agent has to tell counts as told from the moment it is back. So no call may hang for as
 // long as half of the grace, and a silence that comes twice, or three times, in a row is
 // still over within the 6 s after which the news counts as told.
-func PushTimes(grace time.Duration) Times {
+func LocalAgentTimeouts(grace time.Duration) Timeouts {
 	quarter := min(max(cmp.Or(grace, usualGrace)/4, leastWait), mostPushWait)
-	return Times{Wait: quarter, Answer: max(quarter/2, leastWait), List: max(quarter, 2*leastWait)}
+	return Timeouts{LongPoll: quarter, Response: max(quarter/2, leastWait), Immediate: max(quarter, 2*leastWait)}
 }
 
 // AskTimes are those where one service answers all sidecars: each call costs it a share
 // of a fixed capacity, so they are few, and it works through them in turn.
-func AskTimes() Times {
-	return Times{
-		Wait: 20 * time.Second,
+func SharedServiceTimeouts() Timeouts {
+	return Timeouts{
+		LongPoll: 20 * time.Second,
 		// Half of the 2 s after which the news counts as told, so that a second
 		// call can still bring it.
-		Answer: time.Second,
+		Response: time.Second,
 		// Of the 6 s after which the whole list counts as told.
-		List: 2 * time.Second,
+		Immediate: 2 * time.Second,
 	}
 }
 
@@ -64,7 +64,7 @@
 type Discovery struct {
 	addr    string
 	base    string
-	times   Times
+	times   Timeouts
 	http    http.Client
 	index   uint64
 	started bool // index is of an answer of this service
@@ -73,13 +73,13 @@
 }
 
 // NewDiscovery returns a Discovery of the discovery at addr.
-func NewDiscovery(addr string, times Times) *Discovery {
+func NewDiscovery(addr string, times Timeouts) *Discovery {
 	return &Discovery{
 		addr:  addr,
 		base:  "http://" + addr + "/api/targets",
 		times: times,
 		http: http.Client{Transport: &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: times.Answer}).DialContext,
+			DialContext:         (&net.Dialer{Timeout: times.Response}).DialContext,
 			MaxIdleConnsPerHost: 1,
 		}},
 	}
@@ -103,7 +103,7 @@
 
 // Silent tells of a failure to follow whether nothing came at all, which may be a
 // connection that has fallen silent and no word of discovery.
-func Silent(err error) bool {
+func IsTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
 }
@@ -139,11 +139,11 @@
 	if !c.started {
 		return c.whole(ctx)
 	}
-	wait, limit := c.times.Wait, c.times.Wait+c.times.Answer
+	wait, limit := c.times.LongPoll, c.times.LongPoll+c.times.Response
 	if c.failed || c.prompt {
 		// What was missed is to be had at once or not at all; a wait would only hide
 		// that this call is not heard either.
-		wait, limit = 0, c.times.List
+		wait, limit = 0, c.times.Immediate
 	}
 	url := fmt.Sprintf("%s?after=%d&wait_ms=%d", c.base, c.index, wait.Milliseconds())
 	list, err := c.call(ctx, url, limit)
@@ -160,7 +160,7 @@
 }
 
 func (c *Discovery) whole(ctx context.Context) (List, error) {
-	list, err := c.call(ctx, c.base, c.times.List)
+	list, err := c.call(ctx, c.base, c.times.Immediate)
 	if err != nil {
 		return List{}, err
 	}
--- a/internal/nodes/discovery_test.go
+++ b/internal/nodes/discovery_test.go
@@ -22,7 +22,7 @@
 	t.Cleanup(srv.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	c := NewDiscovery(srv.Listener.Addr().String(), Times{Wait: time.Second, Answer: time.Second, List: 2 * time.Second})
+	c := NewDiscovery(srv.Listener.Addr().String(), Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second})
 	defer c.Close()
 	err = c.Follow(ctx, func(l List) {
 		if lists = append(lists, l); len(lists) == n {
@@ -78,7 +78,7 @@
 			t.Cleanup(srv.Close)
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			d := NewDiscovery(srv.Listener.Addr().String(), Times{Wait: time.Second, Answer: time.Second, List: 2 * time.Second})
+			d := NewDiscovery(srv.Listener.Addr().String(), Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second})
 			defer d.Close()
 			d.Resume(41)
 			var lists []List
--- a/internal/nodes/durable_test.go
+++ b/internal/nodes/durable_test.go
@@ -177,7 +177,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
 	defer slog.SetDefault(old)
 	dir := t.TempDir()
-	f := &File{Path: filepath.Join(dir, "nodes"), Every: time.Millisecond}
+	f := &File{Path: filepath.Join(dir, "nodes"), Interval: time.Millisecond}
 	write(t, f, linesBefore)
 	var told []List
 	follow := func(until func() bool) {
--- a/internal/nodes/file.go
+++ b/internal/nodes/file.go
@@ -50,8 +50,8 @@
 //
 // What follows a "#" is a comment.
 type File struct {
-	Path  string
-	Every time.Duration
+	Path     string
+	Interval time.Duration
 
 	known     bool   // a list has been told
 	taken     digest // of the content that was told
@@ -76,7 +76,7 @@
 func (f *File) Follow(ctx context.Context, tell func(List)) error {
 	for {
 		list, found, err := f.look()
-		wait := f.Every
+		wait := f.Interval
 		switch {
 		case err != nil:
 			if text := err.Error(); text != f.bad {
@@ -209,7 +209,7 @@
 		if len(fields) == 0 {
 			continue
 		}
-		e, err := ParseNode(fields)
+		e, err := ParseEndpoint(fields)
 		if err != nil {
 			return List{}, fmt.Errorf("line %d: %w", n, err)
 		}
@@ -227,7 +227,7 @@
 
 // ParseNode reads a node of its fields: the address, then name=, zone=, cell=,
 // since= (RFC 3339) and draining in any order.
-func ParseNode(fields []string) (Endpoint, error) {
+func ParseEndpoint(fields []string) (Endpoint, error) {
 	if len(fields) == 0 {
 		return Endpoint{}, errors.New("empty, want address:port")
 	}
--- a/internal/nodes/file_test.go
+++ b/internal/nodes/file_test.go
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go (&File{Path: path, Every: 5 * time.Millisecond}).Follow(ctx, func(l List) { lists <- l })
+	go (&File{Path: path, Interval: 5 * time.Millisecond}).Follow(ctx, func(l List) { lists <- l })
 	put("127.0.0.1:1")
 	next("127.0.0.1:1")
 	put("nonsense")
@@ -122,7 +122,7 @@
 	if err != context.Canceled || len(told) != 1 || told[0].Endpoints[0].Name != "127.0.0.1:1" {
 		t.Errorf("%+v, %v", told, err)
 	}
-	if err := (Fixed{{Address: "127.0.0.1:1"}, {Address: "127.0.0.1:1"}}).Check(); err == nil {
+	if err := (Fixed{{Address: "127.0.0.1:1"}, {Address: "127.0.0.1:1"}}).Validate(); err == nil {
 		t.Error("a node that stands in the list twice was taken")
 	}
 	a, b := Fixed{{Address: "127.0.0.1:1"}}, Fixed{{Address: "127.0.0.1:1", Status: Terminating}}
--- a/internal/nodes/source.go
+++ b/internal/nodes/source.go
@@ -85,7 +85,7 @@
 }
 
 // Check tells what is wrong with a fixed list, or nil.
-func (f Fixed) Check() error {
+func (f Fixed) Validate() error {
 	_, err := fill(f)
 	return err
 }
--- a/internal/pool/age_test.go
+++ b/internal/pool/age_test.go
@@ -37,7 +37,7 @@
 func newManualClockPool(t *testing.T, clocks *clock.Manual, cfg Config) *manualClockPool {
 	t.Helper()
 	p := &manualClockPool{Pool: newPool(t, cfg), t: t, clocks: clocks}
-	p.sources = []*source{{Source: nodes.NewDiscovery("127.0.0.1:1", nodes.PushTimes(0)), number: 1, cancel: func() {}}}
+	p.sources = []*source{{Source: nodes.NewDiscovery("127.0.0.1:1", nodes.LocalAgentTimeouts(0)), number: 1, cancel: func() {}}}
 	return p
 }
 
@@ -528,9 +528,9 @@
 			}))
 			defer server.Close()
 			cfg := testConfig()
-			times := nodes.PushTimes(0)
+			times := nodes.LocalAgentTimeouts(0)
 			if onDemand {
-				cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval, times = true, 400*time.Millisecond, nodes.AskTimes()
+				cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval, times = true, 400*time.Millisecond, nodes.SharedServiceTimeouts()
 			}
 			cfg.Source = nodes.NewDiscovery(server.Listener.Addr().String(), times)
 			p := newPool(t, cfg)
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -156,7 +156,7 @@
 			src.recordFailure(p.cfg.Name, err)
 			least, most := firstListRetryMin, firstListRetryMax
 			if listReceived || src.number == 1 {
-				if failures++; failures > 1 || !nodes.Silent(err) {
+				if failures++; failures > 1 || !nodes.IsTimeout(err) {
 					break
 				}
 				least, most = silentRetryMin, silentRetryMax
--- a/internal/pool/members_test.go
+++ b/internal/pool/members_test.go
@@ -92,7 +92,7 @@
 	defer next.Close()
 
 	cfg := testConfig()
-	cfg.Source = nodes.NewDiscovery(old.Listener.Addr().String(), nodes.PushTimes(0))
+	cfg.Source = nodes.NewDiscovery(old.Listener.Addr().String(), nodes.LocalAgentTimeouts(0))
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -101,7 +101,7 @@
 		return func() bool { return slices.Equal(p.conns.Names(), want) }
 	}
 	eventually(t, "the first list", namesAre("old-1"))
-	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.PushTimes(0)))
+	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.LocalAgentTimeouts(0)))
 	changes <- "old-2"
 	eventually(t, "a change from the previous service after the switch", namesAre("old-1", "old-2"))
 	close(sendNewList)
--- a/internal/pool/release_test.go
+++ b/internal/pool/release_test.go
@@ -141,7 +141,7 @@
 	}
 	cfg := testConfig()
 	cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
-	cfg.Source = nodes.NewDiscovery(srv.Listener.Addr().String(), nodes.Times{Wait: time.Second, Answer: time.Second, List: 2 * time.Second})
+	cfg.Source = nodes.NewDiscovery(srv.Listener.Addr().String(), nodes.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second})
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/pool/silent_test.go
+++ b/internal/pool/silent_test.go
@@ -119,7 +119,7 @@
 		t.Run(fmt.Sprint(calls), func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedDiscovery(t, node.Listener.Addr().String())
-			p := newFollowingPool(t, false, nodes.NewDiscovery(s.Listener.Addr().String(), nodes.PushTimes(2*time.Second)))
+			p := newFollowingPool(t, false, nodes.NewDiscovery(s.Listener.Addr().String(), nodes.LocalAgentTimeouts(2*time.Second)))
 			s.update(func() { s.silentCalls = calls })
 			for range calls {
 				<-s.silentCallReceived
@@ -139,7 +139,7 @@
 // the first one.
 func TestConsecutiveSilentWatches(t *testing.T) {
 	s := newScriptedDiscovery(t, "127.0.0.1:1")
-	p := newFollowingPool(t, false, nodes.NewDiscovery(s.Listener.Addr().String(), nodes.PushTimes(2*time.Second)))
+	p := newFollowingPool(t, false, nodes.NewDiscovery(s.Listener.Addr().String(), nodes.LocalAgentTimeouts(2*time.Second)))
 	s.update(func() { s.silentCalls = 4 })
 	<-s.silentCallReceived
 	began := time.Now()
@@ -158,9 +158,9 @@
 			t.Run(fmt.Sprintf("on demand %t, drain after %v", onDemand, drainDelay), func(t *testing.T) {
 				t.Parallel()
 				s := newScriptedDiscovery(t, "127.0.0.1:1")
-				times := nodes.PushTimes(2 * time.Second)
+				times := nodes.LocalAgentTimeouts(2 * time.Second)
 				if onDemand {
-					times = nodes.AskTimes()
+					times = nodes.SharedServiceTimeouts()
 				}
 				p := newFollowingPool(t, onDemand, nodes.NewDiscovery(s.Listener.Addr().String(), times))
 				began := time.Now()
@@ -187,7 +187,7 @@
 // received before its grace ends.
 func TestSilentOnDemandWatch(t *testing.T) {
 	s := newScriptedDiscovery(t, "127.0.0.1:1")
-	times := nodes.Times{Wait: time.Second, Answer: time.Second, List: 2 * time.Second}
+	times := nodes.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second}
 	p := newFollowingPool(t, true, nodes.NewDiscovery(s.Listener.Addr().String(), times))
 	s.update(func() { s.silentCalls = 1 })
 	<-s.silentCallReceived
@@ -195,7 +195,7 @@
 	s.update(func() { s.status = "terminating" })
 	eventually(t, "the drain is received", drainReceived(p))
 	// With the delay of the Balancer it would take at least 5 s.
-	if took := time.Since(began); took > times.Wait+2*time.Second+1500*time.Millisecond {
+	if took := time.Since(began); took > times.LongPoll+2*time.Second+1500*time.Millisecond {
 		t.Errorf("drain received %v after the silent call, want at most 3 s and half of a grace of 3 s", took)
 	}
 }
@@ -205,9 +205,9 @@
 func TestReloadToRejectingDiscovery(t *testing.T) {
 	old, next := newScriptedDiscovery(t, "127.0.0.1:1"), newScriptedDiscovery(t, "127.0.0.1:1")
 	next.status, next.rejectedCalls = "terminating", 2
-	p := newFollowingPool(t, true, nodes.NewDiscovery(old.Listener.Addr().String(), nodes.AskTimes()))
+	p := newFollowingPool(t, true, nodes.NewDiscovery(old.Listener.Addr().String(), nodes.SharedServiceTimeouts()))
 	began := time.Now()
-	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.AskTimes()))
+	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.SharedServiceTimeouts()))
 	eventually(t, "the drain is received", drainReceived(p))
 	if took := time.Since(began); took > 4*time.Second+1500*time.Millisecond {
 		t.Errorf("drain received %v after the reload, want at most 4 s and half of a grace of 3 s", took)
@@ -218,13 +218,13 @@
 // within 6 s if lists are pushed, and within 2 s of the end of the watch if it is on demand.
 func TestManySilentWatches(t *testing.T) {
 	const poolCount = 20
-	onDemandTimes := nodes.Times{Wait: time.Second, Answer: time.Second, List: 2 * time.Second}
+	onDemandTimes := nodes.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second}
 	for _, c := range []struct {
 		name     string
 		onDemand bool
-		times    nodes.Times
+		times    nodes.Timeouts
 		maxDelay time.Duration
-	}{{"push", false, nodes.PushTimes(2 * time.Second), 6 * time.Second}, {"on demand", true, onDemandTimes, onDemandTimes.Wait + 2*time.Second}} {
+	}{{"push", false, nodes.LocalAgentTimeouts(2 * time.Second), 6 * time.Second}, {"on demand", true, onDemandTimes, onDemandTimes.LongPoll + 2*time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedDiscovery(t, "127.0.0.1:1")
--- a/internal/pool/slow_test.go
+++ b/internal/pool/slow_test.go
@@ -60,9 +60,9 @@
 	} {
 		var draining atomic.Bool
 		srv := newSlowDiscovery(t, c.answerDelay, c.pieceDelay, &draining)
-		times := nodes.PushTimes(2 * time.Second)
+		times := nodes.LocalAgentTimeouts(2 * time.Second)
 		if c.onDemand {
-			times = nodes.AskTimes()
+			times = nodes.SharedServiceTimeouts()
 		}
 		p := newFollowingPool(t, c.onDemand, nodes.NewDiscovery(strings.TrimPrefix(srv.URL, "http://"), times))
 		pending.Go(func() {
--- a/internal/pool/spread_test.go
+++ b/internal/pool/spread_test.go
@@ -48,7 +48,7 @@
 		cfg.Seed = uint64(i)
 		cfg.Balance.Index, cfg.Balance.Instances = i, sidecars
 		cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
-		cfg.Source = nodes.NewDiscovery(srv.Listener.Addr().String(), nodes.AskTimes())
+		cfg.Source = nodes.NewDiscovery(srv.Listener.Addr().String(), nodes.SharedServiceTimeouts())
 		pools[i] = newPool(t, cfg)
 		go pools[i].Run(ctx)
 	}
--- a/internal/sidecar/folder_test.go
+++ b/internal/sidecar/folder_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("%s is answered %d, want 500", path, got)
 		}
 	}
-	if said := p.marks.Said(); said.Drained || len(said.Out) > 0 {
+	if said := p.marks.State(); said.Drained || len(said.Disabled) > 0 {
 		t.Errorf("the marks say %+v, want nothing", said)
 	}
 	if got := call(console, "GET", "/ready", ""); got != http.StatusOK {
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -15,17 +15,19 @@
 func (o operated) Ready() bool { return o.s.pool.HasList() }
 
 // Listed implements fleet.Operated.
-func (o operated) Listed(id string) bool { return o.s.pool.Knows(id) || o.s.marks.Said().Out[id] }
+func (o operated) EverListed(id string) bool {
+	return o.s.pool.Knows(id) || o.s.marks.State().Disabled[id]
+}
 
 // Out implements fleet.Operated.
-func (o operated) Out(id string, out bool) error { return o.s.marks.Out(id, out) }
+func (o operated) SetDisabled(id string, out bool) error { return o.s.marks.SetDisabled(id, out) }
 
 // Drain implements fleet.Operated.
-func (o operated) Drain(on bool) error { return o.s.marks.Drain(on) }
+func (o operated) SetDrained(on bool) error { return o.s.marks.SetDrained(on) }
 
 // heed takes up what operators have said, to this process or another one.
-func (s *Sidecar) heed(said fleet.Said) {
-	s.pool.SetDisabled(said.Out)
+func (s *Sidecar) heed(said fleet.OperatorState) {
+	s.pool.SetDisabled(said.Disabled)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if said.Drained == s.away {
--- a/internal/sidecar/production_test.go
+++ b/internal/sidecar/production_test.go
@@ -269,9 +269,9 @@
 	}
 	for range 2 {
 		time.Sleep(20 * time.Millisecond)
-		s.sidecar.heed(fleet.Said{Drained: true})
+		s.sidecar.heed(fleet.OperatorState{Drained: true})
 		time.Sleep(comingTime + 200*time.Millisecond) // while clients go and come
-		s.sidecar.heed(fleet.Said{})
+		s.sidecar.heed(fleet.OperatorState{})
 	}
 	close(done)
 	all.Wait()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -88,15 +88,15 @@
 	pool     *pool.Pool
 	judge    *httpfront.PlatformRouter
 	callers  *httpfront.Server
-	marks    *fleet.Marks
+	marks    *fleet.OperatorStore
 
 	mu      sync.Mutex
-	away    bool        // drained by hand
-	ebb     *time.Timer // lets go of callers once new ones have ceased to come
-	before  *fleet.Link // to the process whose place this one takes, until it is gone
-	after   *fleet.Link // to the one that takes this one's place
-	serving bool        // after has said that it serves
-	ending  bool        // SIGTERM has come
+	away    bool                // drained by hand
+	ebb     *time.Timer         // lets go of callers once new ones have ceased to come
+	before  *fleet.HandoverLink // to the process whose place this one takes, until it is gone
+	after   *fleet.HandoverLink // to the one that takes this one's place
+	serving bool                // after has said that it serves
+	ending  bool                // SIGTERM has come
 }
 
 // Run serves until ctx ends, and then until all that was taken is answered.
@@ -191,9 +191,9 @@
 	s.judge = httpfront.NewPlatformRouter(s.pool, form)
 	s.callers = httpfront.NewServer(s.judge, 1, httpfront.Timeouts{})
 	s.share()
-	if s.marks, err = fleet.OpenMarks(dir, s.heed); err != nil {
+	if s.marks, err = fleet.OpenOperatorStore(dir, s.heed); err != nil {
 		slog.Error("what operators say cannot be kept, and is refused", "error", err)
-		s.marks = fleet.UnusableMarks(err, s.heed)
+		s.marks = fleet.UnusableOperatorStore(err, s.heed)
 	}
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -202,7 +202,7 @@
 	go s.report(work)
 	if console != nil {
 		door := fleet.NewConsole(operated{s})
-		go door.Serve(fleet.NewBounded(console))
+		go door.Serve(fleet.NewLimitedListener(console))
 		defer door.Close()
 	}
 	served := make(chan error, 1)
@@ -212,7 +212,7 @@
 		s.succeed(s.before)
 	}
 	if dir != "" {
-		successors, err := fleet.AwaitSuccessor(dir, s.listener, s.state, s.begins, s.replaced)
+		successors, err := fleet.ListenForSuccessor(dir, s.listener, s.state, s.begins, s.replaced)
 		if err != nil {
 			slog.Warn("no other process can take this one's place unnoticed", "error", err)
 		} else {
@@ -274,9 +274,9 @@
 }
 
 // succeed takes the place of the process at the other end of l.
-func (s *Sidecar) succeed(l *fleet.Link) {
+func (s *Sidecar) succeed(l *fleet.HandoverLink) {
 	go func() {
-		l.Take(s.callers.Resume)
+		l.ReceiveConns(s.callers.Resume)
 		s.mu.Lock()
 		s.before = nil
 		s.mu.Unlock()
@@ -291,14 +291,14 @@
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
-		if err := l.Ready(); err != nil {
+		if err := l.SendReady(); err != nil {
 			slog.Warn("the process before is not told", "error", err)
 		}
 	}()
 }
 
 // begins tells that another process is about to take this one's place.
-func (s *Sidecar) begins(l *fleet.Link) {
+func (s *Sidecar) begins(l *fleet.HandoverLink) {
 	s.mu.Lock()
 	s.after = l
 	s.mu.Unlock()
@@ -323,7 +323,7 @@
 
 // replaced tells that the next process serves. It takes what is new from here
 // on; what this one has stays until it is told to end, as the other may fail.
-func (s *Sidecar) replaced(*fleet.Link) {
+func (s *Sidecar) replaced(*fleet.HandoverLink) {
 	s.mu.Lock()
 	s.serving = true
 	s.mu.Unlock()
@@ -359,9 +359,9 @@
 // discovery is the source that the configuration names.
 func discovery(cfg *config.Config) *nodes.Discovery {
 	if cfg.Balance.PullDiscovery {
-		return nodes.NewDiscovery(cfg.Discovery, nodes.AskTimes())
+		return nodes.NewDiscovery(cfg.Discovery, nodes.SharedServiceTimeouts())
 	}
-	return nodes.NewDiscovery(cfg.Discovery, nodes.PushTimes(cfg.DrainGrace))
+	return nodes.NewDiscovery(cfg.Discovery, nodes.LocalAgentTimeouts(cfg.DrainGrace))
 }
 
 // form is how requests are judged by cfg, whose classes the pool learns of.
@@ -450,7 +450,7 @@
 		slog.Info("handing over", "callers", s.callers.OpenConns())
 		s.listener.Close()
 		<-served
-		s.callers.SetHandover(next.Pass)
+		s.callers.SetHandover(next.SendConn)
 		s.callers.Drain(exit)
 		next.Close()
 		return
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -336,7 +336,7 @@
 	if err != nil || link == nil || len(was.Nodes) != 1 || len(was.Listed) != 1 {
 		t.Fatalf("taken over: %v, %v, %+v", link, err, was)
 	}
-	if err := link.Ready(); err != nil {
+	if err := link.SendReady(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the old process leaves callers to the new one", func() bool {
@@ -419,7 +419,7 @@
 		t.Errorf("ready: %d, want 200", got)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if p.marks.Said().Drained {
+	if p.marks.State().Drained {
 		t.Error("half a call has drained the sidecar")
 	}
 	p.finish(t)
