--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -26,9 +26,9 @@
 	return l
 }
 
-// Whatever error of the system comes before it, a connection is accepted, and the loop ends
-// by the end of the listener alone.
-func TestAcceptSurvivesEveryTransientError(t *testing.T) {
+// A connection is accepted after any transient error, and only closing the listener ends
+// the loop.
+func TestAcceptContinuesAfterTransientErrors(t *testing.T) {
 	for _, errno := range standin.AcceptErrors {
 		l := standin.Fail(listen(t), errno, errno)
 		accepted, ended := make(chan net.Conn, 1), make(chan error, 1)
@@ -42,23 +42,23 @@
 		case c := <-accepted:
 			c.Close()
 		case err := <-ended:
-			t.Fatalf("%v ends the listener: %v", errno, err)
+			t.Fatalf("%v ends Serve: %v", errno, err)
 		}
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || l.Failed() != 2 {
-			t.Errorf("%v: ended by %v, %d accepts failed, want the close, 2", errno, err, l.Failed())
+			t.Errorf("%v: Serve returned %v after %d failed accepts, want net.ErrClosed after 2", errno, err, l.Failed())
 		}
 	}
 }
 
-// failing is a listener without a system, each of whose accepts fails while it is open.
-type failing struct {
+// failingListener is a listener without a socket. Its Accept fails while it is open.
+type failingListener struct {
 	mu     sync.Mutex
 	closed bool
 	times  []time.Time
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -68,18 +68,18 @@
 	return nil, syscall.ENOBUFS
 }
 
-func (f *failing) Close() error {
+func (f *failingListener) Close() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
 	return nil
 }
 
-func (f *failing) Addr() net.Addr                           { return &net.TCPAddr{} }
-func (f *failing) SyscallConn() (syscall.RawConn, error)    { return f, nil }
-func (f *failing) Read(func(fd uintptr) (done bool)) error  { return nil }
-func (f *failing) Write(func(fd uintptr) (done bool)) error { return nil }
-func (f *failing) Control(func(fd uintptr)) error {
+func (f *failingListener) Addr() net.Addr                           { return &net.TCPAddr{} }
+func (f *failingListener) SyscallConn() (syscall.RawConn, error)    { return f, nil }
+func (f *failingListener) Read(func(fd uintptr) (done bool)) error  { return nil }
+func (f *failingListener) Write(func(fd uintptr) (done bool)) error { return nil }
+func (f *failingListener) Control(func(fd uintptr)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -88,15 +88,15 @@
 	return nil
 }
 
-// The waits double from 5 ms to 100 ms, a second brings one line to the log, all failures
-// are counted, and a close ends a long wait at once.
+// The backoff doubles from 5 ms to 100 ms, each failure is counted, at most one is logged
+// per second, and closing the listener ends a wait within 5 ms.
 func TestBackoffIsBounded(t *testing.T) {
 	var log bytes.Buffer
-	was := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
-	defer slog.SetDefault(was)
+	defer slog.SetDefault(previous)
 	synctest.Test(t, func(t *testing.T) {
-		f := &failing{}
+		f := &failingListener{}
 		l := acceptloop.Wrap(f)
 		ended := make(chan error, 1)
 		go func() {
@@ -107,10 +107,10 @@
 		f.Close()
 		closed := time.Now()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(closed) > 5*time.Millisecond {
-			t.Errorf("ended by %v %v after the close", err, time.Since(closed))
+			t.Errorf("Accept returned %v %v after Close, want net.ErrClosed within 5 ms", err, time.Since(closed))
 		}
 		if l.Failures() != int64(len(f.times)) {
-			t.Errorf("%d failures counted of %d", l.Failures(), len(f.times))
+			t.Errorf("%d failures counted, want %d", l.Failures(), len(f.times))
 		}
 		want := 5 * time.Millisecond
 		for i := range len(f.times) - 1 {
@@ -121,16 +121,16 @@
 		}
 	})
 	if n := strings.Count(log.String(), "accept failed"); n != 4 {
-		t.Errorf("%d lines in 3 s, want 4:\n%s", n, &log)
+		t.Errorf("%d log lines in 3 s, want 4:\n%s", n, &log)
 	}
 }
 
-// A success makes the waits begin anew: between any two connections they are short.
-func TestBackoffStartsAnewAfterASuccess(t *testing.T) {
+// A successful accept resets the backoff.
+func TestBackoffResetsAfterSuccess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &alternating{}
+		f := &alternatingListener{}
 		l := acceptloop.Wrap(f)
-		begin := time.Now()
+		start := time.Now()
 		for range 50 {
 			c, err := l.Accept()
 			if err != nil {
@@ -138,36 +138,36 @@
 			}
 			c.Close()
 		}
-		if took := time.Since(begin); took != 50*5*time.Millisecond || l.Failures() != 50 {
-			t.Errorf("50 connections took %v with %d failures", took, l.Failures())
+		if elapsed := time.Since(start); elapsed != 50*5*time.Millisecond || l.Failures() != 50 {
+			t.Errorf("50 connections took %v with %d failures, want 250 ms with 50", elapsed, l.Failures())
 		}
 	})
 }
 
-// alternating fails at every other accept.
-type alternating struct {
-	failing
-	good bool
+// alternatingListener fails at every other accept.
+type alternatingListener struct {
+	failingListener
+	failed bool
 }
 
-func (a *alternating) Accept() (net.Conn, error) {
-	a.good = !a.good
-	if a.good {
+func (a *alternatingListener) Accept() (net.Conn, error) {
+	a.failed = !a.failed
+	if a.failed {
 		return nil, syscall.EMFILE
 	}
 	c, _ := net.Pipe()
 	return c, nil
 }
 
-// Who holds a listener back by a deadline sees no failures, and it goes on as soon as that
-// is lifted.
-func TestDeadlineHoldsBack(t *testing.T) {
+// An expired deadline pauses a listener without counting failures. Removing the deadline
+// resumes it.
+func TestExpiredDeadlinePausesAccept(t *testing.T) {
 	l := listen(t).(*net.TCPListener)
 	l.SetDeadline(time.Unix(1, 0))
-	w := acceptloop.Wrap(l)
+	wrapped := acceptloop.Wrap(l)
 	accepted := make(chan net.Conn, 1)
 	go func() {
-		c, _ := w.Accept()
+		c, _ := wrapped.Accept()
 		accepted <- c
 	}()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -177,13 +177,13 @@
 	defer c.Close()
 	select {
 	case <-accepted:
-		t.Error("accepted under a deadline that has passed")
+		t.Error("connection accepted after the deadline expired")
 	case <-time.After(30 * time.Millisecond):
 	}
 	l.SetDeadline(time.Time{})
-	here := <-accepted
-	if here == nil || w.Failures() != 0 {
-		t.Fatalf("connection %v, %d failures", here, w.Failures())
+	conn := <-accepted
+	if conn == nil || wrapped.Failures() != 0 {
+		t.Fatalf("connection %v, %d failures, want a connection and 0", conn, wrapped.Failures())
 	}
-	here.Close()
+	conn.Close()
 }
--- a/internal/fleet/console.go
+++ b/internal/fleet/console.go
@@ -14,107 +14,105 @@
 	"gorselink/internal/acceptloop"
 )
 
-// Operated is what operators can do with a sidecar by hand.
+// Controller applies the operations of the console to a sidecar.
 type Controller interface {
-	// Ready tells whether the process can serve.
+	// Ready reports whether the process can serve requests.
 	Ready() bool
-	// Listed tells whether an endpoint has ever been listed.
+	// EverListed reports whether an endpoint has ever been in a list.
 	EverListed(id string) bool
-	// Out leaves an endpoint out, or puts it back; it holds from the return on.
-	SetDisabled(id string, out bool) error
-	// Drain empties the sidecar, or ends that.
-	SetDrained(on bool) error
+	// SetDisabled disables or enables an endpoint. The change is effective on return.
+	SetDisabled(id string, disabled bool) error
+	// SetDrained starts or ends the drain of the sidecar.
+	SetDrained(drained bool) error
 }
 
 const (
-	// consoleTime is what a call gets from its connection to its last byte; an
-	// operator's tool needs milliseconds. Who brings half a call, or none, is
-	// let go of after it.
-	consoleTime = 2 * time.Second
-	// consoleConns bounds the connections. Each is cheap, but descriptors are
-	// few, and callers need them more.
-	consoleConns = 16
-	consoleBody  = 4 << 10
+	// consoleTimeout bounds the time to read a request. A connection that sends an
+	// incomplete request, or none, is closed after it.
+	consoleTimeout = 2 * time.Second
+	// maxConsoleConns leaves file descriptors for the connections of callers.
+	maxConsoleConns = 16
+	maxConsoleBytes = 4 << 10
 )
 
-// NewConsole returns the server of the operators' calls. Each connection brings
-// one call:
+// NewConsole returns the HTTP server of the operator console. Each connection serves one
+// request:
 //
-//	GET /ready                                yes once the process can serve
-//	POST /endpoints/disable {"target":"ID"}   leave endpoint ID out
-//	POST /endpoints/enable {"target":"ID"}    put it back
-//	POST /drain, POST /undrain                empty the sidecar, or end that
+//	GET /ready                                200 once the process can serve requests
+//	POST /endpoints/disable {"target":"ID"}   disable endpoint ID
+//	POST /endpoints/enable {"target":"ID"}    enable endpoint ID
+//	POST /drain, POST /undrain                start or end the drain of the sidecar
 //
-// A status of 2xx means yes; any other means no and changes nothing.
-func NewConsole(op Controller) *http.Server {
+// A status of 2xx means success. With any other status nothing has changed.
+func NewConsole(controller Controller) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		if !op.Ready() {
-			answer(w, http.StatusServiceUnavailable, errors.New("no endpoint is known yet"))
+		if !controller.Ready() {
+			writeResponse(w, http.StatusServiceUnavailable, errors.New("not ready: no endpoint list has been received"))
 			return
 		}
-		answer(w, http.StatusOK, nil)
+		writeResponse(w, http.StatusOK, nil)
 	})
-	mux.HandleFunc("POST /endpoints/disable", target(op, true))
-	mux.HandleFunc("POST /endpoints/enable", target(op, false))
-	for path, on := range map[string]bool{"POST /drain": true, "POST /undrain": false} {
+	mux.HandleFunc("POST /endpoints/disable", handleSetDisabled(controller, true))
+	mux.HandleFunc("POST /endpoints/enable", handleSetDisabled(controller, false))
+	for path, drained := range map[string]bool{"POST /drain": true, "POST /undrain": false} {
 		mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-			if _, err := whole(w, r); err != nil { // half a call is none
-				answer(w, http.StatusBadRequest, err)
+			if _, err := readBody(w, r); err != nil { // an incomplete request has no effect
+				writeResponse(w, http.StatusBadRequest, err)
 				return
 			}
-			if err := op.SetDrained(on); err != nil {
-				answer(w, http.StatusInternalServerError, err)
+			if err := controller.SetDrained(drained); err != nil {
+				writeResponse(w, http.StatusInternalServerError, err)
 				return
 			}
-			slog.Info("operators: drain", "on", on)
-			answer(w, http.StatusOK, nil)
+			slog.Info("operator changed the drain state", "on", drained)
+			writeResponse(w, http.StatusOK, nil)
 		})
 	}
 	s := &http.Server{
 		Handler:        mux,
-		ReadTimeout:    consoleTime,
-		WriteTimeout:   2 * consoleTime,
-		MaxHeaderBytes: consoleBody,
+		ReadTimeout:    consoleTimeout,
+		WriteTimeout:   2 * consoleTimeout,
+		MaxHeaderBytes: maxConsoleBytes,
 		ErrorLog:       slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	s.SetKeepAlivesEnabled(false)
 	return s
 }
 
-// target answers calls that take an endpoint out or put it back.
-func target(op Controller, out bool) http.HandlerFunc {
+// handleSetDisabled handles requests that disable or enable an endpoint.
+func handleSetDisabled(controller Controller, disabled bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var call struct {
+		var request struct {
 			Target string `json:"target"`
 		}
-		text, err := whole(w, r)
+		body, err := readBody(w, r)
 		if err == nil {
-			err = json.Unmarshal(text, &call)
+			err = json.Unmarshal(body, &request)
 		}
 		switch {
 		case err != nil:
-			answer(w, http.StatusBadRequest, fmt.Errorf(`want {"target":"ID"}: %w`, err))
-		case call.Target == "":
-			answer(w, http.StatusBadRequest, errors.New(`want {"target":"ID"}: no target`))
-		case !op.EverListed(call.Target):
-			answer(w, http.StatusNotFound, fmt.Errorf("endpoint %.80q has never been listed", call.Target))
+			writeResponse(w, http.StatusBadRequest, fmt.Errorf(`want {"target":"ID"}: %w`, err))
+		case request.Target == "":
+			writeResponse(w, http.StatusBadRequest, errors.New(`want {"target":"ID"}: no target`))
+		case !controller.EverListed(request.Target):
+			writeResponse(w, http.StatusNotFound, fmt.Errorf("endpoint %.80q has never been listed", request.Target))
 		default:
-			if err := op.SetDisabled(call.Target, out); err != nil {
-				answer(w, http.StatusInternalServerError, err)
+			if err := controller.SetDisabled(request.Target, disabled); err != nil {
+				writeResponse(w, http.StatusInternalServerError, err)
 				return
 			}
-			slog.Info("operators: endpoint", "id", call.Target, "out", out)
-			answer(w, http.StatusOK, nil)
+			slog.Info("operator changed the state of an endpoint", "id", request.Target, "out", disabled)
+			writeResponse(w, http.StatusOK, nil)
 		}
 	}
 }
 
-func whole(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	return io.ReadAll(http.MaxBytesReader(w, r.Body, consoleBody))
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+	return io.ReadAll(http.MaxBytesReader(w, r.Body, maxConsoleBytes))
 }
 
-func answer(w http.ResponseWriter, status int, err error) {
+func writeResponse(w http.ResponseWriter, status int, err error) {
 	text := "ok\n"
 	if err != nil {
 		text = err.Error() + "\n"
@@ -124,59 +122,58 @@
 	io.WriteString(w, text)
 }
 
-// Bounded is a listener that holds so many connections at most. A new one over
-// the bound takes the place of the oldest: those that bring a call are gone in
-// milliseconds, so that the oldest is one that says nothing. A listener that
-// waited for room would let the silent ones shut out everybody.
+// LimitedListener is a listener with a limited number of open connections. A connection
+// over the limit closes the oldest one, which is most likely idle because requests take
+// only milliseconds. Waiting for a free slot would let idle connections block the console.
 type LimitedListener struct {
 	net.Listener
-	most int
+	maxConns int
 
 	mu   sync.Mutex
-	open []*boundedConn // the oldest first
+	open []*limitedConn // the oldest first
 }
 
-// NewBounded returns l, bounded for the console. Its Accept fails only once l is closed:
-// http.Server gives a listener up at most errors of the system.
+// NewLimitedListener returns l with the connection limit of the console. Its Accept fails
+// only after l has been closed, since http.Server stops on most other errors of Accept.
 func NewLimitedListener(l net.Listener) *LimitedListener {
-	return &LimitedListener{Listener: acceptloop.Wrap(l), most: consoleConns}
+	return &LimitedListener{Listener: acceptloop.Wrap(l), maxConns: maxConsoleConns}
 }
 
 // Accept implements net.Listener.
-func (b *LimitedListener) Accept() (net.Conn, error) {
-	nc, err := b.Listener.Accept()
+func (l *LimitedListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &boundedConn{Conn: nc, of: b}
-	b.mu.Lock()
-	b.open = append(b.open, c)
-	var oldest *boundedConn
-	if len(b.open) > b.most {
-		oldest = b.open[0]
+	c := &limitedConn{Conn: nc, listener: l}
+	l.mu.Lock()
+	l.open = append(l.open, c)
+	var oldest *limitedConn
+	if len(l.open) > l.maxConns {
+		oldest = l.open[0]
 	}
-	b.mu.Unlock()
+	l.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
 	}
 	return c, nil
 }
 
-type boundedConn struct {
+type limitedConn struct {
 	net.Conn
-	of *LimitedListener
+	listener *LimitedListener
 }
 
 // Close implements net.Conn.
-func (c *boundedConn) Close() error {
-	b := c.of
-	b.mu.Lock()
-	for i := range b.open {
-		if b.open[i] == c {
-			b.open = append(b.open[:i], b.open[i+1:]...)
+func (c *limitedConn) Close() error {
+	l := c.listener
+	l.mu.Lock()
+	for i := range l.open {
+		if l.open[i] == c {
+			l.open = append(l.open[:i], l.open[i+1:]...)
 			break
 		}
 	}
-	b.mu.Unlock()
+	l.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/fleet/durable_test.go
+++ b/internal/fleet/durable_test.go
@@ -22,262 +22,259 @@
 	modelDir  = "/run/sidecar"
 )
 
-func ignore(OperatorState) {}
+func ignoreState(OperatorState) {}
 
-// marksIn opens the marks of a modelled disk, as the next process does.
-func marksIn(t *testing.T, disk *durabletest.Model) *OperatorStore {
+// openModelStore opens the store on a modelled file system, as a new process does.
+func openModelStore(t *testing.T, fsys *durabletest.Model) *OperatorStore {
 	t.Helper()
-	m, err := openMarks(disk, modelDir, ignore)
+	store, err := openOperatorStore(fsys, modelDir, ignoreState)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m
+	return store
 }
 
-// nextSays is what the next process reads after a loss of power.
-func nextSays(t *testing.T, disk *durabletest.Model, kept func(string) bool) OperatorState {
+// stateAfterPowerLoss returns the state that the next process reads after a power loss.
+func stateAfterPowerLoss(t *testing.T, fsys *durabletest.Model, kept func(string) bool) OperatorState {
 	t.Helper()
-	return marksIn(t, disk.AfterPowerLoss(kept)).State()
+	return openModelStore(t, fsys.AfterPowerLoss(kept)).State()
 }
 
-// fates are what may become of what was not synced when the power is lost.
-var fates = map[string]func(path string) bool{
-	"all of it is lost": nil,
-	"all of it is kept": func(string) bool { return true },
-	"marks are kept":    func(path string) bool { return filepath.Dir(path) == modelDir },
+// unsyncedOutcomes are the cases of which unsynced changes survive a power loss.
+var unsyncedOutcomes = map[string]func(path string) bool{
+	"all unsynced changes lost":    nil,
+	"all unsynced changes kept":    func(string) bool { return true },
+	"only files of the store kept": func(path string) bool { return filepath.Dir(path) == modelDir },
 }
 
-// word is something that operators say.
-type word struct {
+// operatorChange is a change made by an operator.
+type operatorChange struct {
 	name   string
 	before func(*OperatorStore) error
-	say    func(*OperatorStore) error
+	apply  func(*OperatorStore) error
 	want   OperatorState
 }
 
 var (
-	drain   = func(m *OperatorStore) error { return m.SetDrained(true) }
-	undrain = func(m *OperatorStore) error { return m.SetDrained(false) }
-	disable = func(m *OperatorStore) error { return m.SetDisabled("a/b", true) }
-	enable  = func(m *OperatorStore) error { return m.SetDisabled("a/b", false) }
-	first   = func(m *OperatorStore) error { return m.SetDisabled("first", true) }
+	drain   = func(s *OperatorStore) error { return s.SetDrained(true) }
+	undrain = func(s *OperatorStore) error { return s.SetDrained(false) }
+	disable = func(s *OperatorStore) error { return s.SetDisabled("a/b", true) }
+	enable  = func(s *OperatorStore) error { return s.SetDisabled("a/b", false) }
+	first   = func(s *OperatorStore) error { return s.SetDisabled("first", true) }
 
-	words = []word{
+	operatorChanges = []operatorChange{
 		{"drain", first, drain, OperatorState{Drained: true, Disabled: map[string]bool{"first": true}}},
 		{"drain again", drain, drain, OperatorState{Drained: true, Disabled: map[string]bool{}}},
 		{"undrain", drain, undrain, OperatorState{Disabled: map[string]bool{}}},
 		{"disable", first, disable, OperatorState{Disabled: map[string]bool{"first": true, "a/b": true}}},
 		{"enable", disable, enable, OperatorState{Disabled: map[string]bool{}}},
-		{"the very first word", nil, drain, OperatorState{Drained: true, Disabled: map[string]bool{}}},
+		{"first change", nil, drain, OperatorState{Drained: true, Disabled: map[string]bool{}}},
 	}
 )
 
-// begun is a disk and a process at which w is about to be said.
-func begun(t *testing.T, w word) (*durabletest.Model, *OperatorStore) {
+// prepareChange returns a file system and a store that are ready for the change.
+func prepareChange(t *testing.T, change operatorChange) (*durabletest.Model, *OperatorStore) {
 	t.Helper()
-	disk := durabletest.NewModel(modelRoot)
-	m := marksIn(t, disk)
-	if w.before != nil {
-		if err := w.before(m); err != nil {
+	fsys := durabletest.NewModel(modelRoot)
+	store := openModelStore(t, fsys)
+	if change.before != nil {
+		if err := change.before(store); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return disk, m
+	return fsys, store
 }
 
-// What operators say is on the disk before they are told so. Whichever step of the disk
-// fails, for once or for a while, either it holds, in this process and the next one and
-// after a loss of power, or they are told that it failed and it never comes to hold. A
-// kill at any step leaves what was said before or what was being said.
-func TestStateWritesFailAndTear(t *testing.T) {
-	for _, w := range words {
-		t.Run(w.name, func(t *testing.T) {
-			disk, m := begun(t, w)
-			was := m.State()
-			disk.Fault(nil)
-			if err := w.say(m); err != nil {
+// A successful change is durable before it is reported. If a file operation fails, the change
+// is either effective and durable or reported as failed and rolled back. A power loss leaves
+// the state before or after the change.
+func TestFailedWritesLeaveStateConsistent(t *testing.T) {
+	for _, change := range operatorChanges {
+		t.Run(change.name, func(t *testing.T) {
+			fsys, store := prepareChange(t, change)
+			before := store.State()
+			fsys.Fault(nil)
+			if err := change.apply(store); err != nil {
 				t.Fatal(err)
 			}
-			steps := disk.Steps()
-			for fate, kept := range fates {
-				if s := nextSays(t, disk, kept); !s.equal(w.want) {
-					t.Errorf("%s: after a yes the next process reads %+v, want %+v", fate, s, w.want)
+			steps := fsys.Steps()
+			for outcome, kept := range unsyncedOutcomes {
+				if s := stateAfterPowerLoss(t, fsys, kept); !s.equal(change.want) {
+					t.Errorf("%s: after success the next process reads %+v, want %+v", outcome, s, change.want)
 				}
 			}
 			for step := range steps {
 				for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 					once := func(s durabletest.Step) bool { return s.Number == step }
-					failsAt(t, w, was, once, cause)
-					fromNowOn := func(s durabletest.Step) bool { return s.Number >= step }
-					failsAt(t, w, was, fromNowOn, cause)
+					checkFailingSteps(t, change, before, once, cause)
+					fromThenOn := func(s durabletest.Step) bool { return s.Number >= step }
+					checkFailingSteps(t, change, before, fromThenOn, cause)
 				}
-				killedAt(t, w, was, step)
+				checkPowerLossAt(t, change, before, step)
 			}
 		})
 	}
 }
 
-// failsAt says a word while some steps of the disk fail.
-func failsAt(t *testing.T, w word, was OperatorState, fails func(durabletest.Step) bool, cause error) {
+// checkFailingSteps makes a change while some file operations fail.
+func checkFailingSteps(t *testing.T, change operatorChange, before OperatorState, fails func(durabletest.Step) bool, cause error) {
 	t.Helper()
-	disk, m := begun(t, w)
-	var at []string
-	disk.Fault(func(s durabletest.Step) error {
+	fsys, store := prepareChange(t, change)
+	var failed []string
+	fsys.Fault(func(s durabletest.Step) error {
 		if !fails(s) {
 			return nil
 		}
-		at = append(at, fmt.Sprintf("%d %s %s", s.Number, s.Op, s.Path))
+		failed = append(failed, fmt.Sprintf("%d %s %s", s.Number, s.Op, s.Path))
 		return cause
 	})
-	err := w.say(m)
-	want := w.want
+	err := change.apply(store)
+	want := change.want
 	if err != nil {
-		want = was
+		want = before
 		if !errors.Is(err, cause) {
-			t.Errorf("%v: error %v, want one that names %v", at, err, cause)
+			t.Errorf("%v: error %v, want one wrapping %v", failed, err, cause)
 		}
 	}
-	if s := m.State(); !s.equal(want) {
-		t.Errorf("%v: told %v, and in memory stands %+v, want %+v", at, err, s, want)
+	if s := store.State(); !s.equal(want) {
+		t.Errorf("%v: error %v, state in memory %+v, want %+v", failed, err, s, want)
 	}
-	m.Look() // while it goes on
-	disk.Fault(nil)
-	if err := m.Look(); err != nil || !m.State().equal(want) {
-		t.Errorf("%v: looked at, the folder says %+v (%v), want %+v", at, m.State(), err, want)
+	store.Reload() // while the operations still fail
+	fsys.Fault(nil)
+	if err := store.Reload(); err != nil || !store.State().equal(want) {
+		t.Errorf("%v: reloaded state %+v (error %v), want %+v", failed, store.State(), err, want)
 	}
-	if err := m.settle(); err != nil {
-		t.Errorf("%v: %v", at, err)
+	if err := store.retryRollbacks(); err != nil {
+		t.Errorf("%v: %v", failed, err)
 	}
-	if err := m.Look(); err != nil || !m.State().equal(want) {
-		t.Errorf("%v: with all put back, the folder says %+v (%v), want %+v", at, m.State(), err, want)
+	if err := store.Reload(); err != nil || !store.State().equal(want) {
+		t.Errorf("%v: state after the rollbacks %+v (error %v), want %+v", failed, store.State(), err, want)
 	}
-	for fate, kept := range fates {
-		if s := nextSays(t, disk, kept); !s.equal(want) {
-			t.Errorf("%v, told %v: %s: the next process reads %+v, want %+v", at, err, fate, s, want)
+	for outcome, kept := range unsyncedOutcomes {
+		if s := stateAfterPowerLoss(t, fsys, kept); !s.equal(want) {
+			t.Errorf("%v, error %v: %s: the next process reads %+v, want %+v", failed, err, outcome, s, want)
 		}
 	}
 }
 
-// killedAt has the power fail right before a step.
-func killedAt(t *testing.T, w word, was OperatorState, step int) {
+// checkPowerLossAt simulates a power loss right before a file operation.
+func checkPowerLossAt(t *testing.T, change operatorChange, before OperatorState, step int) {
 	t.Helper()
-	disk, m := begun(t, w)
-	disk.Fault(func(s durabletest.Step) error {
+	fsys, store := prepareChange(t, change)
+	fsys.Fault(func(s durabletest.Step) error {
 		if s.Number >= step {
-			return errors.New("no power")
+			return errors.New("power lost")
 		}
 		return nil
 	})
-	w.say(m)
-	disk.Fault(nil)
-	for fate, kept := range fates {
-		if s := nextSays(t, disk, kept); !s.equal(was) && !s.equal(w.want) {
-			t.Errorf("killed before step %d, %s: the next process reads %+v, want %+v or %+v", step, fate, s, was, w.want)
+	change.apply(store)
+	fsys.Fault(nil)
+	for outcome, kept := range unsyncedOutcomes {
+		if s := stateAfterPowerLoss(t, fsys, kept); !s.equal(before) && !s.equal(change.want) {
+			t.Errorf("power lost before step %d, %s: the next process reads %+v, want %+v or %+v", step, outcome, s, before, change.want)
 		}
 	}
 }
 
-// A change that could neither be made nor taken back is put back by Watch, once the disk
-// can be written to.
-func TestMarksOwedAreSettled(t *testing.T) {
-	disk, m := begun(t, words[0])
+// Watch rolls back a failed change once the disk is writable again.
+func TestWatchRetriesRollbacks(t *testing.T) {
+	fsys, store := prepareChange(t, operatorChanges[0])
 	var failed bool
-	disk.Fault(func(s durabletest.Step) error {
+	fsys.Fault(func(s durabletest.Step) error {
 		failed = failed || s.Op == "syncdir"
 		if failed {
 			return syscall.EIO
 		}
 		return nil
 	})
-	if err := m.SetDrained(true); !errors.Is(err, syscall.EIO) {
+	if err := store.SetDrained(true); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("error %v, want %v", err, syscall.EIO)
 	}
-	disk.Fault(nil)
-	next := marksIn(t, disk)
+	fsys.Fault(nil)
+	next := openModelStore(t, fsys)
 	if !next.State().Drained {
-		t.Fatal("the file was put back at once: that was no test")
+		t.Fatal("invalid test: the file was restored at once")
 	}
 	done := make(chan struct{})
 	defer close(done)
-	go m.Watch(done)
-	for end := time.Now().Add(patience); next.State().Drained; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("what operators were told had failed holds in the next process")
+	go store.Watch(done)
+	for deadline := time.Now().Add(testTimeout); next.State().Drained; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("a change reported as failed is effective in the next process")
 		}
-		if err := next.Look(); err != nil {
+		if err := next.Reload(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if m.State().Drained {
-		t.Error("the process takes itself for drained")
+	if store.State().Drained {
+		t.Error("state is drained, want not drained")
 	}
 }
 
-// While the folder cannot be read, or is gone, what was said last stands, and what
-// operators say then is told to have failed. A process that starts meanwhile reads the
-// folder later.
-func TestMarksOutlastTheirFolder(t *testing.T) {
-	disk, m := begun(t, words[3])
-	want := m.State()
+// While the directory is unreadable or missing, the last known state is kept and changes
+// fail. A process that starts meanwhile reads the directory later.
+func TestStateIsKeptWhileDirectoryIsUnavailable(t *testing.T) {
+	fsys, store := prepareChange(t, operatorChanges[3])
+	want := store.State()
 	unreadable := func(s durabletest.Step) error {
 		if s.Op == "list" {
 			return syscall.EIO
 		}
 		return nil
 	}
-	disk.Fault(unreadable)
-	if err := m.Look(); !errors.Is(err, syscall.EIO) || !m.State().equal(want) {
-		t.Errorf("unreadable: %v, %+v, want %+v", err, m.State(), want)
+	fsys.Fault(unreadable)
+	if err := store.Reload(); !errors.Is(err, syscall.EIO) || !store.State().equal(want) {
+		t.Errorf("unreadable directory: error %v, state %+v, want %+v", err, store.State(), want)
 	}
-	next := marksIn(t, disk)
-	disk.Fault(nil)
-	if err := next.Look(); err != nil || !next.State().equal(want) {
-		t.Errorf("the next process: %v, %+v, want %+v", err, next.State(), want)
+	next := openModelStore(t, fsys)
+	fsys.Fault(nil)
+	if err := next.Reload(); err != nil || !next.State().equal(want) {
+		t.Errorf("next process: error %v, state %+v, want %+v", err, next.State(), want)
 	}
-	back := disk.Vanish(modelDir)
-	if err := m.Look(); err == nil || !m.State().equal(want) {
-		t.Errorf("gone: %v, %+v, want %+v", err, m.State(), want)
+	restore := fsys.Vanish(modelDir)
+	if err := store.Reload(); err == nil || !store.State().equal(want) {
+		t.Errorf("missing directory: error %v, state %+v, want %+v", err, store.State(), want)
 	}
-	if err := m.SetDrained(true); err == nil || !m.State().equal(want) {
-		t.Errorf("said while it is gone: %v, %+v, want %+v", err, m.State(), want)
+	if err := store.SetDrained(true); err == nil || !store.State().equal(want) {
+		t.Errorf("change in a missing directory: error %v, state %+v, want %+v", err, store.State(), want)
 	}
-	back()
-	if err := m.Look(); err != nil || !m.State().equal(want) {
-		t.Errorf("there again: %v, %+v, want %+v", err, m.State(), want)
+	restore()
+	if err := store.Reload(); err != nil || !store.State().equal(want) {
+		t.Errorf("restored directory: error %v, state %+v, want %+v", err, store.State(), want)
 	}
 }
 
-// What other processes are told is seen whatever the folder's date is: the wall clock may
-// be set back, and it stands still for a tick.
-func TestMarksAreSeenWhateverTheDate(t *testing.T) {
+// A change made by another process is noticed with any modification time of the directory,
+// because the wall clock may be set back or not advance between two changes.
+func TestStateChangeIsSeenWithAnyModificationTime(t *testing.T) {
 	dir := t.TempDir()
-	date := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	a, err := OpenOperatorStore(dir, ignore)
+	modTime := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	a, err := OpenOperatorStore(dir, ignoreState)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := OpenOperatorStore(dir, ignore)
+	b, err := OpenOperatorStore(dir, ignoreState)
 	if err != nil {
 		t.Fatal(err)
 	}
 	drained := false
 	for _, step := range []time.Duration{0, 0, 0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour, 0} {
-		date, drained = date.Add(step), !drained
+		modTime, drained = modTime.Add(step), !drained
 		if err := a.SetDrained(drained); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Chtimes(dir, date, date); err != nil {
+		if err := os.Chtimes(dir, modTime, modTime); err != nil {
 			t.Fatal(err)
 		}
-		if err := b.Look(); err != nil || b.State().Drained != drained {
-			t.Errorf("clock set by %v: drained %v (%v), want %v", step, b.State().Drained, err, drained)
+		if err := b.Reload(); err != nil || b.State().Drained != drained {
+			t.Errorf("modification time moved by %v: drained %v (error %v), want %v", step, b.State().Drained, err, drained)
 		}
 	}
 }
 
-// The folder has the form that it always had, in both directions: empty files of these
-// names, between which others may lie.
-func TestMarksFormIsKept(t *testing.T) {
+// Other versions of the program read and write the same directory, so the file names must
+// not change and other files must be ignored.
+func TestDirectoryFormatIsUnchanged(t *testing.T) {
 	dir := t.TempDir()
 	names := []string{"drained", "next", "next.4711", "out-%2F", "out-%zz", "out-s-1"}
 	for _, name := range names {
@@ -286,11 +283,11 @@
 		}
 	}
 	want := OperatorState{Drained: true, Disabled: map[string]bool{"/": true, "s-1": true}}
-	m, err := OpenOperatorStore(dir, ignore)
-	if err != nil || !m.State().equal(want) {
-		t.Fatalf("read %+v, %v, want %+v", m.State(), err, want)
+	store, err := OpenOperatorStore(dir, ignoreState)
+	if err != nil || !store.State().equal(want) {
+		t.Fatalf("read %+v, error %v, want %+v", store.State(), err, want)
 	}
-	if err := errors.Join(m.SetDisabled("/", false), m.SetDisabled("a b", true), m.SetDrained(true)); err != nil {
+	if err := errors.Join(store.SetDisabled("/", false), store.SetDisabled("a b", true), store.SetDrained(true)); err != nil {
 		t.Fatal(err)
 	}
 	sizes := map[string]int64{}
@@ -305,59 +302,59 @@
 		}
 		sizes[e.Name()] = info.Size()
 	}
-	left := []string{"drained", "next", "next.4711", "out-%zz", "out-a+b", "out-s-1"}
-	if got := slices.Sorted(maps.Keys(sizes)); !slices.Equal(got, left) {
-		t.Errorf("written %q, want %q", got, left)
+	wantNames := []string{"drained", "next", "next.4711", "out-%zz", "out-a+b", "out-s-1"}
+	if got := slices.Sorted(maps.Keys(sizes)); !slices.Equal(got, wantNames) {
+		t.Errorf("file names %q, want %q", got, wantNames)
 	}
 	for name, size := range sizes {
 		if size != 0 {
-			t.Errorf("%s has %d bytes, want none", name, size)
+			t.Errorf("%s has %d bytes, want 0", name, size)
 		}
 	}
 }
 
-// markedOnly is a sidecar of which there are the marks alone.
-type markedOnly struct{ *OperatorStore }
+// storeController is a ready Controller that accepts any endpoint and changes the store.
+type storeController struct{ *OperatorStore }
 
-func (markedOnly) Ready() bool            { return true }
-func (markedOnly) EverListed(string) bool { return true }
+func (storeController) Ready() bool            { return true }
+func (storeController) EverListed(string) bool { return true }
 
-// The console says yes to what will be found after a loss of power in that moment, and no
-// to what failed and holds nowhere.
-func TestConsoleSaysYesToWhatIsOnTheDisk(t *testing.T) {
+// The console reports success only for a change that survives a power loss, and a failed
+// change is not effective.
+func TestConsoleConfirmsOnlyDurableChanges(t *testing.T) {
 	for _, c := range []struct {
 		path, body string
 		before     func(*OperatorStore) error
 		want       OperatorState
 	}{
-		{"/drain", "", first, words[0].want},
-		{"/undrain", "", drain, words[2].want},
-		{"/endpoints/disable", `{"target":"a/b"}`, first, words[3].want},
-		{"/endpoints/enable", `{"target":"a/b"}`, disable, words[4].want},
+		{"/drain", "", first, operatorChanges[0].want},
+		{"/undrain", "", drain, operatorChanges[2].want},
+		{"/endpoints/disable", `{"target":"a/b"}`, first, operatorChanges[3].want},
+		{"/endpoints/enable", `{"target":"a/b"}`, disable, operatorChanges[4].want},
 	} {
-		disk, m := begun(t, word{before: c.before})
-		was := m.State()
-		door := NewConsole(markedOnly{m}).Handler
+		fsys, store := prepareChange(t, operatorChange{before: c.before})
+		before := store.State()
+		handler := NewConsole(storeController{store}).Handler
 		post := func() *httptest.ResponseRecorder {
-			answer := httptest.NewRecorder()
-			door.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, c.path, strings.NewReader(c.body)))
-			return answer
+			recorder := httptest.NewRecorder()
+			handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, c.path, strings.NewReader(c.body)))
+			return recorder
 		}
-		disk.Fault(func(s durabletest.Step) error {
+		fsys.Fault(func(s durabletest.Step) error {
 			if s.Op == "syncdir" {
 				return syscall.EIO
 			}
 			return nil
 		})
-		if a := post(); a.Code != http.StatusInternalServerError || !strings.Contains(a.Body.String(), syscall.EIO.Error()) || !m.State().equal(was) {
-			t.Errorf("%s on a disk that fails: %d %q, and it holds %+v, want %+v", c.path, a.Code, a.Body, m.State(), was)
+		if response := post(); response.Code != http.StatusInternalServerError || !strings.Contains(response.Body.String(), syscall.EIO.Error()) || !store.State().equal(before) {
+			t.Errorf("%s on a failing disk: %d %q, state %+v, want %+v", c.path, response.Code, response.Body, store.State(), before)
 		}
-		disk.Fault(nil)
-		if a := post(); a.Code != http.StatusOK || !m.State().equal(c.want) {
-			t.Errorf("%s: %d %q, and it holds %+v, want %+v", c.path, a.Code, a.Body, m.State(), c.want)
+		fsys.Fault(nil)
+		if response := post(); response.Code != http.StatusOK || !store.State().equal(c.want) {
+			t.Errorf("%s: %d %q, state %+v, want %+v", c.path, response.Code, response.Body, store.State(), c.want)
 		}
-		if s := nextSays(t, disk, nil); !s.equal(c.want) {
-			t.Errorf("%s: yes, and the next process reads %+v, want %+v", c.path, s, c.want)
+		if s := stateAfterPowerLoss(t, fsys, nil); !s.equal(c.want) {
+			t.Errorf("%s succeeded, but the next process reads %+v, want %+v", c.path, s, c.want)
 		}
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// patience bounds every wait of these tests; a sound run needs far less.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of these tests.
+const testTimeout = 20 * time.Second
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
@@ -25,32 +25,32 @@
 	return l
 }
 
-// What is said to one process holds in another one, with ids that no file could be
-// called by, and in the next one; a folder that cannot be is an error.
-func TestMarksAreShared(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "marks")
-	heard := make(chan OperatorState, 100)
+// A change made in one process is effective in another one and in the next one, even for
+// endpoint ids that are not valid file names. An unusable directory is an error.
+func TestStateIsSharedBetweenProcesses(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "operator")
+	states := make(chan OperatorState, 100)
 	a, err := OpenOperatorStore(dir, func(OperatorState) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := OpenOperatorStore(dir, func(s OperatorState) { heard <- s })
+	b, err := OpenOperatorStore(dir, func(s OperatorState) { states <- s })
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	defer close(done)
 	go b.Watch(done)
-	next := func(what string, ok func(OperatorState) bool) {
+	waitFor := func(what string, ok func(OperatorState) bool) {
 		t.Helper()
-		for end := time.After(patience); ; {
+		for end := time.After(testTimeout); ; {
 			select {
-			case s := <-heard:
+			case s := <-states:
 				if ok(s) {
 					return
 				}
 			case <-end:
-				t.Fatalf("not heard: %s", what)
+				t.Fatalf("timed out waiting for: %s", what)
 			}
 		}
 	}
@@ -59,123 +59,123 @@
 		if err := a.SetDisabled(id, true); err != nil {
 			t.Fatal(err)
 		}
-		next(id+" is out", func(s OperatorState) bool { return s.Disabled[id] && !s.Drained })
+		waitFor(id+" is disabled", func(s OperatorState) bool { return s.Disabled[id] && !s.Drained })
 	}
 	if err := a.SetDrained(true); err != nil {
 		t.Fatal(err)
 	}
-	next("drained", func(s OperatorState) bool { return s.Drained && len(s.Disabled) == len(ids) })
+	waitFor("drained", func(s OperatorState) bool { return s.Drained && len(s.Disabled) == len(ids) })
 	c, err := OpenOperatorStore(dir, func(OperatorState) {})
 	if err != nil || !c.State().equal(a.State()) {
-		t.Errorf("the next process: %+v, %v, want %+v", c.State(), err, a.State())
+		t.Errorf("next process: state %+v, error %v, want %+v", c.State(), err, a.State())
 	}
 	for _, id := range ids {
 		if err := c.SetDisabled(id, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	next("all are back", func(s OperatorState) bool { return len(s.Disabled) == 0 && s.Drained })
-	if err := a.SetDisabled(strings.Repeat("x", 2*maxName), true); err == nil || a.State().Disabled[strings.Repeat("x", 2*maxName)] {
-		t.Error("an id that no file can be called by was taken")
+	waitFor("all enabled", func(s OperatorState) bool { return len(s.Disabled) == 0 && s.Drained })
+	if err := a.SetDisabled(strings.Repeat("x", 2*maxFileNameBytes), true); err == nil || a.State().Disabled[strings.Repeat("x", 2*maxFileNameBytes)] {
+		t.Error("an id that is too long for a file name was accepted")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenOperatorStore(filepath.Join(file, "marks"), func(OperatorState) {}); err == nil {
-		t.Error("a folder inside a file")
+	if _, err := OpenOperatorStore(filepath.Join(file, "operator"), func(OperatorState) {}); err == nil {
+		t.Error("a directory inside a file was accepted")
 	}
 }
 
-// A state of many parts, the listener and a connection with bytes that were read
-// of it go over; nobody, a dead socket and a wrong word are told apart.
+// A multipart state, the listener and a partly read connection are handed over. No process
+// and a stale socket are not errors; an invalid state is one.
 func TestHandover(t *testing.T) {
 	dir := t.TempDir()
 	if l, _, err := TakeOver(dir, new(string)); l != nil || err != nil {
-		t.Fatalf("nobody there: %v, %v", l, err)
+		t.Fatalf("no old process: link %v, error %v", l, err)
 	}
-	front := listen(t)
+	oldListener := listen(t)
 	state := strings.Repeat("0123456789", 30_000)
 	ready := make(chan *HandoverLink, 1)
-	s, err := ListenForSuccessor(dir, front, func() any { return state }, func(*HandoverLink) {}, func(l *HandoverLink) { ready <- l })
+	s, err := ListenForSuccessor(dir, oldListener, func() any { return state }, func(*HandoverLink) {}, func(l *HandoverLink) { ready <- l })
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got string
-	link, over, err := TakeOver(dir, &got)
-	if err != nil || link == nil || got != state || over.Addr().String() != front.Addr().String() {
-		t.Fatalf("%d bytes of state, want %d; %v", len(got), len(state), err)
+	link, listener, err := TakeOver(dir, &got)
+	if err != nil || link == nil || got != state || listener.Addr().String() != oldListener.Addr().String() {
+		t.Fatalf("%d bytes of state, want %d; error %v", len(got), len(state), err)
 	}
-	defer over.Close()
+	defer listener.Close()
 	if err := link.SendReady(); err != nil {
 		t.Fatal(err)
 	}
-	var old *HandoverLink
+	var oldLink *HandoverLink
 	select {
-	case old = <-ready:
-	case <-time.After(patience):
-		t.Fatal("the old process does not hear that the new one serves")
+	case oldLink = <-ready:
+	case <-time.After(testTimeout):
+		t.Fatal("the old process did not receive the ready message")
 	}
-	// The old process takes a connection, reads some of it and passes it on.
-	client, err := net.Dial("tcp", front.Addr().String())
+	// The old process accepts a connection, reads some bytes and hands it over.
+	client, err := net.Dial("tcp", oldListener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	client.SetDeadline(time.Now().Add(patience))
+	client.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(client, "read ")
-	taken, err := front.Accept()
+	conn, err := oldListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ahead := make([]byte, 5)
-	if _, err := io.ReadFull(taken, ahead); err != nil {
+	buffered := make([]byte, 5)
+	if _, err := io.ReadFull(conn, buffered); err != nil {
 		t.Fatal(err)
 	}
-	go link.ReceiveConns(func(c net.Conn, ahead []byte) {
+	go link.ReceiveConns(func(c net.Conn, buffered []byte) {
 		line, err := bufio.NewReader(c).ReadString('\n')
-		fmt.Fprintf(c, "%s%s %v\n", ahead, strings.TrimSpace(line), err)
+		fmt.Fprintf(c, "%s%s %v\n", buffered, strings.TrimSpace(line), err)
 		c.Close()
 	})
-	if err := old.SendConn(taken, ahead); err != nil {
+	if err := oldLink.SendConn(conn, buffered); err != nil {
 		t.Fatal(err)
 	}
-	taken.Close()
+	conn.Close()
 	io.WriteString(client, "and sent later\n")
 	if line, err := bufio.NewReader(client).ReadString('\n'); line != "read and sent later <nil>\n" {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("response %q, error %v", line, err)
 	}
-	// The listener goes on in the new process after the end of the old one.
-	front.Close()
+	// The listener works in the new process after the old one has ended.
+	oldListener.Close()
 	s.Close()
-	old.Close()
+	oldLink.Close()
 	select {
 	case <-link.Done():
-	case <-time.After(patience):
-		t.Fatal("the new process does not hear of the old one's end")
+	case <-time.After(testTimeout):
+		t.Fatal("the new process did not notice the end of the old one")
 	}
-	go net.Dial("tcp", over.Addr().String())
-	if c, err := over.Accept(); err != nil {
+	go net.Dial("tcp", listener.Addr().String())
+	if c, err := listener.Accept(); err != nil {
 		t.Error(err)
 	} else {
 		c.Close()
 	}
 	if l, _, err := TakeOver(dir, &got); l != nil || err != nil {
-		t.Errorf("a dead socket: %v, %v, want nobody", l, err)
+		t.Errorf("stale socket: link %v, error %v, want neither", l, err)
 	}
 	var number int
-	s, err = ListenForSuccessor(dir, over, func() any { return "text" }, func(*HandoverLink) {}, func(*HandoverLink) {})
+	s, err = ListenForSuccessor(dir, listener, func() any { return "text" }, func(*HandoverLink) {}, func(*HandoverLink) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	if l, _, err := TakeOver(dir, &number); l != nil || err == nil {
-		t.Errorf("a state of another form: %v, %v, want an error", l, err)
+		t.Errorf("state of another type: link %v, error %v, want an error", l, err)
 	}
 }
 
-// A process that hangs does not hold up the next one for long.
-func TestHungProcessIsNotWaitedFor(t *testing.T) {
+// A hung process delays the next one only until the timeout.
+func TestTakeOverFromHungProcessTimesOut(t *testing.T) {
 	dir := t.TempDir()
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: filepath.Join(dir, socketName), Net: "unixpacket"})
 	if err != nil {
@@ -184,9 +184,9 @@
 	defer l.Close()
 	start := time.Now()
 	if link, _, err := TakeOver(dir, new(string)); link != nil || err == nil {
-		t.Errorf("taken over from a hung process: %v, %v", link, err)
+		t.Errorf("takeover from a hung process: link %v, error %v, want an error", link, err)
 	}
-	if d := time.Since(start); d > patience/2 {
-		t.Errorf("waited for %v", d)
+	if d := time.Since(start); d > testTimeout/2 {
+		t.Errorf("TakeOver took %v", d)
 	}
 }
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -17,182 +17,184 @@
 	"gorselink/internal/acceptloop"
 )
 
-// The handover is spoken over a Unix socket whose messages keep their bounds
-// (SOCK_SEQPACKET), so that a descriptor stays with what is said of it. The
-// first byte of a message tells its kind.
+// Kinds of handover messages, given in the first byte. The Unix socket preserves message
+// boundaries (SOCK_SEQPACKET), so that a descriptor arrives with the message it belongs to.
 const (
-	partMark  = 'p' // from the old process: a part of the state
-	stateMark = 's' // from the old process: its last part, with the listener
-	readyMark = 'r' // from the new process: it serves
-	connMark  = 'c' // from the old process: a caller's connection, and what was read of it
+	statePartMessage = 'p' // from the old process: a part of the state
+	stateEndMessage  = 's' // from the old process: the last part of the state, with the listener
+	readyMessage     = 'r' // from the new process: it serves requests
+	connMessage      = 'c' // from the old process: a caller's connection, with the bytes read from it
 )
 
 const (
 	socketName = "next"
 
-	// helloTime is what the old process gets to hand over its state: it is
-	// a few milliseconds' work, and a new one that waits for a hung one would
-	// not be ready in its time.
-	helloTime = 1500 * time.Millisecond
-	// passTime bounds the handing over of one connection.
-	passTime = time.Second
+	// stateTimeout bounds the transfer of the state, so that a hung old process does not
+	// delay the start of the new one.
+	stateTimeout = 1500 * time.Millisecond
+	// sendTimeout bounds the sending of any other message.
+	sendTimeout = time.Second
 
-	mostPart  = 32 << 10
-	mostState = 4 << 20
-	mostAhead = 16 << 10 // bytes of a connection that have been read already
+	maxPartBytes     = 32 << 10
+	maxStateBytes    = 4 << 20
+	maxBufferedBytes = 16 << 10 // read from a connection before it is handed over
 
-	// awaitLeast and awaitMost bound the wait before another try to be found by the
-	// next process.
-	awaitLeast = 50 * time.Millisecond
-	awaitMost  = 5 * time.Second
+	// minRetryWait and maxRetryWait bound the wait before the next attempt to create the
+	// handover socket.
+	minRetryWait = 50 * time.Millisecond
+	maxRetryWait = 5 * time.Second
 )
 
-// errTorn tells of a message of which something was lost on the way.
-var errTorn = errors.New("handover: a message is cut off, or there was no room for its descriptor")
+// errTruncated means that a part of a message, or its descriptor, was lost.
+var errTruncated = errors.New("handover: message or its control data truncated")
 
-// Link connects two processes of one sidecar while the new one takes the place
-// of the old one. Either of them sees the other's end as the end of the Link.
+// HandoverLink connects the old and the new process of a sidecar during a
+// handover. The link ends when either process ends.
 type HandoverLink struct {
 	conn *net.UnixConn
-	mu   sync.Mutex // of sending
+	mu   sync.Mutex // serializes sending
 	done chan struct{}
 	once sync.Once
 }
 
-func newLink(c *net.UnixConn) *HandoverLink { return &HandoverLink{conn: c, done: make(chan struct{})} }
+func newHandoverLink(c *net.UnixConn) *HandoverLink {
+	return &HandoverLink{conn: c, done: make(chan struct{})}
+}
 
-// Done is closed once the other side is gone, or Close has been called.
+// Done returns a channel that is closed when the other process has ended or Close has been
+// called.
 func (l *HandoverLink) Done() <-chan struct{} { return l.done }
 
-// Close ends the Link.
+// Close closes the link.
 func (l *HandoverLink) Close() {
 	l.once.Do(func() { close(l.done) })
 	l.conn.Close()
 }
 
-// send sends one message, with the descriptor of what it is about, if any.
-func (l *HandoverLink) send(kind byte, text []byte, about syscall.Conn, limit time.Duration) error {
+// send sends one message, with the descriptor of a socket unless socket is nil.
+func (l *HandoverLink) send(kind byte, text []byte, socket syscall.Conn, timeout time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	msg := append([]byte{kind}, text...)
-	l.conn.SetWriteDeadline(time.Now().Add(limit))
-	if about == nil {
+	l.conn.SetWriteDeadline(time.Now().Add(timeout))
+	if socket == nil {
 		_, _, err := l.conn.WriteMsgUnix(msg, nil, nil)
 		return err
 	}
-	// The descriptor is sent as it is. What net hands out as a File would be a
-	// copy that blocks, and with it, for both processes, the original.
-	raw, err := about.SyscallConn()
+	// The File method of a net connection would switch its duplicate to blocking mode, and
+	// with it the original descriptor in both processes.
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var sent error
+	var sendErr error
 	err = raw.Control(func(fd uintptr) {
-		_, _, sent = l.conn.WriteMsgUnix(msg, syscall.UnixRights(int(fd)), nil)
+		_, _, sendErr = l.conn.WriteMsgUnix(msg, syscall.UnixRights(int(fd)), nil)
 	})
-	return errors.Join(err, sent)
+	return errors.Join(err, sendErr)
 }
 
-// receive reads one message.
-func (l *HandoverLink) receive(buf []byte) (kind byte, text []byte, about *os.File, err error) {
+// receive reads one message, with its descriptor if it has one.
+func (l *HandoverLink) receive(buf []byte) (kind byte, text []byte, file *os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, flags, _, err := l.conn.ReadMsgUnix(buf, oob)
 	if err != nil {
 		return 0, nil, nil, err
 	}
 	if oobn > 0 {
-		if about, err = descriptor(oob[:oobn]); err != nil {
+		if file, err = parseDescriptor(oob[:oobn]); err != nil {
 			return 0, nil, nil, err
 		}
 	}
 	if n == 0 {
-		return 0, nil, about, io.ErrUnexpectedEOF
+		return 0, nil, file, io.ErrUnexpectedEOF
 	}
 	if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-		if about != nil {
-			about.Close()
+		if file != nil {
+			file.Close()
 		}
-		return 0, nil, nil, errTorn
+		return 0, nil, nil, errTruncated
 	}
-	return buf[0], buf[1:n], about, nil
+	return buf[0], buf[1:n], file, nil
 }
 
-// descriptor takes the one descriptor out of a control message.
-func descriptor(oob []byte) (*os.File, error) {
+// parseDescriptor returns the single descriptor of a control message.
+func parseDescriptor(oob []byte) (*os.File, error) {
 	msgs, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	var fds []int
 	for i := range msgs {
-		more, err := syscall.ParseUnixRights(&msgs[i])
+		rights, err := syscall.ParseUnixRights(&msgs[i])
 		if err != nil {
 			return nil, fmt.Errorf("handover: %w", err)
 		}
-		fds = append(fds, more...)
+		fds = append(fds, rights...)
 	}
 	if len(fds) != 1 {
 		for _, fd := range fds {
 			syscall.Close(fd)
 		}
-		return nil, fmt.Errorf("handover: %d descriptors in a message, want one", len(fds))
+		return nil, fmt.Errorf("handover: message has %d descriptors, want 1", len(fds))
 	}
-	// Sockets of the runtime do not block, and os.NewFile keeps that.
-	return os.NewFile(uintptr(fds[0]), "handed over"), nil
+	// Sockets of the Go runtime are non-blocking, and os.NewFile preserves that.
+	return os.NewFile(uintptr(fds[0]), "handover descriptor"), nil
 }
 
-// Ready tells the old process that this one serves.
-func (l *HandoverLink) SendReady() error { return l.send(readyMark, nil, nil, passTime) }
+// SendReady tells the old process that this one serves requests.
+func (l *HandoverLink) SendReady() error { return l.send(readyMessage, nil, nil, sendTimeout) }
 
-// Pass hands a caller's connection to the new process, and what has been read of
-// it. The connection of this process is still to be closed.
-func (l *HandoverLink) SendConn(c net.Conn, ahead []byte) error {
-	s, ok := c.(syscall.Conn)
-	if !ok || len(ahead) > mostAhead {
-		return errors.New("handover: not a socket, or too much of it has been read")
+// SendConn sends a caller's connection to the new process, with the bytes already read from
+// it. The caller of SendConn still has to close the connection.
+func (l *HandoverLink) SendConn(c net.Conn, buffered []byte) error {
+	socket, ok := c.(syscall.Conn)
+	if !ok || len(buffered) > maxBufferedBytes {
+		return errors.New("handover: connection is not a socket, or too many bytes have been read from it")
 	}
-	return l.send(connMark, ahead, s, passTime)
+	return l.send(connMessage, buffered, socket, sendTimeout)
 }
 
-// Take hands each connection that the old process passes on to take, until the
-// old process is gone. It must be called once, by the new process.
-func (l *HandoverLink) ReceiveConns(take func(c net.Conn, ahead []byte)) {
+// ReceiveConns passes each connection from the old process to handle until the old process
+// has ended. The new process must call it once.
+func (l *HandoverLink) ReceiveConns(handle func(c net.Conn, buffered []byte)) {
 	defer l.Close()
-	buf := make([]byte, mostAhead+1)
+	buf := make([]byte, maxBufferedBytes+1)
 	for {
-		kind, ahead, f, err := l.receive(buf)
-		if errors.Is(err, errTorn) { // one connection is lost; the others come
-			slog.Error("a connection of the process before is lost", "error", err)
+		kind, buffered, file, err := l.receive(buf)
+		if errors.Is(err, errTruncated) { // only one connection is lost
+			slog.Error("handover of a connection failed; waiting for the next one", "error", err)
 			continue
 		}
 		if err != nil {
 			return
 		}
-		if f == nil || kind != connMark {
+		if file == nil || kind != connMessage {
 			continue
 		}
-		c, err := net.FileConn(f)
-		f.Close()
+		c, err := net.FileConn(file)
+		file.Close()
 		if err == nil {
-			take(c, append([]byte(nil), ahead...))
+			handle(c, append([]byte(nil), buffered...))
 		}
 	}
 }
 
-// TakeOver asks the process that serves in the folder dir for its listener and
-// its state, which must be JSON for what state points to. The Link is nil if there
-// is none. After an error state is as before, and the old process serves on.
+// TakeOver requests the listener and the state of the process that serves in the directory
+// dir. It decodes the state from JSON into the value that state points to. The link is nil
+// if there is no such process. After an error state is unchanged, and the old process
+// continues to serve requests.
 func TakeOver(dir string, state any) (*HandoverLink, net.Listener, error) {
-	c, err := net.DialTimeout("unixpacket", filepath.Join(dir, socketName), helloTime)
+	c, err := net.DialTimeout("unixpacket", filepath.Join(dir, socketName), stateTimeout)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-			return nil, nil, nil // nobody serves there
+			return nil, nil, nil // no process serves there
 		}
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
-	l := newLink(c.(*net.UnixConn))
-	l.conn.SetReadDeadline(time.Now().Add(helloTime))
-	listener, err := l.hear(state)
+	l := newHandoverLink(c.(*net.UnixConn))
+	l.conn.SetReadDeadline(time.Now().Add(stateTimeout))
+	listener, err := l.receiveState(state)
 	if err != nil {
 		l.Close()
 		return nil, nil, fmt.Errorf("handover: %w", err)
@@ -201,131 +203,130 @@
 	return l, listener, nil
 }
 
-// hear reads the state to its end.
-func (l *HandoverLink) hear(state any) (net.Listener, error) {
+// receiveState receives the whole state and the listener.
+func (l *HandoverLink) receiveState(state any) (net.Listener, error) {
 	var text []byte
-	buf := make([]byte, mostPart+1)
+	buf := make([]byte, maxPartBytes+1)
 	for {
-		kind, part, f, err := l.receive(buf)
+		kind, part, file, err := l.receive(buf)
 		if err != nil {
 			return nil, err
 		}
 		text = append(text, part...)
-		if kind == partMark && f == nil && len(text) <= mostState {
+		if kind == statePartMessage && file == nil && len(text) <= maxStateBytes {
 			continue
 		}
-		if f == nil {
-			return nil, fmt.Errorf("message %q without a descriptor, want a state with a listener", kind)
+		if file == nil {
+			return nil, fmt.Errorf("message of kind %q has no descriptor, want the end of the state with a listener", kind)
 		}
-		defer f.Close()
-		if kind != stateMark {
-			return nil, fmt.Errorf("message %q, want a state with a listener", kind)
+		defer file.Close()
+		if kind != stateEndMessage {
+			return nil, fmt.Errorf("message of kind %q, want the end of the state with a listener", kind)
 		}
-		return adopt(text, state, f)
+		return installState(text, state, file)
 	}
 }
 
-// adopt takes up a state and its listener, or nothing of both: half of a state is
-// worth less than none.
-func adopt(text []byte, state any, f *os.File) (net.Listener, error) {
-	into := reflect.ValueOf(state).Elem()
-	whole := reflect.New(into.Type())
-	if err := json.Unmarshal(text, whole.Interface()); err != nil {
+// installState decodes the state and opens the listener. It changes state only if both
+// succeed.
+func installState(text []byte, state any, file *os.File) (net.Listener, error) {
+	target := reflect.ValueOf(state).Elem()
+	decoded := reflect.New(target.Type())
+	if err := json.Unmarshal(text, decoded.Interface()); err != nil {
 		return nil, err
 	}
-	listener, err := net.FileListener(f)
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, err
 	}
-	into.Set(whole.Elem())
+	target.Set(decoded.Elem())
 	return listener, nil
 }
 
-// Successors takes in the processes that are to take this one's place.
+// SuccessorListener accepts the processes that take over from this one.
 type SuccessorListener struct {
-	l net.Listener // of the one goroutine that serves, once it is set
+	listener net.Listener // set once; serve reads it without the mutex
 
 	mu     sync.Mutex
 	closed bool
 	done   chan struct{}
 }
 
-// AwaitSuccessor makes this process the one that is found in the folder dir.
-// Each new process is given the listener and the state, one at a time; ready is
-// called once it serves, and Done of the Link tells if it ends again. While the
-// folder does not take the socket, the process that was found there stays so, and
-// this one tries again.
-func ListenForSuccessor(dir string, listener net.Listener, state func() any, begins, ready func(*HandoverLink)) (*SuccessorListener, error) {
-	about, ok := listener.(syscall.Conn)
+// ListenForSuccessor creates the handover socket in the directory dir, in place of that of
+// an older process. Each new process receives the listener and the state, one process at a
+// time. onConnect is called once a process has them and onReady once it serves requests.
+// If the socket cannot be created, the older one stays in place and the creation is retried.
+func ListenForSuccessor(dir string, listener net.Listener, state func() any, onConnect, onReady func(*HandoverLink)) (*SuccessorListener, error) {
+	socket, ok := listener.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("handover: the listener is no socket")
+		return nil, errors.New("handover: listener is not a socket")
 	}
 	path := filepath.Join(dir, socketName)
-	l, err := found(path)
-	if errors.Is(err, syscall.EINVAL) { // a path that is too long stays so
+	l, err := listenAt(path)
+	if errors.Is(err, syscall.EINVAL) { // the path is too long
 		return nil, err
 	}
 	s := &SuccessorListener{done: make(chan struct{})}
 	if err == nil {
-		s.hold(l)
-		go s.serve(about, state, begins, ready)
+		s.setListener(l)
+		go s.serve(socket, state, onConnect, onReady)
 		return s, nil
 	}
-	slog.Warn("no other process can take this one's place yet", "error", err)
+	slog.Warn("no other process can take this one's place: creating the handover socket failed; retrying", "error", err)
 	go func() {
-		if s.retry(path) {
-			s.serve(about, state, begins, ready)
+		if s.retryListen(path) {
+			s.serve(socket, state, onConnect, onReady)
 		}
 	}()
 	return s, nil
 }
 
-// found listens at a path, in the place of what was there.
-func found(path string) (*net.UnixListener, error) {
-	// Beside it first: the old process is found there until the new one is.
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh)
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: fresh, Net: "unixpacket"})
+// listenAt listens at a path and replaces what was there.
+func listenAt(path string) (*net.UnixListener, error) {
+	// The rename replaces the socket of the old process atomically.
+	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(tempPath)
+	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: tempPath, Net: "unixpacket"})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // what is found there may be the next process
-	if err := os.Rename(fresh, path); err != nil {
+	l.SetUnlinkOnClose(false) // the path may belong to the next process by then
+	if err := os.Rename(tempPath, path); err != nil {
 		l.Close()
-		os.Remove(fresh)
+		os.Remove(tempPath)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return l, nil
 }
 
-// retry tries to be found until it is; false if that is not wanted any more.
-func (s *SuccessorListener) retry(path string) bool {
-	for wait := awaitLeast; ; wait = min(2*wait, awaitMost) {
+// retryListen retries listenAt until it succeeds. It reports false after Close.
+func (s *SuccessorListener) retryListen(path string) bool {
+	for wait := minRetryWait; ; wait = min(2*wait, maxRetryWait) {
 		select {
 		case <-s.done:
 			return false
 		case <-time.After(wait):
 		}
-		if l, err := found(path); err == nil {
-			slog.Info("another process can take this one's place now")
-			return s.hold(l)
+		if l, err := listenAt(path); err == nil {
+			slog.Info("handover socket created; another process can take over")
+			return s.setListener(l)
 		}
 	}
 }
 
-// hold keeps the listener; false if it is not wanted any more.
-func (s *SuccessorListener) hold(l net.Listener) bool {
+// setListener stores the listener. It reports false after Close.
+func (s *SuccessorListener) setListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		l.Close()
 		return false
 	}
-	s.l = acceptloop.Wrap(l)
+	s.listener = acceptloop.Wrap(l)
 	return true
 }
 
-// Close ends the waiting for a successor.
+// Close stops accepting new processes.
 func (s *SuccessorListener) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -334,51 +335,51 @@
 	}
 	s.closed = true
 	close(s.done)
-	if s.l != nil {
-		s.l.Close()
+	if s.listener != nil {
+		s.listener.Close()
 	}
 }
 
-func (s *SuccessorListener) serve(about syscall.Conn, state func() any, begins, ready func(*HandoverLink)) {
+func (s *SuccessorListener) serve(socket syscall.Conn, state func() any, onConnect, onReady func(*HandoverLink)) {
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		l := newLink(c.(*net.UnixConn))
-		if err := l.tell(state(), about); err != nil {
-			l.Close()
+		link := newHandoverLink(c.(*net.UnixConn))
+		if err := link.sendState(state(), socket); err != nil {
+			link.Close()
 			continue
 		}
-		begins(l)
+		onConnect(link)
 		buf := make([]byte, 16)
 		for {
-			kind, _, f, err := l.receive(buf)
-			if f != nil {
-				f.Close()
+			kind, _, file, err := link.receive(buf)
+			if file != nil {
+				file.Close()
 			}
 			if err != nil {
 				break
 			}
-			if kind == readyMark {
-				ready(l)
+			if kind == readyMessage {
+				onReady(link)
 			}
 		}
-		l.Close()
+		link.Close()
 	}
 }
 
-// tell sends the state.
-func (l *HandoverLink) tell(state any, about syscall.Conn) error {
+// sendState sends the state in parts and the listener with the last one.
+func (l *HandoverLink) sendState(state any, socket syscall.Conn) error {
 	text, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
-	for len(text) > mostPart {
-		if err := l.send(partMark, text[:mostPart], nil, helloTime); err != nil {
+	for len(text) > maxPartBytes {
+		if err := l.send(statePartMessage, text[:maxPartBytes], nil, stateTimeout); err != nil {
 			return err
 		}
-		text = text[mostPart:]
+		text = text[maxPartBytes:]
 	}
-	return l.send(stateMark, text, about, helloTime)
+	return l.send(stateEndMessage, text, socket, stateTimeout)
 }
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -13,43 +13,43 @@
 	"time"
 )
 
-// grown is a state of several parts.
-type grown struct {
+// multipartState is a state that takes several messages.
+type multipartState struct {
 	Names []string `json:"names"`
 	Count int      `json:"count"`
 }
 
-func bigState() grown {
-	s := grown{Count: 7}
+func newMultipartState() multipartState {
+	s := multipartState{Count: 7}
 	for i := range 3000 {
 		s.Names = append(s.Names, fmt.Sprintf("endpoint %d %s", i, strings.Repeat("x", 20)))
 	}
 	return s
 }
 
-// message is one of the old process.
-type message struct {
-	kind  byte
-	text  []byte
-	about syscall.Conn
+// handoverMessage is a message from the old process.
+type handoverMessage struct {
+	kind   byte
+	text   []byte
+	socket syscall.Conn
 }
 
-// spoken are the messages that hand over a state.
-func spoken(t *testing.T, front syscall.Conn) (all []message) {
+// stateMessages returns the messages that hand over a state.
+func stateMessages(t *testing.T, socket syscall.Conn) (messages []handoverMessage) {
 	t.Helper()
-	text, err := json.Marshal(bigState())
+	text, err := json.Marshal(newMultipartState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for len(text) > mostPart {
-		all = append(all, message{partMark, text[:mostPart], nil})
-		text = text[mostPart:]
+	for len(text) > maxPartBytes {
+		messages = append(messages, handoverMessage{statePartMessage, text[:maxPartBytes], nil})
+		text = text[maxPartBytes:]
 	}
-	return append(all, message{stateMark, text, front})
+	return append(messages, handoverMessage{stateEndMessage, text, socket})
 }
 
-// old speaks so to the first process that comes, and then is gone.
-func old(t *testing.T, dir string, say []message) {
+// serveOldProcess sends the messages to the first process that connects and then closes.
+func serveOldProcess(t *testing.T, dir string, messages []handoverMessage) {
 	t.Helper()
 	path := filepath.Join(dir, socketName)
 	os.Remove(path)
@@ -65,10 +65,10 @@
 		if err != nil {
 			return
 		}
-		link := newLink(c)
+		link := newHandoverLink(c)
 		defer link.Close()
-		for _, m := range say {
-			if link.send(m.kind, m.text, m.about, patience) != nil {
+		for _, m := range messages {
+			if link.send(m.kind, m.text, m.socket, testTimeout) != nil {
 				return
 			}
 		}
@@ -76,75 +76,74 @@
 	t.Cleanup(func() { l.Close(); <-done })
 }
 
-// A state that ends at any message, or has lost a part, its end or its listener, is not
-// taken up, and nothing of it is.
-func TestTornHandoverIsNotTakenUp(t *testing.T) {
-	front := listen(t).(syscall.Conn)
-	whole := spoken(t, front)
-	if len(whole) < 3 {
-		t.Fatalf("%d messages: that is no test", len(whole))
-	}
-	last := len(whole) - 1
-	end := whole[last].text
-	but := func(i int, m message) []message {
-		some := append([]message(nil), whole...)
-		some[i] = m
-		return some
-	}
-	cases := map[string][]message{
-		"a part is lost":            append([]message{whole[0]}, whole[2:]...),
-		"no listener":               but(last, message{stateMark, end, nil}),
-		"a listener too early":      but(0, message{partMark, whole[0].text, front}),
-		"another word":              but(last, message{'x', end, front}),
-		"a part that is too long":   but(0, message{partMark, append(whole[0].text[:mostPart:mostPart], ' '), nil}),
-		"a count that is no number": but(last, message{stateMark, []byte(strings.Replace(string(end), `"count":7`, `"count":"7"`, 1)), front}),
-	}
-	for n := range whole {
-		cases[fmt.Sprintf("%d messages", n)] = whole[:n]
-	}
-	for _, cut := range []int{0, 1, len(end) / 2, len(end) - 1} {
-		cases[fmt.Sprintf("%d bytes of the last one", cut)] = but(last, message{stateMark, end[:cut], front})
-	}
-	for name, say := range cases {
+// A state that is truncated, or lacks a part or its listener, is rejected as a whole.
+func TestIncompleteStateIsRejected(t *testing.T) {
+	socket := listen(t).(syscall.Conn)
+	messages := stateMessages(t, socket)
+	if len(messages) < 3 {
+		t.Fatalf("invalid test: %d messages, want at least 3", len(messages))
+	}
+	last := len(messages) - 1
+	lastPart := messages[last].text
+	withMessage := func(i int, m handoverMessage) []handoverMessage {
+		changed := append([]handoverMessage(nil), messages...)
+		changed[i] = m
+		return changed
+	}
+	cases := map[string][]handoverMessage{
+		"missing part":                 append([]handoverMessage{messages[0]}, messages[2:]...),
+		"no listener":                  withMessage(last, handoverMessage{stateEndMessage, lastPart, nil}),
+		"listener with the first part": withMessage(0, handoverMessage{statePartMessage, messages[0].text, socket}),
+		"unknown kind":                 withMessage(last, handoverMessage{'x', lastPart, socket}),
+		"part too long":                withMessage(0, handoverMessage{statePartMessage, append(messages[0].text[:maxPartBytes:maxPartBytes], ' '), nil}),
+		"count of the wrong type":      withMessage(last, handoverMessage{stateEndMessage, []byte(strings.Replace(string(lastPart), `"count":7`, `"count":"7"`, 1)), socket}),
+	}
+	for n := range messages {
+		cases[fmt.Sprintf("only %d messages", n)] = messages[:n]
+	}
+	for _, cut := range []int{0, 1, len(lastPart) / 2, len(lastPart) - 1} {
+		cases[fmt.Sprintf("%d bytes of the last message", cut)] = withMessage(last, handoverMessage{stateEndMessage, lastPart[:cut], socket})
+	}
+	for name, incomplete := range cases {
 		dir := t.TempDir()
-		old(t, dir, say)
-		var got grown
+		serveOldProcess(t, dir, incomplete)
+		var got multipartState
 		link, l, err := TakeOver(dir, &got)
-		if link != nil || l != nil || err == nil || !reflect.DeepEqual(got, grown{}) {
-			t.Errorf("%s: link %v, listener %v, %v, %d names and count %d", name, link != nil, l != nil, err, len(got.Names), got.Count)
+		if link != nil || l != nil || err == nil || !reflect.DeepEqual(got, multipartState{}) {
+			t.Errorf("%s: link %v, listener %v, error %v, %d names and count %d, want only an error", name, link != nil, l != nil, err, len(got.Names), got.Count)
 		}
 	}
 	dir := t.TempDir()
-	old(t, dir, whole)
-	var got grown
+	serveOldProcess(t, dir, messages)
+	var got multipartState
 	link, l, err := TakeOver(dir, &got)
-	if err != nil || !reflect.DeepEqual(got, bigState()) {
-		t.Fatalf("whole: %v, %d names and count %d", err, len(got.Names), got.Count)
+	if err != nil || !reflect.DeepEqual(got, newMultipartState()) {
+		t.Fatalf("complete state: error %v, %d names and count %d", err, len(got.Names), got.Count)
 	}
 	link.Close()
 	l.Close()
 }
 
-// New processes that end at any point of the handover leave the old one as it was: the
-// next one is served.
-func TestOldProcessOutlastsTheNew(t *testing.T) {
+// A new process that ends at any point of the handover does not affect the old one, which
+// serves the next new process.
+func TestFailedHandoverLeavesOldProcessServing(t *testing.T) {
 	dir := t.TempDir()
-	front := listen(t)
-	begun := make(chan *HandoverLink, 100)
-	s, err := ListenForSuccessor(dir, front, func() any { return bigState() }, func(l *HandoverLink) { begun <- l }, func(*HandoverLink) {})
+	listener := listen(t)
+	connected := make(chan *HandoverLink, 100)
+	s, err := ListenForSuccessor(dir, listener, func() any { return newMultipartState() }, func(l *HandoverLink) { connected <- l }, func(*HandoverLink) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	all := len(spoken(t, front.(syscall.Conn)))
-	for reads := range all + 1 {
+	messages := len(stateMessages(t, listener.(syscall.Conn)))
+	for reads := range messages + 1 {
 		c, err := net.Dial("unixpacket", filepath.Join(dir, socketName))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
-		link := newLink(c.(*net.UnixConn))
-		buf := make([]byte, mostPart+1)
+		c.SetDeadline(time.Now().Add(testTimeout))
+		link := newHandoverLink(c.(*net.UnixConn))
+		buf := make([]byte, maxPartBytes+1)
 		for range reads {
 			if _, _, f, err := link.receive(buf); err != nil {
 				t.Fatal(err)
@@ -154,37 +153,37 @@
 		}
 		link.Close()
 	}
-	var got grown
+	var got multipartState
 	link, l, err := TakeOver(dir, &got)
-	if err != nil || !reflect.DeepEqual(got, bigState()) {
-		t.Fatalf("the next one: %v, %d names", err, len(got.Names))
+	if err != nil || !reflect.DeepEqual(got, newMultipartState()) {
+		t.Fatalf("next process: error %v, %d names", err, len(got.Names))
 	}
 	l.Close()
 	link.Close()
-	gone := time.After(patience)
-	for n := 0; n == 0 || len(begun) > 0; n++ { // whoever has begun is seen to be gone
+	timeout := time.After(testTimeout)
+	for n := 0; n == 0 || len(connected) > 0; n++ { // the end of each connected process is noticed
 		select {
-		case b := <-begun:
+		case link := <-connected:
 			select {
-			case <-b.Done():
-			case <-gone:
-				t.Fatal("the end of a new process is not seen")
+			case <-link.Done():
+			case <-timeout:
+				t.Fatal("the end of a new process was not noticed")
 			}
-		case <-gone:
-			t.Fatal("no process is seen to begin")
+		case <-timeout:
+			t.Fatal("no process connected")
 		}
 	}
 }
 
-// While the folder does not take the socket, nothing is left there and nothing is taken
-// from who is found there; once it does, the process is found.
-func TestSuccessorsAreAwaitedInTheEnd(t *testing.T) {
-	for name, trouble := range map[string]struct{ begin, end func(dir string) error }{
-		"no folder": {
+// While the handover socket cannot be created, no temporary file is left. Once it can be
+// created, new processes can take over.
+func TestSuccessorListenerRetries(t *testing.T) {
+	for name, failure := range map[string]struct{ begin, end func(dir string) error }{
+		"no directory": {
 			func(dir string) error { return os.Remove(dir) },
 			func(dir string) error { return os.Mkdir(dir, 0o700) },
 		},
-		"no rename": {
+		"rename fails": {
 			func(dir string) error { return os.Mkdir(filepath.Join(dir, socketName), 0o700) },
 			func(dir string) error { return os.Remove(filepath.Join(dir, socketName)) },
 		},
@@ -194,23 +193,23 @@
 			if err := os.Mkdir(dir, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			if err := trouble.begin(dir); err != nil {
+			if err := failure.begin(dir); err != nil {
 				t.Fatal(err)
 			}
-			front := listen(t)
-			s, err := ListenForSuccessor(dir, front, func() any { return grown{Count: 3} }, func(*HandoverLink) {}, func(*HandoverLink) {})
+			listener := listen(t)
+			s, err := ListenForSuccessor(dir, listener, func() any { return multipartState{Count: 3} }, func(*HandoverLink) {}, func(*HandoverLink) {})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer s.Close()
 			if left, _ := filepath.Glob(filepath.Join(dir, socketName+".*")); len(left) > 0 {
-				t.Errorf("left behind: %v", left)
+				t.Errorf("temporary files left: %v", left)
 			}
-			if err := trouble.end(dir); err != nil {
+			if err := failure.end(dir); err != nil {
 				t.Fatal(err)
 			}
-			var got grown
-			for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+			var got multipartState
+			for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 				link, l, err := TakeOver(dir, &got)
 				if link != nil {
 					link.Close()
@@ -218,22 +217,22 @@
 					break
 				}
 				if time.Now().After(end) {
-					t.Fatalf("not found: %v", err)
+					t.Fatalf("timed out waiting for the takeover: %v", err)
 				}
 			}
 			if got.Count != 3 {
-				t.Errorf("count %d", got.Count)
+				t.Errorf("count %d, want 3", got.Count)
 			}
 		})
 	}
 	long := filepath.Join(t.TempDir(), strings.Repeat("x", 200))
 	if _, err := ListenForSuccessor(long, listen(t), nil, nil, nil); err == nil {
-		t.Error("a path that no socket can have")
+		t.Error("a path that is too long for a socket was accepted")
 	}
 	s, err := ListenForSuccessor(filepath.Join(t.TempDir(), "none"), listen(t), nil, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Close() // while it still tries
+	s.Close() // while it still retries
 	s.Close()
 }
--- a/internal/fleet/marks.go
+++ b/internal/fleet/marks.go
@@ -1,6 +1,5 @@
-// Package fleet is what operators and other processes of the same sidecar see of
-// it: a door for calls by hand, marks that outlive a process, and the handover
-// from one process to the next.
+// Package fleet provides the operator console of a sidecar, the operator state that its
+// processes share, and the handover from a running process to its successor.
 package fleet
 
 import (
@@ -18,32 +17,29 @@
 	"gorselink/internal/durable"
 )
 
-// Marks are what operators have said by hand: which endpoints are out, and
-// whether the sidecar is drained. Each stands as an empty file in a folder that
-// the processes of one sidecar share, so that what is said to one of them holds
-// in the others and in the next one. A name is there or not, and nothing can tear
-// it; a list in one file would need a lock against two processes that write at
-// once. Without a folder the marks are of the process.
+// OperatorStore keeps the operator state as empty files in a directory that the processes
+// of one sidecar share: one per disabled endpoint and one for the drain. Creating or
+// removing a file is atomic, so that concurrent writers need no lock. Without a directory
+// the state is kept in memory.
 type OperatorStore struct {
-	dir    string
-	disk   durable.FS
-	notify func(OperatorState)
-	broken error // why nothing can be kept, see UnusableMarks; nil as a rule
+	dir      string
+	fsys     durable.FS
+	notify   func(OperatorState)
+	unusable error // why no state can be stored, see UnusableOperatorStore; else nil
 
-	mu     sync.Mutex
-	said   OperatorState
-	listed bool // the folder has been read once
-	rooted bool // the folder's own name is on the disk
+	mu        sync.Mutex
+	state     OperatorState
+	dirListed bool // the directory has been read once
+	dirSynced bool // the directory's own entry has been synced to disk
 
-	// owed are the files that could not be put back after a change that failed
-	// half way, and whether they have to be there. For them it is not the folder
-	// that counts.
-	owed map[string]bool
+	// pendingRollbacks maps each file that could not be restored after a failed change to
+	// whether it has to exist. It overrides the content of the directory.
+	pendingRollbacks map[string]bool
 }
 
-// Said is what the marks say at one moment.
+// OperatorState is what operators have set.
 type OperatorState struct {
-	Disabled map[string]bool // endpoints by id; not to be changed
+	Disabled map[string]bool // endpoints by id; must not be modified
 	Drained  bool
 }
 
@@ -52,248 +48,247 @@
 }
 
 const (
-	outMark     = "out-"
-	drainedMark = "drained"
+	disabledPrefix = "out-"
+	drainedFile    = "drained"
 
-	// maxName bounds the name of a file; a longer id was never listed.
-	maxName = 250
+	// maxFileNameBytes is below the limit of common file systems.
+	maxFileNameBytes = 250
 
-	// markTick is how often the folder is looked at for what was said to
-	// another process: well within the 1 s after which it has to hold.
-	markTick = 200 * time.Millisecond
+	// watchInterval is the time between two reads of the directory. A change made by
+	// another process has to be effective within 1 s.
+	watchInterval = 200 * time.Millisecond
 
-	// owedMost is the most ticks between two tries to put a file back.
-	owedMost = 25
+	// maxRollbackTicks is the maximum number of ticks between two attempts of a rollback.
+	maxRollbackTicks = 25
 )
 
-// OpenMarks returns the marks in the folder dir, which it makes if need be. An
-// empty dir keeps them in the process. All that is said is handed to notify,
-// one call at a time, at once with what stands there. A folder that cannot be
-// read for now says nothing yet, and Watch tries again.
+// OpenOperatorStore opens the store in the directory dir and creates dir if necessary. An
+// empty dir means that the state is kept in memory. The initial state and each change are
+// passed to notify, one call at a time. If the directory cannot be read, the initial state
+// is empty and Watch retries.
 func OpenOperatorStore(dir string, notify func(OperatorState)) (*OperatorStore, error) {
-	return openMarks(durable.OS{}, dir, notify)
+	return openOperatorStore(durable.OS{}, dir, notify)
 }
 
-func openMarks(disk durable.FS, dir string, notify func(OperatorState)) (*OperatorStore, error) {
-	m := &OperatorStore{dir: dir, disk: disk, notify: notify, said: OperatorState{Disabled: map[string]bool{}}, owed: map[string]bool{}}
-	if err := m.Look(); errors.Is(err, syscall.ENOTDIR) { // that does not pass
+func openOperatorStore(fsys durable.FS, dir string, notify func(OperatorState)) (*OperatorStore, error) {
+	s := &OperatorStore{dir: dir, fsys: fsys, notify: notify, state: OperatorState{Disabled: map[string]bool{}}, pendingRollbacks: map[string]bool{}}
+	if err := s.Reload(); errors.Is(err, syscall.ENOTDIR) { // a permanent error
 		return nil, err
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	notify(m.said)
-	return m, nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	notify(s.state)
+	return s, nil
 }
 
-// UnusableMarks returns marks for a folder that can never be used, as the cause says.
-// They say nothing, and all that operators say to them fails with the cause: a word that
-// would be forgotten with the process must not be taken for one that is kept.
+// UnusableOperatorStore returns an empty store for a directory that cannot be used. Each
+// change fails with the cause, because it would be lost when the process ends.
 func UnusableOperatorStore(cause error, notify func(OperatorState)) *OperatorStore {
-	m := &OperatorStore{notify: notify, said: OperatorState{Disabled: map[string]bool{}}, broken: cause}
-	notify(m.said)
-	return m
+	s := &OperatorStore{notify: notify, state: OperatorState{Disabled: map[string]bool{}}, unusable: cause}
+	notify(s.state)
+	return s
 }
 
-// Said is what the marks say now.
-func (m *OperatorStore) State() OperatorState {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.said
+// State returns the current state.
+func (s *OperatorStore) State() OperatorState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state
 }
 
-// Out marks an endpoint as out, or takes that back. Once it returns nil, that is
-// on the disk and notify has been told; after an error nothing has changed.
-func (m *OperatorStore) SetDisabled(id string, out bool) error {
-	return m.mark(outMark+url.QueryEscape(id), out, func(s *OperatorState) {
-		s.Disabled = maps.Clone(s.Disabled)
-		if out {
-			s.Disabled[id] = true
+// SetDisabled disables or enables an endpoint. When it returns nil, the change has been
+// synced to disk and passed to notify. After an error nothing has changed.
+func (s *OperatorStore) SetDisabled(id string, disabled bool) error {
+	return s.update(disabledPrefix+url.QueryEscape(id), disabled, func(state *OperatorState) {
+		state.Disabled = maps.Clone(state.Disabled)
+		if disabled {
+			state.Disabled[id] = true
 		} else {
-			delete(s.Disabled, id)
+			delete(state.Disabled, id)
 		}
 	})
 }
 
-// Drain marks the sidecar as drained, or takes that back, as Out does.
-func (m *OperatorStore) SetDrained(on bool) error {
-	return m.mark(drainedMark, on, func(s *OperatorState) { s.Drained = on })
+// SetDrained starts or ends the drain of the sidecar, with the guarantees of SetDisabled.
+func (s *OperatorStore) SetDrained(drained bool) error {
+	return s.update(drainedFile, drained, func(state *OperatorState) { state.Drained = drained })
 }
 
-func (m *OperatorStore) mark(name string, on bool, change func(*OperatorState)) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.broken != nil {
-		return fmt.Errorf("marks: %w", m.broken)
+func (s *OperatorStore) update(name string, exists bool, change func(*OperatorState)) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unusable != nil {
+		return fmt.Errorf("operator state: %w", s.unusable)
 	}
-	if m.dir != "" {
-		if err := m.file(name, on); err != nil {
-			return fmt.Errorf("marks: %w", err)
+	if s.dir != "" {
+		if err := s.persist(name, exists); err != nil {
+			return fmt.Errorf("operator state: %w", err)
 		}
 	}
-	next := m.said
+	next := s.state
 	change(&next)
-	m.tell(next)
+	s.publish(next)
 	return nil
 }
 
-// file puts a mark on the disk or takes it off. After an error the folder is as
-// before, or will be: what is left of the change is owed.
-func (m *OperatorStore) file(name string, on bool) error {
-	if len(name) > maxName {
-		return fmt.Errorf("a name of %d bytes, want %d at most", len(name), maxName)
+// persist creates or removes a file of the store. After an error it restores the previous
+// content of the directory, or leaves that to retryRollbacks.
+func (s *OperatorStore) persist(name string, exists bool) error {
+	if len(name) > maxFileNameBytes {
+		return fmt.Errorf("file name takes %d bytes, want at most %d", len(name), maxFileNameBytes)
 	}
-	if err := m.root(); err != nil {
+	if err := s.ensureDir(); err != nil {
 		return err
 	}
-	changed, err := m.put(name, on)
+	changed, err := s.setFile(name, exists)
 	if err == nil {
-		delete(m.owed, name)
+		delete(s.pendingRollbacks, name)
 		return nil
 	}
 	if !changed {
 		return err
 	}
-	if _, undone := m.put(name, !on); undone != nil {
-		m.owed[name] = !on
+	if _, rollbackErr := s.setFile(name, !exists); rollbackErr != nil {
+		s.pendingRollbacks[name] = !exists
 	}
 	return err
 }
 
-// put makes the file of a mark or removes it. It tells whether the name is now
-// another than before, which may be so with an error as well.
-func (m *OperatorStore) put(name string, on bool) (changed bool, err error) {
-	path := filepath.Join(m.dir, name)
-	if on {
-		return durable.Touch(m.disk, path, 0o600)
+// setFile creates or removes a file. It reports whether the directory has changed, which
+// is possible even with an error.
+func (s *OperatorStore) setFile(name string, exists bool) (changed bool, err error) {
+	path := filepath.Join(s.dir, name)
+	if exists {
+		return durable.Touch(s.fsys, path, 0o600)
 	}
-	return durable.Remove(m.disk, path)
+	return durable.Remove(s.fsys, path)
 }
 
-// root makes the folder, and puts its name on the disk: a mark is worth no more
-// than the folder that it is in. One that was there and is gone is not made again,
-// as an empty one would take back all that was said.
-func (m *OperatorStore) root() error {
-	if m.rooted {
+// ensureDir creates the directory and syncs its own entry to disk, without which its files
+// could be lost. A directory that has disappeared is not created again, because an empty
+// one would reset the state.
+func (s *OperatorStore) ensureDir() error {
+	if s.dirSynced {
 		return nil
 	}
-	if m.listed {
-		if _, err := m.disk.Names(m.dir); err != nil {
+	if s.dirListed {
+		if _, err := s.fsys.Names(s.dir); err != nil {
 			return err
 		}
 	}
-	if err := durable.MakeDir(m.disk, m.dir, 0o700); err != nil {
+	if err := durable.MakeDir(s.fsys, s.dir, 0o700); err != nil {
 		return err
 	}
-	m.rooted = true
+	s.dirSynced = true
 	return nil
 }
 
-// settle tries to put back what is owed.
-func (m *OperatorStore) settle() error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	var failed error
-	for name, on := range m.owed {
-		if _, err := m.put(name, on); err != nil {
-			failed = err
+// retryRollbacks retries the pending rollbacks and returns the last error.
+func (s *OperatorStore) retryRollbacks() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var lastErr error
+	for name, exists := range s.pendingRollbacks {
+		if _, err := s.setFile(name, exists); err != nil {
+			lastErr = err
 			continue
 		}
-		delete(m.owed, name)
+		delete(s.pendingRollbacks, name)
 	}
-	return failed
+	return lastErr
 }
 
-// tell hands on what is said if it is new; the mutex is held.
-func (m *OperatorStore) tell(next OperatorState) {
-	if next.equal(m.said) {
+// publish stores a state that differs from the current one and passes it to notify. The
+// mutex must be held.
+func (s *OperatorStore) publish(next OperatorState) {
+	if next.equal(s.state) {
 		return
 	}
-	m.said = next
-	m.notify(next)
+	s.state = next
+	s.notify(next)
 }
 
-// Look reads the folder. It does so each time: the folder's date would tell of a
-// change only as long as nobody sets the clock. If it cannot be read, what was
-// said last stands.
-func (m *OperatorStore) Look() error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.dir == "" {
+// Reload reads the state from the directory. It does not rely on the modification time,
+// which depends on the wall clock. If the directory cannot be read, the state is unchanged.
+func (s *OperatorStore) Reload() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.dir == "" {
 		return nil
 	}
-	names, err := m.list()
+	names, err := s.listDir()
 	if err != nil {
-		return fmt.Errorf("marks: %w", err)
+		return fmt.Errorf("operator state: %w", err)
 	}
-	there := map[string]bool{}
+	files := map[string]bool{}
 	for _, name := range names {
-		there[name] = true
+		files[name] = true
 	}
-	maps.Copy(there, m.owed)
-	m.tell(read(there))
+	maps.Copy(files, s.pendingRollbacks)
+	s.publish(stateFromFiles(files))
 	return nil
 }
 
-// list gives the names in the folder, which is made if it has never been there.
-func (m *OperatorStore) list() ([]string, error) {
-	if !m.listed {
-		if err := m.disk.MkdirAll(m.dir, 0o700); err != nil {
+// listDir returns the names in the directory, which it creates before the first read.
+func (s *OperatorStore) listDir() ([]string, error) {
+	if !s.dirListed {
+		if err := s.fsys.MkdirAll(s.dir, 0o700); err != nil {
 			return nil, err
 		}
 	}
-	names, err := m.disk.Names(m.dir)
-	m.listed = m.listed || err == nil
+	names, err := s.fsys.Names(s.dir)
+	s.dirListed = s.dirListed || err == nil
 	return names, err
 }
 
-// read gives what the files of a folder say.
-func read(there map[string]bool) OperatorState {
-	s := OperatorState{Disabled: map[string]bool{}, Drained: there[drainedMark]}
-	for name, is := range there {
-		escaped, ok := strings.CutPrefix(name, outMark)
-		if !is || !ok {
+// stateFromFiles returns the state that the files of a directory represent.
+func stateFromFiles(files map[string]bool) OperatorState {
+	state := OperatorState{Disabled: map[string]bool{}, Drained: files[drainedFile]}
+	for name, exists := range files {
+		escaped, ok := strings.CutPrefix(name, disabledPrefix)
+		if !exists || !ok {
 			continue
 		}
 		if id, err := url.QueryUnescape(escaped); err == nil {
-			s.Disabled[id] = true
+			state.Disabled[id] = true
 		}
 	}
-	return s
+	return state
 }
 
-// Watch looks for what other processes are told, and tries again what is owed,
-// until done is closed.
-func (m *OperatorStore) Watch(done <-chan struct{}) {
-	if m.dir == "" {
+// Watch polls for changes made by other processes and retries the pending rollbacks until
+// done is closed.
+func (s *OperatorStore) Watch(done <-chan struct{}) {
+	if s.dir == "" {
 		return
 	}
-	tick := time.NewTicker(markTick)
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
-	var unseen, unsettled bool
-	wait, waited := 1, 0 // ticks between two tries, and since the last one
+	var reloadFailed, rollbackFailed bool
+	rollbackTicks, elapsedTicks := 1, 0 // ticks between two attempts, and since the last one
 	for {
 		select {
 		case <-done:
 			return
 		case <-tick.C:
 		}
-		err := m.Look()
-		if err != nil && !unseen { // once for a row of failures
-			slog.Error("what operators say to other processes is not seen; what they said last stands", "folder", m.dir, "error", err)
+		err := s.Reload()
+		if err != nil && !reloadFailed { // log only the first of consecutive failures
+			slog.Error("operator state cannot be read; keeping the last known state", "folder", s.dir, "error", err)
 		}
-		unseen = err != nil
-		if waited++; waited < wait {
+		reloadFailed = err != nil
+		if elapsedTicks++; elapsedTicks < rollbackTicks {
 			continue
 		}
-		waited = 0
-		err = m.settle()
-		if err != nil && !unsettled {
-			slog.Error("a change by operators failed, and its file cannot be put back yet", "folder", m.dir, "error", err)
+		elapsedTicks = 0
+		err = s.retryRollbacks()
+		if err != nil && !rollbackFailed {
+			slog.Error("rollback of a failed operator change failed; retrying", "folder", s.dir, "error", err)
 		}
-		unsettled = err != nil
-		wait = min(2*wait, owedMost)
-		if !unsettled {
-			wait = 1
+		rollbackFailed = err != nil
+		rollbackTicks = min(2*rollbackTicks, maxRollbackTicks)
+		if !rollbackFailed {
+			rollbackTicks = 1
 		}
 	}
 }
--- a/internal/nodes/discovery.go
+++ b/internal/nodes/discovery.go
@@ -11,186 +11,180 @@
 	"time"
 )
 
-// Times are how long calls of a Discovery may take.
+// Timeouts bound the HTTP calls of a Discovery.
 type Timeouts struct {
-	LongPoll  time.Duration // that a watch may wait for news
-	Response  time.Duration // that it gets beyond its wait, and a connection to come up
-	Immediate time.Duration // that a call for the whole list gets, or one that does not wait
+	LongPoll  time.Duration // how long the service may hold a call until the list changes
+	Response  time.Duration // added to LongPoll for the response; also the connect timeout
+	Immediate time.Duration // for a call without long polling
 }
 
-// usualGrace is the drain grace where none is told.
-const usualGrace = 2 * time.Second
+// defaultDrainGrace applies when no drain grace is given.
+const defaultDrainGrace = 2 * time.Second
 
-// PushTimes are those where an agent on this machine answers at no cost, and grace is
-// how long after the news of a drain the last request may go to it.
+// LocalAgentTimeouts returns the timeouts for a discovery agent on this machine, where
+// calls cost little. drainGrace is how long after the announcement of a drain a request may
+// still be sent to the endpoint; 0 means the default.
 //
-// A call that was open when the agent fell silent may never be answered, while what the
-// agent has to tell counts as told from the moment it is back. So no call may hang for as
-// long as half of the grace, and a silence that comes twice, or three times, in a row is
-// still over within the 6 s after which the news counts as told.
-func LocalAgentTimeouts(grace time.Duration) Timeouts {
-	quarter := min(max(cmp.Or(grace, usualGrace)/4, leastWait), mostPushWait)
-	return Timeouts{LongPoll: quarter, Response: max(quarter/2, leastWait), Immediate: max(quarter, 2*leastWait)}
+// No call takes as long as half of drainGrace, since a call that is open when the agent
+// stalls may never be answered. Three calls in a row that time out still end within 6 s,
+// the time within which the sidecar has to apply a change.
+func LocalAgentTimeouts(drainGrace time.Duration) Timeouts {
+	quarter := min(max(cmp.Or(drainGrace, defaultDrainGrace)/4, minTimeout), maxAgentLongPoll)
+	return Timeouts{LongPoll: quarter, Response: max(quarter/2, minTimeout), Immediate: max(quarter, 2*minTimeout)}
 }
 
-// AskTimes are those where one service answers all sidecars: each call costs it a share
-// of a fixed capacity, so they are few, and it works through them in turn.
+// SharedServiceTimeouts returns the timeouts for one discovery service that serves all
+// sidecars with a fixed capacity. Long polls keep the number of calls low.
 func SharedServiceTimeouts() Timeouts {
 	return Timeouts{
 		LongPoll: 20 * time.Second,
-		// Half of the 2 s after which the news counts as told, so that a second
-		// call can still bring it.
+		// Half of the 2 s within which a change has to be applied, so that a second
+		// call can still fetch it.
 		Response: time.Second,
-		// Of the 6 s after which the whole list counts as told.
+		// A part of the 6 s within which the whole list has to be applied.
 		Immediate: 2 * time.Second,
 	}
 }
 
 const (
-	// leastWait is what an agent on this machine always gets: a process that has a part
-	// of a core may not run for some of it.
-	leastWait    = 100 * time.Millisecond
-	mostPushWait = 500 * time.Millisecond
+	// minTimeout allows for an agent that is not scheduled for a while because it has
+	// only a share of a core.
+	minTimeout       = 100 * time.Millisecond
+	maxAgentLongPoll = 500 * time.Millisecond
 
-	// pace is the least time between calls that bring nothing, well inside the
-	// 200 ms after which a watch counts as ended.
-	pace = 50 * time.Millisecond
+	// minCallInterval separates calls that return nothing new. It is below the 200 ms
+	// without a call after which long polling counts as ended.
+	minCallInterval = 50 * time.Millisecond
 
-	maxAnswer = 2 << 20 // bytes of an answer: some thousand endpoints have under 1 MiB, and 32 MB is all there may be
+	maxResponseBytes = 2 << 20 // some thousand endpoints take less than 1 MiB
 )
 
-// Discovery is a Source: it follows the endpoint list of one discovery service
-// over HTTP.
+// Discovery is a Source that follows the endpoint list of a discovery service over HTTP
+// by long polling.
 type Discovery struct {
-	addr    string
-	base    string
-	times   Timeouts
-	http    http.Client
-	index   uint64
-	started bool // index is of an answer of this service
-	failed  bool // the last call has
-	prompt  bool // the next call is not to wait
+	addr       string
+	url        string
+	timeouts   Timeouts
+	client     http.Client
+	index      uint64
+	hasIndex   bool // index is valid for this service
+	lastFailed bool // the last call failed
+	immediate  bool // the next call is made without long polling
 }
 
-// NewDiscovery returns a Discovery of the discovery at addr.
-func NewDiscovery(addr string, times Timeouts) *Discovery {
+// NewDiscovery returns a Discovery for the service at addr.
+func NewDiscovery(addr string, timeouts Timeouts) *Discovery {
 	return &Discovery{
-		addr:  addr,
-		base:  "http://" + addr + "/api/targets",
-		times: times,
-		http: http.Client{Transport: &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: times.Response}).DialContext,
+		addr:     addr,
+		url:      "http://" + addr + "/api/targets",
+		timeouts: timeouts,
+		client: http.Client{Transport: &http.Transport{
+			DialContext:         (&net.Dialer{Timeout: timeouts.Response}).DialContext,
 			MaxIdleConnsPerHost: 1,
 		}},
 	}
 }
 
-// Resume makes the first call ask for what has changed since index, which is a version of
-// the list that this discovery serves: a whole list costs a discovery that answers all
-// sidecars of a large fleet some ten times as much as a change, and with all of them asking
-// for one at once it was half a minute until the last had been answered. Where its versions
-// have begun anew since, or its history does not reach back, the whole list comes all the
-// same.
+// Resume makes the first call request only the changes since index, which costs a shared
+// service much less than a snapshot. If the service cannot provide these changes, Follow
+// still delivers a snapshot first.
 //
-// The call does not wait for news: what discovery has by then, and that it is heard at all,
-// is to be known at once. Call Resume before Follow.
-func (c *Discovery) Resume(index uint64) {
-	c.index, c.started, c.prompt = index, true, true
+// The first call is made without long polling, so that a service that does not respond is
+// detected at once. Resume must be called before Follow.
+func (d *Discovery) Resume(index uint64) {
+	d.index, d.hasIndex, d.immediate = index, true, true
 }
 
 // String implements Source.
-func (c *Discovery) String() string { return "discovery " + c.addr }
+func (d *Discovery) String() string { return "discovery " + d.addr }
 
-// Silent tells of a failure to follow whether nothing came at all, which may be a
-// connection that has fallen silent and no word of discovery.
+// IsTimeout reports whether an error of Follow is a timeout. The cause may be a broken
+// connection rather than a failure of the service.
 func IsTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// Close lets go of the connection that waits for the next call.
-func (c *Discovery) Close() { c.http.CloseIdleConnections() }
+// Close closes the idle connection to the service.
+func (d *Discovery) Close() { d.client.CloseIdleConnections() }
 
-// Follow hands each answer to update, the whole list first, then what changes,
-// until a call fails or ctx ends; it returns why. A Discovery that is followed
-// again goes on from where it was.
-func (c *Discovery) Follow(ctx context.Context, update func(List)) error {
+// Follow implements Source. It passes a snapshot and then each change to update until a
+// call fails or ctx ends. A later call of Follow continues from the last index.
+func (d *Discovery) Follow(ctx context.Context, update func(List)) error {
 	for {
-		asked, before := time.Now(), c.index
-		list, err := c.next(ctx)
-		c.failed = err != nil
+		started, lastIndex := time.Now(), d.index
+		list, err := d.fetchUpdate(ctx)
+		d.lastFailed = err != nil
 		if err != nil {
 			return err
 		}
-		c.prompt = false
+		d.immediate = false
 		update(list)
-		if c.index == before && time.Since(asked) < pace {
-			// Nothing new and no wait: not to spin on a discovery that does
-			// not hold its watches.
-			if !Sleep(ctx, pace) {
+		if d.index == lastIndex && time.Since(started) < minCallInterval {
+			// Avoids a busy loop on a service that does not hold long polls.
+			if !Sleep(ctx, minCallInterval) {
 				return ctx.Err()
 			}
 		}
 	}
 }
 
-// next makes one call and returns its answer.
-func (c *Discovery) next(ctx context.Context) (List, error) {
-	if !c.started {
-		return c.whole(ctx)
+// fetchUpdate makes one call and returns the snapshot or changes that it delivers.
+func (d *Discovery) fetchUpdate(ctx context.Context) (List, error) {
+	if !d.hasIndex {
+		return d.fetchSnapshot(ctx)
 	}
-	wait, limit := c.times.LongPoll, c.times.LongPoll+c.times.Response
-	if c.failed || c.prompt {
-		// What was missed is to be had at once or not at all; a wait would only hide
-		// that this call is not heard either.
-		wait, limit = 0, c.times.Immediate
+	longPoll, timeout := d.timeouts.LongPoll, d.timeouts.LongPoll+d.timeouts.Response
+	if d.lastFailed || d.immediate {
+		// Missed changes are available at once, and a long poll would only delay the
+		// detection of a service that does not respond.
+		longPoll, timeout = 0, d.timeouts.Immediate
 	}
-	url := fmt.Sprintf("%s?after=%d&wait_ms=%d", c.base, c.index, wait.Milliseconds())
-	list, err := c.call(ctx, url, limit)
+	url := fmt.Sprintf("%s?after=%d&wait_ms=%d", d.url, d.index, longPoll.Milliseconds())
+	list, err := d.fetch(ctx, url, timeout)
 	if err != nil {
 		return List{}, err
 	}
-	if list.Index < c.index && !list.Snapshot {
-		// Discovery has restarted: changes to its new list cannot be applied
-		// to the old one.
-		return c.whole(ctx)
+	if list.Index < d.index && !list.Snapshot {
+		// The service has restarted, so its changes do not apply to the old list.
+		return d.fetchSnapshot(ctx)
 	}
-	c.index = list.Index
+	d.index = list.Index
 	return list, nil
 }
 
-func (c *Discovery) whole(ctx context.Context) (List, error) {
-	list, err := c.call(ctx, c.base, c.times.Immediate)
+func (d *Discovery) fetchSnapshot(ctx context.Context) (List, error) {
+	list, err := d.fetch(ctx, d.url, d.timeouts.Immediate)
 	if err != nil {
 		return List{}, err
 	}
-	list.Snapshot = true // this call gives nothing else
-	c.index, c.started = list.Index, true
+	list.Snapshot = true // a call without an index always returns one
+	d.index, d.hasIndex = list.Index, true
 	return list, nil
 }
 
-func (c *Discovery) call(ctx context.Context, url string, limit time.Duration) (List, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (d *Discovery) fetch(ctx context.Context, url string, timeout time.Duration) (List, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return List{}, fmt.Errorf("discovery: %w", err)
+		return List{}, fmt.Errorf("discovery: create request: %w", err)
 	}
-	resp, err := c.http.Do(req)
+	resp, err := d.client.Do(req)
 	if err != nil {
 		return List{}, fmt.Errorf("discovery: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return List{}, fmt.Errorf("discovery: status %d", resp.StatusCode)
+		return List{}, fmt.Errorf("discovery: status %d, want 200", resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return List{}, fmt.Errorf("discovery: %w", err)
+		return List{}, fmt.Errorf("discovery: read response: %w", err)
 	}
-	list, err := Decode(text)
+	list, err := Decode(body)
 	if err != nil {
-		return List{}, fmt.Errorf("discovery: %w", err)
+		return List{}, fmt.Errorf("discovery: invalid response: %w", err)
 	}
 	return list, nil
 }
--- a/internal/nodes/durable_test.go
+++ b/internal/nodes/durable_test.go
@@ -14,30 +14,30 @@
 	"time"
 )
 
-// nodeFile is a file with a first list that has been told.
-func nodeFile(t *testing.T, text string) *File {
+// newDeliveredFile returns a File whose first list has been delivered.
+func newDeliveredFile(t *testing.T, text string) *File {
 	t.Helper()
 	f := &File{Path: filepath.Join(t.TempDir(), "nodes")}
-	write(t, f, text)
-	if _, found, err := settled(f); err != nil || text != "" && found != changed {
-		t.Fatalf("the first list: %v, %v", found, err)
+	writeFile(t, f, text)
+	if _, result, err := pollUntilSettled(f); err != nil || text != "" && result != changed {
+		t.Fatalf("first list: result %v, error %v", result, err)
 	}
 	return f
 }
 
-// write writes a file in place, as an editor or a shell does.
-func write(t *testing.T, f *File, text string) {
+// writeFile writes a file in place, as an editor or a shell does.
+func writeFile(t *testing.T, f *File, text string) {
 	t.Helper()
 	if err := os.WriteFile(f.Path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// settled looks at a file until it stands still.
-func settled(f *File) (List, finding, error) {
+// pollUntilSettled polls a file until its content has settled.
+func pollUntilSettled(f *File) (List, readResult, error) {
 	for {
-		if list, found, err := f.look(); found != unsettled {
-			return list, found, err
+		if list, result, err := f.poll(); result != unsettled {
+			return list, result, err
 		}
 	}
 }
@@ -50,191 +50,190 @@
 }
 
 const (
-	linesBefore = "# the hall's ledgers\n127.0.0.1:9001 zone=a\n127.0.0.1:9002 draining\n"
-	linesAfter  = "# the hall's ledgers\n127.0.0.1:9001 zone=b\n127.0.0.1:9003\n127.0.0.1:9004 name=s-4\n"
+	linesBefore = "# the ledger servers\n127.0.0.1:9001 zone=a\n127.0.0.1:9002 draining\n"
+	linesAfter  = "# the ledger servers\n127.0.0.1:9001 zone=b\n127.0.0.1:9003\n127.0.0.1:9004 name=s-4\n"
 )
 
 var (
-	discoveryBefore = `{"endpoints":[` + entry + `]}` + "\n"
+	discoveryBefore = `{"endpoints":[` + endpointJSON + `]}` + "\n"
 	discoveryAfter  = strings.Replace(discoveryBefore, "127.0.0.1:1", "127.0.0.1:2", 1)
 )
 
-// A file that is cut off at any byte, while it is rewritten or for good, never empties the
-// list, never brings a node that stands in no list, and once it is whole it is told.
-func TestStateWritesFailAndTear(t *testing.T) {
+// A file truncated at any byte never empties the list and never adds a node that is in no
+// list. Once the file is complete, its list is delivered.
+func TestTruncatedFileKeepsList(t *testing.T) {
 	for _, form := range []struct{ name, before, after string }{
 		{"lines", linesBefore, linesAfter},
-		{"discovery's form", discoveryBefore, discoveryAfter},
-		{"lines after discovery's form", discoveryBefore, strings.TrimPrefix(linesAfter, "# the hall's ledgers\n")},
-		{"discovery's form after lines", linesBefore, discoveryAfter},
+		{"discovery format", discoveryBefore, discoveryAfter},
+		{"lines after discovery format", discoveryBefore, strings.TrimPrefix(linesAfter, "# the ledger servers\n")},
+		{"discovery format after lines", linesBefore, discoveryAfter},
 	} {
 		t.Run(form.name, func(t *testing.T) {
-			whole, err := ParseFile([]byte(form.after))
+			complete, err := ParseFile([]byte(form.after))
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := addresses(whole)
+			want := addresses(complete)
 			for cut := range len(form.after) {
-				f := nodeFile(t, form.before)
-				write(t, f, form.after[:cut])
-				if _, found, err := f.look(); found != unsettled || err != nil {
-					t.Errorf("cut at %d, seen once: %v, %v, want it unsettled", cut, found, err)
+				f := newDeliveredFile(t, form.before)
+				writeFile(t, f, form.after[:cut])
+				if _, result, err := f.poll(); result != unsettled || err != nil {
+					t.Errorf("cut at %d, first poll: result %v, error %v, want unsettled", cut, result, err)
 				}
-				left, found, err := settled(f)
-				if got := addresses(left); found == changed && (len(got) == 0 || !prefixOf(got, want)) {
-					t.Errorf("cut at %d for good: told %v (%q)", cut, got, form.after[:cut])
+				truncated, result, err := pollUntilSettled(f)
+				if got := addresses(truncated); result == changed && (len(got) == 0 || !isPrefix(got, want)) {
+					t.Errorf("cut at %d: delivered %v (%q), want no list or its first nodes", cut, got, form.after[:cut])
 				}
-				between := cut > 0 && form.after[cut-1] == '\n'
-				if err == nil && !between && !strings.HasPrefix(form.after, "{") {
+				atLineEnd := cut > 0 && form.after[cut-1] == '\n'
+				if err == nil && !atLineEnd && !strings.HasPrefix(form.after, "{") {
 					t.Errorf("cut at %d: no error for %q", cut, form.after[:cut])
 				}
-				write(t, f, form.after)
-				if again, found, err := settled(f); found != changed || err != nil || !slices.Equal(addresses(again), want) {
-					t.Errorf("cut at %d, then whole: %v, %v, %v, want %v", cut, addresses(again), found, err, want)
+				writeFile(t, f, form.after)
+				if list, result, err := pollUntilSettled(f); result != changed || err != nil || !slices.Equal(addresses(list), want) {
+					t.Errorf("cut at %d, then complete: %v, result %v, error %v, want %v", cut, addresses(list), result, err, want)
 				}
 			}
 		})
 	}
 }
 
-func prefixOf(some, all []string) bool {
+func isPrefix(some, all []string) bool {
 	return len(some) <= len(all) && slices.Equal(some, all[:len(some)])
 }
 
-// A list that is being written is not told before it stands still, and one that never
-// does is told at last.
-func TestFileInWritingIsAwaited(t *testing.T) {
-	f := nodeFile(t, "127.0.0.1:1\n")
+// A list is not delivered while the file changes. The list of a file that never settles is
+// delivered after a limited number of reads.
+func TestChangingFileIsDeliveredOnceSettled(t *testing.T) {
+	f := newDeliveredFile(t, "127.0.0.1:1\n")
 	text := ""
-	for i := range mostUnsettled / 2 {
+	for i := range maxUnsettledReads / 2 {
 		text += fmt.Sprintf("127.0.0.1:%d\n", 9000+i)
-		write(t, f, text)
-		if list, found, err := f.look(); found != unsettled || err != nil {
-			t.Fatalf("told in writing: %v, %v, %v", addresses(list), found, err)
+		writeFile(t, f, text)
+		if list, result, err := f.poll(); result != unsettled || err != nil {
+			t.Fatalf("delivered while the file changes: %v, result %v, error %v", addresses(list), result, err)
 		}
 	}
-	list, found, err := settled(f)
-	if found != changed || err != nil || len(list.Endpoints) != mostUnsettled/2 {
-		t.Errorf("written: %v, %v, %v", addresses(list), found, err)
+	list, result, err := pollUntilSettled(f)
+	if result != changed || err != nil || len(list.Endpoints) != maxUnsettledReads/2 {
+		t.Errorf("after the last change: %v, result %v, error %v", addresses(list), result, err)
 	}
-	for i := 0; found != changed || i == 0; i++ {
-		if i > 2*mostUnsettled {
-			t.Fatal("a file that changes all the time is never told")
+	for i := 0; result != changed || i == 0; i++ {
+		if i > 2*maxUnsettledReads {
+			t.Fatal("the list of a file that never settles is not delivered")
 		}
-		write(t, f, fmt.Sprintf("127.0.0.1:%d\n", 7000+i))
-		if _, found, err = f.look(); err != nil {
+		writeFile(t, f, fmt.Sprintf("127.0.0.1:%d\n", 7000+i))
+		if _, result, err = f.poll(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// What is broken in one way after another is no reason to take the next thing unsettled.
-func TestBrokenFilesDoNotHurryTheNext(t *testing.T) {
-	f := nodeFile(t, "127.0.0.1:1\n")
-	for i := range 2 * mostUnsettled {
-		write(t, f, strings.Repeat("nonsense ", i+1))
-		if _, found, err := settled(f); found == changed || err == nil {
-			t.Fatalf("nonsense: %v, %v", found, err)
+// Invalid content, however often it changes, must not make a File skip the settle delay.
+func TestInvalidFilesDoNotSkipSettling(t *testing.T) {
+	f := newDeliveredFile(t, "127.0.0.1:1\n")
+	for i := range 2 * maxUnsettledReads {
+		writeFile(t, f, strings.Repeat("nonsense ", i+1))
+		if _, result, err := pollUntilSettled(f); result == changed || err == nil {
+			t.Fatalf("invalid content: result %v, error %v, want an error", result, err)
 		}
 	}
-	write(t, f, "127.0.0.1:2\n")
-	if list, found, err := f.look(); found != unsettled || err != nil {
-		t.Errorf("told at the first look: %v, %v, %v", addresses(list), found, err)
+	writeFile(t, f, "127.0.0.1:2\n")
+	if list, result, err := f.poll(); result != unsettled || err != nil {
+		t.Errorf("first poll of new content: %v, result %v, error %v, want unsettled", addresses(list), result, err)
 	}
 }
 
-// A change is seen whatever the file's date is, of the same size too.
-func TestFileIsSeenWhateverTheDate(t *testing.T) {
-	f := nodeFile(t, "127.0.0.1:1000\n")
-	date := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	if err := os.Chtimes(f.Path, date, date); err != nil {
+// A change of the content is noticed with any modification time, even if the size is equal.
+func TestFileChangeIsSeenWithAnyModificationTime(t *testing.T) {
+	f := newDeliveredFile(t, "127.0.0.1:1000\n")
+	modTime := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	if err := os.Chtimes(f.Path, modTime, modTime); err != nil {
 		t.Fatal(err)
 	}
-	f.look()
+	f.poll()
 	for i, step := range []time.Duration{0, 0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour} {
-		date = date.Add(step)
+		modTime = modTime.Add(step)
 		want := fmt.Sprintf("127.0.0.1:%d", 1001+i)
-		write(t, f, want+" since=2026-12-01T12:00:00Z\n")
-		if err := os.Chtimes(f.Path, date, date); err != nil {
+		writeFile(t, f, want+" since=2026-12-01T12:00:00Z\n")
+		if err := os.Chtimes(f.Path, modTime, modTime); err != nil {
 			t.Fatal(err)
 		}
-		list, found, err := settled(f)
-		if found != changed || err != nil || !slices.Equal(addresses(list), []string{want}) {
-			t.Fatalf("clock set by %v: %v, %v, %v, want %s", step, addresses(list), found, err, want)
+		list, result, err := pollUntilSettled(f)
+		if result != changed || err != nil || !slices.Equal(addresses(list), []string{want}) {
+			t.Fatalf("modification time moved by %v: %v, result %v, error %v, want %s", step, addresses(list), result, err, want)
 		}
 		if ms := list.Endpoints[0].SinceMs; ms != 1796126400000 {
-			t.Errorf("clock set by %v: since %d", step, ms)
+			t.Errorf("modification time moved by %v: since %d, want 1796126400000", step, ms)
 		}
 	}
 }
 
-// A file that is gone, unreadable or blank changes nothing, and the log names it, once for
-// each trouble; the same content afterwards is no news. A comment alone is a list with no
-// node, unless it is what stood before the nodes.
-func TestFileInTroubleIsNamed(t *testing.T) {
+// A file that is missing, unreadable, blank or truncated leaves the list unchanged and is
+// logged once. A new comment alone is an empty list.
+func TestUnusableFileIsLoggedOnce(t *testing.T) {
 	var logged bytes.Buffer
-	old := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
-	defer slog.SetDefault(old)
+	defer slog.SetDefault(previous)
 	dir := t.TempDir()
 	f := &File{Path: filepath.Join(dir, "nodes"), Interval: time.Millisecond}
-	write(t, f, linesBefore)
-	var told []List
-	follow := func(until func() bool) {
+	writeFile(t, f, linesBefore)
+	var delivered []List
+	follow := func(done func() bool) {
 		t.Helper()
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		f.Follow(stopWhen{ctx, until}, func(l List) { told = append(told, l) })
+		f.Follow(contextUntil{ctx, done}, func(l List) { delivered = append(delivered, l) })
 		if ctx.Err() != nil {
-			t.Fatalf("waited in vain; logged %s", logged.String())
+			t.Fatalf("timed out; logged %s", logged.String())
 		}
 	}
-	follow(func() bool { return len(told) == 1 })
-	for what, make := range map[string]func() error{
-		"blank":                  func() error { return os.WriteFile(f.Path, []byte(" \n"), 0o600) },
-		"empty":                  func() error { return os.WriteFile(f.Path, nil, 0o600) },
-		"comments before a node": func() error { return os.WriteFile(f.Path, []byte("# the hall's ledgers\n"), 0o600) },
-		"gone":                   func() error { return os.Remove(f.Path) },
-		"a folder": func() error {
+	follow(func() bool { return len(delivered) == 1 })
+	for name, damage := range map[string]func() error{
+		"blank":                     func() error { return os.WriteFile(f.Path, []byte(" \n"), 0o600) },
+		"empty":                     func() error { return os.WriteFile(f.Path, nil, 0o600) },
+		"only the leading comments": func() error { return os.WriteFile(f.Path, []byte("# the ledger servers\n"), 0o600) },
+		"missing":                   func() error { return os.Remove(f.Path) },
+		"directory": func() error {
 			return errors.Join(os.Remove(f.Path), os.Mkdir(f.Path, 0o700))
 		},
 	} {
 		logged.Reset()
-		if err := make(); err != nil {
+		if err := damage(); err != nil {
 			t.Fatal(err)
 		}
-		looks := 0
-		follow(func() bool { looks++; return logged.Len() > 0 && looks > 10 })
+		polls := 0
+		follow(func() bool { polls++; return logged.Len() > 0 && polls > 10 })
 		if n := strings.Count(logged.String(), f.Path); n < 1 || strings.Count(logged.String(), "\n") != 1 {
-			t.Errorf("%s: logged %q", what, logged.String())
+			t.Errorf("%s: logged %q, want one line with the path", name, logged.String())
 		}
 		os.RemoveAll(f.Path)
-		write(t, f, linesBefore)
-		looks = 0
-		follow(func() bool { looks++; return f.bad == "" && looks > 5 })
-		if len(told) != 1 {
-			t.Fatalf("%s: told %v", what, addresses(told[1]))
+		writeFile(t, f, linesBefore)
+		polls = 0
+		follow(func() bool { polls++; return f.loggedError == "" && polls > 5 })
+		if len(delivered) != 1 {
+			t.Fatalf("%s: delivered %v", name, addresses(delivered[1]))
 		}
 	}
-	write(t, f, "# none\n")
-	follow(func() bool { return len(told) == 2 })
-	if len(told[1].Endpoints) != 0 {
-		t.Errorf("a comment alone: %v", addresses(told[1]))
+	writeFile(t, f, "# none\n")
+	follow(func() bool { return len(delivered) == 2 })
+	if len(delivered[1].Endpoints) != 0 {
+		t.Errorf("new comment alone: %v, want no endpoint", addresses(delivered[1]))
 	}
 }
 
-// stopWhen is a context that ends once until says so, asked after each look.
-type stopWhen struct {
+// contextUntil is a context that ends when done reports true. It is checked after each poll.
+type contextUntil struct {
 	context.Context
-	until func() bool
+	done func() bool
 }
 
-var ended = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
+var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 // Done implements context.Context.
-func (s stopWhen) Done() <-chan struct{} {
-	if s.until() {
-		return ended
+func (c contextUntil) Done() <-chan struct{} {
+	if c.done() {
+		return closedChannel
 	}
-	return s.Context.Done()
+	return c.Context.Done()
 }
--- a/internal/nodes/file.go
+++ b/internal/nodes/file.go
@@ -16,54 +16,53 @@
 )
 
 const (
-	// maxFile bounds a node file: some ten thousand nodes fit.
-	maxFile = 4 << 20
+	// maxFileBytes allows for some ten thousand nodes.
+	maxFileBytes = 4 << 20
 
-	// settleTime is how long new content has to stand still before it is taken: a file
-	// that is rewritten in place is read half now and then.
-	settleTime = 100 * time.Millisecond
-	// mostUnsettled is how many readings in a row may each differ from the one before;
-	// then the last one is taken, as a file that is renamed into place that often never
-	// stands still.
-	mostUnsettled = 20
+	// settleDelay is how long new content has to stay unchanged before it is used, since
+	// a file that is rewritten in place may be read incomplete.
+	settleDelay = 100 * time.Millisecond
+	// maxUnsettledReads is how many consecutive reads may each return different content.
+	// The last one is then used, since a file that is replaced that often never settles.
+	maxUnsettledReads = 20
 )
 
-// What a File takes for a list that is being rewritten, or was left half written.
+// Errors for a file that appears to be incomplete.
 var (
-	errBlank     = errors.New(`blank; a list that is meant to be empty has to say so in a comment, or {"endpoints":[]}`)
-	errHeadAlone = errors.New("cut off: it has nothing but the comments before the first node of the list before")
-	errCutLine   = errors.New("cut off: its last line has no end, and the list before had one")
+	errBlank            = errors.New(`blank file; an empty list needs a comment, or {"endpoints":[]}`)
+	errOnlyComments     = errors.New("truncated file: nothing follows the comments that began the previous list")
+	errUnterminatedLine = errors.New("truncated file: the last line has no newline, and that of the previous list had one")
 )
 
-// File is a Source: a file with a list of nodes that is read every Every. What it
-// holds is compared, and no date: a date may stand still under a change, and goes
-// back with the clock. That also sees a file that is renamed into place and a
-// symbolic link that is turned. A file that is gone, cannot be read, is blank or
-// ends within a line changes nothing: the list that stands is worth more than none.
-// A file that was left cut off between two nodes, or after comments that are new,
-// cannot be told from a shorter list; who writes it should rename it into place.
+// File is a Source that reads a list of nodes from a file and polls it for changes. It
+// compares the content, because the modification time does not reveal every change.
+// Replacing the file by a rename or by changing a symbolic link is therefore noticed too.
 //
-// A file that starts with "{" has discovery's form (the index may be left out).
-// Any other has a node a line, the address first:
+// A file that is missing, unreadable, blank or truncated within a line leaves the current
+// list unchanged. A file truncated between two nodes, or after new comments, looks like
+// a shorter list, so writers should rename the file into place.
+//
+// A file that starts with "{" has the format of a discovery response, in which the index
+// is optional. Any other file lists one node per line, the address first:
 //
 //	127.0.0.1:9001 name=s-1 zone=a cell=3 since=2026-11-29T11:00:00Z draining
 //
-// What follows a "#" is a comment.
+// Text after a "#" is a comment.
 type File struct {
 	Path     string
-	Interval time.Duration
+	Interval time.Duration // between two reads
 
-	known     bool   // a list has been told
-	taken     digest // of the content that was told
-	nodes     bool   // it had nodes
-	head      string // what stood before them
-	ended     bool   // its last line had an end
-	next      digest // of what was read last, if that is another content
-	unsettled int    // readings since the content last stood still
-	bad       string // the last error that was logged
+	delivered       bool   // a list has been delivered
+	deliveredDigest digest // of the content that was delivered
+	hadEndpoints    bool   // the delivered list had endpoints
+	leadingComments string // of the delivered content
+	hadFinalNewline bool   // the delivered content ended with a newline
+	pendingDigest   digest // of the last content read, if it differs from the delivered one
+	unsettledReads  int    // consecutive reads that returned different content
+	loggedError     string // the last error that was logged
 }
 
-// digest tells contents apart.
+// digest identifies the content of a file.
 type digest [sha256.Size]byte
 
 // String implements Source.
@@ -72,130 +71,129 @@
 // Close implements Source.
 func (f *File) Close() {}
 
-// Follow implements Source. It goes on looking until ctx ends.
-func (f *File) Follow(ctx context.Context, tell func(List)) error {
+// Follow implements Source. It polls the file until ctx ends.
+func (f *File) Follow(ctx context.Context, update func(List)) error {
 	for {
-		list, found, err := f.look()
-		wait := f.Interval
+		list, result, err := f.poll()
+		delay := f.Interval
 		switch {
 		case err != nil:
-			if text := err.Error(); text != f.bad {
-				slog.Warn("node file: the list that is known stands", "file", f.Path, "error", err)
-				f.bad = text
+			if text := err.Error(); text != f.loggedError {
+				slog.Warn("node file cannot be used; keeping the current list", "file", f.Path, "error", err)
+				f.loggedError = text
 			}
-		case found == unsettled:
-			wait = min(wait, settleTime)
-		case found == changed:
-			tell(list)
-			f.bad = ""
+		case result == unsettled:
+			delay = min(delay, settleDelay)
+		case result == changed:
+			update(list)
+			f.loggedError = ""
 		default:
-			f.bad = ""
+			f.loggedError = ""
 		}
-		if !Sleep(ctx, wait) {
+		if !Sleep(ctx, delay) {
 			return ctx.Err()
 		}
 	}
 }
 
-// finding is what a look at the file has shown.
-type finding int
+// readResult is the outcome of one read of the file.
+type readResult int
 
 const (
-	unchanged finding = iota
-	unsettled         // something else, which may be still in writing
+	unchanged readResult = iota
+	unsettled            // new content that may be incomplete
 	changed
 )
 
-// look reads the file, and takes its list if it is another one than the last time and
-// stands still.
-func (f *File) look() (List, finding, error) {
-	text, err := readText(f.Path)
+// poll reads the file and returns its list if the content has changed and has settled.
+func (f *File) poll() (List, readResult, error) {
+	text, err := readFile(f.Path)
 	if err != nil {
 		return List{}, unchanged, err
 	}
-	read := digest(sha256.Sum256(text))
-	if f.known && read == f.taken {
-		f.unsettled = 0
+	current := digest(sha256.Sum256(text))
+	if f.delivered && current == f.deliveredDigest {
+		f.unsettledReads = 0
 		return List{}, unchanged, nil
 	}
-	if (f.unsettled == 0 || read != f.next) && f.unsettled < mostUnsettled {
-		f.next = read
-		f.unsettled++
+	if (f.unsettledReads == 0 || current != f.pendingDigest) && f.unsettledReads < maxUnsettledReads {
+		f.pendingDigest = current
+		f.unsettledReads++
 		return List{}, unsettled, nil
 	}
-	f.next, f.unsettled = read, 1
+	f.pendingDigest, f.unsettledReads = current, 1
 	list, err := f.parse(text)
 	if err != nil {
 		return List{}, unchanged, err
 	}
-	f.known, f.taken, f.unsettled = true, read, 0
-	f.nodes, f.head, f.ended = len(list.Endpoints) > 0, head(text), endsLine(text)
+	f.delivered, f.deliveredDigest, f.unsettledReads = true, current, 0
+	f.hadEndpoints, f.leadingComments, f.hadFinalNewline = len(list.Endpoints) > 0, leadingComments(text), endsWithNewline(text)
 	return list, changed, nil
 }
 
-// parse reads a text that may be half of one.
+// parse parses the content of the file and rejects content that appears truncated.
 func (f *File) parse(text []byte) (List, error) {
 	list, err := ParseFile(text)
-	if err != nil || discoveryForm(text) { // that form cannot be cut off unnoticed
+	if err != nil || isDiscoveryFormat(text) { // truncated JSON is a syntax error
 		return list, err
 	}
 	empty := len(list.Endpoints) == 0
 	switch {
 	case empty && len(bytes.TrimSpace(text)) == 0:
 		return List{}, errBlank
-	case empty && f.nodes && strings.HasPrefix(f.head, string(text)):
-		return List{}, errHeadAlone
-	case f.ended && !endsLine(text):
-		return List{}, errCutLine
+	case empty && f.hadEndpoints && strings.HasPrefix(f.leadingComments, string(text)):
+		return List{}, errOnlyComments
+	case f.hadFinalNewline && !endsWithNewline(text):
+		return List{}, errUnterminatedLine
 	}
 	return list, nil
 }
 
-// head is what stands in a text before the first line that is more than a comment.
-func head(text []byte) string {
-	var before strings.Builder
+// leadingComments returns the text before the first line that is more than a comment.
+func leadingComments(text []byte) string {
+	var comments strings.Builder
 	for line := range strings.Lines(string(text)) {
-		if said, _, _ := strings.Cut(line, "#"); strings.TrimSpace(said) != "" {
+		if content, _, _ := strings.Cut(line, "#"); strings.TrimSpace(content) != "" {
 			break
 		}
-		before.WriteString(line)
+		comments.WriteString(line)
 	}
-	return before.String()
+	return comments.String()
 }
 
-func endsLine(text []byte) bool { return bytes.HasSuffix(text, []byte("\n")) }
+func endsWithNewline(text []byte) bool { return bytes.HasSuffix(text, []byte("\n")) }
 
-// discoveryForm tells whether a text has the form in which discovery answers.
-func discoveryForm(text []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) }
+// isDiscoveryFormat reports whether a text has the format of a discovery response.
+func isDiscoveryFormat(text []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) }
 
-// ReadFile reads a node file whole, or tells with its line what is wrong.
+// ReadFile reads a node file. The error of an invalid line gives its number.
 func ReadFile(path string) (List, error) {
-	text, err := readText(path)
+	text, err := readFile(path)
 	if err != nil {
 		return List{}, err
 	}
 	return ParseFile(text)
 }
 
-func readText(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, maxFile+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > maxFile {
-		return nil, fmt.Errorf("over %d bytes", maxFile)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("file is larger than the limit of %d bytes", maxFileBytes)
 	}
 	return text, nil
 }
 
-// ParseFile reads the text of a node file.
+// ParseFile parses the text of a node file.
 func ParseFile(text []byte) (List, error) {
-	if discoveryForm(text) {
+	if isDiscoveryFormat(text) {
 		list, err := decode(text, false)
 		list.Snapshot = true
 		return list, err
@@ -214,7 +212,7 @@
 			return List{}, fmt.Errorf("line %d: %w", n, err)
 		}
 		if seen[e.Name] {
-			return List{}, fmt.Errorf("line %d: %q stands in the list twice", n, e.Name)
+			return List{}, fmt.Errorf("line %d: duplicate node %q", n, e.Name)
 		}
 		seen[e.Name] = true
 		entries = append(entries, e)
@@ -222,40 +220,40 @@
 	if err := lines.Err(); err != nil {
 		return List{}, err
 	}
-	return fill(entries)
+	return completeList(entries)
 }
 
-// ParseNode reads a node of its fields: the address, then name=, zone=, cell=,
+// ParseEndpoint parses the fields of one node: the address, then name=, zone=, cell=,
 // since= (RFC 3339) and draining in any order.
 func ParseEndpoint(fields []string) (Endpoint, error) {
 	if len(fields) == 0 {
-		return Endpoint{}, errors.New("empty, want address:port")
+		return Endpoint{}, errors.New("no address, want address:port")
 	}
 	e := Endpoint{Address: fields[0], Name: fields[0], Status: InService}
 	for _, field := range fields[1:] {
-		key, value, given := strings.Cut(field, "=")
+		key, value, hasValue := strings.Cut(field, "=")
 		var err error
 		switch {
-		case key == "draining" && !given:
+		case key == "draining" && !hasValue:
 			e.Status = Terminating
-		case given && value == "":
-			err = errors.New("empty")
-		case key == "name" && given:
+		case hasValue && value == "":
+			err = errors.New("empty value")
+		case key == "name" && hasValue:
 			e.Name = value
-		case key == "zone" && given:
+		case key == "zone" && hasValue:
 			e.Zone = value
-		case key == "cell" && given:
+		case key == "cell" && hasValue:
 			e.Group, err = strconv.Atoi(value)
-		case key == "since" && given:
-			var at time.Time
-			at, err = time.Parse(time.RFC3339, value)
-			e.SinceMs = at.UnixMilli()
+		case key == "since" && hasValue:
+			var started time.Time
+			started, err = time.Parse(time.RFC3339, value)
+			e.SinceMs = started.UnixMilli()
 		default:
-			err = errors.New("want name=, zone=, cell=, since= or draining")
+			err = errors.New("unknown field, want name=, zone=, cell=, since= or draining")
 		}
 		if err != nil {
 			return Endpoint{}, fmt.Errorf("%q: %w", field, err)
 		}
 	}
-	return e, e.check()
+	return e, e.validate()
 }
--- a/internal/nodes/file_test.go
+++ b/internal/nodes/file_test.go
@@ -11,9 +11,9 @@
 
 func TestParseFile(t *testing.T) {
 	list, err := ParseFile([]byte(`
-# the hall's ledgers
+# the ledger servers
 127.0.0.1:9001
-127.0.0.1:9002 name=s-2 zone=b cell=4 since=2026-11-29T11:00:00Z draining # goes tonight
+127.0.0.1:9002 name=s-2 zone=b cell=4 since=2026-11-29T11:00:00Z draining # removed soon
 [::1]:9003 zone=c
 `))
 	if err != nil {
@@ -32,11 +32,11 @@
 			t.Errorf("node %d: %+v, want %+v", i, e, want[i])
 		}
 	}
-	if list, err = ParseFile([]byte(` {"endpoints":[` + entry + `]}`)); err != nil || !list.Snapshot || list.Undated || len(list.Endpoints) != 1 {
-		t.Errorf("discovery's form: %+v, %v", list, err)
+	if list, err = ParseFile([]byte(` {"endpoints":[` + endpointJSON + `]}`)); err != nil || !list.Snapshot || list.Undated || len(list.Endpoints) != 1 {
+		t.Errorf("discovery format: %+v, %v", list, err)
 	}
 	if list, err = ParseFile(nil); err != nil || len(list.Endpoints) != 0 {
-		t.Errorf("an empty file: %+v, %v", list, err)
+		t.Errorf("empty file: %+v, %v", list, err)
 	}
 	for text, want := range map[string]string{
 		"127.0.0.1:9001\nnowhere":                   "line 2",
@@ -50,12 +50,12 @@
 		"127.0.0.1:1 name=a\n127.0.0.1:2 name=a\n#": "line 2",
 	} {
 		if _, err := ParseFile([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: error %v, want one that names %q", text, err, want)
+			t.Errorf("%q: error %v, want one containing %q", text, err, want)
 		}
 	}
 }
 
-// FuzzParseFile holds that a file is read whole or not at all.
+// FuzzParseFile checks that a file is either rejected or parsed into valid endpoints.
 func FuzzParseFile(f *testing.F) {
 	f.Add("127.0.0.1:9001 name=s zone=a cell=1 draining\n#x")
 	f.Add(`{"endpoints":[]}`)
@@ -65,18 +65,18 @@
 			return
 		}
 		for _, e := range list.Endpoints {
-			if e.Name == "" || e.check() != nil {
-				t.Errorf("%q: took %+v", text, e)
+			if e.Name == "" || e.validate() != nil {
+				t.Errorf("%q: accepted the invalid endpoint %+v", text, e)
 			}
 		}
 	})
 }
 
-// What is written beside the file and renamed into place is seen; a broken file
-// and a file that is gone change nothing.
-func TestFileIsFollowed(t *testing.T) {
+// A file that is replaced by a rename is read again. An invalid or missing file leaves the
+// list unchanged.
+func TestFileFollow(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes")
-	put := func(text string) {
+	replace := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -86,47 +86,47 @@
 		}
 	}
 	lists := make(chan List, 16)
-	next := func(want string) {
+	expect := func(want string) {
 		t.Helper()
 		select {
 		case l := <-lists:
 			if len(l.Endpoints) != 1 || l.Endpoints[0].Address != want {
 				t.Fatalf("list %+v, want %s", l, want)
 			}
-		case <-time.After(patience):
-			t.Fatalf("no list with %s", want)
+		case <-time.After(testTimeout):
+			t.Fatalf("timed out waiting for a list with %s", want)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go (&File{Path: path, Interval: 5 * time.Millisecond}).Follow(ctx, func(l List) { lists <- l })
-	put("127.0.0.1:1")
-	next("127.0.0.1:1")
-	put("nonsense")
+	replace("127.0.0.1:1")
+	expect("127.0.0.1:1")
+	replace("nonsense")
 	time.Sleep(30 * time.Millisecond)
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(30 * time.Millisecond)
-	put("127.0.0.1:2")
-	next("127.0.0.1:2")
+	replace("127.0.0.1:2")
+	expect("127.0.0.1:2")
 	if len(lists) > 0 {
-		t.Errorf("told without a change: %+v", <-lists)
+		t.Errorf("delivered without a change: %+v", <-lists)
 	}
 }
 
 func TestFixed(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var told []List
-	err := Fixed{{Address: "127.0.0.1:1"}}.Follow(ctx, func(l List) { told = append(told, l); cancel() })
-	if err != context.Canceled || len(told) != 1 || told[0].Endpoints[0].Name != "127.0.0.1:1" {
-		t.Errorf("%+v, %v", told, err)
+	var delivered []List
+	err := Fixed{{Address: "127.0.0.1:1"}}.Follow(ctx, func(l List) { delivered = append(delivered, l); cancel() })
+	if err != context.Canceled || len(delivered) != 1 || delivered[0].Endpoints[0].Name != "127.0.0.1:1" {
+		t.Errorf("%+v, %v", delivered, err)
 	}
 	if err := (Fixed{{Address: "127.0.0.1:1"}, {Address: "127.0.0.1:1"}}).Validate(); err == nil {
-		t.Error("a node that stands in the list twice was taken")
+		t.Error("duplicate node was accepted")
 	}
 	a, b := Fixed{{Address: "127.0.0.1:1"}}, Fixed{{Address: "127.0.0.1:1", Status: Terminating}}
 	if a.String() == b.String() {
-		t.Errorf("two lists of one name: %s", a)
+		t.Errorf("different lists have the same name: %s", a)
 	}
 }
--- a/internal/nodes/list.go
+++ b/internal/nodes/list.go
@@ -7,65 +7,65 @@
 	"net/netip"
 )
 
-// List is what a source tells.
+// List is a snapshot of the endpoints of a service, or the changes since the last one.
 type List struct {
-	Index     uint64
-	Snapshot  bool // all endpoints; otherwise the changed ones
-	Undated   bool // its source cannot know when a process started
+	Index     uint64 // version of the list at the source
+	Snapshot  bool   // all endpoints; otherwise only the changed ones
+	Undated   bool   // the source does not know when processes started
 	Endpoints []Endpoint
 }
 
-// Status is what a list says of an endpoint.
+// Status is the state of an endpoint in a list.
 type Status string
 
-// The statuses that there are.
+// The statuses of an endpoint.
 const (
 	InService   Status = "in_service"
-	Terminating Status = "terminating" // finishes what it has, wants nothing new
+	Terminating Status = "terminating" // completes its requests and accepts no new ones
 	Terminated  Status = "terminated"
 )
 
 // Endpoint is one entry of a List.
 type Endpoint struct {
-	Name    string `json:"name"` // the same at every sidecar
+	Name    string `json:"name"` // the same for every sidecar
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Group   int    `json:"group"`
 	Status  Status `json:"status"`
-	SinceMs int64  `json:"since_ms"` // Unix time of the last start; 0 for long ago
+	SinceMs int64  `json:"since_ms"` // Unix time of the last start; 0 means long ago
 }
 
-// Decode reads an answer of discovery. One bad entry spoils the whole answer:
-// the list that stands is worth more than half of a new one.
+// Decode parses a discovery response. One invalid endpoint makes the whole response
+// invalid, because the current list is preferable to an incomplete one.
 func Decode(text []byte) (List, error) { return decode(text, true) }
 
-func decode(text []byte, indexed bool) (List, error) {
-	var l struct {
+func decode(text []byte, indexRequired bool) (List, error) {
+	var response struct {
 		Index     *uint64    `json:"index"`
 		Snapshot  bool       `json:"snapshot"`
 		Endpoints []Endpoint `json:"endpoints"`
 	}
-	if err := json.Unmarshal(text, &l); err != nil {
+	if err := json.Unmarshal(text, &response); err != nil {
 		return List{}, err
 	}
-	if l.Index == nil && !indexed {
-		l.Index = new(uint64)
+	if response.Index == nil && !indexRequired {
+		response.Index = new(uint64)
 	}
-	if l.Index == nil {
+	if response.Index == nil {
 		return List{}, errors.New("index: missing")
 	}
-	if l.Endpoints == nil {
+	if response.Endpoints == nil {
 		return List{}, errors.New("endpoints: missing")
 	}
-	for i := range l.Endpoints {
-		if err := l.Endpoints[i].check(); err != nil {
+	for i := range response.Endpoints {
+		if err := response.Endpoints[i].validate(); err != nil {
 			return List{}, fmt.Errorf("endpoints[%d]: %w", i, err)
 		}
 	}
-	return List{Index: *l.Index, Snapshot: l.Snapshot, Endpoints: l.Endpoints}, nil
+	return List{Index: *response.Index, Snapshot: response.Snapshot, Endpoints: response.Endpoints}, nil
 }
 
-func (e *Endpoint) check() error {
+func (e *Endpoint) validate() error {
 	if e.Name == "" {
 		return errors.New("name: missing")
 	}
@@ -74,10 +74,10 @@
 	}
 	switch e.Status {
 	case Terminated:
-		return nil // nothing goes there any more, so its address does not matter
+		return nil // receives no requests, so the address is not needed
 	case InService, Terminating:
 	default:
-		return fmt.Errorf("status: %q is unknown", e.Status)
+		return fmt.Errorf("status: %q, want in_service, terminating or terminated", e.Status)
 	}
 	if _, err := netip.ParseAddrPort(e.Address); err != nil {
 		return fmt.Errorf("address: %q, want address:port", e.Address)
--- a/internal/nodes/source.go
+++ b/internal/nodes/source.go
@@ -1,6 +1,5 @@
-// Package nodes knows where node lists come from: a list in the configuration,
-// a file that is watched, a discovery service over HTTP. A list looked up over
-// DNS will be one more Source.
+// Package nodes provides the endpoint lists of services. Their sources are a list in the
+// configuration, a file that is polled, and a discovery service over HTTP.
 package nodes
 
 import (
@@ -10,28 +9,28 @@
 	"time"
 )
 
-// Source tells which nodes a service has.
+// Source delivers the endpoint list of a service.
 type Source interface {
-	// Follow hands lists to tell, the first one whole, until ctx ends or it
-	// cannot go on; it returns why. Followed again it goes on from there.
-	Follow(ctx context.Context, tell func(List)) error
-	// Close gives back what Follow left open.
+	// Follow passes a snapshot and then each change to update, until ctx ends or an
+	// error occurs, which it returns. A later call continues from the last list.
+	Follow(ctx context.Context, update func(List)) error
+	// Close releases what Follow left open.
 	Close()
-	// String names the source in logs. Two sources with one name tell the
-	// same.
+	// String names the source in logs. Two sources with the same name deliver the
+	// same lists.
 	String() string
 }
 
-// Fixed is a list that does not change. Its nodes need an Address only.
+// Fixed is a Source of a list that does not change. Only Address is required.
 type Fixed []Endpoint
 
-// Follow implements Source: it tells the list and waits for the end of ctx.
-func (f Fixed) Follow(ctx context.Context, tell func(List)) error {
-	list, err := fill(f)
+// Follow implements Source. It delivers the list once and waits until ctx ends.
+func (f Fixed) Follow(ctx context.Context, update func(List)) error {
+	list, err := completeList(f)
 	if err != nil {
 		return err
 	}
-	tell(list)
+	update(list)
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -45,9 +44,9 @@
 	s.WriteString("a fixed list:")
 	for _, e := range f {
 		fmt.Fprintf(&s, " %s", e.Address)
-		for _, more := range []struct{ key, value string }{{"name", e.Name}, {"zone", e.Zone}, {"status", string(e.Status)}} {
-			if more.value != "" {
-				fmt.Fprintf(&s, ",%s=%s", more.key, more.value)
+		for _, field := range []struct{ key, value string }{{"name", e.Name}, {"zone", e.Zone}, {"status", string(e.Status)}} {
+			if field.value != "" {
+				fmt.Fprintf(&s, ",%s=%s", field.key, field.value)
 			}
 		}
 		if e.Group != 0 {
@@ -60,9 +59,9 @@
 	return s.String()
 }
 
-// fill makes a whole, undated list of entries of which only the address must be
-// given: the name is the address, the status in_service.
-func fill(entries []Endpoint) (List, error) {
+// completeList returns an undated snapshot of the entries. A missing name defaults to
+// the address, a missing status to in_service.
+func completeList(entries []Endpoint) (List, error) {
 	list := List{Snapshot: true, Undated: true, Endpoints: make([]Endpoint, 0, len(entries))}
 	seen := map[string]bool{}
 	for i, e := range entries {
@@ -72,11 +71,11 @@
 		if e.Status == "" {
 			e.Status = InService
 		}
-		if err := e.check(); err != nil {
+		if err := e.validate(); err != nil {
 			return List{}, fmt.Errorf("node %d: %w", i+1, err)
 		}
 		if seen[e.Name] {
-			return List{}, fmt.Errorf("node %d: %q stands in the list twice", i+1, e.Name)
+			return List{}, fmt.Errorf("node %d: duplicate node %q", i+1, e.Name)
 		}
 		seen[e.Name] = true
 		list.Endpoints = append(list.Endpoints, e)
@@ -84,13 +83,13 @@
 	return list, nil
 }
 
-// Check tells what is wrong with a fixed list, or nil.
+// Validate returns the first error in the list, or nil.
 func (f Fixed) Validate() error {
-	_, err := fill(f)
+	_, err := completeList(f)
 	return err
 }
 
-// Sleep waits for d or the end of ctx, and tells whether ctx goes on.
+// Sleep waits for d or until ctx ends. It reports false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
