--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -18,7 +18,7 @@
 	MkdirAll(dir string, perm fs.FileMode) error
 	OpenFile(path string, flag int, perm fs.FileMode) (File, error)
 	// Names lists a folder, in any order.
-	Names(dir string) ([]string, error)
+	ReadDirNames(dir string) ([]string, error)
 	Rename(from, to string) error
 	Remove(path string) error
 	// SyncDir puts on the disk which names a folder has.
@@ -49,7 +49,7 @@
 }
 
 // Names implements FS.
-func (OS) Names(dir string) ([]string, error) {
+func (OS) ReadDirNames(dir string) ([]string, error) {
 	f, err := os.Open(dir)
 	if err != nil {
 		return nil, err
@@ -81,10 +81,10 @@
 // MakeDir makes a folder whose name is on the disk once it returns nil, with the folders
 // above it. A folder above that this process may not read is somebody else's, who has to
 // see to its names.
-func MakeDir(fsys FS, dir string, perm fs.FileMode) error {
+func MkdirAll(fsys FS, dir string, perm fs.FileMode) error {
 	above := filepath.Dir(dir)
-	if _, err := fsys.Names(above); errors.Is(err, fs.ErrNotExist) && above != dir {
-		if err := MakeDir(fsys, above, perm); err != nil {
+	if _, err := fsys.ReadDirNames(above); errors.Is(err, fs.ErrNotExist) && above != dir {
+		if err := MkdirAll(fsys, above, perm); err != nil {
 			return err
 		}
 	}
--- a/internal/durable/durabletest/model.go
+++ b/internal/durable/durabletest/model.go
@@ -15,11 +15,11 @@
 
 // Model is a durable.FS in memory. It holds apart what programs see and what is on the
 // disk: content gets there by the Sync of its file, names by the SyncDir of their folder.
-type Model struct {
+type MemFS struct {
 	mu    sync.Mutex
 	now   map[string]*node // what programs see, by path
 	disk  map[string]*node // the names that are on the disk
-	fault func(Step) error
+	fault func(Operation) error
 	steps int
 }
 
@@ -31,11 +31,11 @@
 }
 
 // Step is one operation of a program on a Model.
-type Step struct {
-	Number int    // from 0
-	Op     string // mkdir, open, create, write, sync, list, rename, remove, syncdir
-	Path   string
-	Bytes  int // that are to be written
+type Operation struct {
+	Index int    // from 0
+	Name  string // mkdir, open, create, write, sync, list, rename, remove, syncdir
+	Path  string
+	Bytes int // that are to be written
 }
 
 // Torn is an error of a write that came to so many bytes.
@@ -48,8 +48,8 @@
 func (e *Torn) Unwrap() error { return e.Err }
 
 // NewModel returns a disk with an empty folder root.
-func NewModel(root string) *Model {
-	m := &Model{now: map[string]*node{}, disk: map[string]*node{}}
+func NewMemFS(root string) *MemFS {
+	m := &MemFS{now: map[string]*node{}, disk: map[string]*node{}}
 	for _, all := range []map[string]*node{m.now, m.disk} {
 		all[root] = &node{dir: true}
 	}
@@ -58,14 +58,14 @@
 
 // Fault has f asked before each step; a step for which f gives an error does nothing (a
 // Torn write does a part). It counts steps from 0 again. f nil ends that.
-func (m *Model) Fault(f func(Step) error) {
+func (m *MemFS) InjectFaults(f func(Operation) error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault, m.steps = f, 0
 }
 
 // Steps is how many steps there have been since the last Fault.
-func (m *Model) Steps() int {
+func (m *MemFS) OperationCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.steps
@@ -74,10 +74,10 @@
 // AfterPowerLoss returns the disk as it is found after a loss of power now. What was not
 // synced is lost; or, if kept is asked for a path and says so, it has got to the disk
 // nevertheless, as a system may write at any time.
-func (m *Model) AfterPowerLoss(kept func(path string) bool) *Model {
+func (m *MemFS) AfterPowerLoss(kept func(path string) bool) *MemFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	after := &Model{now: map[string]*node{}, disk: map[string]*node{}}
+	after := &MemFS{now: map[string]*node{}, disk: map[string]*node{}}
 	paths := maps.Clone(m.disk)
 	maps.Copy(paths, m.now)
 	for path := range paths {
@@ -98,7 +98,7 @@
 }
 
 // dropLost removes what was in folders that are lost themselves.
-func (m *Model) dropLost(paths map[string]*node) {
+func (m *MemFS) dropLost(paths map[string]*node) {
 	lost := func(path string, _ *node) bool {
 		for dir := filepath.Dir(path); paths[dir] != nil; dir = filepath.Dir(dir) {
 			if m.now[dir] == nil {
@@ -112,8 +112,8 @@
 }
 
 // step is asked before each operation; the mutex is held.
-func (m *Model) step(op, path string, bytes int) error {
-	s := Step{Number: m.steps, Op: op, Path: path, Bytes: bytes}
+func (m *MemFS) step(op, path string, bytes int) error {
+	s := Operation{Index: m.steps, Name: op, Path: path, Bytes: bytes}
 	m.steps++
 	if m.fault == nil {
 		return nil
@@ -124,7 +124,7 @@
 func notThere(op, path string) error { return &fs.PathError{Op: op, Path: path, Err: fs.ErrNotExist} }
 
 // MkdirAll implements durable.FS.
-func (m *Model) MkdirAll(dir string, _ fs.FileMode) error {
+func (m *MemFS) MkdirAll(dir string, _ fs.FileMode) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.step("mkdir", dir, 0); err != nil {
@@ -137,7 +137,7 @@
 }
 
 // OpenFile implements durable.FS. A file is written to at its end.
-func (m *Model) OpenFile(path string, flag int, _ fs.FileMode) (durable.File, error) {
+func (m *MemFS) OpenFile(path string, flag int, _ fs.FileMode) (durable.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.now[path]
@@ -161,7 +161,7 @@
 }
 
 // Names implements durable.FS.
-func (m *Model) Names(dir string) ([]string, error) {
+func (m *MemFS) ReadDirNames(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.step("list", dir, 0); err != nil {
@@ -180,7 +180,7 @@
 }
 
 // Rename implements durable.FS.
-func (m *Model) Rename(from, to string) error {
+func (m *MemFS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.step("rename", to, 0); err != nil {
@@ -196,7 +196,7 @@
 }
 
 // Remove implements durable.FS.
-func (m *Model) Remove(path string) error {
+func (m *MemFS) Remove(path string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.step("remove", path, 0); err != nil {
@@ -210,7 +210,7 @@
 }
 
 // SyncDir implements durable.FS.
-func (m *Model) SyncDir(dir string) error {
+func (m *MemFS) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.step("syncdir", dir, 0); err != nil {
@@ -235,7 +235,7 @@
 
 // Vanish takes a folder and all in it out of the programs' sight until the returned
 // function is called.
-func (m *Model) Vanish(dir string) (back func()) {
+func (m *MemFS) HideDir(dir string) (back func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	gone := map[string]*node{}
@@ -253,7 +253,7 @@
 }
 
 type file struct {
-	m    *Model
+	m    *MemFS
 	n    *node
 	path string
 }
--- a/internal/fleet/durable_test.go
+++ b/internal/fleet/durable_test.go
@@ -25,7 +25,7 @@
 func ignoreState(OperatorState) {}
 
 // openModelStore opens the store on a modelled file system, as a new process does.
-func openModelStore(t *testing.T, fsys *durabletest.Model) *OperatorStore {
+func openModelStore(t *testing.T, fsys *durabletest.MemFS) *OperatorStore {
 	t.Helper()
 	store, err := openOperatorStore(fsys, modelDir, ignoreState)
 	if err != nil {
@@ -35,7 +35,7 @@
 }
 
 // stateAfterPowerLoss returns the state that the next process reads after a power loss.
-func stateAfterPowerLoss(t *testing.T, fsys *durabletest.Model, kept func(string) bool) OperatorState {
+func stateAfterPowerLoss(t *testing.T, fsys *durabletest.MemFS, kept func(string) bool) OperatorState {
 	t.Helper()
 	return openModelStore(t, fsys.AfterPowerLoss(kept)).State()
 }
@@ -73,9 +73,9 @@
 )
 
 // prepareChange returns a file system and a store that are ready for the change.
-func prepareChange(t *testing.T, change operatorChange) (*durabletest.Model, *OperatorStore) {
+func prepareChange(t *testing.T, change operatorChange) (*durabletest.MemFS, *OperatorStore) {
 	t.Helper()
-	fsys := durabletest.NewModel(modelRoot)
+	fsys := durabletest.NewMemFS(modelRoot)
 	store := openModelStore(t, fsys)
 	if change.before != nil {
 		if err := change.before(store); err != nil {
@@ -93,11 +93,11 @@
 		t.Run(change.name, func(t *testing.T) {
 			fsys, store := prepareChange(t, change)
 			before := store.State()
-			fsys.Fault(nil)
+			fsys.InjectFaults(nil)
 			if err := change.apply(store); err != nil {
 				t.Fatal(err)
 			}
-			steps := fsys.Steps()
+			steps := fsys.OperationCount()
 			for outcome, kept := range unsyncedOutcomes {
 				if s := stateAfterPowerLoss(t, fsys, kept); !s.equal(change.want) {
 					t.Errorf("%s: after success the next process reads %+v, want %+v", outcome, s, change.want)
@@ -105,9 +105,9 @@
 			}
 			for step := range steps {
 				for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
-					once := func(s durabletest.Step) bool { return s.Number == step }
+					once := func(s durabletest.Operation) bool { return s.Index == step }
 					checkFailingSteps(t, change, before, once, cause)
-					fromThenOn := func(s durabletest.Step) bool { return s.Number >= step }
+					fromThenOn := func(s durabletest.Operation) bool { return s.Index >= step }
 					checkFailingSteps(t, change, before, fromThenOn, cause)
 				}
 				checkPowerLossAt(t, change, before, step)
@@ -117,15 +117,15 @@
 }
 
 // checkFailingSteps makes a change while some file operations fail.
-func checkFailingSteps(t *testing.T, change operatorChange, before OperatorState, fails func(durabletest.Step) bool, cause error) {
+func checkFailingSteps(t *testing.T, change operatorChange, before OperatorState, fails func(durabletest.Operation) bool, cause error) {
 	t.Helper()
 	fsys, store := prepareChange(t, change)
 	var failed []string
-	fsys.Fault(func(s durabletest.Step) error {
+	fsys.InjectFaults(func(s durabletest.Operation) error {
 		if !fails(s) {
 			return nil
 		}
-		failed = append(failed, fmt.Sprintf("%d %s %s", s.Number, s.Op, s.Path))
+		failed = append(failed, fmt.Sprintf("%d %s %s", s.Index, s.Name, s.Path))
 		return cause
 	})
 	err := change.apply(store)
@@ -140,7 +140,7 @@
 		t.Errorf("%v: error %v, state in memory %+v, want %+v", failed, err, s, want)
 	}
 	store.Reload() // while the operations still fail
-	fsys.Fault(nil)
+	fsys.InjectFaults(nil)
 	if err := store.Reload(); err != nil || !store.State().equal(want) {
 		t.Errorf("%v: reloaded state %+v (error %v), want %+v", failed, store.State(), err, want)
 	}
@@ -161,14 +161,14 @@
 func checkPowerLossAt(t *testing.T, change operatorChange, before OperatorState, step int) {
 	t.Helper()
 	fsys, store := prepareChange(t, change)
-	fsys.Fault(func(s durabletest.Step) error {
-		if s.Number >= step {
+	fsys.InjectFaults(func(s durabletest.Operation) error {
+		if s.Index >= step {
 			return errors.New("power lost")
 		}
 		return nil
 	})
 	change.apply(store)
-	fsys.Fault(nil)
+	fsys.InjectFaults(nil)
 	for outcome, kept := range unsyncedOutcomes {
 		if s := stateAfterPowerLoss(t, fsys, kept); !s.equal(before) && !s.equal(change.want) {
 			t.Errorf("power lost before step %d, %s: the next process reads %+v, want %+v or %+v", step, outcome, s, before, change.want)
@@ -180,8 +180,8 @@
 func TestWatchRetriesRollbacks(t *testing.T) {
 	fsys, store := prepareChange(t, operatorChanges[0])
 	var failed bool
-	fsys.Fault(func(s durabletest.Step) error {
-		failed = failed || s.Op == "syncdir"
+	fsys.InjectFaults(func(s durabletest.Operation) error {
+		failed = failed || s.Name == "syncdir"
 		if failed {
 			return syscall.EIO
 		}
@@ -190,7 +190,7 @@
 	if err := store.SetDrained(true); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("error %v, want %v", err, syscall.EIO)
 	}
-	fsys.Fault(nil)
+	fsys.InjectFaults(nil)
 	next := openModelStore(t, fsys)
 	if !next.State().Drained {
 		t.Fatal("invalid test: the file was restored at once")
@@ -216,22 +216,22 @@
 func TestStateIsKeptWhileDirectoryIsUnavailable(t *testing.T) {
 	fsys, store := prepareChange(t, operatorChanges[3])
 	want := store.State()
-	unreadable := func(s durabletest.Step) error {
-		if s.Op == "list" {
+	unreadable := func(s durabletest.Operation) error {
+		if s.Name == "list" {
 			return syscall.EIO
 		}
 		return nil
 	}
-	fsys.Fault(unreadable)
+	fsys.InjectFaults(unreadable)
 	if err := store.Reload(); !errors.Is(err, syscall.EIO) || !store.State().equal(want) {
 		t.Errorf("unreadable directory: error %v, state %+v, want %+v", err, store.State(), want)
 	}
 	next := openModelStore(t, fsys)
-	fsys.Fault(nil)
+	fsys.InjectFaults(nil)
 	if err := next.Reload(); err != nil || !next.State().equal(want) {
 		t.Errorf("next process: error %v, state %+v, want %+v", err, next.State(), want)
 	}
-	restore := fsys.Vanish(modelDir)
+	restore := fsys.HideDir(modelDir)
 	if err := store.Reload(); err == nil || !store.State().equal(want) {
 		t.Errorf("missing directory: error %v, state %+v, want %+v", err, store.State(), want)
 	}
@@ -340,8 +340,8 @@
 			handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, c.path, strings.NewReader(c.body)))
 			return recorder
 		}
-		fsys.Fault(func(s durabletest.Step) error {
-			if s.Op == "syncdir" {
+		fsys.InjectFaults(func(s durabletest.Operation) error {
+			if s.Name == "syncdir" {
 				return syscall.EIO
 			}
 			return nil
@@ -349,7 +349,7 @@
 		if response := post(); response.Code != http.StatusInternalServerError || !strings.Contains(response.Body.String(), syscall.EIO.Error()) || !store.State().equal(before) {
 			t.Errorf("%s on a failing disk: %d %q, state %+v, want %+v", c.path, response.Code, response.Body, store.State(), before)
 		}
-		fsys.Fault(nil)
+		fsys.InjectFaults(nil)
 		if response := post(); response.Code != http.StatusOK || !store.State().equal(c.want) {
 			t.Errorf("%s: %d %q, state %+v, want %+v", c.path, response.Code, response.Body, store.State(), c.want)
 		}
--- a/internal/fleet/marks.go
+++ b/internal/fleet/marks.go
@@ -172,11 +172,11 @@
 		return nil
 	}
 	if s.dirListed {
-		if _, err := s.fsys.Names(s.dir); err != nil {
+		if _, err := s.fsys.ReadDirNames(s.dir); err != nil {
 			return err
 		}
 	}
-	if err := durable.MakeDir(s.fsys, s.dir, 0o700); err != nil {
+	if err := durable.MkdirAll(s.fsys, s.dir, 0o700); err != nil {
 		return err
 	}
 	s.dirSynced = true
@@ -236,7 +236,7 @@
 			return nil, err
 		}
 	}
-	names, err := s.fsys.Names(s.dir)
+	names, err := s.fsys.ReadDirNames(s.dir)
 	s.dirListed = s.dirListed || err == nil
 	return names, err
 }
--- a/internal/voter/disk.go
+++ b/internal/voter/disk.go
@@ -86,7 +86,7 @@
 	} else if !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("voter: %w", err)
 	}
-	if err := durable.MakeDir(files, dir, 0o700); err != nil {
+	if err := durable.MkdirAll(files, dir, 0o700); err != nil {
 		return fmt.Errorf("voter: %w", err)
 	}
 	one := uint64(1)
