--- a/cmd/voter/main.go
+++ b/cmd/voter/main.go
@@ -1,5 +1,5 @@
-// Command voter is one of the few processes that keep who holds which lease. It is a
-// program of its own, so that sidecars do not carry a consensus engine and its log.
+// Command voter runs one member of the Raft cluster that stores leases. It is a separate
+// program so that sidecars do not include a Raft library and its log.
 package main
 
 import (
@@ -18,38 +18,38 @@
 )
 
 type commands struct {
-	Init initCommand `cmd:"" help:"Make the empty log of a new voter: once in its life. One that has lost its log must come under a new number."`
-	Run  runCommand  `cmd:"" help:"Vote until SIGTERM."`
+	Init initCommand `cmd:"" help:"Create the empty log of a new voter. Run this once per voter; a voter that has lost its log must rejoin under a new ID."`
+	Run  runCommand  `cmd:"" help:"Run the voter until SIGTERM or SIGINT."`
 }
 
 type initCommand struct {
-	Config string `required:"" short:"c" type:"path" help:"The file with [quorum]."`
+	Config string `required:"" short:"c" type:"path" help:"Configuration file with a [quorum] table."`
 }
 
 type runCommand struct {
-	Config string `required:"" short:"c" type:"path" help:"The file with [quorum]."`
-	Init   bool   `help:"Make the log first if there is none. Only where a lost log cannot be: for trials."`
+	Config string `required:"" short:"c" type:"path" help:"Configuration file with a [quorum] table."`
+	Init   bool   `help:"Create the log first if it does not exist. For tests only: a voter that has lost its log could vote twice in a term."`
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	var c commands
-	call := kong.Parse(&c, kong.Name("voter"), kong.Description("Keeps leases with the other voters of its cluster."), kong.BindTo(ctx, (*context.Context)(nil)))
-	if err := call.Run(); err != nil {
+	command := kong.Parse(&c, kong.Name("voter"), kong.Description("Stores leases together with the other voters of its cluster."), kong.BindTo(ctx, (*context.Context)(nil)))
+	if err := command.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// load reads the file of a voter.
-func load(path string) (*config.Quorum, []uint64, error) {
+// loadConfig reads a voter's configuration file and returns it with the IDs of all voters.
+func loadConfig(path string) (*config.Quorum, []uint64, error) {
 	q, err := config.LoadQuorum(path)
 	if err != nil {
 		return nil, nil, err
 	}
 	if q.ID == 0 {
-		return nil, nil, fmt.Errorf("%s: quorum.id: missing, want the number of this voter", path)
+		return nil, nil, fmt.Errorf("%s: quorum.id: missing, want the ID of this voter", path)
 	}
 	for _, w := range q.Warnings {
 		slog.Warn(w)
@@ -61,18 +61,18 @@
 	return q, ids, nil
 }
 
-// Run makes the log.
+// Run creates the empty log of a new voter.
 func (c *initCommand) Run() error {
-	q, ids, err := load(c.Config)
+	q, ids, err := loadConfig(c.Config)
 	if err != nil {
 		return err
 	}
 	return voter.Init(q.Dir, q.Cluster, uint64(q.ID), ids)
 }
 
-// Run votes.
+// Run runs the voter until ctx ends. With --init it first creates the log if there is none.
 func (c *runCommand) Run(ctx context.Context) error {
-	q, ids, err := load(c.Config)
+	q, ids, err := loadConfig(c.Config)
 	if err != nil {
 		return err
 	}
@@ -89,6 +89,6 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("voting", "cluster", q.Cluster, "voter", q.ID)
+	slog.Info("voter started", "cluster", q.Cluster, "voter", q.ID)
 	return n.Run(ctx)
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,7 +1,6 @@
-// Package durable does to files what has to outlast a kill of the process and a loss of
-// power: a name is made or taken away in such a way that it is on the disk before anybody
-// is told. The few operations stand behind an interface, so that tests can let each of
-// them fail and can look at what a disk would hold at any moment.
+// Package durable creates, replaces and removes files so that the change survives a crash of
+// the process and a power loss once the function has returned. The file system is an
+// interface, so that tests can inject failures and simulate power loss.
 package durable
 
 import (
@@ -13,27 +12,27 @@
 	"syscall"
 )
 
-// FS is what durable files are made with. OS is the real one.
+// FS is the file system that this package works on. OS implements it.
 type FS interface {
 	MkdirAll(dir string, perm fs.FileMode) error
 	OpenFile(path string, flag int, perm fs.FileMode) (File, error)
-	// Names lists a folder, in any order.
+	// ReadDirNames returns the names in a directory, in any order.
 	ReadDirNames(dir string) ([]string, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncDir puts on the disk which names a folder has.
+	// SyncDir syncs the entries of a directory to disk.
 	SyncDir(dir string) error
 }
 
 // File is an open file of an FS.
 type File interface {
 	io.Writer
-	// Sync puts on the disk what the file holds, but not its name.
+	// Sync syncs the content of the file to disk, but not its directory entry.
 	Sync() error
 	Close() error
 }
 
-// OS is the file system of the machine.
+// OS is the file system of the operating system.
 type OS struct{}
 
 // MkdirAll implements FS.
@@ -43,12 +42,12 @@
 func (OS) OpenFile(path string, flag int, perm fs.FileMode) (File, error) {
 	f, err := os.OpenFile(path, flag, perm)
 	if err != nil {
-		return nil, err // not f, which would be a File that is not nil
+		return nil, err // returning a nil *os.File as File would give a non-nil interface
 	}
 	return f, nil
 }
 
-// Names implements FS.
+// ReadDirNames implements FS.
 func (OS) ReadDirNames(dir string) ([]string, error) {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -64,8 +63,8 @@
 // Remove implements FS.
 func (OS) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir implements FS. Some file systems know no sync of a folder and say that the call
-// makes no sense; with those there is nothing more to do.
+// SyncDir implements FS. It ignores EINVAL, which file systems return that do not support
+// syncing a directory.
 func (OS) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -78,45 +77,43 @@
 	return errors.Join(err, f.Close())
 }
 
-// MakeDir makes a folder whose name is on the disk once it returns nil, with the folders
-// above it. A folder above that this process may not read is somebody else's, who has to
-// see to its names.
+// MkdirAll creates a directory and its missing parents and syncs their directory entries.
+// A parent that this process may not read is not synced.
 func MkdirAll(fsys FS, dir string, perm fs.FileMode) error {
-	above := filepath.Dir(dir)
-	if _, err := fsys.ReadDirNames(above); errors.Is(err, fs.ErrNotExist) && above != dir {
-		if err := MkdirAll(fsys, above, perm); err != nil {
+	parent := filepath.Dir(dir)
+	if _, err := fsys.ReadDirNames(parent); errors.Is(err, fs.ErrNotExist) && parent != dir {
+		if err := MkdirAll(fsys, parent, perm); err != nil {
 			return err
 		}
 	}
 	if err := fsys.MkdirAll(dir, perm); err != nil {
 		return err
 	}
-	if err := fsys.SyncDir(above); !errors.Is(err, fs.ErrPermission) {
+	if err := fsys.SyncDir(parent); !errors.Is(err, fs.ErrPermission) {
 		return err
 	}
 	return nil
 }
 
-// Touch makes an empty file that is on the disk once Touch returns nil. One that is there
-// already is only made sure of; made tells whether it is new. After an error the name may
-// be there or not.
-func Touch(fsys FS, path string, perm fs.FileMode) (made bool, err error) {
+// Touch creates an empty file, or opens an existing one, and syncs it and its directory entry.
+// It reports whether the file is new. After an error the file may or may not exist.
+func Touch(fsys FS, path string, perm fs.FileMode) (created bool, err error) {
 	f, err := fsys.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, perm)
-	made = err == nil
+	created = err == nil
 	if errors.Is(err, fs.ErrExist) {
 		f, err = fsys.OpenFile(path, os.O_WRONLY, perm)
 	}
 	if err != nil {
-		return made, err
+		return created, err
 	}
 	if err := errors.Join(f.Sync(), f.Close()); err != nil {
-		return made, err
+		return created, err
 	}
-	return made, fsys.SyncDir(filepath.Dir(path))
+	return created, fsys.SyncDir(filepath.Dir(path))
 }
 
-// Remove takes a name away for good once it returns nil; one that is not there is only made
-// sure of. After an error the name may be there or not; removed tells that it is not.
+// Remove removes a file, if it exists, and syncs the directory. After an error the file may
+// still exist after a power loss, even if removed is true.
 func Remove(fsys FS, path string) (removed bool, err error) {
 	err = fsys.Remove(path)
 	removed = err == nil
@@ -126,9 +123,8 @@
 	return removed, fsys.SyncDir(filepath.Dir(path))
 }
 
-// Replace puts a file whose content is on the disk in the place of another one, in the same
-// folder. Once it returns nil the new one is found there after a loss of power as well;
-// after an error it is the old or the new one, whole.
+// Replace renames from to to, in the same directory, and syncs the directory. The content of
+// from must already be synced. After an error, to is either the old or the new file.
 func Replace(fsys FS, from, to string) error {
 	if err := fsys.Rename(from, to); err != nil {
 		return err
--- a/internal/durable/durabletest/model.go
+++ b/internal/durable/durabletest/model.go
@@ -1,5 +1,5 @@
-// Package durabletest has file systems for tests: a model of a disk, which can be asked
-// what it would hold after a loss of power, and faults at any step.
+// Package durabletest provides an in-memory durable.FS for tests that simulates power loss
+// and failures of single operations.
 package durabletest
 
 import (
@@ -13,165 +13,166 @@
 	"gorselink/internal/durable"
 )
 
-// Model is a durable.FS in memory. It holds apart what programs see and what is on the
-// disk: content gets there by the Sync of its file, names by the SyncDir of their folder.
+// MemFS is an in-memory durable.FS. It keeps the state that programs see apart from the state
+// on disk: File.Sync makes content durable, and SyncDir makes directory entries durable.
 type MemFS struct {
-	mu    sync.Mutex
-	now   map[string]*node // what programs see, by path
-	disk  map[string]*node // the names that are on the disk
-	fault func(Operation) error
-	steps int
+	mu         sync.Mutex
+	visible    map[string]*inode // the files and directories that programs see, by path
+	durable    map[string]*inode // the directory entries on disk, by path
+	fault      func(Operation) error
+	operations int
 }
 
-type node struct {
-	dir    bool
-	data   []byte
-	synced []byte
-	made   bool // on the disk: a file's first Sync puts it there
+type inode struct {
+	dir     bool
+	data    []byte
+	synced  []byte
+	created bool // set once the file has been synced
 }
 
-// Step is one operation of a program on a Model.
+// Operation describes one operation on a MemFS.
 type Operation struct {
-	Index int    // from 0
+	Index int    // counted from 0 since the last InjectFaults
 	Name  string // mkdir, open, create, write, sync, list, rename, remove, syncdir
 	Path  string
-	Bytes int // that are to be written
+	Bytes int // length of the data of a write
 }
 
-// Torn is an error of a write that came to so many bytes.
-type Torn struct {
+// ShortWriteError makes a write fail after Bytes bytes.
+type ShortWriteError struct {
 	Bytes int
 	Err   error
 }
 
-func (e *Torn) Error() string { return e.Err.Error() }
-func (e *Torn) Unwrap() error { return e.Err }
+func (e *ShortWriteError) Error() string { return e.Err.Error() }
+func (e *ShortWriteError) Unwrap() error { return e.Err }
 
-// NewModel returns a disk with an empty folder root.
+// NewMemFS returns a file system with one empty directory, root.
 func NewMemFS(root string) *MemFS {
-	m := &MemFS{now: map[string]*node{}, disk: map[string]*node{}}
-	for _, all := range []map[string]*node{m.now, m.disk} {
-		all[root] = &node{dir: true}
+	m := &MemFS{visible: map[string]*inode{}, durable: map[string]*inode{}}
+	for _, entries := range []map[string]*inode{m.visible, m.durable} {
+		entries[root] = &inode{dir: true}
 	}
 	return m
 }
 
-// Fault has f asked before each step; a step for which f gives an error does nothing (a
-// Torn write does a part). It counts steps from 0 again. f nil ends that.
+// InjectFaults calls f before each operation and makes the operation fail with the error that
+// f returns. A write with a ShortWriteError writes a part of its data. InjectFaults also resets
+// the operation count; a nil f ends the injection.
 func (m *MemFS) InjectFaults(f func(Operation) error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fault, m.steps = f, 0
+	m.fault, m.operations = f, 0
 }
 
-// Steps is how many steps there have been since the last Fault.
+// OperationCount returns the number of operations since the last InjectFaults.
 func (m *MemFS) OperationCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.steps
+	return m.operations
 }
 
-// AfterPowerLoss returns the disk as it is found after a loss of power now. What was not
-// synced is lost; or, if kept is asked for a path and says so, it has got to the disk
-// nevertheless, as a system may write at any time.
-func (m *MemFS) AfterPowerLoss(kept func(path string) bool) *MemFS {
+// AfterPowerLoss returns the file system as it would be after a power loss. Changes that were
+// not synced are lost, except at paths for which keepUnsynced returns true, because an
+// operating system may write changes at any time.
+func (m *MemFS) AfterPowerLoss(keepUnsynced func(path string) bool) *MemFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	after := &MemFS{now: map[string]*node{}, disk: map[string]*node{}}
-	paths := maps.Clone(m.disk)
-	maps.Copy(paths, m.now)
+	recovered := &MemFS{visible: map[string]*inode{}, durable: map[string]*inode{}}
+	paths := maps.Clone(m.durable)
+	maps.Copy(paths, m.visible)
 	for path := range paths {
-		from, data := m.disk, func(n *node) []byte { return n.synced }
-		keep := kept != nil && kept(path)
+		from, data := m.durable, func(n *inode) []byte { return n.synced }
+		keep := keepUnsynced != nil && keepUnsynced(path)
 		if keep {
-			from, data = m.now, func(n *node) []byte { return n.data }
+			from, data = m.visible, func(n *inode) []byte { return n.data }
 		}
 		n := from[path]
-		if n == nil || !n.dir && !n.made && !keep {
+		if n == nil || !n.dir && !n.created && !keep {
 			continue
 		}
-		again := &node{dir: n.dir, data: data(n), synced: data(n), made: true}
-		after.now[path], after.disk[path] = again, again
+		restored := &inode{dir: n.dir, data: data(n), synced: data(n), created: true}
+		recovered.visible[path], recovered.durable[path] = restored, restored
 	}
-	after.dropLost(paths)
-	return after
+	recovered.removeOrphans(paths)
+	return recovered
 }
 
-// dropLost removes what was in folders that are lost themselves.
-func (m *MemFS) dropLost(paths map[string]*node) {
-	lost := func(path string, _ *node) bool {
+// removeOrphans removes files and directories whose parent directory was lost.
+func (m *MemFS) removeOrphans(paths map[string]*inode) {
+	orphaned := func(path string, _ *inode) bool {
 		for dir := filepath.Dir(path); paths[dir] != nil; dir = filepath.Dir(dir) {
-			if m.now[dir] == nil {
+			if m.visible[dir] == nil {
 				return true
 			}
 		}
 		return false
 	}
-	maps.DeleteFunc(m.now, lost)
-	maps.DeleteFunc(m.disk, lost)
+	maps.DeleteFunc(m.visible, orphaned)
+	maps.DeleteFunc(m.durable, orphaned)
 }
 
-// step is asked before each operation; the mutex is held.
-func (m *MemFS) step(op, path string, bytes int) error {
-	s := Operation{Index: m.steps, Name: op, Path: path, Bytes: bytes}
-	m.steps++
+// begin counts an operation and returns its injected error. The caller holds the mutex.
+func (m *MemFS) begin(op, path string, bytes int) error {
+	operation := Operation{Index: m.operations, Name: op, Path: path, Bytes: bytes}
+	m.operations++
 	if m.fault == nil {
 		return nil
 	}
-	return m.fault(s)
+	return m.fault(operation)
 }
 
-func notThere(op, path string) error { return &fs.PathError{Op: op, Path: path, Err: fs.ErrNotExist} }
+func notExist(op, path string) error { return &fs.PathError{Op: op, Path: path, Err: fs.ErrNotExist} }
 
 // MkdirAll implements durable.FS.
 func (m *MemFS) MkdirAll(dir string, _ fs.FileMode) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.step("mkdir", dir, 0); err != nil {
+	if err := m.begin("mkdir", dir, 0); err != nil {
 		return err
 	}
-	if m.now[dir] == nil {
-		m.now[dir] = &node{dir: true}
+	if m.visible[dir] == nil {
+		m.visible[dir] = &inode{dir: true}
 	}
 	return nil
 }
 
-// OpenFile implements durable.FS. A file is written to at its end.
+// OpenFile implements durable.FS. Writes append to the file.
 func (m *MemFS) OpenFile(path string, flag int, _ fs.FileMode) (durable.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.now[path]
+	n := m.visible[path]
 	op := "open"
 	if n == nil {
 		op = "create"
 	}
-	if err := m.step(op, path, 0); err != nil {
+	if err := m.begin(op, path, 0); err != nil {
 		return nil, err
 	}
 	switch {
-	case n == nil && flag&os.O_CREATE == 0, m.now[filepath.Dir(path)] == nil:
-		return nil, notThere("open", path)
+	case n == nil && flag&os.O_CREATE == 0, m.visible[filepath.Dir(path)] == nil:
+		return nil, notExist("open", path)
 	case n != nil && flag&os.O_EXCL != 0:
 		return nil, &fs.PathError{Op: "open", Path: path, Err: fs.ErrExist}
 	case n == nil:
-		n = &node{}
-		m.now[path] = n
+		n = &inode{}
+		m.visible[path] = n
 	}
-	return &file{m: m, n: n, path: path}, nil
+	return &file{fsys: m, inode: n, path: path}, nil
 }
 
-// Names implements durable.FS.
+// ReadDirNames implements durable.FS.
 func (m *MemFS) ReadDirNames(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.step("list", dir, 0); err != nil {
+	if err := m.begin("list", dir, 0); err != nil {
 		return nil, err
 	}
-	if m.now[dir] == nil {
-		return nil, notThere("open", dir)
+	if m.visible[dir] == nil {
+		return nil, notExist("open", dir)
 	}
 	var names []string
-	for path := range m.now {
+	for path := range m.visible {
 		if filepath.Dir(path) == dir && path != dir {
 			names = append(names, filepath.Base(path))
 		}
@@ -183,15 +184,15 @@
 func (m *MemFS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.step("rename", to, 0); err != nil {
+	if err := m.begin("rename", to, 0); err != nil {
 		return err
 	}
-	n := m.now[from]
+	n := m.visible[from]
 	if n == nil {
-		return notThere("rename", from)
+		return notExist("rename", from)
 	}
-	delete(m.now, from)
-	m.now[to] = n
+	delete(m.visible, from)
+	m.visible[to] = n
 	return nil
 }
 
@@ -199,13 +200,13 @@
 func (m *MemFS) Remove(path string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.step("remove", path, 0); err != nil {
+	if err := m.begin("remove", path, 0); err != nil {
 		return err
 	}
-	if m.now[path] == nil {
-		return notThere("remove", path)
+	if m.visible[path] == nil {
+		return notExist("remove", path)
 	}
-	delete(m.now, path)
+	delete(m.visible, path)
 	return nil
 }
 
@@ -213,75 +214,74 @@
 func (m *MemFS) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.step("syncdir", dir, 0); err != nil {
+	if err := m.begin("syncdir", dir, 0); err != nil {
 		return err
 	}
-	if m.now[dir] == nil {
-		return notThere("open", dir)
+	if m.visible[dir] == nil {
+		return notExist("open", dir)
 	}
-	maps.DeleteFunc(m.disk, func(path string, _ *node) bool { return inside(path, dir) && m.now[path] == nil })
-	for path, n := range m.now {
-		if inside(path, dir) {
-			m.disk[path] = n
+	maps.DeleteFunc(m.durable, func(path string, _ *inode) bool { return isChild(path, dir) && m.visible[path] == nil })
+	for path, n := range m.visible {
+		if isChild(path, dir) {
+			m.durable[path] = n
 		}
 	}
 	return nil
 }
 
-func inside(path, dir string) bool {
+func isChild(path, dir string) bool {
 	rest, ok := strings.CutPrefix(path, dir+string(filepath.Separator))
 	return ok && !strings.ContainsRune(rest, filepath.Separator)
 }
 
-// Vanish takes a folder and all in it out of the programs' sight until the returned
-// function is called.
-func (m *MemFS) HideDir(dir string) (back func()) {
+// HideDir hides a directory and the files in it from programs until restore is called.
+func (m *MemFS) HideDir(dir string) (restore func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	gone := map[string]*node{}
-	for path, n := range m.now {
-		if path == dir || inside(path, dir) {
-			gone[path] = n
-			delete(m.now, path)
+	hidden := map[string]*inode{}
+	for path, n := range m.visible {
+		if path == dir || isChild(path, dir) {
+			hidden[path] = n
+			delete(m.visible, path)
 		}
 	}
 	return func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		maps.Copy(m.now, gone)
+		maps.Copy(m.visible, hidden)
 	}
 }
 
 type file struct {
-	m    *MemFS
-	n    *node
-	path string
+	fsys  *MemFS
+	inode *inode
+	path  string
 }
 
 // Write implements durable.File.
 func (f *file) Write(p []byte) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	err := f.m.step("write", f.path, len(p))
-	if torn, ok := err.(*Torn); ok {
-		f.n.data = append(f.n.data, p[:torn.Bytes]...)
-		return torn.Bytes, err
+	f.fsys.mu.Lock()
+	defer f.fsys.mu.Unlock()
+	err := f.fsys.begin("write", f.path, len(p))
+	if short, ok := err.(*ShortWriteError); ok {
+		f.inode.data = append(f.inode.data, p[:short.Bytes]...)
+		return short.Bytes, err
 	}
 	if err != nil {
 		return 0, err
 	}
-	f.n.data = append(f.n.data, p...)
+	f.inode.data = append(f.inode.data, p...)
 	return len(p), nil
 }
 
 // Sync implements durable.File.
 func (f *file) Sync() error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.step("sync", f.path, 0); err != nil {
+	f.fsys.mu.Lock()
+	defer f.fsys.mu.Unlock()
+	if err := f.fsys.begin("sync", f.path, 0); err != nil {
 		return err
 	}
-	f.n.synced, f.n.made = append([]byte(nil), f.n.data...), true
+	f.inode.synced, f.inode.created = append([]byte(nil), f.inode.data...), true
 	return nil
 }
 
--- a/internal/voter/accept_test.go
+++ b/internal/voter/accept_test.go
@@ -11,30 +11,30 @@
 	"gorselink/internal/standin"
 )
 
-// A client finds its voter after each error that an accept can fail with.
+// The accept loop must continue after every transient accept error.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
 	const cluster = "test"
 	for _, errno := range standin.AcceptErrors {
-		inner, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := standin.Fail(inner, errno)
-		n := &Node{cfg: Config{ID: 1, Cluster: cluster}, l: l, log: slog.Default(), done: make(chan struct{})}
+		failingListener := standin.Fail(listener, errno)
+		n := &Node{cfg: Config{ID: 1, Cluster: cluster}, listener: failingListener, log: slog.Default(), done: make(chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
-		var all sync.WaitGroup
-		all.Go(func() { n.accept(ctx, &all) })
-		c, err := net.Dial("tcp", l.Addr().String())
+		var wg sync.WaitGroup
+		wg.Go(func() { n.acceptConns(ctx, &wg) })
+		conn, err := net.Dial("tcp", failingListener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if other, err := quorum.NewFrameConn(c).Handshake(quorum.Hello{Cluster: cluster}); err != nil || other.Voter != 1 || l.Failed() != 1 {
-			t.Errorf("%v: voter %d, %v, %d accepts failed", errno, other.Voter, err, l.Failed())
+		if peer, err := quorum.NewFrameConn(conn).Handshake(quorum.Hello{Cluster: cluster}); err != nil || peer.Voter != 1 || failingListener.Failed() != 1 {
+			t.Errorf("after accept error %v: handshake with voter %d, error %v, %d accepts failed; want voter 1, no error, 1 accept failed", errno, peer.Voter, err, failingListener.Failed())
 		}
-		c.Close()
+		conn.Close()
 		cancel()
 		close(n.done)
-		l.Close()
-		all.Wait()
+		failingListener.Close()
+		wg.Wait()
 	}
 }
--- a/internal/voter/disk.go
+++ b/internal/voter/disk.go
@@ -21,25 +21,24 @@
 	"gorselink/internal/durable"
 )
 
-// disk is a voter's log, vote and snapshot, in one file that survives a kill at any
-// moment. What the engine reads it reads from memory, which holds the same.
-type disk struct {
+// diskStorage is the raft.Storage of a voter. It persists the log, the hard state and the
+// snapshot in one bbolt file and serves reads from an identical copy in memory.
+type diskStorage struct {
 	*raft.MemoryStorage
-	who   identity
-	path  string
-	files durable.FS
-	open  opener
-	db    *bbolt.DB
-
-	// doubtful tells that a write to the file has failed. What it holds, and what the
-	// system would write of it, is not known any more, and another sync that succeeds
-	// says nothing of what the failed one has lost; so nothing is promised by it before
-	// it is written anew, whole.
-	doubtful bool
+	identity identity
+	path     string
+	fsys     durable.FS
+	openDB   openDBFunc
+	db       *bbolt.DB
+
+	// needsRewrite is set once a write to the file has failed. The content of the file is
+	// then unknown, because a later successful sync does not cover pages that a failed
+	// sync lost. The next save replaces the whole file.
+	needsRewrite bool
 }
 
-// identity is whose file it is. A voter that lost its disk has none, and must not vote
-// under its old name: it may have voted already.
+// identity names the voter that a log file belongs to. A voter that has lost its log must
+// not vote under its old ID, because it may already have voted in the current term.
 type identity struct {
 	Cluster string   `json:"cluster"`
 	ID      uint64   `json:"id"`
@@ -49,94 +48,96 @@
 var (
 	bucketMeta, bucketLog = []byte("meta"), []byte("log")
 	keyIdentity           = []byte("identity")
-	keyHard               = []byte("hard")
+	keyHardState          = []byte("hard")
 	keySnapshot           = []byte("snapshot")
 )
 
-// ErrNoLog tells that a folder has no log: Init makes one.
-var ErrNoLog = errors.New("no log")
+// ErrNoLog is returned when a directory contains no log file. Init creates one.
+var ErrNoLog = errors.New("log file not found")
 
 const (
-	fileName = "quorum.db"
-	newName  = ".new" // after fileName: one that is still being made
+	dbFileName = "quorum.db"
+	tempSuffix = ".new" // of a file that has not yet been renamed to dbFileName
 
-	lockPatience = 2 * time.Second // for another process to let go of the file
+	lockTimeout = 2 * time.Second // wait for another process to release the file lock
 )
 
-// HasLog tells whether a folder has a log. One that cannot be looked at may have one.
+// HasLog reports whether a directory contains a log file. It returns true if the directory
+// cannot be examined.
 func HasLog(dir string) bool {
-	_, err := os.Stat(filepath.Join(dir, fileName))
+	_, err := os.Stat(filepath.Join(dir, dbFileName))
 	return !errors.Is(err, os.ErrNotExist)
 }
 
-func openBolt(path string, patience time.Duration) (*bbolt.DB, error) {
-	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: patience})
+func openBolt(path string, timeout time.Duration) (*bbolt.DB, error) {
+	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: timeout})
 }
 
-// Init makes the empty log of a new voter. It is done once in a voter's life, by hand: a
-// voter that finds no log cannot know whether it is new or has lost what it promised.
+// Init creates the empty log of a new voter. An operator runs it once per voter, because a
+// voter without a log cannot tell whether it is new or has lost its votes.
 func Init(dir string, cluster string, id uint64, voters []uint64) error {
 	return initLog(durable.OS{}, dir, identity{cluster, id, voters})
 }
 
-func initLog(files durable.FS, dir string, who identity) error {
-	path := filepath.Join(dir, fileName)
+func initLog(fsys durable.FS, dir string, id identity) error {
+	path := filepath.Join(dir, dbFileName)
 	if _, err := os.Stat(path); err == nil {
-		return fmt.Errorf("voter: %s: there is a log already", path)
+		return fmt.Errorf("voter: %s: log file already exists", path)
 	} else if !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("voter: %w", err)
 	}
-	if err := durable.MkdirAll(files, dir, 0o700); err != nil {
+	if err := durable.MkdirAll(fsys, dir, 0o700); err != nil {
 		return fmt.Errorf("voter: %w", err)
 	}
 	one := uint64(1)
-	empty := content{
-		snapshot: &raftpb.Snapshot{Data: []byte(`{"last":0,"leases":{}}`), Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: who.Voters}, Index: &one, Term: &one}},
-		hard:     &raftpb.HardState{Term: &one, Commit: &one},
+	initial := logContent{
+		snapshot:  &raftpb.Snapshot{Data: []byte(`{"last":0,"leases":{}}`), Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: id.Voters}, Index: &one, Term: &one}},
+		hardState: &raftpb.HardState{Term: &one, Commit: &one},
 	}
-	d := disk{who: who, path: path, files: files, open: openBolt}
-	db, err := d.write(&empty)
+	d := diskStorage{identity: id, path: path, fsys: fsys, openDB: openBolt}
+	db, err := d.writeTemp(&initial)
 	if err != nil {
 		return fmt.Errorf("voter: %s: %w", path, err)
 	}
-	err = durable.Replace(files, path+newName, path)
+	err = durable.Replace(fsys, path+tempSuffix, path)
 	if err = errors.Join(err, db.Close()); err != nil {
-		files.Remove(path) // nobody has voted by it
+		fsys.Remove(path) // no vote has been recorded in it
 		return fmt.Errorf("voter: %s: %w", path, err)
 	}
 	return nil
 }
 
-// content is all that the file holds but whose it is.
-type content struct {
-	snapshot *raftpb.Snapshot
-	hard     *raftpb.HardState
-	entries  []*raftpb.Entry
+// logContent is the content of a log file except its identity.
+type logContent struct {
+	snapshot  *raftpb.Snapshot
+	hardState *raftpb.HardState
+	entries   []*raftpb.Entry
 }
 
-// write makes a new file beside the one that there is, with all that it has to hold, on
-// the disk but for its name. What was left of an earlier one is removed.
-func (d *disk) write(c *content) (db *bbolt.DB, err error) {
-	path := d.path + newName
-	if err := d.files.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
+// writeTemp creates a temporary file next to the log file and writes and syncs the content
+// to it. It first removes the temporary file of an earlier attempt. The caller renames the
+// file and syncs the directory.
+func (d *diskStorage) writeTemp(c *logContent) (db *bbolt.DB, err error) {
+	path := d.path + tempSuffix
+	if err := d.fsys.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	err = guarded(func() error {
-		if db, err = d.open(path, lockPatience); err != nil {
+	err = recoverPanics(func() error {
+		if db, err = d.openDB(path, lockTimeout); err != nil {
 			return err
 		}
-		return db.Update(func(tx *bbolt.Tx) error { return c.fill(tx, d.who) })
+		return db.Update(func(tx *bbolt.Tx) error { return c.writeTo(tx, d.identity) })
 	})
 	if err != nil {
-		discard(db)
-		d.files.Remove(path) // what is left is removed the next time
+		closeInBackground(db)
+		d.fsys.Remove(path) // if this fails, the next call removes the file
 		return nil, err
 	}
 	return db, nil
 }
 
-// fill puts a content into an empty file.
-func (c *content) fill(tx *bbolt.Tx, who identity) error {
+// writeTo writes the content and the identity to an empty file.
+func (c *logContent) writeTo(tx *bbolt.Tx, id identity) error {
 	meta, err := tx.CreateBucket(bucketMeta)
 	if err != nil {
 		return err
@@ -145,11 +146,11 @@
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(who)
+	data, err := json.Marshal(id)
 	if err != nil {
 		return err
 	}
-	if err := meta.Put(keyIdentity, seal(text)); err != nil {
+	if err := meta.Put(keyIdentity, addChecksum(data)); err != nil {
 		return err
 	}
 	if err := putProto(meta, keySnapshot, c.snapshot); err != nil {
@@ -160,156 +161,154 @@
 			return err
 		}
 	}
-	return putProto(meta, keyHard, c.hard)
+	return putProto(meta, keyHardState, c.hardState)
 }
 
-// discard lets go of a file that has failed. The library may wait for ever for what a
-// failure has left locked, so nobody waits for it.
-func discard(db *bbolt.DB) {
+// closeInBackground closes a file without waiting. After a failed operation bbolt may still
+// hold its internal locks, and Close would block forever.
+func closeInBackground(db *bbolt.DB) {
 	if db != nil {
-		go guarded(db.Close)
+		go recoverPanics(db.Close)
 	}
 }
 
-// seal puts a sum before a value, and open takes it off: what was torn is told and not
-// taken for a vote.
-func seal(v []byte) []byte {
+// addChecksum prepends a CRC-32 to a value.
+func addChecksum(v []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(v)), v...)
 }
 
-func open(v []byte) ([]byte, error) {
+// verifyChecksum checks the CRC-32 of a stored value and returns the value without it.
+func verifyChecksum(v []byte) ([]byte, error) {
 	if len(v) < 4 || binary.BigEndian.Uint32(v) != crc32.ChecksumIEEE(v[4:]) {
-		return nil, errors.New("torn: the sum of a record is wrong")
+		return nil, errors.New("log file is damaged: record has a wrong checksum")
 	}
 	return v[4:], nil
 }
 
 func putProto(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	text, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, seal(text))
+	return b.Put(key, addChecksum(data))
 }
 
 func getProto(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	text, err := open(b.Get(key))
+	data, err := verifyChecksum(b.Get(key))
 	if err != nil {
 		return fmt.Errorf("%s: %w", key, err)
 	}
-	return proto.Unmarshal(text, m)
+	return proto.Unmarshal(data, m)
 }
 
-// guarded does something with a log. The file is mapped: one that was cut off faults where
-// it is read, and the library panics where pages make no sense. Both are errors of this
-// file, and not the end of the process.
-func guarded(do func() error) (err error) {
+// recoverPanics runs f and returns a panic as an error. The file is memory-mapped: reading a
+// truncated file causes a memory fault, and bbolt panics on invalid pages.
+func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("torn: %v", p)
+			err = fmt.Errorf("log file is damaged: %v", p)
 		}
 	}()
-	return do()
+	return f()
 }
 
-// openDisk opens the log of a voter. Every error means that it must not vote.
-func openDisk(dir string, who identity) (*disk, error) {
-	return openDiskOn(durable.OS{}, openBolt, dir, who)
+// openDiskStorage opens the log of a voter. A voter whose log cannot be opened must not vote.
+func openDiskStorage(dir string, id identity) (*diskStorage, error) {
+	return openDiskStorageWith(durable.OS{}, openBolt, dir, id)
 }
 
-// opener opens or makes a file of the library; patience is how long to wait for its lock.
-type opener func(path string, patience time.Duration) (*bbolt.DB, error)
+// openDBFunc opens or creates a bbolt file and waits up to timeout for its lock.
+type openDBFunc func(path string, timeout time.Duration) (*bbolt.DB, error)
 
-func openDiskOn(files durable.FS, open opener, dir string, who identity) (*disk, error) {
-	path := filepath.Join(dir, fileName)
+func openDiskStorageWith(fsys durable.FS, openDB openDBFunc, dir string, id identity) (*diskStorage, error) {
+	path := filepath.Join(dir, dbFileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("voter: %s: %w: a new voter's is made by hand; one that lost its log must come under a new number", path, ErrNoLog)
+		return nil, fmt.Errorf("voter: %s: %w; run 'voter init' for a new voter; a voter that lost its log must rejoin under a new ID", path, ErrNoLog)
 	}
-	d := &disk{MemoryStorage: raft.NewMemoryStorage(), path: path, files: files, open: open}
-	if err := guarded(func() (err error) {
-		d.db, err = d.open(path, lockPatience)
+	d := &diskStorage{MemoryStorage: raft.NewMemoryStorage(), path: path, fsys: fsys, openDB: openDB}
+	if err := recoverPanics(func() (err error) {
+		d.db, err = d.openDB(path, lockTimeout)
 		return err
 	}); err != nil {
 		return nil, fmt.Errorf("voter: %s: %w", path, err)
 	}
-	if err := guarded(func() error { return d.db.View(func(tx *bbolt.Tx) error { return d.load(tx, who) }) }); err != nil {
-		guarded(d.db.Close)
+	if err := recoverPanics(func() error { return d.db.View(func(tx *bbolt.Tx) error { return d.load(tx, id) }) }); err != nil {
+		recoverPanics(d.db.Close)
 		return nil, fmt.Errorf("voter: %s: %w", path, err)
 	}
-	if err := d.files.SyncDir(dir); err != nil { // who made the file may not have done it
-		guarded(d.db.Close)
+	if err := d.fsys.SyncDir(dir); err != nil { // the process that created the file may have stopped before this sync
+		recoverPanics(d.db.Close)
 		return nil, fmt.Errorf("voter: %s: %w", path, err)
 	}
 	return d, nil
 }
 
-func (d *disk) load(tx *bbolt.Tx, who identity) error {
+func (d *diskStorage) load(tx *bbolt.Tx, id identity) error {
 	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 	if meta == nil || log == nil {
-		return errors.New("not a log of a voter")
+		return errors.New("not a voter log: bucket meta or log is missing")
 	}
-	text, err := open(meta.Get(keyIdentity))
+	data, err := verifyChecksum(meta.Get(keyIdentity))
 	if err != nil {
 		return err
 	}
-	var is identity
-	if err := json.Unmarshal(text, &is); err != nil {
+	var stored identity
+	if err := json.Unmarshal(data, &stored); err != nil {
 		return err
 	}
-	if is.Cluster != who.Cluster || is.ID != who.ID {
-		return fmt.Errorf("it is of voter %d of cluster %q, this is voter %d of %q", is.ID, is.Cluster, who.ID, who.Cluster)
+	if stored.Cluster != id.Cluster || stored.ID != id.ID {
+		return fmt.Errorf("log file belongs to voter %d of cluster %q, but this is voter %d of cluster %q", stored.ID, stored.Cluster, id.ID, id.Cluster)
 	}
-	d.who = is
+	d.identity = stored
 	var snap raftpb.Snapshot
 	if err := getProto(meta, keySnapshot, &snap); err != nil {
 		return err
 	}
-	var hard raftpb.HardState
-	if err := getProto(meta, keyHard, &hard); err != nil {
+	var hardState raftpb.HardState
+	if err := getProto(meta, keyHardState, &hardState); err != nil {
 		return err
 	}
 	if err := d.MemoryStorage.ApplySnapshot(&snap); err != nil {
 		return err
 	}
-	next := snap.GetMetadata().GetIndex() + 1
-	var all []*raftpb.Entry
+	nextIndex := snap.GetMetadata().GetIndex() + 1
+	var entries []*raftpb.Entry
 	if err := log.ForEach(func(k, v []byte) error {
-		text, err := open(v)
+		data, err := verifyChecksum(v)
 		if err != nil {
 			return err
 		}
 		e := &raftpb.Entry{}
-		if err := proto.Unmarshal(text, e); err != nil {
+		if err := proto.Unmarshal(data, e); err != nil {
 			return err
 		}
-		if e.GetIndex() < next { // before the snapshot
+		if e.GetIndex() < nextIndex { // already covered by the snapshot
 			return nil
 		}
-		if e.GetIndex() != next || binary.BigEndian.Uint64(k) != next {
-			return fmt.Errorf("torn: entry %d where %d was to come", e.GetIndex(), next)
+		if e.GetIndex() != nextIndex || binary.BigEndian.Uint64(k) != nextIndex {
+			return fmt.Errorf("log file is damaged: found entry %d, want entry %d", e.GetIndex(), nextIndex)
 		}
-		next++
-		all = append(all, e)
+		nextIndex++
+		entries = append(entries, e)
 		return nil
 	}); err != nil {
 		return err
 	}
-	if err := d.MemoryStorage.Append(all); err != nil {
+	if err := d.MemoryStorage.Append(entries); err != nil {
 		return err
 	}
-	if hard.GetCommit() >= next {
-		return fmt.Errorf("torn: committed up to %d, and the log ends at %d", hard.GetCommit(), next-1)
+	if hardState.GetCommit() >= nextIndex {
+		return fmt.Errorf("log file is damaged: commit index is %d, but the last entry is %d", hardState.GetCommit(), nextIndex-1)
 	}
-	return d.MemoryStorage.SetHardState(&hard)
+	return d.MemoryStorage.SetHardState(&hardState)
 }
 
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// save writes what the engine wants written before anything is sent: all of it or
-// nothing, and it is on the disk when save returns. After an error nothing of it may be
-// sent; save can be called again with the same.
-func (d *disk) save(rd *raft.Ready) error {
+// save writes the entries, hard state and snapshot of rd atomically and syncs them. After an
+// error the caller must not send the messages of rd; it may call save again with the same rd.
+func (d *diskStorage) save(rd *raft.Ready) error {
 	snap := !raft.IsEmptySnap(rd.Snapshot)
 	if len(rd.Entries) == 0 && raft.IsEmptyHardState(rd.HardState) && !snap {
 		return nil
@@ -331,23 +330,23 @@
 	return nil
 }
 
-// persist puts on the disk what is new, or everything if the file is in doubt.
-func (d *disk) persist(rd *raft.Ready) error {
-	if d.doubtful {
+// persist writes rd to the file, or rewrites the whole file if an earlier write failed.
+func (d *diskStorage) persist(rd *raft.Ready) error {
+	if d.needsRewrite {
 		return d.rewrite(rd)
 	}
 	return d.update(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
-		if !raft.IsEmptySnap(rd.Snapshot) { // it takes the place of the whole log
+		if !raft.IsEmptySnap(rd.Snapshot) { // the snapshot replaces the whole log
 			if err := putProto(meta, keySnapshot, rd.Snapshot); err != nil {
 				return err
 			}
-			if err := drop(log, 0, ^uint64(0)); err != nil {
+			if err := deleteEntries(log, 0, ^uint64(0)); err != nil {
 				return err
 			}
 		}
-		if len(rd.Entries) > 0 { // they replace what stood there and all behind it
-			if err := drop(log, rd.Entries[0].GetIndex(), ^uint64(0)); err != nil {
+		if len(rd.Entries) > 0 { // new entries replace all entries from their first index on
+			if err := deleteEntries(log, rd.Entries[0].GetIndex(), ^uint64(0)); err != nil {
 				return err
 			}
 		}
@@ -357,48 +356,48 @@
 			}
 		}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			return putProto(meta, keyHard, rd.HardState)
+			return putProto(meta, keyHardState, rd.HardState)
 		}
 		return nil
 	})
 }
 
-// rewrite puts a new file in the place of one that is in doubt. The old one is held until
-// then, and with it the lock that keeps other processes off.
-func (d *disk) rewrite(rd *raft.Ready) error {
-	all, err := d.with(rd)
+// rewrite replaces the file after a failed write. The old file stays open until the rename,
+// because its lock keeps other processes from opening the log.
+func (d *diskStorage) rewrite(rd *raft.Ready) error {
+	content, err := d.mergedContent(rd)
 	if err != nil {
 		return err
 	}
-	db, err := d.write(all)
+	db, err := d.writeTemp(content)
 	if err != nil {
 		return err
 	}
-	if err := d.files.Rename(d.path+newName, d.path); err != nil {
-		discard(db)
+	if err := d.fsys.Rename(d.path+tempSuffix, d.path); err != nil {
+		closeInBackground(db)
 		return err
 	}
 	old := d.db
-	d.db = db // whatever comes now, this is the file that is found
-	discard(old)
-	if err := d.files.SyncDir(filepath.Dir(d.path)); err != nil {
+	d.db = db // path now refers to this file, even if the directory sync fails
+	closeInBackground(old)
+	if err := d.fsys.SyncDir(filepath.Dir(d.path)); err != nil {
 		return err
 	}
-	d.doubtful = false
+	d.needsRewrite = false
 	return nil
 }
 
-// with is what is known, and what is new.
-func (d *disk) with(rd *raft.Ready) (*content, error) {
-	hard, _, err := d.InitialState()
+// mergedContent returns the content in memory with the changes of rd applied.
+func (d *diskStorage) mergedContent(rd *raft.Ready) (*logContent, error) {
+	hardState, _, err := d.InitialState()
 	if err != nil {
 		return nil, err
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
-		hard = rd.HardState
+		hardState = rd.HardState
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		return &content{rd.Snapshot, hard, rd.Entries}, nil
+		return &logContent{rd.Snapshot, hardState, rd.Entries}, nil
 	}
 	snap, err := d.Snapshot()
 	if err != nil {
@@ -422,19 +421,19 @@
 			return nil, err
 		}
 	}
-	return &content{snap, hard, append(slices.Clone(entries), rd.Entries...)}, nil
+	return &logContent{snap, hardState, append(slices.Clone(entries), rd.Entries...)}, nil
 }
 
-// update changes the file, which is in doubt if that fails.
-func (d *disk) update(f func(tx *bbolt.Tx) error) error {
-	err := guarded(func() error { return d.db.Update(f) })
-	d.doubtful = d.doubtful || err != nil
+// update runs a write transaction and sets needsRewrite if it fails.
+func (d *diskStorage) update(f func(tx *bbolt.Tx) error) error {
+	err := recoverPanics(func() error { return d.db.Update(f) })
+	d.needsRewrite = d.needsRewrite || err != nil
 	return err
 }
 
-// drop removes the entries from an index to before another.
-func drop(log *bbolt.Bucket, from, to uint64) error {
-	var keys [][]byte // a cursor that deletes loses its place
+// deleteEntries removes the entries with indexes in [from, to).
+func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
+	var keys [][]byte // collected first: a cursor may skip keys after a deletion
 	c := log.Cursor()
 	for k, _ := c.Seek(logKey(from)); k != nil && binary.BigEndian.Uint64(k) < to; k, _ = c.Next() {
 		keys = append(keys, k)
@@ -447,10 +446,10 @@
 	return nil
 }
 
-// compact makes a snapshot of the state at an index and drops the log before it, but for
-// some entries that a voter which lags a little may still want. Nothing is promised by it:
-// if it fails, the file has the log as before, and it is written anew with what comes next.
-func (d *disk) compact(index uint64, conf *raftpb.ConfState, state []byte, keep uint64) error {
+// compact creates a snapshot at index and removes the log entries up to it, except the last
+// keep entries, from which slow followers can catch up. If writing the file fails, the log
+// stays valid in memory and the next save rewrites the file.
+func (d *diskStorage) compact(index uint64, conf *raftpb.ConfState, state []byte, keep uint64) error {
 	snap, err := d.CreateSnapshot(index, conf, state)
 	if err != nil {
 		return err
@@ -460,24 +459,24 @@
 			return err
 		}
 	}
-	if d.doubtful {
+	if d.needsRewrite {
 		return nil
 	}
 	if err := d.update(func(tx *bbolt.Tx) error {
 		if err := putProto(tx.Bucket(bucketMeta), keySnapshot, snap); err != nil {
 			return err
 		}
-		return drop(tx.Bucket(bucketLog), 0, index+1-min(keep, index))
+		return deleteEntries(tx.Bucket(bucketLog), 0, index+1-min(keep, index))
 	}); err != nil {
 		return fmt.Errorf("voter: %s: snapshot: %w", d.path, err)
 	}
 	return nil
 }
 
-// close closes the file. One in doubt is only let go of, see discard.
-func (d *disk) close() error {
-	if d.doubtful {
-		discard(d.db)
+// close closes the file. After a failed write it does not wait, see closeInBackground.
+func (d *diskStorage) close() error {
+	if d.needsRewrite {
+		closeInBackground(d.db)
 		return nil
 	}
 	return d.db.Close()
--- a/internal/voter/disk_test.go
+++ b/internal/voter/disk_test.go
@@ -15,14 +15,14 @@
 
 func ptr[T any](x T) *T { return &x }
 
-// written makes a log with so many entries, the last of term 3, and gives its bytes.
-func written(t *testing.T, dir string, entries int) []byte {
+// writeLog creates a log with the given number of entries in term 3 and returns the file content.
+func writeLog(t *testing.T, dir string, entries int) []byte {
 	t.Helper()
-	who := identity{Cluster: "c", ID: 1}
+	id := identity{Cluster: "c", ID: 1}
 	if err := Init(dir, "c", 1, []uint64{1, 2, 3}); err != nil {
 		t.Fatal(err)
 	}
-	d, err := openDisk(dir, who)
+	d, err := openDiskStorage(dir, id)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,82 +43,81 @@
 	if err := d.close(); err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(filepath.Join(dir, fileName))
+	data, err := os.ReadFile(filepath.Join(dir, dbFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return data
 }
 
-// A log that is cut off at any byte, or in which bytes have changed, is an error that says
-// so, or holds all that was promised: it never takes the process down and never gives a
-// shorter past.
-func TestTornLogAnywhere(t *testing.T) {
+// Opening a truncated or corrupted log must either fail with an error or return all saved state.
+// It must not crash the process or lose entries.
+func TestDamagedLogIsDetected(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	whole := written(t, dir, 40)
-	who := identity{Cluster: "c", ID: 1}
-	try := func(what string, text []byte) (refused bool) {
+	complete := writeLog(t, dir, 40)
+	id := identity{Cluster: "c", ID: 1}
+	tryOpen := func(name string, data []byte) (rejected bool) {
 		t.Helper()
-		dir := t.TempDir() // a file whose opening failed may stay locked
-		if err := os.WriteFile(filepath.Join(dir, fileName), text, 0o600); err != nil {
+		dir := t.TempDir() // a file that could not be opened may stay locked
+		if err := os.WriteFile(filepath.Join(dir, dbFileName), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, err := openDisk(dir, who)
+		d, err := openDiskStorage(dir, id)
 		if err != nil {
-			if !strings.Contains(err.Error(), fileName) {
-				t.Errorf("%s: %v, want the file's name", what, err)
+			if !strings.Contains(err.Error(), dbFileName) {
+				t.Errorf("%s: error %v, want one that contains the file name", name, err)
 			}
 			return true
 		}
 		defer d.close()
-		hard, _, _ := d.InitialState()
+		hardState, _, _ := d.InitialState()
 		last, _ := d.LastIndex()
-		if hard.GetTerm() != 3 || hard.GetVote() != 2 || hard.GetCommit() != 41 || last != 41 {
-			t.Errorf("%s: taken up with term %d, vote %d, commit %d and %d entries", what, hard.GetTerm(), hard.GetVote(), hard.GetCommit(), last)
+		if hardState.GetTerm() != 3 || hardState.GetVote() != 2 || hardState.GetCommit() != 41 || last != 41 {
+			t.Errorf("%s: opened with term %d, vote %d, commit index %d, last index %d; want term 3, vote 2, commit index 41, last index 41", name, hardState.GetTerm(), hardState.GetVote(), hardState.GetCommit(), last)
 		}
 		return false
 	}
-	if try("whole", whole) {
-		t.Fatal("the whole log is refused")
+	if tryOpen("undamaged", complete) {
+		t.Fatal("undamaged log was rejected")
 	}
 	rng := rand.New(rand.NewPCG(1, 3))
-	refused := 0
+	rejected := 0
 	for i := range 150 {
-		n := rng.IntN(len(whole))
+		n := rng.IntN(len(complete))
 		if i < 20 {
-			n = i * len(whole) / 20
+			n = i * len(complete) / 20
 		}
-		if try(fmt.Sprint("cut at ", n), whole[:n]) {
-			refused++
+		if tryOpen(fmt.Sprint("truncated at byte ", n), complete[:n]) {
+			rejected++
 		}
 	}
-	// The first two pages each tell where a transaction is: one whose sum is wrong is taken
-	// for a write that was cut off, and the transaction before it holds. Rot in just that
-	// page cannot be told from it, so changes are made behind them.
-	head := 2 * os.Getpagesize()
+	// The first two pages are the bbolt meta pages. If the checksum of one is wrong, bbolt
+	// uses the other one, which holds the previous transaction. A corrupted meta page looks
+	// like an interrupted write, so only the pages after them are corrupted.
+	metaBytes := 2 * os.Getpagesize()
 	for range 150 {
-		text, at := append([]byte(nil), whole...), head+rng.IntN(len(whole)-head)
-		for k := at; k < min(at+1+rng.IntN(8), len(text)); k++ {
-			text[k] ^= byte(1 + rng.IntN(255))
+		data, offset := append([]byte(nil), complete...), metaBytes+rng.IntN(len(complete)-metaBytes)
+		for k := offset; k < min(offset+1+rng.IntN(8), len(data)); k++ {
+			data[k] ^= byte(1 + rng.IntN(255))
 		}
-		if try(fmt.Sprint("changed at ", at), text) {
-			refused++
+		if tryOpen(fmt.Sprint("corrupted at byte ", offset), data) {
+			rejected++
 		}
 	}
-	if refused < 100 {
-		t.Errorf("%d of 300 refused: that was no test", refused)
+	if rejected < 100 {
+		t.Errorf("%d of 300 damaged logs were rejected, want at least 100", rejected)
 	}
-	// Another's log, and none.
+	// A log of another voter or cluster, and a missing log.
 	for _, other := range []identity{{Cluster: "c", ID: 2}, {Cluster: "d", ID: 1}} {
-		if _, err := openDisk(dir, other); err == nil || !strings.Contains(err.Error(), `voter 1 of cluster "c"`) {
-			t.Errorf("%+v: %v", other, err)
+		if _, err := openDiskStorage(dir, other); err == nil || !strings.Contains(err.Error(), `voter 1 of cluster "c"`) {
+			t.Errorf("opened as %+v: error %v, want one that names the owner", other, err)
 		}
 	}
 	if err := Init(dir, "c", 1, []uint64{1}); err == nil {
-		t.Error("a log was made over another")
+		t.Error("Init replaced an existing log")
 	}
-	if _, err := openDisk(t.TempDir(), who); !errors.Is(err, ErrNoLog) {
-		t.Errorf("without a log: %v", err)
+	if _, err := openDiskStorage(t.TempDir(), id); !errors.Is(err, ErrNoLog) {
+		t.Errorf("missing log: error %v, want ErrNoLog", err)
 	}
 }
--- a/internal/voter/durable_test.go
+++ b/internal/voter/durable_test.go
@@ -28,109 +28,109 @@
 	"gorselink/lease"
 )
 
-// The tests of this file do not run beside others: TestTornLogAnywhere reads behind the ends
-// of torn files, and is to find nothing mapped there.
+// The tests in this file do not run in parallel with other tests: TestDamagedLogIsDetected reads
+// beyond the ends of truncated files, where no other file may be mapped.
 
-// write is one write to the file of a log.
-type write struct {
-	at   int64
-	text []byte
+// diskWrite is one write to a log file.
+type diskWrite struct {
+	offset int64
+	data   []byte
 }
 
-// meta tells whether it is the write that makes a transaction hold: the last one, to one
-// of the first two pages, between two syncs. All before it is on the disk by then.
-func (w write) meta() bool { return w.at < 2*int64(os.Getpagesize()) }
+// isMetaPage reports whether the write goes to one of the two bbolt meta pages. This write commits
+// a transaction; it is preceded and followed by a sync.
+func (w diskWrite) isMetaPage() bool { return w.offset < 2*int64(os.Getpagesize()) }
 
-// faults are what is to go wrong with a disk; all at once may be nil.
-type faults struct {
+// diskFaults injects disk failures. A nil function injects no failure.
+type diskFaults struct {
 	mu    sync.Mutex
-	write func(w write) (bytes int, err error) // instead of the write
-	sync  func(after write) bool               // whether the sync that follows is to fail
-	files func(op string) error                // renames, removals and syncs of folders
+	write func(w diskWrite) (bytes int, err error) // returns an error and how much of the data is written before it
+	sync  func(after diskWrite) bool               // reports whether the sync after this write fails
+	fsys  func(op string) error                    // returns the error of a rename, removal or directory sync
 }
 
-func (f *faults) set(to *faults) {
+func (f *diskFaults) set(to *diskFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.write, f.sync, f.files = to.write, to.sync, to.files
+	f.write, f.sync, f.fsys = to.write, to.sync, to.fsys
 }
 
-func (f *faults) file(op string) error {
+func (f *diskFaults) fsOperation(op string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.files == nil {
+	if f.fsys == nil {
 		return nil
 	}
-	return f.files(op)
+	return f.fsys(op)
 }
 
-// files is a durable.FS with faults.
-type files struct {
+// faultFS is the operating system's file system with injected failures.
+type faultFS struct {
 	durable.OS
-	*faults
+	*diskFaults
 }
 
-func (f files) Rename(from, to string) error {
-	if err := f.file("rename"); err != nil {
+func (f faultFS) Rename(from, to string) error {
+	if err := f.fsOperation("rename"); err != nil {
 		return err
 	}
 	return f.OS.Rename(from, to)
 }
 
-func (f files) Remove(path string) error {
-	if err := f.file("remove"); err != nil {
+func (f faultFS) Remove(path string) error {
+	if err := f.fsOperation("remove"); err != nil {
 		return err
 	}
 	return f.OS.Remove(path)
 }
 
-func (f files) SyncDir(dir string) error {
-	if err := f.file("syncdir"); err != nil {
+func (f faultFS) SyncDir(dir string) error {
+	if err := f.fsOperation("syncdir"); err != nil {
 		return err
 	}
 	return f.OS.SyncDir(dir)
 }
 
-// open is an opener whose files fail as f says. The library has no place for that, so its
-// own writing is replaced; and for a sync that fails its descriptor is put on a device
-// that knows none, as long as it takes.
-func (f *faults) open(path string, patience time.Duration) (*bbolt.DB, error) {
-	db, err := openBolt(path, patience)
+// openDB is an openDBFunc that opens files with the failures of f. bbolt has no hook for this, so
+// openDB replaces its write function. A sync fails because the file descriptor then refers to
+// the null device, which does not support sync.
+func (f *diskFaults) openDB(path string, timeout time.Duration) (*bbolt.DB, error) {
+	db, err := openBolt(path, timeout)
 	if err != nil {
 		return nil, err
 	}
-	inside := reflect.ValueOf(db).Elem()
-	own := *(**os.File)(unsafe.Pointer(inside.FieldByName("file").UnsafeAddr()))
-	writeAt := (*func([]byte, int64) (int, error))(unsafe.Pointer(inside.FieldByName("ops").FieldByName("writeAt").UnsafeAddr()))
-	fd := int(own.Fd())
-	kept, err := syscall.Dup(fd) // which keeps the lock as well
+	dbValue := reflect.ValueOf(db).Elem()
+	file := *(**os.File)(unsafe.Pointer(dbValue.FieldByName("file").UnsafeAddr()))
+	writeAt := (*func([]byte, int64) (int, error))(unsafe.Pointer(dbValue.FieldByName("ops").FieldByName("writeAt").UnsafeAddr()))
+	fd := int(file.Fd())
+	savedFD, err := syscall.Dup(fd) // the duplicate also keeps the file lock
 	if err != nil {
 		return nil, err
 	}
-	null, err := os.OpenFile(os.DevNull, os.O_RDWR, 0)
+	nullDevice, err := os.OpenFile(os.DevNull, os.O_RDWR, 0)
 	if err != nil {
 		return nil, err
 	}
-	real := os.NewFile(uintptr(kept), path)
-	broken := false
-	*writeAt = func(text []byte, at int64) (int, error) {
+	realFile := os.NewFile(uintptr(savedFD), path)
+	syncFails := false
+	*writeAt = func(data []byte, offset int64) (int, error) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		w := write{at, slices.Clone(text)}
+		w := diskWrite{offset, slices.Clone(data)}
 		if f.write != nil {
 			if n, err := f.write(w); err != nil {
-				real.WriteAt(text[:n], at)
+				realFile.WriteAt(data[:n], offset)
 				return n, err
 			}
 		}
-		n, err := real.WriteAt(text, at)
-		if fails := f.sync != nil && f.sync(w); fails != broken {
-			broken = fails
-			to := kept
-			if fails {
-				to = int(null.Fd())
+		n, err := realFile.WriteAt(data, offset)
+		if failNext := f.sync != nil && f.sync(w); failNext != syncFails {
+			syncFails = failNext
+			target := savedFD
+			if failNext {
+				target = int(nullDevice.Fd())
 			}
-			if err := syscall.Dup3(to, fd, syscall.O_CLOEXEC); err != nil {
+			if err := syscall.Dup3(target, fd, syscall.O_CLOEXEC); err != nil {
 				return n, err
 			}
 		}
@@ -139,19 +139,19 @@
 	return db, nil
 }
 
-// all is what a log holds, as text.
-func all(t *testing.T, d *disk) string {
+// describe returns the content of a log as text.
+func describe(t *testing.T, d *diskStorage) string {
 	t.Helper()
-	hard, _, err1 := d.InitialState()
+	state, _, err1 := d.InitialState()
 	snap, err2 := d.Snapshot()
 	last, err3 := d.LastIndex()
 	if err := errors.Join(err1, err2, err3); err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	at := snap.GetMetadata()
-	fmt.Fprintf(&b, "term %d vote %d commit %d snapshot %d/%d %s;", hard.GetTerm(), hard.GetVote(), hard.GetCommit(), at.GetIndex(), at.GetTerm(), snap.GetData())
-	for i := at.GetIndex() + 1; i <= last; i++ {
+	meta := snap.GetMetadata()
+	fmt.Fprintf(&b, "term %d vote %d commit %d snapshot %d/%d %s;", state.GetTerm(), state.GetVote(), state.GetCommit(), meta.GetIndex(), meta.GetTerm(), snap.GetData())
+	for i := meta.GetIndex() + 1; i <= last; i++ {
 		e, err := d.Entries(i, i+1, 1<<40)
 		if err != nil {
 			t.Fatal(err)
@@ -161,352 +161,357 @@
 	return b.String()
 }
 
-func hard(term, vote, commit uint64) *raftpb.HardState {
+func hardState(term, vote, commit uint64) *raftpb.HardState {
 	return &raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit}
 }
 
-func entries(term uint64, from, to uint64) (some []*raftpb.Entry) {
+func newEntries(term uint64, from, to uint64) (result []*raftpb.Entry) {
 	for i := from; i <= to; i++ {
-		some = append(some, &raftpb.Entry{Term: ptr(term), Index: ptr(i), Data: fmt.Appendf(nil, "entry %d of term %d", i, term)})
+		result = append(result, &raftpb.Entry{Term: ptr(term), Index: ptr(i), Data: fmt.Appendf(nil, "entry %d of term %d", i, term)})
 	}
-	return some
+	return result
 }
 
-// story is a life of a log: votes, entries, a tail that is replaced, snapshots.
-var story = []struct {
+// scenario is a sequence of changes to a log: votes, entries, a replaced tail and snapshots.
+var scenario = []struct {
 	name string
-	do   func(d *disk) error
+	do   func(d *diskStorage) error
 }{
-	{"a vote", func(d *disk) error { return d.save(&raft.Ready{HardState: hard(2, 3, 1)}) }},
-	{"entries", func(d *disk) error { return d.save(&raft.Ready{HardState: hard(2, 3, 4), Entries: entries(2, 2, 9)}) }},
-	{"another tail", func(d *disk) error { return d.save(&raft.Ready{HardState: hard(4, 0, 6), Entries: entries(4, 7, 8)}) }},
-	{"its own snapshot", func(d *disk) error {
+	{"vote", func(d *diskStorage) error { return d.save(&raft.Ready{HardState: hardState(2, 3, 1)}) }},
+	{"entries", func(d *diskStorage) error {
+		return d.save(&raft.Ready{HardState: hardState(2, 3, 4), Entries: newEntries(2, 2, 9)})
+	}},
+	{"replaced tail", func(d *diskStorage) error {
+		return d.save(&raft.Ready{HardState: hardState(4, 0, 6), Entries: newEntries(4, 7, 8)})
+	}},
+	{"local snapshot", func(d *diskStorage) error {
 		return d.compact(6, &raftpb.ConfState{Voters: []uint64{1, 2, 3}}, []byte(`{"last":5,"leases":{}}`), 2)
 	}},
-	{"a vote again", func(d *disk) error { return d.save(&raft.Ready{HardState: hard(5, 1, 6)}) }},
-	{"a snapshot from another", func(d *disk) error {
-		at := &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}}, Index: ptr(uint64(7)), Term: ptr(uint64(4))}
-		return d.save(&raft.Ready{HardState: hard(5, 1, 7), Snapshot: &raftpb.Snapshot{Data: []byte(`{"last":6,"leases":{}}`), Metadata: at}})
+	{"second vote", func(d *diskStorage) error { return d.save(&raft.Ready{HardState: hardState(5, 1, 6)}) }},
+	{"received snapshot", func(d *diskStorage) error {
+		meta := &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}}, Index: ptr(uint64(7)), Term: ptr(uint64(4))}
+		return d.save(&raft.Ready{HardState: hardState(5, 1, 7), Snapshot: &raftpb.Snapshot{Data: []byte(`{"last":6,"leases":{}}`), Metadata: meta}})
+	}},
+	{"entries after received snapshot", func(d *diskStorage) error {
+		return d.save(&raft.Ready{HardState: hardState(5, 1, 8), Entries: newEntries(5, 8, 9)})
 	}},
-	{"entries after it", func(d *disk) error { return d.save(&raft.Ready{HardState: hard(5, 1, 8), Entries: entries(5, 8, 9)}) }},
 }
 
-var ledgerOne = identity{Cluster: "c", ID: 1}
+var testIdentity = identity{Cluster: "c", ID: 1}
 
-// lived is a log after so many parts of the story.
-func lived(t *testing.T, f *faults, parts int) *disk {
+// openAfterSteps creates a log, applies the first steps of the scenario and returns it open.
+func openAfterSteps(t *testing.T, f *diskFaults, steps int) *diskStorage {
 	t.Helper()
 	dir := t.TempDir()
 	if err := Init(dir, "c", 1, []uint64{1, 2, 3}); err != nil {
 		t.Fatal(err)
 	}
-	d, err := openDiskOn(files{faults: f}, f.open, dir, ledgerOne)
+	d, err := openDiskStorageWith(faultFS{diskFaults: f}, f.openDB, dir, testIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range story[:parts] {
-		if err := part.do(d); err != nil {
+	for _, step := range scenario[:steps] {
+		if err := step.do(d); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return d
 }
 
-// found is what a voter finds that starts with this file.
-func found(t *testing.T, dir string, text []byte) string {
+// reopenAndDescribe returns the content, or the opening error, of a log file with this data.
+func reopenAndDescribe(t *testing.T, dir string, data []byte) string {
 	t.Helper()
-	if err := os.WriteFile(filepath.Join(dir, fileName), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, dbFileName), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, err := openDisk(dir, ledgerOne)
+	d, err := openDiskStorage(dir, testIdentity)
 	if err != nil {
 		return err.Error()
 	}
 	defer d.close()
-	return all(t, d)
+	return describe(t, d)
 }
 
-func bytesOf(t *testing.T, d *disk) []byte {
+func readLogFile(t *testing.T, d *diskStorage) []byte {
 	t.Helper()
-	text, err := os.ReadFile(d.path)
+	data, err := os.ReadFile(d.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return data
 }
 
-// What a voter promises is on its disk before. A kill at any step or byte leaves what was
-// promised before, or all that was to be promised; a write or sync that fails, for once or
-// for a while, promises nothing, and what is promised next stands in a file that was
-// written anew.
-func TestStateWritesFailAndTear(t *testing.T) {
-	for k, part := range story {
-		t.Run("kill/"+part.name, func(t *testing.T) { killedIn(t, k) })
-		t.Run("fail/"+part.name, func(t *testing.T) { failsIn(t, k) })
+// A kill during a save must leave either the old or the new state in the file. After a failed write
+// or sync, save must return an error and the next successful save must use a new file.
+func TestLogSurvivesKillsAndDiskFailures(t *testing.T) {
+	for k, step := range scenario {
+		t.Run("kill/"+step.name, func(t *testing.T) { testKill(t, k) })
+		t.Run("fail/"+step.name, func(t *testing.T) { testFailures(t, k) })
 	}
 }
 
-// killedIn cuts a part of the story off at every step and looks at what is found.
-func killedIn(t *testing.T, k int) {
-	f := &faults{}
-	d := lived(t, f, k)
-	was, base := all(t, d), bytesOf(t, d)
-	var writes []write
-	f.set(&faults{write: func(w write) (int, error) { writes = append(writes, w); return 0, nil }})
-	if err := story[k].do(d); err != nil {
+// testKill interrupts scenario[k] within each write and checks the content of the reopened log.
+func testKill(t *testing.T, k int) {
+	f := &diskFaults{}
+	d := openAfterSteps(t, f, k)
+	before, dataBefore := describe(t, d), readLogFile(t, d)
+	var writes []diskWrite
+	f.set(&diskFaults{write: func(w diskWrite) (int, error) { writes = append(writes, w); return 0, nil }})
+	if err := scenario[k].do(d); err != nil {
 		t.Fatal(err)
 	}
-	is, after := all(t, d), bytesOf(t, d)
+	after, dataAfter := describe(t, d), readLogFile(t, d)
 	dir := t.TempDir()
-	if got := found(t, dir, after); got != is {
-		t.Errorf("found %s, want %s", got, is)
+	if got := reopenAndDescribe(t, dir, dataAfter); got != after {
+		t.Errorf("reopened log has %s, want %s", got, after)
 	}
-	if len(writes) < 2 || !writes[len(writes)-1].meta() {
-		t.Fatalf("%d writes, the last one at %d", len(writes), writes[len(writes)-1].at)
+	if len(writes) < 2 || !writes[len(writes)-1].isMetaPage() {
+		t.Fatalf("%d writes, the last one at offset %d; want at least 2, the last one to a meta page", len(writes), writes[len(writes)-1].offset)
 	}
-	image := make([]byte, max(len(base), len(after)))
-	copy(image, base)
+	image := make([]byte, max(len(dataBefore), len(dataAfter)))
+	copy(image, dataBefore)
 	for _, w := range writes {
-		step := 512
-		if w.meta() {
-			step = 1
+		stride := 512
+		if w.isMetaPage() {
+			stride = 1
 		}
-		for cut := 0; cut < len(w.text); cut += step {
+		for cut := 0; cut < len(w.data); cut += stride {
 			if cut > 100 {
-				step = 512
+				stride = 512
 			}
-			torn := slices.Clone(image)
-			copy(torn[w.at:], w.text[:cut])
-			if got := found(t, dir, torn); got != was && got != is {
-				t.Fatalf("cut off at byte %d of the write at %d: found %s, want %s or %s", cut, w.at, got, was, is)
+			interrupted := slices.Clone(image)
+			copy(interrupted[w.offset:], w.data[:cut])
+			if got := reopenAndDescribe(t, dir, interrupted); got != before && got != after {
+				t.Fatalf("interrupted after byte %d of the write at offset %d: reopened log has %s, want %s or %s", cut, w.offset, got, before, after)
 			}
 		}
-		copy(image[w.at:], w.text)
+		copy(image[w.offset:], w.data)
 	}
-	// Before the sync that comes before the last write, the system may have written any part.
-	for lost := range writes[:len(writes)-1] {
-		some := make([]byte, len(image))
-		copy(some, base)
+	// Before the sync that precedes the last write, the operating system may have written the
+	// other writes in any order.
+	for missing := range writes[:len(writes)-1] {
+		partial := make([]byte, len(image))
+		copy(partial, dataBefore)
 		for i, w := range writes[:len(writes)-1] {
-			if i != lost {
-				copy(some[w.at:], w.text)
+			if i != missing {
+				copy(partial[w.offset:], w.data)
 			}
 		}
-		if got := found(t, dir, some); got != was {
-			t.Errorf("without write %d: found %s, want %s", lost, got, was)
+		if got := reopenAndDescribe(t, dir, partial); got != before {
+			t.Errorf("without write %d: reopened log has %s, want %s", missing, got, before)
 		}
 	}
 }
 
-// ways are how a disk can fail in one part of the story.
-var ways = map[string]func() *faults{
-	"no room for the first write": func() *faults {
-		return &faults{write: func(write) (int, error) { return 0, syscall.ENOSPC }}
+// diskFailures are the ways in which a disk can fail in one step of the scenario.
+var diskFailures = map[string]func() *diskFaults{
+	"first write fails": func() *diskFaults {
+		return &diskFaults{write: func(diskWrite) (int, error) { return 0, syscall.ENOSPC }}
 	},
-	"half of the last write": func() *faults {
-		return &faults{write: func(w write) (int, error) {
-			if w.meta() {
+	"meta page write is incomplete": func() *diskFaults {
+		return &diskFaults{write: func(w diskWrite) (int, error) {
+			if w.isMetaPage() {
 				return 20, syscall.EIO
 			}
 			return 0, nil
 		}}
 	},
-	"the sync before it": func() *faults { return &faults{sync: func(write) bool { return true }} },
-	"the sync after it":  func() *faults { return &faults{sync: write.meta} },
+	"sync before meta page fails": func() *diskFaults { return &diskFaults{sync: func(diskWrite) bool { return true }} },
+	"sync after meta page fails":  func() *diskFaults { return &diskFaults{sync: diskWrite.isMetaPage} },
 }
 
-// then are the faults that a rewrite meets after that, before the disk is well.
-var then = map[string]func() *faults{
-	"well":        func() *faults { return &faults{} },
-	"still so":    ways["no room for the first write"],
-	"no sync":     ways["the sync after it"],
-	"no removal":  func() *faults { return failing("remove") },
-	"no rename":   func() *faults { return failing("rename") },
-	"folder lost": func() *faults { return failing("syncdir") },
+// retryFailures are the failures of the first retry, before the disk works again.
+var retryFailures = map[string]func() *diskFaults{
+	"none":                 func() *diskFaults { return &diskFaults{} },
+	"first write fails":    diskFailures["first write fails"],
+	"sync fails":           diskFailures["sync after meta page fails"],
+	"remove fails":         func() *diskFaults { return failOperation("remove") },
+	"rename fails":         func() *diskFaults { return failOperation("rename") },
+	"directory sync fails": func() *diskFaults { return failOperation("syncdir") },
 }
 
-func failing(op string) *faults {
-	return &faults{files: func(is string) error {
-		if is == op {
+// failOperation returns faults that make one kind of file system operation fail.
+func failOperation(failed string) *diskFaults {
+	return &diskFaults{fsys: func(op string) error {
+		if op == failed {
 			return syscall.EIO
 		}
 		return nil
 	}}
 }
 
-func failsIn(t *testing.T, k int) {
-	if story[k].name == "its own snapshot" {
-		snapshotFails(t, k)
+// testFailures runs scenario[k] with every combination of a failure and a retry failure.
+func testFailures(t *testing.T, k int) {
+	if scenario[k].name == "local snapshot" {
+		testSnapshotFailure(t, k)
 		return
 	}
-	for way, make := range ways {
-		for next, again := range then {
-			failsOnce(t, k, way+", then "+next, make(), again(), next == "well")
+	for firstName, newFirst := range diskFailures {
+		for secondName, newSecond := range retryFailures {
+			testFailure(t, k, firstName+", then "+secondName, newFirst(), newSecond(), secondName == "none")
 		}
 	}
 }
 
-// failsOnce does a part of the story on a disk that fails in one way, then in another, and
-// then is well.
-func failsOnce(t *testing.T, k int, name string, first, second *faults, well bool) {
-	f := &faults{}
-	d := lived(t, f, k)
-	was := all(t, d)
-	before, err := os.Open(d.path) // held, so that its number is not given to another file
+// testFailure runs scenario[k] on a disk that fails first, fails differently on the first retry,
+// unless recovers is set, and then works.
+func testFailure(t *testing.T, k int, name string, first, second *diskFaults, recovers bool) {
+	f := &diskFaults{}
+	d := openAfterSteps(t, f, k)
+	before := describe(t, d)
+	oldFile, err := os.Open(d.path) // kept open so that its inode number is not reused
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer before.Close()
-	seen := t.TempDir()
-	var kills []string // what kills would have left
-	try := func(with *faults, works bool) {
+	defer oldFile.Close()
+	dir := t.TempDir()
+	var afterKill []string // log content after a kill following each attempt
+	runStep := func(faults *diskFaults, succeeds bool) {
 		t.Helper()
-		f.set(with)
-		err := story[k].do(d)
+		f.set(faults)
+		err := scenario[k].do(d)
 		switch {
-		case works && err != nil:
-			t.Errorf("%s: %v", name, err)
-		case !works && (err == nil || !strings.Contains(err.Error(), d.path)):
-			t.Errorf("%s: error %v, want one that names the file", name, err)
-		case !works && all(t, d) != was:
-			t.Errorf("%s: failed, and it holds %s, want %s", name, all(t, d), was)
-		case works && same(t, before, d.path):
-			t.Errorf("%s: promised by the file whose write had failed", name)
+		case succeeds && err != nil:
+			t.Errorf("%s: save failed: %v", name, err)
+		case !succeeds && (err == nil || !strings.Contains(err.Error(), d.path)):
+			t.Errorf("%s: error %v, want one that contains the file name", name, err)
+		case !succeeds && describe(t, d) != before:
+			t.Errorf("%s: failed save changed the log to %s, want %s", name, describe(t, d), before)
+		case succeeds && isSameFile(t, oldFile, d.path):
+			t.Errorf("%s: save reused the file whose write had failed", name)
 		}
-		kills = append(kills, found(t, seen, bytesOf(t, d)))
+		afterKill = append(afterKill, reopenAndDescribe(t, dir, readLogFile(t, d)))
 	}
-	try(first, false)
-	try(second, well)
-	if !well {
-		try(&faults{}, true)
+	runStep(first, false)
+	runStep(second, recovers)
+	if !recovers {
+		runStep(&diskFaults{}, true)
 	}
-	is := all(t, d)
-	for i, got := range kills {
-		if got != is && (got != was || i == len(kills)-1) {
-			t.Errorf("%s: a kill after try %d leaves %s, want %s", name, i+1, got, is)
+	after := describe(t, d)
+	for i, got := range afterKill {
+		if got != after && (got != before || i == len(afterKill)-1) {
+			t.Errorf("%s: log after a kill following attempt %d is %s, want %s", name, i+1, got, after)
 		}
 	}
-	goesOn(t, d, k, name)
+	finishScenario(t, d, k, name)
 }
 
-// goesOn does the rest of the story and looks at what is found of all of it.
-func goesOn(t *testing.T, d *disk, k int, name string) {
+// finishScenario applies the steps after scenario[k] and checks the content of the reopened log.
+func finishScenario(t *testing.T, d *diskStorage, k int, name string) {
 	t.Helper()
-	for _, part := range story[k+1:] {
-		if err := part.do(d); err != nil {
-			t.Errorf("%s: %s: %v", name, part.name, err)
+	for _, step := range scenario[k+1:] {
+		if err := step.do(d); err != nil {
+			t.Errorf("%s: %s: %v", name, step.name, err)
 		}
 	}
-	is := all(t, d)
+	want := describe(t, d)
 	if err := d.close(); err != nil {
 		t.Error(err)
 	}
-	if got := found(t, t.TempDir(), bytesOf(t, d)); got != is {
-		t.Errorf("%s: found %s, want %s", name, got, is)
+	if got := reopenAndDescribe(t, t.TempDir(), readLogFile(t, d)); got != want {
+		t.Errorf("%s: reopened log has %s, want %s", name, got, want)
 	}
 }
 
-// snapshotFails shows that a snapshot that fails loses nothing and holds nothing up.
-func snapshotFails(t *testing.T, k int) {
-	for way, make := range ways {
-		f := &faults{}
-		d := lived(t, f, k)
-		f.set(make())
-		if err := story[k].do(d); err == nil || !strings.Contains(err.Error(), d.path) {
-			t.Errorf("%s: error %v, want one that names the file", way, err)
+// testSnapshotFailure checks that a failed snapshot loses no state and does not block later saves.
+func testSnapshotFailure(t *testing.T, k int) {
+	for name, newFaults := range diskFailures {
+		f := &diskFaults{}
+		d := openAfterSteps(t, f, k)
+		f.set(newFaults())
+		if err := scenario[k].do(d); err == nil || !strings.Contains(err.Error(), d.path) {
+			t.Errorf("%s: error %v, want one that contains the file name", name, err)
 		}
-		f.set(&faults{})
-		goesOn(t, d, k, way)
+		f.set(&diskFaults{})
+		finishScenario(t, d, k, name)
 	}
 }
 
-// same tells whether a path still leads to a file.
-func same(t *testing.T, file *os.File, path string) bool {
+// isSameFile reports whether path refers to the open file.
+func isSameFile(t *testing.T, file *os.File, path string) bool {
 	t.Helper()
-	was, err1 := file.Stat()
-	is, err2 := os.Stat(path)
+	fileInfo, err1 := file.Stat()
+	pathInfo, err2 := os.Stat(path)
 	if err := errors.Join(err1, err2); err != nil {
 		t.Fatal(err)
 	}
-	return os.SameFile(was, is)
+	return os.SameFile(fileInfo, pathInfo)
 }
 
-// A log that is being made is there whole, for good, or not at all: a kill or a failure
-// leaves none, which can be made then.
-func TestInitIsWholeOrNothing(t *testing.T) {
-	for step := range 5 { // the last step is the sync of the folder, after the rename
-		dir := filepath.Join(t.TempDir(), "above", "votes")
+// After a kill or a failure during Init there must be no log, and a second Init must succeed.
+func TestInitIsAtomic(t *testing.T) {
+	for step := range 5 { // the last step is the directory sync after the rename
+		dir := filepath.Join(t.TempDir(), "parent", "log")
 		n := -1
-		fails := &faults{files: func(string) error {
+		faults := &diskFaults{fsys: func(string) error {
 			if n++; n == step {
 				return syscall.EIO
 			}
 			return nil
 		}}
-		if err := initLog(files{faults: fails}, dir, ledgerOne); err == nil || HasLog(dir) {
-			t.Errorf("step %d fails: %v, and there is a log: %v", step, err, HasLog(dir))
+		if err := initLog(faultFS{diskFaults: faults}, dir, testIdentity); err == nil || HasLog(dir) {
+			t.Errorf("step %d fails: error %v, log exists: %v; want an error and no log", step, err, HasLog(dir))
 		}
-		if err := initLog(durable.OS{}, dir, ledgerOne); err != nil {
-			t.Errorf("after step %d failed: %v", step, err)
+		if err := initLog(durable.OS{}, dir, testIdentity); err != nil {
+			t.Errorf("Init after a failure in step %d: %v", step, err)
 		}
 	}
-	whole := written(t, t.TempDir(), 0)
-	for cut := 0; cut <= len(whole); cut += 509 {
+	complete := writeLog(t, t.TempDir(), 0)
+	for cut := 0; cut <= len(complete); cut += 509 {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, fileName+newName), whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, dbFileName+tempSuffix), complete[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if HasLog(dir) {
-			t.Error("half of a log is taken for one")
+			t.Error("HasLog reports an incomplete temporary file as a log")
 		}
 		if err := Init(dir, "c", 1, []uint64{1}); err != nil {
-			t.Errorf("beside one that was cut off at %d: %v", cut, err)
+			t.Errorf("Init with a temporary file truncated at byte %d: %v", cut, err)
 		}
 	}
 	var ops []string
-	recorded := &faults{files: func(op string) error { ops = append(ops, op); return nil }}
-	if err := initLog(files{faults: recorded}, filepath.Join(t.TempDir(), "above", "votes"), ledgerOne); err != nil {
+	recorder := &diskFaults{fsys: func(op string) error { ops = append(ops, op); return nil }}
+	if err := initLog(faultFS{diskFaults: recorder}, filepath.Join(t.TempDir(), "parent", "log"), testIdentity); err != nil {
 		t.Fatal(err)
 	}
 	if want := []string{"syncdir", "syncdir", "remove", "rename", "syncdir"}; !slices.Equal(ops, want) {
-		t.Errorf("made by %q, want %q", ops, want)
+		t.Errorf("operations of Init: %q, want %q", ops, want)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if !HasLog(file) || Init(file, "c", 1, []uint64{1}) == nil {
-		t.Error("a folder that cannot be looked at is taken for one with no log")
+		t.Error("a path that is not a directory is reported as a directory without a log")
 	}
 }
 
-// oldLog is what the first version of the program has written: votes, entries and a
-// snapshot of its own.
-const oldLog = "testdata/first.db.gz"
+// firstVersionLog was written by the first version of the program. It contains a vote, entries and
+// a snapshot.
+const firstVersionLog = "testdata/first.db.gz"
 
-// A log of the first version is taken up as it stands, and one that was written anew has
-// the same form.
-func TestOldLogIsTakenUp(t *testing.T) {
-	packed, err := os.Open(oldLog)
+// A log of the first version must open unchanged, and rewriting it must keep its content.
+func TestOpensLogOfFirstVersion(t *testing.T) {
+	compressed, err := os.Open(firstVersionLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer packed.Close()
-	unpacked, err := gzip.NewReader(packed)
+	defer compressed.Close()
+	decompressed, err := gzip.NewReader(compressed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := io.ReadAll(unpacked)
+	data, err := io.ReadAll(decompressed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	is := found(t, dir, text)
+	content := reopenAndDescribe(t, dir, data)
 	want := `term 3 vote 2 commit 22 snapshot 10/3 {"last":7,"leases":{}};`
-	if !strings.HasPrefix(is, want) || !strings.Contains(is, " 22/3 ") {
-		t.Fatalf("found %s, want %s and entries up to 22", is, want)
+	if !strings.HasPrefix(content, want) || !strings.Contains(content, " 22/3 ") {
+		t.Fatalf("log of the first version has %s, want %s and entries up to 22", content, want)
 	}
-	d, err := openDisk(dir, ledgerOne)
+	d, err := openDiskStorage(dir, testIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -516,36 +521,37 @@
 	if err := d.close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := found(t, dir, bytesOf(t, d)); got != is {
-		t.Errorf("written anew: %s, want %s", got, is)
+	if got := reopenAndDescribe(t, dir, readLogFile(t, d)); got != content {
+		t.Errorf("rewritten log has %s, want %s", got, content)
 	}
 }
 
-const patience = time.Minute
+const testTimeout = time.Minute
 
-// addressOf is one of the loopback that no other process takes.
-func addressOf(voter int) string {
+// voterAddress returns a loopback address derived from the process ID, so that test processes do
+// not share addresses.
+func voterAddress(voter int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:7001", 100+pid%100, pid/100%250, voter)
 }
 
-// cluster runs voters in this process, each with faults of its disk, and is a client.
-func cluster(t *testing.T, all []*faults) *quorum.Client {
+// startCluster runs one voter per element of disks in this process and returns a client.
+func startCluster(t *testing.T, disks []*diskFaults) *quorum.Client {
 	t.Helper()
 	var voters []quorum.Voter
 	var ids []uint64
-	for i := range all {
-		voters = append(voters, quorum.Voter{ID: uint64(i + 1), Address: addressOf(i + 1)})
+	for i := range disks {
+		voters = append(voters, quorum.Voter{ID: uint64(i + 1), Address: voterAddress(i + 1)})
 		ids = append(ids, uint64(i+1))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	for i, f := range all {
+	var wg sync.WaitGroup
+	for i, f := range disks {
 		dir := t.TempDir()
 		if err := Init(dir, "c", ids[i], ids); err != nil {
 			t.Fatal(err)
 		}
-		d, err := openDiskOn(files{faults: f}, f.open, dir, identity{Cluster: "c", ID: ids[i]})
+		d, err := openDiskStorageWith(faultFS{diskFaults: f}, f.openDB, dir, identity{Cluster: "c", ID: ids[i]})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -553,35 +559,34 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		running.Go(func() {
+		wg.Go(func() {
 			if err := n.Run(ctx); err != nil {
-				t.Errorf("voter %d ended: %v", n.cfg.ID, err)
+				t.Errorf("voter %d stopped: %v", n.cfg.ID, err)
 			}
 		})
 	}
-	cl, err := quorum.NewClient("c", voters)
+	client, err := quorum.NewClient("c", voters)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cl.Close(); cancel(); running.Wait() })
-	return cl
+	t.Cleanup(func() { client.Close(); cancel(); wg.Wait() })
+	return client
 }
 
-// granted asks for a lease until it is granted, or for so long.
-func granted(cl *quorum.Client, name string, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// acquireLease requests a lease until the cluster responds or the timeout expires.
+func acquireLease(client *quorum.Client, name string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for {
-		r, err := cl.Do(ctx, lease.Command{Kind: lease.Acquire, Lease: name, Client: "me", Length: lease.MaxLength})
+		result, err := client.Do(ctx, lease.Command{Kind: lease.Acquire, Lease: name, Client: "me", Length: lease.MaxLength})
 		if err == nil || ctx.Err() != nil {
-			return errors.Join(err, r.Err)
+			return errors.Join(err, result.Err)
 		}
 	}
 }
 
-// still is a voter that does not run, of a cluster of so many, in which the test does
-// what its loop would do.
-func still(t *testing.T, f *faults, voters int) *Node {
+// newIdleNode returns a voter whose loop does not run. The test calls its methods instead.
+func newIdleNode(t *testing.T, f *diskFaults, voters int) *Node {
 	t.Helper()
 	dir := t.TempDir()
 	cfg := Config{Cluster: "c", ID: 1, Listen: "127.0.0.1:0", Tick: time.Hour, Log: slog.New(slog.DiscardHandler)}
@@ -593,7 +598,7 @@
 	if err := Init(dir, "c", 1, ids); err != nil {
 		t.Fatal(err)
 	}
-	d, err := openDiskOn(files{faults: f}, f.open, dir, ledgerOne)
+	d, err := openDiskStorageWith(faultFS{diskFaults: f}, f.openDB, dir, testIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -601,141 +606,142 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { n.l.Close(); d.close() })
+	t.Cleanup(func() { n.listener.Close(); d.close() })
 	for _, id := range ids[1:] {
-		n.peers[id] = make(chan *raftpb.Message, mostQueue)
+		n.peerQueues[id] = make(chan *raftpb.Message, maxQueued)
 	}
 	return n
 }
 
-func (n *Node) mustReady(t *testing.T) {
+func (n *Node) mustHandleReady(t *testing.T) {
 	t.Helper()
-	if err := n.ready(); err != nil {
+	if err := n.handleReady(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func ask(kind raftpb.MessageType, from, term, index uint64) *raftpb.Message {
+func newMessage(kind raftpb.MessageType, from, term, index uint64) *raftpb.Message {
 	return &raftpb.Message{Type: kind.Enum(), From: ptr(from), To: ptr(uint64(1)), Term: ptr(term), Index: ptr(index), LogTerm: ptr(term - 1)}
 }
 
-// A voter that cannot write hears of no other term, stands for no election and answers
-// nobody; once it can, its vote is on the disk before its answer goes out.
-func TestStalledVoterPromisesNothing(t *testing.T) {
-	f := &faults{}
-	n := still(t, f, 3)
-	n.mustReady(t)
-	full := ways["no room for the first write"]
-	f.set(full())
-	n.step(ask(raftpb.MsgVote, 2, 4, 9))
-	n.mustReady(t)
-	if n.stall == nil || len(n.peers[2]) != 0 {
-		t.Fatalf("a vote that could not be written: stalled %v, %d messages out", n.stall != nil, len(n.peers[2]))
+// After a failed write a follower must not change its term, start an election or send messages.
+// After a successful retry its vote must be on disk before the response is sent.
+func TestFollowerWithFailedWriteSendsNothing(t *testing.T) {
+	f := &diskFaults{}
+	n := newIdleNode(t, f, 3)
+	n.mustHandleReady(t)
+	firstWriteFails := diskFailures["first write fails"]
+	f.set(firstWriteFails())
+	n.step(newMessage(raftpb.MsgVote, 2, 4, 9))
+	n.mustHandleReady(t)
+	if n.failedWrite == nil || len(n.peerQueues[2]) != 0 {
+		t.Fatalf("after a failed write: suspended %v, %d messages sent; want true, 0", n.failedWrite != nil, len(n.peerQueues[2]))
 	}
 	for range 10 * electionTicks {
 		n.tick()
 	}
-	n.step(ask(raftpb.MsgVote, 3, 8, 9))
-	if err := n.resume(); err != nil || n.stall == nil {
-		t.Fatalf("tried again in vain: %v, stalled %v", err, n.stall != nil)
+	n.step(newMessage(raftpb.MsgVote, 3, 8, 9))
+	if err := n.retryWrite(); err != nil || n.failedWrite == nil {
+		t.Fatalf("retry on a full disk: error %v, suspended %v; want no error, true", err, n.failedWrite != nil)
 	}
-	st := n.raw.BasicStatus()
-	if st.RaftState != raft.StateFollower || st.HardState.GetTerm() != 4 || len(n.peers[2])+len(n.peers[3]) != 0 {
-		t.Errorf("while stalled: %v of term %d, %d and %d messages out", st.RaftState, st.HardState.GetTerm(), len(n.peers[2]), len(n.peers[3]))
+	status := n.rawNode.BasicStatus()
+	if status.RaftState != raft.StateFollower || status.HardState.GetTerm() != 4 || len(n.peerQueues[2])+len(n.peerQueues[3]) != 0 {
+		t.Errorf("while suspended: state %v, term %d, %d and %d messages sent; want a follower in term 4, none", status.RaftState, status.HardState.GetTerm(), len(n.peerQueues[2]), len(n.peerQueues[3]))
 	}
-	f.set(&faults{})
-	if err := n.resume(); err != nil || n.stall != nil || len(n.peers[2]) != 1 {
-		t.Fatalf("the disk is well: %v, stalled %v, %d messages out", err, n.stall != nil, len(n.peers[2]))
+	f.set(&diskFaults{})
+	if err := n.retryWrite(); err != nil || n.failedWrite != nil || len(n.peerQueues[2]) != 1 {
+		t.Fatalf("retry on a working disk: error %v, suspended %v, %d messages sent; want no error, false, 1", err, n.failedWrite != nil, len(n.peerQueues[2]))
 	}
-	if got := found(t, t.TempDir(), bytesOf(t, n.disk)); !strings.HasPrefix(got, "term 4 vote 2 ") {
-		t.Errorf("voted for 2 in term 4, and on the disk is %s", got)
+	if got := reopenAndDescribe(t, t.TempDir(), readLogFile(t, n.storage)); !strings.HasPrefix(got, "term 4 vote 2 ") {
+		t.Errorf("log has %s, want the vote for 2 in term 4", got)
 	}
 }
 
-// A leader that cannot write tells its clients to go to others, and how it stands.
-func TestStalledLeaderSendsClientsOn(t *testing.T) {
-	f := &faults{}
-	n := still(t, f, 1)
-	for n.keeper == nil {
+// After a failed write a leader must answer lease requests with "not the leader" and still answer
+// status requests.
+func TestLeaderWithFailedWriteRejectsRequests(t *testing.T) {
+	f := &diskFaults{}
+	n := newIdleNode(t, f, 1)
+	for n.expiryTracker == nil {
 		n.tick()
-		n.mustReady(t)
+		n.mustHandleReady(t)
 	}
-	s := &session{out: make(chan []byte, mostQueue)}
+	s := &session{queue: make(chan []byte, maxQueued)}
 	n.sessions[s] = true
-	says := func(a quorum.Request) (is quorum.Response) {
+	request := func(req quorum.Request) (response quorum.Response) {
 		t.Helper()
-		n.asked(s, &a)
-		n.mustReady(t)
+		n.handleRequest(s, &req)
+		n.mustHandleReady(t)
 		select {
-		case text := <-s.out:
-			if err := json.Unmarshal(text[1:], &is); err != nil {
+		case frame := <-s.queue:
+			if err := json.Unmarshal(frame[1:], &response); err != nil {
 				t.Fatal(err)
 			}
 		default:
-			t.Fatalf("%+v is not answered", a)
+			t.Fatalf("request %+v: no response", req)
 		}
-		return is
+		return response
 	}
 	acquire := quorum.Request{RequestID: 1, Command: &lease.Command{Kind: lease.Acquire, Lease: "a", Client: "me", Length: lease.MaxLength}}
-	f.set(&faults{write: func(write) (int, error) { return 0, syscall.ENOSPC }})
-	for _, a := range []quorum.Request{acquire, acquire, {RequestID: 2, List: true}, {RequestID: 3, Watch: "a"}} {
-		if is := says(a); !is.NotLeader || is.Leader != 0 || is.RequestID != a.RequestID {
-			t.Errorf("%+v: answered %+v", a, is)
+	f.set(&diskFaults{write: func(diskWrite) (int, error) { return 0, syscall.ENOSPC }})
+	for _, req := range []quorum.Request{acquire, acquire, {RequestID: 2, List: true}, {RequestID: 3, Watch: "a"}} {
+		if response := request(req); !response.NotLeader || response.Leader != 0 || response.RequestID != req.RequestID {
+			t.Errorf("request %+v: response %+v, want not leader and no other leader", req, response)
 		}
 	}
-	if is := says(quorum.Request{RequestID: 4, Status: true}); is.Status == nil || is.Status.ID != 1 {
-		t.Errorf("status: answered %+v", is)
+	if response := request(quorum.Request{RequestID: 4, Status: true}); response.Status == nil || response.Status.ID != 1 {
+		t.Errorf("status request: response %+v, want the status of voter 1", response)
 	}
-	f.set(&faults{})
-	if err := n.resume(); err != nil {
+	f.set(&diskFaults{})
+	if err := n.retryWrite(); err != nil {
 		t.Fatal(err)
 	}
-	n.mustReady(t)
-	if is := says(acquire); is.NotLeader || is.Error != "" || is.Record.Holder != "me" {
-		t.Errorf("the disk is well: answered %+v", is)
+	n.mustHandleReady(t)
+	if response := request(acquire); response.NotLeader || response.Error != "" || response.Record.Holder != "me" {
+		t.Errorf("acquire on a working disk: response %+v, want the lease", response)
 	}
 }
 
-// A voter whose disk fails for a while stays, says how it stands, promises nothing, and
-// takes part again later; the others go on meanwhile.
-func TestVoterOutlastsItsDisk(t *testing.T) {
-	disks := []*faults{{}, {}, {}}
-	cl := cluster(t, disks)
-	if err := granted(cl, "a", patience); err != nil {
+// A voter with a failing disk must keep running, answer status requests, acknowledge no entries, and
+// rejoin once the disk works. A majority of working disks must suffice to grant leases.
+func TestVoterSurvivesDiskFailures(t *testing.T) {
+	disks := []*diskFaults{{}, {}, {}}
+	client := startCluster(t, disks)
+	if err := acquireLease(client, "a", testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	full := ways["no room for the first write"]
-	disks[0].set(full())
-	if err := granted(cl, "b", patience); err != nil {
-		t.Errorf("one disk fails: %v", err)
+	firstWriteFails := diskFailures["first write fails"]
+	disks[0].set(firstWriteFails())
+	if err := acquireLease(client, "b", testTimeout); err != nil {
+		t.Errorf("acquire with one failing disk: %v", err)
 	}
-	disks[1].set(full())
-	if err := granted(cl, "c", 700*time.Millisecond); err == nil {
-		t.Error("granted with two disks of three that cannot be written to")
+	disks[1].set(firstWriteFails())
+	if err := acquireLease(client, "c", 700*time.Millisecond); err == nil {
+		t.Error("lease granted with two of three disks failing")
 	}
-	disks[0].set(&faults{})
-	if err := granted(cl, "d", patience); err != nil {
-		t.Errorf("one of two disks is well again: %v", err)
+	disks[0].set(&diskFaults{})
+	if err := acquireLease(client, "d", testTimeout); err != nil {
+		t.Errorf("acquire after one of two failing disks recovered: %v", err)
 	}
-	disks[2].set(full()) // so that the first one has to have the whole of it
-	disks[1].set(&faults{})
-	if err := granted(cl, "e", patience); err != nil {
-		t.Errorf("another one fails: %v", err)
+	disks[2].set(firstWriteFails()) // the first voter must now have the complete log
+	disks[1].set(&diskFaults{})
+	if err := acquireLease(client, "e", testTimeout); err != nil {
+		t.Errorf("acquire with a different failing disk: %v", err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
-		// Its loop may be in a sync, which takes what it takes on a busy machine.
-		st, err := quorum.StatusOf(ctx, "c", quorum.Voter{ID: 3, Address: addressOf(3)})
-		if err == nil && st.ID == 3 {
+		// On a busy machine the loop may still be blocked in a sync.
+		status, err := quorum.StatusOf(ctx, "c", quorum.Voter{ID: 3, Address: voterAddress(3)})
+		if err == nil && status.ID == 3 {
 			break
 		}
 		if ctx.Err() != nil {
-			t.Fatalf("a voter whose disk is full: %+v, %v", st, err)
+			t.Fatalf("status of the voter with a failing disk: %+v, error %v", status, err)
 		}
 	}
-	leases, err := cl.List(ctx)
+	leases, err := client.List(ctx)
 	if err != nil || leases["a"].Holder != "me" || leases["e"].Holder != "me" {
-		t.Errorf("leases %+v, %v", leases, err)
+		t.Errorf("leases %+v, error %v; want a and e held by me", leases, err)
 	}
 }
--- a/internal/voter/node.go
+++ b/internal/voter/node.go
@@ -1,6 +1,6 @@
-// Package voter keeps the state of leases alike at a few processes, by the consensus engine
-// of etcd, its log in a bbolt file, and does what clients ask. It owns the sockets, the
-// disk and the clock; what a lease is stands in package lease.
+// Package voter replicates the lease state across a small cluster with etcd's Raft library and
+// serves lease requests of clients. It owns the sockets, the log file and the clock; package
+// lease implements the lease state machine.
 package voter
 
 import (
@@ -26,39 +26,39 @@
 	"gorselink/lease"
 )
 
-// Config says what a voter is. All voters have the same Cluster and Voters.
+// Config configures a voter. Cluster and Voters are the same for all voters of a cluster.
 type Config struct {
 	Cluster string
 	ID      uint64
 	Voters  []quorum.Voter
-	Listen  string // "" for the voter's address; another one where the way to it is not straight
+	Listen  string // listen address; if empty, the voter's address in Voters
 	Dir     string
-	Tick    time.Duration // of the engine: a leader that is not heard for ten of them is replaced; 0 for DefaultTick
-	Log     *slog.Logger  // nil for none
+	Tick    time.Duration // Raft tick; 0 means DefaultTick. An election starts after at least ten ticks without a leader.
+	Log     *slog.Logger  // nil disables logging
 }
 
-// DefaultTick makes an election begin after 1 to 2 s of silence.
+// DefaultTick gives an election timeout of 1 to 2 s.
 const DefaultTick = 100 * time.Millisecond
 
 const (
-	electionTicks = 10
-	snapshotEvery = 10_000 // entries of the log
-	snapshotKeep  = 1_000
-	mostConns     = 2_000 // of clients and voters
-	mostQueue     = 1_000 // messages to a voter, news to a client: more are dropped
-	mostBatch     = 1_000 // of what one turn of the loop takes in before it writes
-	writePatience = 10 * time.Second
-	redialLeast   = 50 * time.Millisecond
-	redialMost    = time.Second
-	rewriteLeast  = 50 * time.Millisecond
-	rewriteMost   = time.Second
+	electionTicks    = 10
+	snapshotInterval = 10_000 // applied entries between two snapshots
+	retainedEntries  = 1_000  // kept before the snapshot for slow followers
+	maxConns         = 2_000  // from clients and voters together
+	maxQueued        = 1_000  // messages per voter, frames per client
+	maxBatch         = 1_000  // tasks per loop iteration
+	writeTimeout     = 10 * time.Second
+	minRedialDelay   = 50 * time.Millisecond
+	maxRedialDelay   = time.Second
+	minRewriteDelay  = 50 * time.Millisecond
+	maxRewriteDelay  = time.Second
 )
 
-func (c *Config) check() error {
+func (c *Config) validate() error {
 	seen := map[uint64]bool{}
 	for _, v := range c.Voters {
 		if v.ID == 0 || seen[v.ID] {
-			return fmt.Errorf("voter: voter %d: want numbers from 1, each once", v.ID)
+			return fmt.Errorf("voter: voter ID %d: IDs must be positive and unique", v.ID)
 		}
 		if _, _, err := net.SplitHostPort(v.Address); err != nil {
 			return fmt.Errorf("voter: voter %d: %w", v.ID, err)
@@ -66,54 +66,54 @@
 		seen[v.ID] = true
 	}
 	if !seen[c.ID] {
-		return fmt.Errorf("voter: number %d is none of the voters", c.ID)
+		return fmt.Errorf("voter: ID %d is not among the configured voters", c.ID)
 	}
 	if c.Cluster == "" {
-		return errors.New("voter: the cluster has no name")
+		return errors.New("voter: cluster name is empty")
 	}
 	return nil
 }
 
-// Node is a voter. All that changes is changed by one goroutine, its loop.
+// Node is a voter. Only the goroutine that runs loop accesses its mutable state.
 type Node struct {
-	cfg  Config
-	log  *slog.Logger
-	disk *disk
-	l    net.Listener
-	work chan func() // for the loop
-	done chan struct{}
-
-	raw      *raft.RawNode
-	stall    *stall // not nil while the log cannot be written
-	conf     *raftpb.ConfState
-	state    lease.State
-	applied  uint64
-	snapshot uint64
-	keeper   *lease.ExpiryTracker
-	waiting  map[uint64]waiting // by the number of a proposal
-	number   uint64
-	nonce    uint64 // tells our proposals from those of earlier lives
-	watchers map[string]map[*session]bool
-	sessions map[*session]bool
-	peers    map[uint64]chan *raftpb.Message
-}
-
-type waiting struct {
-	s      *session
-	number uint64
-}
-
-// entry is what the log holds.
-type entry struct {
+	cfg      Config
+	log      *slog.Logger
+	storage  *diskStorage
+	listener net.Listener
+	tasks    chan func() // functions to run in loop
+	done     chan struct{}
+
+	rawNode       *raft.RawNode
+	failedWrite   *failedWrite // nil unless the last write of the log failed
+	confState     *raftpb.ConfState
+	state         lease.State
+	appliedIndex  uint64
+	snapshotIndex uint64
+	expiryTracker *lease.ExpiryTracker
+	pending       map[uint64]pendingRequest // by proposal number
+	lastNumber    uint64                    // number of the latest proposal
+	nonce         uint64                    // distinguishes proposals of this process from those of its predecessors
+	watchers      map[string]map[*session]bool
+	sessions      map[*session]bool
+	peerQueues    map[uint64]chan *raftpb.Message
+}
+
+// pendingRequest is a client request whose proposal has not been applied yet.
+type pendingRequest struct {
+	session   *session
+	requestID uint64
+}
+
+// logEntry is the payload of a Raft log entry.
+type logEntry struct {
 	Nonce   uint64        `json:"nonce,omitempty"`
 	Number  uint64        `json:"number,omitempty"`
 	Command lease.Command `json:"command"`
 }
 
-// Open opens a voter's log and its listener. Where it fails, it must not vote, and the
-// error says why.
+// Open opens a voter's log and its listener.
 func Open(cfg Config) (*Node, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	if cfg.Tick == 0 {
@@ -122,27 +122,27 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	d, err := openDisk(cfg.Dir, identity{Cluster: cfg.Cluster, ID: cfg.ID})
+	d, err := openDiskStorage(cfg.Dir, identity{Cluster: cfg.Cluster, ID: cfg.ID})
 	if err != nil {
 		return nil, err
 	}
 	return newNode(cfg, d)
 }
 
-// newNode makes a voter of its log, which it closes if it fails.
-func newNode(cfg Config, d *disk) (*Node, error) {
+// newNode creates a voter that uses storage d. It closes d if it fails.
+func newNode(cfg Config, d *diskStorage) (*Node, error) {
 	n := &Node{
-		cfg: cfg, log: cfg.Log, disk: d, work: make(chan func(), mostBatch), done: make(chan struct{}), nonce: rand.Uint64(),
-		waiting: map[uint64]waiting{}, watchers: map[string]map[*session]bool{}, sessions: map[*session]bool{}, peers: map[uint64]chan *raftpb.Message{},
+		cfg: cfg, log: cfg.Log, storage: d, tasks: make(chan func(), maxBatch), done: make(chan struct{}), nonce: rand.Uint64(),
+		pending: map[uint64]pendingRequest{}, watchers: map[string]map[*session]bool{}, sessions: map[*session]bool{}, peerQueues: map[uint64]chan *raftpb.Message{},
 	}
 	snap, err := d.Snapshot()
 	if err == nil {
 		err = n.restore(snap)
 	}
 	if err == nil {
-		n.raw, err = raft.NewRawNode(&raft.Config{
-			ID: cfg.ID, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: d, Applied: n.applied, MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 256,
-			MaxUncommittedEntriesSize: 64 << 20, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: quiet,
+		n.rawNode, err = raft.NewRawNode(&raft.Config{
+			ID: cfg.ID, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: d, Applied: n.appliedIndex, MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 256,
+			MaxUncommittedEntriesSize: 64 << 20, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: discardLogger,
 		})
 	}
 	if err == nil {
@@ -152,7 +152,7 @@
 				listen = v.Address
 			}
 		}
-		n.l, err = net.Listen("tcp", listen)
+		n.listener, err = net.Listen("tcp", listen)
 	}
 	if err != nil {
 		d.close()
@@ -161,54 +161,56 @@
 	return n, nil
 }
 
-// quiet keeps the engine's own lines off: what matters of them is logged here.
-var quiet = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+// discardLogger drops the log lines of the Raft library. This package logs state changes itself.
+var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
+// restore replaces the lease state with the one in a snapshot.
 func (n *Node) restore(snap *raftpb.Snapshot) error {
 	if err := n.state.Restore(snap.GetData()); err != nil {
 		return err
 	}
-	n.conf, n.applied = snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex()
-	n.snapshot = n.applied
+	n.confState, n.appliedIndex = snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex()
+	n.snapshotIndex = n.appliedIndex
 	return nil
 }
 
-// stall is the state of a voter that could not write what it was to promise. It promises
-// nothing: it neither votes nor leads nor takes entries, and tells clients to go to others.
-// To these it is as one that has stopped.
-type stall struct {
-	ready raft.Ready // what has to be written before anything else happens
-	wait  time.Duration
-	again <-chan time.Time
+// failedWrite holds a raft.Ready that could not be written. Until a retry succeeds the voter is
+// suspended: it ignores ticks and messages, sends nothing to peers and answers lease requests
+// with "not the leader".
+type failedWrite struct {
+	ready raft.Ready // to be written before any other work
+	delay time.Duration
+	retry <-chan time.Time
 }
 
-// Run votes until ctx ends. While the log cannot be written it promises nothing, and tries
-// again.
+// Run runs the voter until ctx ends. A failed write of the log suspends the voter and is
+// retried; it does not end Run.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, v := range n.cfg.Voters {
 		if v.ID != n.cfg.ID {
-			queue := make(chan *raftpb.Message, mostQueue)
-			n.peers[v.ID] = queue
-			all.Go(func() { n.toPeer(ctx, v, queue) })
+			queue := make(chan *raftpb.Message, maxQueued)
+			n.peerQueues[v.ID] = queue
+			wg.Go(func() { n.sendToPeer(ctx, v, queue) })
 		}
 	}
-	all.Go(func() { n.accept(ctx, &all) })
+	wg.Go(func() { n.acceptConns(ctx, &wg) })
 	err := n.loop(ctx)
 	close(n.done)
 	cancel()
-	n.l.Close()
-	all.Wait()
-	return errors.Join(err, n.disk.close())
+	n.listener.Close()
+	wg.Wait()
+	return errors.Join(err, n.storage.close())
 }
 
+// loop processes ticks, tasks and write retries until ctx ends.
 func (n *Node) loop(ctx context.Context) error {
 	tick := time.NewTicker(n.cfg.Tick)
 	defer tick.Stop()
 	for {
-		if err := n.ready(); err != nil {
+		if err := n.handleReady(); err != nil {
 			return err
 		}
 		select {
@@ -216,17 +218,17 @@
 			return nil
 		case <-tick.C:
 			n.tick()
-		case <-n.again():
-			if err := n.resume(); err != nil {
+		case <-n.writeRetry():
+			if err := n.retryWrite(); err != nil {
 				return err
 			}
-		case f := <-n.work:
+		case f := <-n.tasks:
 			f()
 		}
-		// What has come meanwhile shares one write to the disk.
-		for range mostBatch {
+		// Tasks that are already queued share one write of the log.
+		for range maxBatch {
 			select {
-			case f := <-n.work:
+			case f := <-n.tasks:
 				f()
 				continue
 			default:
@@ -236,438 +238,449 @@
 	}
 }
 
-// do has the loop do something; false if it has ended.
-func (n *Node) do(f func()) bool {
+// enqueue queues f to run in the loop. It returns false if the loop has ended.
+func (n *Node) enqueue(f func()) bool {
 	select {
-	case n.work <- f:
+	case n.tasks <- f:
 		return true
 	case <-n.done:
 		return false
 	}
 }
 
-// ready does what the engine has ready, unless the log cannot be written.
-func (n *Node) ready() error {
-	for n.stall == nil && n.raw.HasReady() {
-		rd := n.raw.Ready()
-		if err := n.disk.save(&rd); err != nil {
-			n.log.Error("the log cannot be written: this voter promises nothing until it can", "error", err)
-			n.stall = &stall{ready: rd}
-			n.stall.later()
-			n.abandon()
+// handleReady writes and applies the pending raft.Ready values and compacts the log when due. It
+// stops at the first failed write.
+func (n *Node) handleReady() error {
+	for n.failedWrite == nil && n.rawNode.HasReady() {
+		rd := n.rawNode.Ready()
+		if err := n.storage.save(&rd); err != nil {
+			n.log.Error("log write failed: voter is suspended until a retry succeeds", "error", err)
+			n.failedWrite = &failedWrite{ready: rd}
+			n.failedWrite.scheduleRetry()
+			n.failPending()
 			return nil
 		}
-		if err := n.carryOut(rd); err != nil {
+		if err := n.applyReady(rd); err != nil {
 			return err
 		}
 	}
-	if n.stall == nil && n.applied-n.snapshot >= snapshotEvery {
+	if n.failedWrite == nil && n.appliedIndex-n.snapshotIndex >= snapshotInterval {
 		return n.compact()
 	}
 	return nil
 }
 
-// later sets when to try again: later each time, and not with other voters of the machine.
-func (s *stall) later() {
-	s.wait = min(max(rewriteLeast, 2*s.wait), rewriteMost)
-	s.again = time.After(s.wait/2 + time.Duration(rand.Int64N(int64(s.wait))))
+// scheduleRetry schedules the next attempt with exponential backoff. The jitter keeps voters
+// on one machine from retrying at the same time.
+func (w *failedWrite) scheduleRetry() {
+	w.delay = min(max(minRewriteDelay, 2*w.delay), maxRewriteDelay)
+	w.retry = time.After(w.delay/2 + time.Duration(rand.Int64N(int64(w.delay))))
 }
 
-// again is when to try to write once more.
-func (n *Node) again() <-chan time.Time {
-	if n.stall == nil {
+// writeRetry returns the channel that signals the next write attempt, or nil if no write failed.
+func (n *Node) writeRetry() <-chan time.Time {
+	if n.failedWrite == nil {
 		return nil
 	}
-	return n.stall.again
+	return n.failedWrite.retry
 }
 
-// resume tries to write what is owed, and goes on from there.
-func (n *Node) resume() error {
-	s := n.stall
-	if err := n.disk.save(&s.ready); err != nil {
-		n.log.Debug("the log still cannot be written", "error", err)
-		s.later()
+// retryWrite repeats a failed write and, if it succeeds, resumes normal operation.
+func (n *Node) retryWrite() error {
+	w := n.failedWrite
+	if err := n.storage.save(&w.ready); err != nil {
+		n.log.Debug("log write retry failed: voter stays suspended and retries", "error", err)
+		w.scheduleRetry()
 		return nil
 	}
-	n.log.Info("the log is written again")
-	n.stall = nil
-	return n.carryOut(s.ready)
+	n.log.Info("log write retry succeeded: voter resumes")
+	n.failedWrite = nil
+	return n.applyReady(w.ready)
 }
 
-// tick lets the engine's time go on. For one that is stalled it stands still.
+// tick advances the Raft clock and proposes lease expirations. It does nothing while the voter is
+// suspended.
 func (n *Node) tick() {
-	if n.stall == nil {
-		n.raw.Tick()
-		n.expire()
+	if n.failedWrite == nil {
+		n.rawNode.Tick()
+		n.proposeExpirations()
 	}
 }
 
-// step hands the engine a message of another voter. One that cannot promise is deaf: what
-// it may be told again later needs no room now.
+// step passes a message from another voter to Raft. While the voter is suspended it drops messages;
+// the other voters send them again.
 func (n *Node) step(m *raftpb.Message) {
-	if n.stall == nil {
-		n.raw.Step(m)
+	if n.failedWrite == nil {
+		n.rawNode.Step(m)
 	}
 }
 
-// compact makes a snapshot of the state. It is no promise, so that a failure holds up
-// nothing.
+// compact creates a snapshot of the lease state and shortens the log. A failed write does not
+// suspend the voter, because the log stays valid.
 func (n *Node) compact() error {
-	text, err := n.state.Snapshot()
+	data, err := n.state.Snapshot()
 	if err != nil {
 		return err
 	}
-	if err := n.disk.compact(n.applied, n.conf, text, snapshotKeep); err != nil {
-		n.log.Error("the log is not shortened", "error", err)
+	if err := n.storage.compact(n.appliedIndex, n.confState, data, retainedEntries); err != nil {
+		n.log.Error("log compaction failed: voter continues with the longer log", "error", err)
 	}
-	n.snapshot = n.applied
+	n.snapshotIndex = n.appliedIndex
 	return nil
 }
 
-// carryOut does what has been written: it sends, applies and answers.
-func (n *Node) carryOut(rd raft.Ready) error {
+// applyReady sends the messages and applies the committed entries of a written raft.Ready.
+func (n *Node) applyReady(rd raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := n.restore(rd.Snapshot); err != nil {
 			return err
 		}
-		n.log.Info("lease state taken from a snapshot", "index", n.applied)
+		n.log.Info("lease state restored from a snapshot", "index", n.appliedIndex)
 	}
 	if rd.SoftState != nil {
-		if rd.SoftState.RaftState != raft.StateLeader && n.keeper != nil {
-			n.keeper = nil
-			n.abandon()
+		if rd.SoftState.RaftState != raft.StateLeader && n.expiryTracker != nil {
+			n.expiryTracker = nil
+			n.failPending()
 		}
-		n.log.Info("quorum", "leader", rd.SoftState.Lead, "own", n.cfg.ID, "state", rd.SoftState.RaftState.String())
+		n.log.Info("raft state changed", "leader", rd.SoftState.Lead, "own", n.cfg.ID, "state", rd.SoftState.RaftState.String())
 	}
 	for _, m := range rd.Messages {
 		select {
-		case n.peers[m.GetTo()] <- m:
-		default: // the engine sends again what matters
-			n.raw.ReportUnreachable(m.GetTo())
+		case n.peerQueues[m.GetTo()] <- m:
+		default: // the queue is full; Raft repeats the message if necessary
+			n.rawNode.ReportUnreachable(m.GetTo())
 		}
 	}
 	for _, e := range rd.CommittedEntries {
 		n.apply(e)
 	}
-	n.raw.Advance(rd)
+	n.rawNode.Advance(rd)
 	return nil
 }
 
-// apply carries out what is committed.
+// apply applies a committed entry to the lease state, notifies watchers and responds to the
+// client that is waiting for it.
 func (n *Node) apply(e *raftpb.Entry) {
-	n.applied = e.GetIndex()
-	s := n.raw.BasicStatus()
-	lead := s.RaftState == raft.StateLeader
-	if lead && n.keeper == nil && e.GetTerm() == s.HardState.GetTerm() { // all of before is applied
-		n.keeper = lease.NewExpiryTracker(&n.state, quorum.Now())
+	n.appliedIndex = e.GetIndex()
+	status := n.rawNode.BasicStatus()
+	isLeader := status.RaftState == raft.StateLeader
+	if isLeader && n.expiryTracker == nil && e.GetTerm() == status.HardState.GetTerm() { // all entries of earlier terms are applied
+		n.expiryTracker = lease.NewExpiryTracker(&n.state, quorum.Now())
 	}
 	if e.GetType() != raftpb.EntryNormal || len(e.GetData()) == 0 {
 		return
 	}
-	var in entry
-	if err := json.Unmarshal(e.GetData(), &in); err != nil {
-		n.log.Error("an entry of the log that this version cannot read does nothing", "index", e.GetIndex(), "error", err)
+	var entry logEntry
+	if err := json.Unmarshal(e.GetData(), &entry); err != nil {
+		n.log.Error("log entry skipped: it cannot be decoded by this version", "index", e.GetIndex(), "error", err)
 		return
 	}
-	name := in.Command.Lease
-	was, _ := n.state.Get(name)
-	r := n.state.Apply(in.Command)
-	if n.keeper != nil {
-		n.keeper.CommandApplied(&n.state, name, quorum.Now())
+	name := entry.Command.Lease
+	before, _ := n.state.Get(name)
+	result := n.state.Apply(entry.Command)
+	if n.expiryTracker != nil {
+		n.expiryTracker.CommandApplied(&n.state, name, quorum.Now())
 	}
-	if r.Err == nil && (was.Holder != r.Record.Holder || was.Epoch != r.Record.Epoch) {
-		for s := range n.watchers[name] {
-			s.tell(quorum.FrameLeaseChange, quorum.LeaseChange{Lease: name, Record: r.Record})
+	if result.Err == nil && (before.Holder != result.Record.Holder || before.Epoch != result.Record.Epoch) {
+		for watcher := range n.watchers[name] {
+			watcher.send(quorum.FrameLeaseChange, quorum.LeaseChange{Lease: name, Record: result.Record})
 		}
 	}
-	if w, ok := n.waiting[in.Number]; ok && in.Nonce == n.nonce {
-		delete(n.waiting, in.Number)
-		a := quorum.Response{RequestID: w.number, Record: r.Record}
-		if r.Err != nil {
-			a.Error, a.Code = r.Err.Error(), quorum.ErrorCode(r.Err)
+	if request, ok := n.pending[entry.Number]; ok && entry.Nonce == n.nonce {
+		delete(n.pending, entry.Number)
+		response := quorum.Response{RequestID: request.requestID, Record: result.Record}
+		if result.Err != nil {
+			response.Error, response.Code = result.Err.Error(), quorum.ErrorCode(result.Err)
 		}
-		w.s.tell(quorum.FrameResponse, a)
+		request.session.send(quorum.FrameResponse, response)
 	}
 }
 
-// abandon answers what is waiting once this voter leads no more: whether it is done is
-// not known here.
-func (n *Node) abandon() {
-	for k, w := range n.waiting {
-		delete(n.waiting, k)
-		w.s.tell(quorum.FrameResponse, n.notLeader(w.number))
+// failPending responds to all pending requests that this voter is not the leader. Their
+// proposals may still be committed.
+func (n *Node) failPending() {
+	for number, request := range n.pending {
+		delete(n.pending, number)
+		request.session.send(quorum.FrameResponse, n.notLeaderResponse(request.requestID))
 	}
 }
 
-func (n *Node) notLeader(number uint64) quorum.Response {
-	a := quorum.Response{RequestID: number, NotLeader: true, Error: "not the leader"}
-	if lead := n.raw.BasicStatus().Lead; lead != n.cfg.ID {
-		a.Leader = lead
+func (n *Node) notLeaderResponse(requestID uint64) quorum.Response {
+	response := quorum.Response{RequestID: requestID, NotLeader: true, Error: "not the leader"}
+	if leader := n.rawNode.BasicStatus().Lead; leader != n.cfg.ID {
+		response.Leader = leader
 	}
-	return a
+	return response
 }
 
-// expire proposes the ends of leases that are over.
-func (n *Node) expire() {
-	if n.keeper == nil {
+// proposeExpirations proposes the expiration of leases that are due.
+func (n *Node) proposeExpirations() {
+	if n.expiryTracker == nil {
 		return
 	}
-	due, _ := n.keeper.Due(&n.state, quorum.Now())
+	due, _ := n.expiryTracker.Due(&n.state, quorum.Now())
 	for _, c := range due {
-		if n.propose(entry{Command: c}) != nil {
-			n.keeper.ProposalDropped(c.Lease)
+		if n.propose(logEntry{Command: c}) != nil {
+			n.expiryTracker.ProposalDropped(c.Lease)
 		}
 	}
 }
 
-func (n *Node) propose(e entry) error {
-	text, err := json.Marshal(e)
+func (n *Node) propose(e logEntry) error {
+	data, err := json.Marshal(e)
 	if err != nil {
 		return err
 	}
-	return n.raw.Propose(text)
+	return n.rawNode.Propose(data)
 }
 
-// asked does what a client asks.
-func (n *Node) asked(s *session, a *quorum.Request) {
+// handleRequest handles a request of a client.
+func (n *Node) handleRequest(s *session, req *quorum.Request) {
 	if !n.sessions[s] {
 		return
 	}
-	if a.Status {
-		st := n.raw.BasicStatus()
-		snap, _ := n.disk.Snapshot()
-		s.tell(quorum.FrameResponse, quorum.Response{RequestID: a.RequestID, Status: &quorum.Status{
-			ID: n.cfg.ID, Term: st.HardState.GetTerm(), Leader: st.Lead, AppliedIndex: n.applied, Leases: len(n.state.Names()), Clients: len(n.sessions),
+	if req.Status {
+		status := n.rawNode.BasicStatus()
+		snap, _ := n.storage.Snapshot()
+		s.send(quorum.FrameResponse, quorum.Response{RequestID: req.RequestID, Status: &quorum.Status{
+			ID: n.cfg.ID, Term: status.HardState.GetTerm(), Leader: status.Lead, AppliedIndex: n.appliedIndex, Leases: len(n.state.Names()), Clients: len(n.sessions),
 			SnapshotIndex: snap.GetMetadata().GetIndex(),
 		}})
 		return
 	}
-	if n.keeper == nil || n.stall != nil { // also a leader that has not yet applied all of before
-		s.tell(quorum.FrameResponse, n.notLeader(a.RequestID))
+	if n.expiryTracker == nil || n.failedWrite != nil { // a new leader first applies all entries of earlier terms
+		s.send(quorum.FrameResponse, n.notLeaderResponse(req.RequestID))
 		return
 	}
-	if a.Watch != "" {
-		if n.watchers[a.Watch] == nil {
-			n.watchers[a.Watch] = map[*session]bool{}
+	if req.Watch != "" {
+		if n.watchers[req.Watch] == nil {
+			n.watchers[req.Watch] = map[*session]bool{}
 		}
-		n.watchers[a.Watch][s] = true
-		s.watches = append(s.watches, a.Watch)
-		r, _ := n.state.Get(a.Watch)
-		s.tell(quorum.FrameResponse, quorum.Response{RequestID: a.RequestID, Record: r})
+		n.watchers[req.Watch][s] = true
+		s.watchedLeases = append(s.watchedLeases, req.Watch)
+		record, _ := n.state.Get(req.Watch)
+		s.send(quorum.FrameResponse, quorum.Response{RequestID: req.RequestID, Record: record})
 		return
 	}
-	if a.List {
-		all := map[string]lease.Record{}
+	if req.List {
+		records := map[string]lease.Record{}
 		for _, name := range n.state.Names() {
-			all[name], _ = n.state.Get(name)
+			records[name], _ = n.state.Get(name)
 		}
-		s.tell(quorum.FrameResponse, quorum.Response{RequestID: a.RequestID, Leases: all})
+		s.send(quorum.FrameResponse, quorum.Response{RequestID: req.RequestID, Leases: records})
 		return
 	}
-	if a.Command == nil || a.Command.Kind == lease.Expire { // that is the leader's own
-		s.tell(quorum.FrameResponse, quorum.Response{RequestID: a.RequestID, Error: "no command", Code: "bounds"})
+	if req.Command == nil || req.Command.Kind == lease.Expire { // only the leader itself proposes expirations
+		s.send(quorum.FrameResponse, quorum.Response{RequestID: req.RequestID, Error: "no command", Code: "bounds"})
 		return
 	}
-	n.number++
-	n.waiting[n.number] = waiting{s: s, number: a.RequestID}
-	if err := n.propose(entry{n.nonce, n.number, *a.Command}); err != nil {
-		delete(n.waiting, n.number)
-		s.tell(quorum.FrameResponse, n.notLeader(a.RequestID))
+	n.lastNumber++
+	n.pending[n.lastNumber] = pendingRequest{session: s, requestID: req.RequestID}
+	if err := n.propose(logEntry{n.nonce, n.lastNumber, *req.Command}); err != nil {
+		delete(n.pending, n.lastNumber)
+		s.send(quorum.FrameResponse, n.notLeaderResponse(req.RequestID))
 	}
 }
 
-// toPeer carries the engine's messages to another voter, over a connection of our own.
-func (n *Node) toPeer(ctx context.Context, v quorum.Voter, queue <-chan *raftpb.Message) {
-	wait := redialLeast
+// sendToPeer sends queued Raft messages to another voter and redials after a failure. Each
+// voter uses its own outgoing connection.
+func (n *Node) sendToPeer(ctx context.Context, v quorum.Voter, queue <-chan *raftpb.Message) {
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		err := n.carry(ctx, v, queue, func() { wait = redialLeast })
+		err := n.sendOverConn(ctx, v, queue, func() { delay = minRedialDelay })
 		if ctx.Err() != nil {
 			return
 		}
-		n.log.Warn("voter not reached", "voter", v.ID, "address", v.Address, "error", err)
-		t := time.NewTimer(wait/2 + time.Duration(rand.Int64N(int64(wait))))
+		n.log.Warn("connection to voter failed: queued messages are dropped and it is redialed", "voter", v.ID, "address", v.Address, "error", err)
+		timer := time.NewTimer(delay/2 + time.Duration(rand.Int64N(int64(delay))))
 		select {
 		case <-ctx.Done():
-		case <-t.C:
+		case <-timer.C:
 		}
-		t.Stop()
-		wait = min(2*wait, redialMost)
-		for len(queue) > 0 { // what waited is old by now
+		timer.Stop()
+		delay = min(2*delay, maxRedialDelay)
+		for len(queue) > 0 { // the queued messages are outdated
 			<-queue
 		}
 	}
 }
 
-func (n *Node) carry(ctx context.Context, v quorum.Voter, queue <-chan *raftpb.Message, reached func()) error {
-	d := net.Dialer{Timeout: quorum.HandshakeTimeout}
-	c, err := d.DialContext(ctx, "tcp", v.Address)
+// sendOverConn dials a voter and sends queued messages until the connection fails.
+func (n *Node) sendOverConn(ctx context.Context, v quorum.Voter, queue <-chan *raftpb.Message, onConnected func()) error {
+	dialer := net.Dialer{Timeout: quorum.HandshakeTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", v.Address)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	l := quorum.NewFrameConn(c)
-	other, err := l.Handshake(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	frames := quorum.NewFrameConn(conn)
+	peer, err := frames.Handshake(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
 	if err != nil {
 		return err
 	}
-	if other.Voter != v.ID {
-		return fmt.Errorf("voter %d is there", other.Voter)
+	if peer.Voter != v.ID {
+		return fmt.Errorf("unexpected voter at this address: its ID is %d", peer.Voter)
 	}
-	reached()
-	broken := make(chan error, 1)
-	go func() { // nothing is to come but the reason of an end
-		_, _, err := l.ReadFrame(quorum.MaxClientFrameBytes)
-		broken <- cmpErr(err, errors.New("a frame that nobody asked for"))
+	onConnected()
+	closed := make(chan error, 1)
+	go func() { // the peer sends at most one frame, to reject the connection
+		_, _, err := frames.ReadFrame(quorum.MaxClientFrameBytes)
+		closed <- errorOr(err, errors.New("peer sent an unexpected frame"))
 	}()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-broken:
+		case err := <-closed:
 			return err
 		case m := <-queue:
-			text, err := proto.Marshal(m)
+			data, err := proto.Marshal(m)
 			if err != nil {
 				return err
 			}
-			c.SetWriteDeadline(time.Now().Add(writePatience))
-			if err := l.WriteFrame(quorum.FrameRaftMessage, text); err != nil {
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if err := frames.WriteFrame(quorum.FrameRaftMessage, data); err != nil {
 				return err
 			}
 			if m.GetType() == raftpb.MsgSnap {
-				n.do(func() { n.raw.ReportSnapshot(v.ID, raft.SnapshotFinish) })
+				n.enqueue(func() { n.rawNode.ReportSnapshot(v.ID, raft.SnapshotFinish) })
 			}
 		}
 	}
 }
 
-func cmpErr(err, without error) error {
+// errorOr returns err, or fallback if err is nil.
+func errorOr(err, fallback error) error {
 	if err == nil {
-		return without
+		return fallback
 	}
 	return err
 }
 
-// accept takes connections of voters and clients.
-func (n *Node) accept(ctx context.Context, all *sync.WaitGroup) {
-	slots := make(chan struct{}, mostConns)
-	acceptloop.Serve(n.l, func(c net.Conn) {
+// acceptConns accepts connections from voters and clients. It closes connections above maxConns.
+func (n *Node) acceptConns(ctx context.Context, wg *sync.WaitGroup) {
+	slots := make(chan struct{}, maxConns)
+	acceptloop.Serve(n.listener, func(conn net.Conn) {
 		select {
 		case slots <- struct{}{}:
 		default:
-			c.Close()
+			conn.Close()
 			return
 		}
-		all.Go(func() {
+		wg.Go(func() {
 			defer func() { <-slots }()
-			defer c.Close()
-			defer context.AfterFunc(ctx, func() { c.Close() })()
-			n.serve(quorum.NewFrameConn(c))
+			defer conn.Close()
+			defer context.AfterFunc(ctx, func() { conn.Close() })()
+			n.serveConn(quorum.NewFrameConn(conn))
 		})
 	})
 }
 
-func (n *Node) serve(l *quorum.FrameConn) {
-	other, err := l.Handshake(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
+// serveConn performs the handshake and serves a voter or a client.
+func (n *Node) serveConn(frames *quorum.FrameConn) {
+	peer, err := frames.Handshake(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
 	if err != nil {
 		if !errors.Is(err, io.EOF) {
-			n.log.Warn("turned away", "from", l.RemoteAddr(), "error", err)
+			n.log.Warn("handshake failed: connection closed", "from", frames.RemoteAddr(), "error", err)
 		}
 		return
 	}
-	if other.Voter != 0 {
-		n.fromPeer(l, other.Voter)
+	if peer.Voter != 0 {
+		n.servePeer(frames, peer.Voter)
 		return
 	}
-	n.fromClient(l)
+	n.serveClient(frames)
 }
 
-func (n *Node) fromPeer(l *quorum.FrameConn, from uint64) {
-	if !slices.ContainsFunc(n.cfg.Voters, func(v quorum.Voter) bool { return v.ID == from }) || from == n.cfg.ID {
-		l.WriteJSON(quorum.FrameHello, quorum.Hello{Error: fmt.Sprintf("voter %d is none of ours", from)})
+// servePeer receives Raft messages from another voter.
+func (n *Node) servePeer(frames *quorum.FrameConn, peerID uint64) {
+	if !slices.ContainsFunc(n.cfg.Voters, func(v quorum.Voter) bool { return v.ID == peerID }) || peerID == n.cfg.ID {
+		frames.WriteJSON(quorum.FrameHello, quorum.Hello{Error: fmt.Sprintf("voter %d is none of ours", peerID)})
 		return
 	}
 	for {
-		kind, body, err := l.ReadFrame(quorum.MaxFrameBytes)
+		kind, body, err := frames.ReadFrame(quorum.MaxFrameBytes)
 		if err != nil || kind != quorum.FrameRaftMessage {
 			return
 		}
 		m := &raftpb.Message{}
-		if proto.Unmarshal(body, m) != nil || m.GetFrom() != from || m.GetTo() != n.cfg.ID || raft.IsLocalMsg(m.GetType()) {
-			n.log.Warn("a message that is not one of that voter", "voter", from)
+		if proto.Unmarshal(body, m) != nil || m.GetFrom() != peerID || m.GetTo() != n.cfg.ID || raft.IsLocalMsg(m.GetType()) {
+			n.log.Warn("invalid Raft message from voter: connection closed", "voter", peerID)
 			return
 		}
-		if !n.do(func() { n.step(m) }) {
+		if !n.enqueue(func() { n.step(m) }) {
 			return
 		}
 	}
 }
 
-// session is a client's connection. What is told it waits in a queue of its own: a client
-// that does not read loses its connection and holds up nobody.
+// session is a client connection with a queue of outgoing frames. A client that reads too
+// slowly is disconnected, so that it does not block the loop.
 type session struct {
-	l       *quorum.FrameConn
-	out     chan []byte
-	full    bool // of the loop
-	watches []string
+	frames        *quorum.FrameConn
+	queue         chan []byte
+	overflowed    bool // accessed only by the loop
+	watchedLeases []string
 }
 
-func (s *session) tell(kind byte, v any) {
+// send queues a frame and closes the connection if the queue is full.
+func (s *session) send(kind byte, v any) {
 	body, err := json.Marshal(v)
-	if err != nil || s.full {
+	if err != nil || s.overflowed {
 		return
 	}
 	select {
-	case s.out <- append([]byte{kind}, body...):
+	case s.queue <- append([]byte{kind}, body...):
 	default:
-		s.full = true
-		s.l.Close()
+		s.overflowed = true
+		s.frames.Close()
 	}
 }
 
-func (n *Node) fromClient(l *quorum.FrameConn) {
-	s := &session{l: l, out: make(chan []byte, mostQueue)}
+// serveClient queues the requests of a client for the loop and writes the responses.
+func (n *Node) serveClient(frames *quorum.FrameConn) {
+	s := &session{frames: frames, queue: make(chan []byte, maxQueued)}
 	stop := make(chan struct{})
-	var writing sync.WaitGroup
-	writing.Go(func() {
+	var writer sync.WaitGroup
+	writer.Go(func() {
 		for {
 			select {
 			case <-stop:
 				return
-			case f := <-s.out:
-				l.SetWriteDeadline(time.Now().Add(writePatience))
-				if l.WriteFrame(f[0], f[1:]) != nil {
-					l.Close()
+			case frame := <-s.queue:
+				frames.SetWriteDeadline(time.Now().Add(writeTimeout))
+				if frames.WriteFrame(frame[0], frame[1:]) != nil {
+					frames.Close()
 					return
 				}
 			}
 		}
 	})
-	n.do(func() { n.sessions[s] = true })
+	n.enqueue(func() { n.sessions[s] = true })
 	for {
-		kind, body, err := l.ReadFrame(quorum.MaxClientFrameBytes)
-		var a quorum.Request
-		if err != nil || kind != quorum.FrameRequest || json.Unmarshal(body, &a) != nil {
+		kind, body, err := frames.ReadFrame(quorum.MaxClientFrameBytes)
+		var req quorum.Request
+		if err != nil || kind != quorum.FrameRequest || json.Unmarshal(body, &req) != nil {
 			break
 		}
-		if !n.do(func() { n.asked(s, &a) }) {
+		if !n.enqueue(func() { n.handleRequest(s, &req) }) {
 			break
 		}
 	}
 	close(stop)
-	writing.Wait()
-	n.do(func() {
+	writer.Wait()
+	n.enqueue(func() {
 		delete(n.sessions, s)
-		for _, w := range s.watches {
-			delete(n.watchers[w], s)
-			if len(n.watchers[w]) == 0 {
-				delete(n.watchers, w)
+		for _, name := range s.watchedLeases {
+			delete(n.watchers[name], s)
+			if len(n.watchers[name]) == 0 {
+				delete(n.watchers, name)
 			}
 		}
-		for k, w := range n.waiting {
-			if w.s == s {
-				delete(n.waiting, k)
+		for number, request := range n.pending {
+			if request.session == s {
+				delete(n.pending, number)
 			}
 		}
 	})
--- a/internal/voter/storm_test.go
+++ b/internal/voter/storm_test.go
@@ -17,8 +17,8 @@
 	"gorselink/internal/quorum"
 )
 
-// programs are built once for all tests of processes.
-var programs string
+// programDir holds the binaries that TestMain builds for the tests that start processes.
+var programDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "voter")
@@ -26,7 +26,7 @@
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	programs = dir
+	programDir = dir
 	out, err := exec.Command("go", "build", "-o", dir+"/", "gorselink/cmd/gorselink", "gorselink/cmd/voter").CombinedOutput()
 	if err != nil {
 		fmt.Printf("%v: %s\n", err, out)
@@ -37,268 +37,272 @@
 	os.Exit(code)
 }
 
-// hall is an experiment of voters, which are the first instances, and of processes that
-// each want one of some leases: all are the real programs, and every way between a
-// process and a voter is a link l-FROM-TO. Each process is a group pN.
-func hall(t *testing.T, voters, clients, leases int, length, span time.Duration, events string) *proving.Experiment {
+// newExperiment returns an experiment whose first instances are voters and whose other instances
+// each request one of the leases. Instance N is the group pN, and l-FROM-TO is the link from an
+// instance to a voter.
+func newExperiment(t *testing.T, voters, clients, leases int, length, span time.Duration, events string) *proving.Experiment {
 	t.Helper()
-	return hallOf(t, voters, clients, leases, length, span, events, "sleep 1000")
+	return newExperimentWithCommand(t, voters, clients, leases, length, span, events, "sleep 1000")
 }
 
-// hallOf has the holders run a command of their own.
-func hallOf(t *testing.T, voters, clients, leases int, length, span time.Duration, events, command string) *proving.Experiment {
+// newExperimentWithCommand is like newExperiment, but lease holders run the given command.
+func newExperimentWithCommand(t *testing.T, voters, clients, leases int, length, span time.Duration, events, command string) *proving.Experiment {
 	t.Helper()
-	claims := filepath.Join(t.TempDir(), "claims")
-	if err := os.Mkdir(claims, 0o700); err != nil {
+	claimsDir := filepath.Join(t.TempDir(), "claims")
+	if err := os.Mkdir(claimsDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	var b, which strings.Builder
-	for i := voters; i < voters+clients; i++ { // a process wants the lease of its number's rest
-		fmt.Fprintf(&which, "{{if eq .Index %d}}l%d{{end}}", i, i%leases)
+	var config, leaseName strings.Builder
+	for i := voters; i < voters+clients; i++ { // instance i requests lease i modulo leases
+		fmt.Fprintf(&leaseName, "{{if eq .Index %d}}l%d{{end}}", i, i%leases)
 	}
-	fmt.Fprintf(&b, "span = \"%v\"\n[instances]\ncount = %d\nready = \"none\"\nports = [\"quorum\"]\ndrain = \"30s\"\nprogram = \"/bin/sh\"\n", span, voters+clients)
-	fmt.Fprintf(&b, "arguments = [\"-c\", '{{if lt .Index %d}}exec %s/voter run --init -c {{.Config}}{{else}}exec %s/gorselink lease -c {{.Config}} run --claims %s/{{.Name}} --length %v --grace %v --retry %v %s -- %s{{end}}']\n",
-		voters, programs, programs, claims, length, length/4, length/2, which.String(), command)
-	b.WriteString("config = '''\n[quorum]\ncluster = \"hall\"\ntick = \"50ms\"\n")
+	fmt.Fprintf(&config, "span = \"%v\"\n[instances]\ncount = %d\nready = \"none\"\nports = [\"quorum\"]\ndrain = \"30s\"\nprogram = \"/bin/sh\"\n", span, voters+clients)
+	fmt.Fprintf(&config, "arguments = [\"-c\", '{{if lt .Index %d}}exec %s/voter run --init -c {{.Config}}{{else}}exec %s/gorselink lease -c {{.Config}} run --claims %s/{{.Name}} --length %v --grace %v --retry %v %s -- %s{{end}}']\n",
+		voters, programDir, programDir, claimsDir, length, length/4, length/2, leaseName.String(), command)
+	config.WriteString("config = '''\n[quorum]\ncluster = \"test\"\ntick = \"50ms\"\n")
 	for i := range voters {
-		fmt.Fprintf(&b, "{{if eq .Index %d}}id = %d\nlisten = \"{{.Address \"quorum\"}}\"\ndir = \"{{.Dir}}/votes\"{{end}}\n", i, i+1)
+		fmt.Fprintf(&config, "{{if eq .Index %d}}id = %d\nlisten = \"{{.Address \"quorum\"}}\"\ndir = \"{{.Dir}}/votes\"{{end}}\n", i, i+1)
 	}
 	for i := range voters {
-		fmt.Fprintf(&b, "[[quorum.voters]]\nid = %d\naddress = \"{{.Reach %d \"quorum\"}}\"\n", i+1, i)
+		fmt.Fprintf(&config, "[[quorum.voters]]\nid = %d\naddress = \"{{.Reach %d \"quorum\"}}\"\n", i+1, i)
 	}
-	b.WriteString("'''\n[nodes]\ncount = 1\n")
+	config.WriteString("'''\n[nodes]\ncount = 1\n")
 	for i := range voters + clients {
-		fmt.Fprintf(&b, "[[groups]]\nname = \"p%d\"\nof = \"instances\"\nfrom = %d\nmembers = 1\n", i, i)
+		fmt.Fprintf(&config, "[[groups]]\nname = \"p%d\"\nof = \"instances\"\nfrom = %d\nmembers = 1\n", i, i)
 	}
 	for i := range voters + clients {
 		for k := range voters {
 			if i != k {
-				fmt.Fprintf(&b, "[[links]]\nname = \"l-%d-%d\"\nfrom = \"p%d\"\nto = \"p%d\"\n", i, k, i, k)
+				fmt.Fprintf(&config, "[[links]]\nname = \"l-%d-%d\"\nfrom = \"p%d\"\nto = \"p%d\"\n", i, k, i, k)
 			}
 		}
 	}
-	e, err := proving.Parse("hall.toml", []byte(b.String()+events))
+	e, err := proving.Parse("voter.toml", []byte(config.String()+events))
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Name = claims
+	e.Name = claimsDir
 	return e
 }
 
+// event returns one event of an experiment as TOML.
 func event(at time.Duration, do, on, more string) string {
 	return fmt.Sprintf("[[events]]\nat = \"%v\"\ndo = %q\non = %q\n%s\n", at, do, on, more)
 }
 
-// claim is one process's word that it held a lease.
+// claim is a period in which a process reported that it held a lease.
 type claim struct {
 	lease      string
 	pid        int
 	epoch      uint64
-	begin, end int64 // by the machine's boot clock, ns
-	closed     bool  // it told its end; else it was killed, and held it when it last said so
+	begin, end int64 // boot clock, in ns
+	ended      bool  // the process reported the end; otherwise end is the time of its last report
 }
 
-func claimsOf(t *testing.T, dir string) (all []claim) {
+// readClaims reads the claim files in dir and returns the claims, sorted by begin.
+func readClaims(t *testing.T, dir string) (claims []claim) {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(dir, "*"))
 	for _, path := range files {
-		text, err := os.ReadFile(path)
+		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
-			var what, name string
+		for _, line := range strings.Split(strings.TrimSpace(string(data)), "\n") {
+			var eventKind, name string
 			var pid int
 			var epoch uint64
 			var now, until int64
-			if n, _ := fmt.Sscan(line, &what, &name, &pid, &epoch, &now, &until); n != 6 {
-				continue // killed while it wrote
+			if n, _ := fmt.Sscan(line, &eventKind, &name, &pid, &epoch, &now, &until); n != 6 {
+				continue // the process was killed during the write
 			}
-			k := slices.IndexFunc(all, func(c claim) bool { return c.lease == name && c.pid == pid && c.epoch == epoch && !c.closed })
-			if what == "begin" || k < 0 {
-				all = append(all, claim{lease: name, pid: pid, epoch: epoch, begin: now, end: now})
+			k := slices.IndexFunc(claims, func(c claim) bool { return c.lease == name && c.pid == pid && c.epoch == epoch && !c.ended })
+			if eventKind == "begin" || k < 0 {
+				claims = append(claims, claim{lease: name, pid: pid, epoch: epoch, begin: now, end: now})
 				continue
 			}
-			all[k].end, all[k].closed = now, what == "end"
+			claims[k].end, claims[k].ended = now, eventKind == "end"
 		}
 	}
-	slices.SortFunc(all, func(a, b claim) int { return int(a.begin - b.begin) })
-	return all
+	slices.SortFunc(claims, func(a, b claim) int { return int(a.begin - b.begin) })
+	return claims
 }
 
-// oneAtATime checks that no two processes' claims of a lease overlap, and that its epochs
-// only grow.
-func oneAtATime(t *testing.T, all []claim) {
+// checkClaims checks that claims of different processes for the same lease do not overlap and that
+// their epochs increase.
+func checkClaims(t *testing.T, claims []claim) {
 	t.Helper()
-	for i, c := range all {
-		for _, o := range all[:i] {
-			if o.lease != c.lease || o.pid == c.pid {
+	for i, c := range claims {
+		for _, earlier := range claims[:i] {
+			if earlier.lease != c.lease || earlier.pid == c.pid {
 				continue
 			}
-			if o.end > c.begin {
-				t.Errorf("%s: process %d begins with epoch %d %v before process %d ends its claim with %d", c.lease, c.pid, c.epoch, time.Duration(o.end-c.begin), o.pid, o.epoch)
+			if earlier.end > c.begin {
+				t.Errorf("lease %s: claim of process %d with epoch %d begins %v before the claim of process %d with epoch %d ends", c.lease, c.pid, c.epoch, time.Duration(earlier.end-c.begin), earlier.pid, earlier.epoch)
 			}
-			if o.epoch >= c.epoch {
-				t.Errorf("%s: process %d begins with epoch %d after process %d had %d", c.lease, c.pid, c.epoch, o.pid, o.epoch)
+			if earlier.epoch >= c.epoch {
+				t.Errorf("lease %s: claim of process %d has epoch %d, want more than the epoch of process %d, which is %d", c.lease, c.pid, c.epoch, earlier.pid, earlier.epoch)
 			}
 		}
 	}
 }
 
-// begunBetween is the first claim of a lease that begins within a time of the play.
-func begunBetween(all []claim, lease string, from, to int64) *claim {
-	for i := range all {
-		if all[i].lease == lease && all[i].begin >= from && all[i].begin < to {
-			return &all[i]
+// firstClaimBetween returns the first claim for a lease that begins in [from, to), or nil.
+func firstClaimBetween(claims []claim, lease string, from, to int64) *claim {
+	for i := range claims {
+		if claims[i].lease == lease && claims[i].begin >= from && claims[i].begin < to {
+			return &claims[i]
 		}
 	}
 	return nil
 }
 
-func playHall(t *testing.T, e *proving.Experiment) (all []claim, begin int64) {
+// playExperiment runs an experiment and returns its claims and its start on the boot clock.
+func playExperiment(t *testing.T, e *proving.Experiment) (claims []claim, begin int64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
-	at := int64(0)
-	rec, err := proving.Play(ctx, e, proving.Options{Program: "/bin/sh", Started: func([]int) { at = int64(quorum.Now()) }})
+	start := int64(0)
+	record, err := proving.Play(ctx, e, proving.Options{Program: "/bin/sh", Started: func([]int) { start = int64(quorum.Now()) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range slices.Concat(rec.Faults, rec.Crashes, rec.Drains) {
-		t.Error(x)
+	for _, problem := range slices.Concat(record.Faults, record.Crashes, record.Drains) {
+		t.Error(problem)
 	}
-	return claimsOf(t, e.Name), at
+	return readClaims(t, e.Name), start
 }
 
-// Nine processes, three of them voters, and a storm of kills, stops, cuts, delays and
-// restarts: no two claims of a lease overlap, its epochs only grow, and after the storm
-// somebody holds each.
-func TestOneHolderAtATime(t *testing.T) {
+// While processes are killed, stopped and restarted and links are cut and delayed, a lease must
+// have at most one holder and increasing epochs. After the faults each lease must have a holder.
+func TestLeaseHasOneHolderDuringFaults(t *testing.T) {
 	t.Parallel()
 	const voters, clients, leases = 3, 6, 2
-	const length, storm, calm = 2 * time.Second, 24 * time.Second, 12 * time.Second
+	const length, faultPeriod, recoveryPeriod = 2 * time.Second, 24 * time.Second, 12 * time.Second
 	rng := rand.New(rand.NewPCG(4, 5))
 	var events strings.Builder
-	busy := make([]time.Duration, voters+clients) // until when something is done to a process
-	for at := 3 * time.Second; at < storm; at += time.Duration(200+rng.IntN(700)) * time.Millisecond {
+	busyUntil := make([]time.Duration, voters+clients) // by instance: the end of its current fault
+	for at := 3 * time.Second; at < faultPeriod; at += time.Duration(200+rng.IntN(700)) * time.Millisecond {
 		i := rng.IntN(voters + clients)
-		lasts := time.Duration(300+rng.IntN(3700)) * time.Millisecond
-		if busy[i] > at {
+		duration := time.Duration(300+rng.IntN(3700)) * time.Millisecond
+		if busyUntil[i] > at {
 			continue
 		}
-		busy[i] = at + lasts + 200*time.Millisecond
+		busyUntil[i] = at + duration + 200*time.Millisecond
 		p := fmt.Sprint("p", i)
 		switch rng.IntN(4) {
 		case 0:
-			events.WriteString(event(at, "kill", p, "") + event(at+lasts, "start", p, ""))
+			events.WriteString(event(at, "kill", p, "") + event(at+duration, "start", p, ""))
 		case 1:
-			events.WriteString(event(at, "stop", p, "") + event(at+lasts, "continue", p, ""))
+			events.WriteString(event(at, "stop", p, "") + event(at+duration, "continue", p, ""))
 		case 2:
-			way := []string{"both", "out", "back"}[rng.IntN(3)]
+			direction := []string{"both", "out", "back"}[rng.IntN(3)]
 			for k := range voters {
 				if k != i {
 					l := fmt.Sprintf("l-%d-%d", i, k)
-					events.WriteString(event(at, "cut", l, "way = \""+way+"\"") + event(at+lasts, "heal", l, ""))
+					events.WriteString(event(at, "cut", l, "way = \""+direction+"\"") + event(at+duration, "heal", l, ""))
 				}
 			}
 		case 3:
 			for k := range voters {
 				if k != i {
 					l := fmt.Sprintf("l-%d-%d", i, k)
-					events.WriteString(event(at, "weather", l, "delay = \"400ms\"\njitter = \"2s\"\nloss = 0.1") + event(at+lasts, "heal", l, ""))
+					events.WriteString(event(at, "weather", l, "delay = \"400ms\"\njitter = \"2s\"\nloss = 0.1") + event(at+duration, "heal", l, ""))
 				}
 			}
 		}
 	}
-	e := hall(t, voters, clients, leases, length, storm+4*time.Second+calm, events.String())
-	all, begin := playHall(t, e)
-	oneAtATime(t, all)
+	e := newExperiment(t, voters, clients, leases, length, faultPeriod+4*time.Second+recoveryPeriod, events.String())
+	claims, begin := playExperiment(t, e)
+	checkClaims(t, claims)
 	holders := map[int]bool{}
-	for _, c := range all {
+	for _, c := range claims {
 		holders[c.pid] = true
 	}
-	t.Logf("%d claims by %d processes", len(all), len(holders))
-	if len(all) < 6 {
-		t.Error("too few for this to say anything")
+	t.Logf("%d claims by %d processes", len(claims), len(holders))
+	if len(claims) < 6 {
+		t.Error("too few claims, want at least 6")
 	}
-	end := begin + int64(storm+4*time.Second+calm)
+	end := begin + int64(faultPeriod+4*time.Second+recoveryPeriod)
 	for i := range leases {
 		name := fmt.Sprint("l", i)
-		if !slices.ContainsFunc(all, func(c claim) bool { return c.lease == name && c.end > end-int64(2*time.Second) }) {
-			t.Errorf("nobody holds %s in the calm", name)
+		if !slices.ContainsFunc(claims, func(c claim) bool { return c.lease == name && c.end > end-int64(2*time.Second) }) {
+			t.Errorf("lease %s has no holder after the faults", name)
 		}
 	}
 }
 
-// Whoever is cut off from the quorum ends by its own clock before another begins, one way
-// cut or both; one that is stopped for longer than its claim has none when it wakes; and
-// a holder that is told to end hands on at once.
-func TestHandedOn(t *testing.T) {
+// After the holder of a lease is killed, stopped, terminated or disconnected from the voters, the
+// other process must acquire the lease within the expected time, and only after the claim of the
+// first holder has ended.
+func TestLeaseTransfer(t *testing.T) {
 	t.Parallel()
 	const length = 2 * time.Second
 	for name, c := range map[string]struct {
-		events func(holder int) string
-		least  time.Duration // from the event to the next holder's begin
-		most   time.Duration
+		events   func(holder int) string
+		minDelay time.Duration // from the event to the begin of the next claim
+		maxDelay time.Duration
 	}{
-		// The length, a fiftieth of it, a tick of the leader and what the machine adds.
+		// The upper limits allow for the lease length, clock drift, a tick of the leader and
+		// scheduling delays.
 		"killed": {func(h int) string { return event(6*time.Second, "kill", fmt.Sprint("p", h), "") }, 0, length + 3*time.Second},
 		"stopped": {func(h int) string {
 			return event(6*time.Second, "stop", fmt.Sprint("p", h), "") + event(12*time.Second, "continue", fmt.Sprint("p", h), "")
 		}, 0, length + 3*time.Second},
-		"cut off":     {func(h int) string { return cutOff(h, "both") }, length / 2, length + 3*time.Second},
-		"cut out":     {func(h int) string { return cutOff(h, "out") }, length / 2, length + 3*time.Second},
-		"cut back":    {func(h int) string { return cutOff(h, "back") }, 0, 2*length + 3*time.Second},
-		"told to end": {func(h int) string { return event(6*time.Second, "term", fmt.Sprint("p", h), "") }, 0, length / 2},
+		"disconnected":      {func(h int) string { return isolationEvents(h, "both") }, length / 2, length + 3*time.Second},
+		"outgoing link cut": {func(h int) string { return isolationEvents(h, "out") }, length / 2, length + 3*time.Second},
+		"incoming link cut": {func(h int) string { return isolationEvents(h, "back") }, 0, 2*length + 3*time.Second},
+		"terminated":        {func(h int) string { return event(6*time.Second, "term", fmt.Sprint("p", h), "") }, 0, length / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			// Two processes want one lease; the second is stopped until the first one has it.
-			e := hall(t, 3, 2, 1, length, 14*time.Second, event(0, "stop", "p4", "")+event(5*time.Second, "continue", "p4", "")+c.events(3))
-			all, begin := playHall(t, e)
-			oneAtATime(t, all)
-			first := begunBetween(all, "l0", begin, begin+int64(6*time.Second))
+			// Two processes request one lease. The second one is stopped until the first one
+			// holds it.
+			e := newExperiment(t, 3, 2, 1, length, 14*time.Second, event(0, "stop", "p4", "")+event(5*time.Second, "continue", "p4", "")+c.events(3))
+			claims, begin := playExperiment(t, e)
+			checkClaims(t, claims)
+			first := firstClaimBetween(claims, "l0", begin, begin+int64(6*time.Second))
 			if first == nil {
-				t.Fatalf("nobody held it by 6 s: %v", all)
+				t.Fatalf("no holder within 6 s: claims %v", claims)
 			}
 			at := begin + int64(6*time.Second)
-			next := begunBetween(all, "l0", at, math.MaxInt64)
+			next := firstClaimBetween(claims, "l0", at, math.MaxInt64)
 			if next == nil || next.pid == first.pid {
-				t.Fatalf("nobody took over: %v", all)
+				t.Fatalf("no other process acquired the lease: claims %v", claims)
 			}
-			took := time.Duration(next.begin - at)
-			t.Logf("handed on after %v, the claim before ended %v before", took.Round(time.Millisecond), time.Duration(next.begin-first.end).Round(time.Millisecond))
-			if took < c.least || took > c.most {
-				t.Errorf("handed on after %v, want %v to %v", took, c.least, c.most)
+			delay := time.Duration(next.begin - at)
+			t.Logf("next claim began %v after the event and %v after the end of the previous claim", delay.Round(time.Millisecond), time.Duration(next.begin-first.end).Round(time.Millisecond))
+			if delay < c.minDelay || delay > c.maxDelay {
+				t.Errorf("next claim began %v after the event, want %v to %v", delay, c.minDelay, c.maxDelay)
 			}
 		})
 	}
 }
 
-// While a majority of the voters is dead nobody holds anything beyond its length; once it
-// is back, with what was on its disks, all goes on with higher epochs.
-func TestMajorityKilledAndBack(t *testing.T) {
+// While a majority of the voters is down, a claim must not last longer than the lease length. After
+// the voters have restarted with their logs, claims must have higher epochs.
+func TestLeaseAfterMajorityRestart(t *testing.T) {
 	t.Parallel()
 	const length = 2 * time.Second
-	e := hall(t, 3, 2, 1, length, 20*time.Second, event(6*time.Second, "kill", "p0", "")+event(6*time.Second, "kill", "p1", "")+
+	e := newExperiment(t, 3, 2, 1, length, 20*time.Second, event(6*time.Second, "kill", "p0", "")+event(6*time.Second, "kill", "p1", "")+
 		event(12*time.Second, "start", "p0", "")+event(12*time.Second, "start", "p1", ""))
-	all, begin := playHall(t, e)
-	oneAtATime(t, all)
-	back := begin + int64(12*time.Second)
-	for _, c := range all {
-		if c.begin < back && c.end > begin+int64(6*time.Second+length)+int64(200*time.Millisecond) {
-			t.Errorf("process %d claims it until %v after the majority's end", c.pid, time.Duration(c.end-begin)-6*time.Second)
+	claims, begin := playExperiment(t, e)
+	checkClaims(t, claims)
+	restartAt := begin + int64(12*time.Second)
+	for _, c := range claims {
+		if c.begin < restartAt && c.end > begin+int64(6*time.Second+length)+int64(200*time.Millisecond) {
+			t.Errorf("process %d claims the lease until %v after the majority was killed", c.pid, time.Duration(c.end-begin)-6*time.Second)
 		}
 	}
-	before, after := begunBetween(all, "l0", begin, begin+int64(6*time.Second)), begunBetween(all, "l0", back, math.MaxInt64)
+	before, after := firstClaimBetween(claims, "l0", begin, begin+int64(6*time.Second)), firstClaimBetween(claims, "l0", restartAt, math.MaxInt64)
 	if before == nil || after == nil || after.epoch <= before.epoch {
-		t.Errorf("before %+v, after %+v: want a holder each, with a higher epoch", before, after)
+		t.Errorf("claim before the restart %+v, after it %+v; want both, the second with a higher epoch", before, after)
 	}
 }
 
-// One voter's links are cut and healed every 200 ms: with pre-vote it unseats no leader for
-// long, and the holder keeps its lease all the while.
-func TestFlappingLinkKeepsTheLeader(t *testing.T) {
+// A voter whose links are cut and restored every 200 ms must not disrupt the leader, because of
+// pre-vote, and the holder must keep its lease.
+func TestFlappingLinkKeepsLeader(t *testing.T) {
 	t.Parallel()
 	var events strings.Builder
 	for at := 5 * time.Second; at < 13*time.Second; at += 400 * time.Millisecond {
@@ -306,50 +310,50 @@
 			events.WriteString(event(at, "cut", l, "") + event(at+200*time.Millisecond, "heal", l, ""))
 		}
 	}
-	e := hall(t, 3, 2, 1, 4*time.Second, 16*time.Second, events.String())
-	all, begin := playHall(t, e)
-	oneAtATime(t, all)
-	if c := begunBetween(all, "l0", begin, math.MaxInt64); c == nil || len(all) != 1 || c.end < begin+int64(15*time.Second) {
-		t.Errorf("claims %+v, want one that lasts", all)
+	e := newExperiment(t, 3, 2, 1, 4*time.Second, 16*time.Second, events.String())
+	claims, begin := playExperiment(t, e)
+	checkClaims(t, claims)
+	if c := firstClaimBetween(claims, "l0", begin, math.MaxInt64); c == nil || len(claims) != 1 || c.end < begin+int64(15*time.Second) {
+		t.Errorf("claims %+v, want a single claim that lasts to the end", claims)
 	}
 }
 
-// The program of a holder that is cut off is ended before the claim is, also where it does
-// not heed SIGTERM: its last act lies within the claim.
-func TestLeaseRunEndsItsChild(t *testing.T) {
+// The child of a holder that is disconnected from the voters must be killed before the claim ends,
+// even if it ignores SIGTERM.
+func TestLeaseRunKillsChildBeforeClaimEnds(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	script, acts := filepath.Join(dir, "act"), filepath.Join(dir, "acts")
-	if err := os.WriteFile(script, []byte("trap '' TERM\nwhile :; do read up rest </proc/uptime; echo $LEASE_EPOCH $up >>"+acts+"; sleep 0.05; done\n"), 0o600); err != nil {
+	script, outputPath := filepath.Join(dir, "child.sh"), filepath.Join(dir, "output")
+	if err := os.WriteFile(script, []byte("trap '' TERM\nwhile :; do read up rest </proc/uptime; echo $LEASE_EPOCH $up >>"+outputPath+"; sleep 0.05; done\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	const length = 2 * time.Second
-	e := hallOf(t, 3, 1, 1, length, 12*time.Second, cutOff(3, "both"), "sh "+script)
-	all, begin := playHall(t, e)
-	oneAtATime(t, all)
-	if len(all) == 0 || all[0].begin > begin+int64(6*time.Second) {
-		t.Fatalf("claims %+v", all)
+	e := newExperimentWithCommand(t, 3, 1, 1, length, 12*time.Second, isolationEvents(3, "both"), "sh "+script)
+	claims, begin := playExperiment(t, e)
+	checkClaims(t, claims)
+	if len(claims) == 0 || claims[0].begin > begin+int64(6*time.Second) {
+		t.Fatalf("claims %+v, want the first one to begin within 6 s", claims)
 	}
-	text, err := os.ReadFile(acts)
+	data, err := os.ReadFile(outputPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	last, n := 0.0, 0
-	for _, line := range strings.Split(string(text), "\n") {
+	for _, line := range strings.Split(string(data), "\n") {
 		var epoch uint64
 		var up float64
-		if k, _ := fmt.Sscan(line, &epoch, &up); k == 2 && epoch == all[0].epoch {
+		if k, _ := fmt.Sscan(line, &epoch, &up); k == 2 && epoch == claims[0].epoch {
 			last, n = max(last, up), n+1
 		}
 	}
-	// The file tells hundredths of a second.
-	if late := last - float64(all[0].end)/1e9; n < 20 || late > 0.011 {
-		t.Errorf("%d acts, the last one %.3f s after the claim's end", n, late)
+	// The script writes the uptime with a resolution of 10 ms.
+	if late := last - float64(claims[0].end)/1e9; n < 20 || late > 0.011 {
+		t.Errorf("%d lines of output, the last one %.3f s after the end of the claim; want at least 20 lines and at most 0.011 s", n, late)
 	}
 }
 
-// A voter that has lost its log does not vote under its old number: it says why and ends.
-func TestVoterWithoutItsDisk(t *testing.T) {
+// A voter with a missing or damaged log must exit with an error that names the file.
+func TestVoterRejectsMissingOrDamagedLog(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	file := filepath.Join(dir, "v.toml")
@@ -357,30 +361,31 @@
 		t.Fatal(err)
 	}
 	run := func(args ...string) (string, error) {
-		out, err := exec.Command(programs+"/voter", append(args, "-c", file)...).CombinedOutput()
+		out, err := exec.Command(programDir+"/voter", append(args, "-c", file)...).CombinedOutput()
 		return string(out), err
 	}
-	if out, err := run("run"); err == nil || !strings.Contains(out, "votes/quorum.db: no log") {
-		t.Errorf("without a log: %v %s", err, out)
+	if out, err := run("run"); err == nil || !strings.Contains(out, "votes/quorum.db: log file not found") {
+		t.Errorf("run without a log: error %v, output %s", err, out)
 	}
 	if out, err := run("init"); err != nil {
-		t.Errorf("init: %v %s", err, out)
+		t.Errorf("init: error %v, output %s", err, out)
 	}
-	if out, err := run("init"); err == nil || !strings.Contains(out, "there is a log already") {
-		t.Errorf("init again: %v %s", err, out)
+	if out, err := run("init"); err == nil || !strings.Contains(out, "log file already exists") {
+		t.Errorf("second init: error %v, output %s", err, out)
 	}
-	if err := os.Truncate(filepath.Join(dir, "votes", fileName), 5000); err != nil {
+	if err := os.Truncate(filepath.Join(dir, "votes", dbFileName), 5000); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := run("run"); err == nil || !strings.Contains(out, "quorum.db") || strings.Contains(out, "goroutine") {
-		t.Errorf("with a torn log: %v %s", err, out)
+		t.Errorf("run with a truncated log: error %v, output %s", err, out)
 	}
 }
 
-func cutOff(h int, way string) (all string) {
+// isolationEvents cuts the links from instance h to all voters at 6 s and restores them at 12 s.
+func isolationEvents(h int, direction string) (events string) {
 	for k := range 3 {
 		l := fmt.Sprintf("l-%d-%d", h, k)
-		all += event(6*time.Second, "cut", l, "way = \""+way+"\"") + event(12*time.Second, "heal", l, "")
+		events += event(6*time.Second, "cut", l, "way = \""+direction+"\"") + event(12*time.Second, "heal", l, "")
 	}
-	return all
+	return events
 }
