--- a/cmd/gorselink/demo.go
+++ b/cmd/gorselink/demo.go
@@ -124,7 +124,7 @@
 		}
 		text.WriteString("]\n")
 	}
-	cfg, err := config.ParseProduct("demo", []byte(text.String()))
+	cfg, err := config.ParseDaemon("demo", []byte(text.String()))
 	if err != nil {
 		return err
 	}
--- a/cmd/gorselink/serve.go
+++ b/cmd/gorselink/serve.go
@@ -23,7 +23,7 @@
 // Run serves until the end of the shell's context, and then until all that was
 // taken is answered.
 func (c *serveCommand) Run(s *shell) error {
-	cfg, err := config.LoadProduct(c.Config)
+	cfg, err := config.LoadDaemon(c.Config)
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 			return
 		case <-reload:
 		}
-		cfg, err := config.LoadProduct(path)
+		cfg, err := config.LoadDaemon(path)
 		var changes []string
 		if err == nil {
 			changes, err = d.Apply(cfg)
@@ -80,7 +80,7 @@
 }
 
 // setProcess gives the runtime its part of what the process has.
-func setProcess(cfg *config.Product) {
+func setProcess(cfg *config.Daemon) {
 	if n := cfg.Process.Cores; n > 0 {
 		runtime.GOMAXPROCS(n)
 	}
@@ -103,12 +103,12 @@
 
 // Run tells all that is wrong with the file.
 func (c *checkCommand) Run(s *shell) error {
-	cfg, err := config.LoadProduct(c.File)
+	cfg, err := config.LoadDaemon(c.File)
 	if err == nil {
 		err = cfg.CheckFiles()
 	}
 	if err != nil {
-		var faults tomlfile.Faults
+		var faults tomlfile.Errors
 		if errors.As(err, &faults) {
 			return fmt.Errorf("%w\n%s: %d faults", err, c.File, len(faults))
 		}
--- a/internal/capacity/inputs.go
+++ b/internal/capacity/inputs.go
@@ -123,10 +123,10 @@
 	if err != nil {
 		return err
 	}
-	for _, t := range top.List("fleets") {
+	for _, t := range top.TableList("fleets") {
 		f := Fleet{Name: t.Text("name", ""), Has: map[string]float64{}, May: map[string]float64{}}
 		if f.Name == "" {
-			t.Fault("name", nil, "a name")
+			t.AddError("name", nil, "a name")
 		}
 		for _, d := range dims {
 			f.Has[d.name] = t.Number(d.name, math.NaN(), 0, most)
@@ -136,13 +136,13 @@
 				f.May[b.name] = t.Number(b.name, 0, 0, most)
 			}
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		in.Fleets = append(in.Fleets, f)
 	}
 	if len(in.Fleets) == 0 {
-		top.Wrong("fleets", "", "one fleet at least, [[fleets]]")
+		top.AddErrorAt("fleets", "", "one fleet at least, [[fleets]]")
 	}
-	top.End()
+	top.RejectUnknownKeys()
 	return top.Err()
 }
 
@@ -153,9 +153,9 @@
 		return err
 	}
 	run := top.Table("run")
-	in.Runs = append(in.Runs, Run{Experiment: run.Text("experiment", ""), Command: run.Text("command", ""), Seed: uint64(run.Whole("seed", 0, 0, math.MaxInt64)), Cores: run.Whole("cores", 0, 0, 4096), Faster: run.Number("faster", 0, 0, most)})
-	run.End()
-	for _, t := range top.List("slopes") {
+	in.Runs = append(in.Runs, Run{Experiment: run.Text("experiment", ""), Command: run.Text("command", ""), Seed: uint64(run.Integer("seed", 0, 0, math.MaxInt64)), Cores: run.Integer("cores", 0, 0, 4096), Faster: run.Number("faster", 0, 0, most)})
+	run.RejectUnknownKeys()
+	for _, t := range top.TableList("slopes") {
 		number := func(key string) float64 { return t.Number(key, math.NaN(), -most, most) }
 		s := Slope{By: t.Text("by", ""), Cost: t.Text("cost", ""), At0: number("at0"), Slope: number("slope"), Low: number("low"), High: number("high"),
 			Least: number("least"), Largest: number("largest"), Predicted: number("predicted"), PredLow: number("predicted_low"), PredHigh: number("predicted_high"), Measured: number("measured"), Quiet: number("busy_least"), Busy: number("busy_most"), Base: map[string]float64{}}
@@ -164,25 +164,25 @@
 		for _, d := range []string{"sidecars", "services", "endpoints", "changes"} {
 			s.Base[d] = base.Number(d, 0, 0, most)
 		}
-		base.End()
+		base.RejectUnknownKeys()
 		if math.IsNaN(s.At0 + s.Slope) {
-			t.Fault("slope", nil, "a line: at0 and slope")
+			t.AddError("slope", nil, "a line: at0 and slope")
 		}
 		if in.slope(s.Name) != nil {
-			t.Fault("cost", s.Name, "a slope that no other run has")
+			t.AddError("cost", s.Name, "a slope that no other run has")
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		in.Slopes = append(in.Slopes, s)
 	}
-	for _, t := range top.List("figures") {
+	for _, t := range top.TableList("figures") {
 		f := Figure{t.Text("name", ""), t.Number("value", math.NaN(), -most, most)}
 		if in.figure(f.Name) != nil {
-			t.Fault("name", f.Name, "a name of its own")
+			t.AddError("name", f.Name, "a name of its own")
 		}
 		in.Figures = append(in.Figures, f)
-		t.End()
+		t.RejectUnknownKeys()
 	}
-	top.End()
+	top.RejectUnknownKeys()
 	return top.Err()
 }
 
@@ -192,20 +192,20 @@
 	if err != nil {
 		return err
 	}
-	for _, t := range top.List("roles") {
+	for _, t := range top.TableList("roles") {
 		r := Role{Name: t.Text("name", ""), Carried: t.Text("carried", "None yet"), State: t.Text("state", "")}
-		for _, rt := range t.List("rows") {
+		for _, rt := range t.TableList("rows") {
 			r.Rows = append(r.Rows, in.row(rt))
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		in.Roles = append(in.Roles, r)
 	}
-	top.End()
+	top.RejectUnknownKeys()
 	return top.Err()
 }
 
 func (in *Inputs) row(t *tomlfile.Table) Row {
-	r := Row{What: t.Text("what", ""), Of: t.Text("of", ""), Each: t.Number("each", math.NaN(), -most, most), Over: t.Texts("over"), Times: t.Texts("times"),
+	r := Row{What: t.Text("what", ""), Of: t.Text("of", ""), Each: t.Number("each", math.NaN(), -most, most), Over: t.TextList("over"), Times: t.TextList("times"),
 		Scale: t.Number("scale", 1, -most, most), Bound: t.Text("bound", ""), Fleet: t.Text("fleet", ""), Says: t.Text("says", ""), From: t.Text("from", "")}
 	given := 0
 	for _, is := range []bool{r.Of != "", !math.IsNaN(r.Each), r.Says != ""} {
@@ -214,18 +214,18 @@
 		}
 	}
 	if given != 1 {
-		t.Fault("of", r.Of, "one of of, each and says")
+		t.AddError("of", r.Of, "one of of, each and says")
 	}
 	if r.Of != "" && in.slope(r.Of) == nil && in.figure(r.Of) == nil {
-		t.Fault("of", r.Of, "a slope or a figure that the run has written")
+		t.AddError("of", r.Of, "a slope or a figure that the run has written")
 	}
 	if !math.IsNaN(r.Each) && r.From == "" {
-		t.Fault("from", nil, "where the figure is from")
+		t.AddError("from", nil, "where the figure is from")
 	}
 	known := func(key string, names []string, among []struct{ name, words string }) {
 		for _, n := range names {
 			if !slices.ContainsFunc(among, func(d struct{ name, words string }) bool { return d.name == n }) {
-				t.Fault(key, n, "a key of a fleet")
+				t.AddError(key, n, "a key of a fleet")
 			}
 		}
 	}
@@ -236,13 +236,13 @@
 	if s := in.slope(r.Of); s != nil {
 		for _, o := range r.Over {
 			if s.Base[o] == 0 {
-				t.Fault("over", o, "a dimension of the run's fleet")
+				t.AddError("over", o, "a dimension of the run's fleet")
 			}
 		}
 	} else {
 		known("over", r.Over, dims)
 	}
-	t.End()
+	t.RejectUnknownKeys()
 	return r
 }
 
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -20,7 +20,7 @@
 )
 
 // Config is what one sidecar is told.
-type Config struct {
+type Platform struct {
 	Name      string
 	Listen    string
 	Discovery string
@@ -45,10 +45,10 @@
 
 // Console is where operators call, address:port; fallback unless the file says.
 // It is "" for nowhere.
-func (c *Config) Console(fallback string) string { return cmp.Or(c.console, fallback) }
+func (c *Platform) ConsoleAddress(fallback string) string { return cmp.Or(c.console, fallback) }
 
 // LongestDeadline is the longest time that any request is owed an answer in.
-func (c *Config) LongestDeadline() time.Duration {
+func (c *Platform) LongestDeadline() time.Duration {
 	var d time.Duration
 	for i := range c.Balance.Classes {
 		d = max(d, c.Balance.Classes[i].Deadline)
@@ -76,7 +76,7 @@
 }
 
 // Load reads the configuration file at path. Every error names its key.
-func Load(path string) (*Config, error) {
+func LoadPlatform(path string) (*Platform, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -91,8 +91,8 @@
 // Reload reads the configuration file at path in the place of old. It must have
 // all the settings that old has; those of old's classes are compared with the
 // settings that all of them have, as classes come and go.
-func Reload(path string, old *Config) (*Config, error) {
-	c, err := Load(path)
+func ReloadPlatform(path string, old *Platform) (*Platform, error) {
+	c, err := LoadPlatform(path)
 	if err != nil {
 		return nil, err
 	}
@@ -124,10 +124,10 @@
 	return false
 }
 
-func (c *Config) has(key string) bool { _, ok := c.values[key]; return ok }
+func (c *Platform) has(key string) bool { _, ok := c.values[key]; return ok }
 
 // classKeys are the keys that all classes have.
-func (c *Config) classKeys() (keys []string) {
+func (c *Platform) classKeys() (keys []string) {
 	for _, key := range slices.Sorted(maps.Keys(c.values)) {
 		key, first := strings.CutPrefix(key, classList+"0.")
 		for i := range len(c.Balance.Classes) {
@@ -141,12 +141,12 @@
 }
 
 // Parse reads the text of a configuration file.
-func Parse(text []byte) (*Config, error) {
+func Parse(text []byte) (*Platform, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, console: f.Console, Limits: f.Limits}
+	c := &Platform{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, console: f.Console, Limits: f.Limits}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q, want a hexadecimal number of 64 bits", f.Seed)
@@ -165,7 +165,7 @@
 	return c, c.settings(f.Settings)
 }
 
-func (c *Config) check() error {
+func (c *Platform) check() error {
 	switch {
 	case c.Name == "":
 		return errors.New("name: missing")
@@ -189,7 +189,7 @@
 }
 
 // settings reads the settings, which have the names of the simulator's wire.
-func (c *Config) settings(tree map[string]json.RawMessage) error {
+func (c *Platform) settings(tree map[string]json.RawMessage) error {
 	values := map[string]string{}
 	for key, value := range tree {
 		if err := flatten(values, key, value); err != nil {
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -80,7 +80,7 @@
 	if _, err := Parse([]byte(sound[:len(sound)/2])); err == nil {
 		t.Error("half a file was taken")
 	}
-	if _, err := Load(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(err) && !strings.Contains(err.Error(), "none") {
+	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(err) && !strings.Contains(err.Error(), "none") {
 		t.Errorf("a missing file: %v", err)
 	}
 }
--- a/internal/config/product_test.go
+++ b/internal/config/product_test.go
@@ -29,21 +29,21 @@
 
 // Ten lines are a working file: every default works.
 func TestTenLinesAreAFile(t *testing.T) {
-	c, err := ParseProduct("x.toml", []byte(tenLines))
+	c, err := ParseDaemon("x.toml", []byte(tenLines))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := c.Pools[0]
-	if p.Connections < 100 || p.Requests < 100 || p.Requests > p.Connections || p.MaxBody != 1<<20 || p.MaxAnswer != 1<<20 || len(p.Nodes.Fixed) != 2 {
+	if p.Connections < 100 || p.Requests < 100 || p.Requests > p.Connections || p.MaxBody != 1<<20 || p.MaxResponse != 1<<20 || len(p.NodeSource.Fixed) != 2 {
 		t.Errorf("pool %+v", p)
 	}
-	if l := c.Listeners[0]; l.Form != Ordinary || l.Connections <= p.Requests {
+	if l := c.Listeners[0]; l.Form != FormOrdinary || l.Connections <= p.Requests {
 		t.Errorf("listener %+v with %d requests", l, p.Requests)
 	}
 	if k := c.Class("default"); k == nil || !k.ByMethod || k.Deadline != 10*time.Second || k.Worth != 1 {
 		t.Errorf("class %+v", k)
 	}
-	table, err := c.Table("public")
+	table, err := c.RoutingTable("public")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 // value in it that says so is left out without a difference.
 func TestExampleIsGood(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "gorselink.toml")
-	c, err := LoadProduct(path)
+	c, err := LoadDaemon(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	if left < 20 {
 		t.Errorf("only %d values of the example are said to be defaults", left)
 	}
-	without, err := ParseProduct(path, []byte(strings.Join(kept, "")))
+	without, err := ParseDaemon(path, []byte(strings.Join(kept, "")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,8 +194,8 @@
 		`70: routes[4].methods: found an empty list`,
 		`routes[4].pool: missing, want the name of a pool`,
 	}
-	_, err := ParseProduct("x.toml", []byte(text))
-	var faults tomlfile.Faults
+	_, err := ParseDaemon("x.toml", []byte(text))
+	var faults tomlfile.Errors
 	if !errors.As(err, &faults) {
 		t.Fatalf("error %v", err)
 	}
@@ -220,7 +220,7 @@
 		"routes = 3\n":         "x.toml:1: routes: found 3, want a list of tables",
 		"[process]\nseed = 12": `process.seed: found 12`,
 	} {
-		_, err := ParseProduct("x.toml", []byte(text))
+		_, err := ParseDaemon("x.toml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: error %v, want %q in it", text, err, want)
 		}
@@ -236,7 +236,7 @@
 	pool := func(name, more string) string {
 		return "\n[pools." + name + "]\nnodes = [\"127.0.0.1:9\"]\n" + more + "\n"
 	}
-	c, err := ParseProduct("x.toml", []byte(file("descriptors = 1032\nmemory = \"120 MiB\"",
+	c, err := ParseDaemon("x.toml", []byte(file("descriptors = 1032\nmemory = \"120 MiB\"",
 		pool("a", "connections = 100\nrequests = 30\nmemory = \"30 MiB\"\nmax_body = \"64 KiB\"")+pool("b", "share = 2")+pool("c", ""))))
 	if err != nil {
 		t.Fatal(err)
@@ -260,7 +260,7 @@
 		"more connections than there is": {file("descriptors = 232", pool("a", "connections = 101")), "connections that take 101 of 100"},
 		"more requests than callers":     {file("descriptors = 232", pool("a", "requests = 81\nconnections = 90")), "requests that take 81 of 80"},
 	} {
-		_, err := ParseProduct("x.toml", []byte(f.text))
+		_, err := ParseDaemon("x.toml", []byte(f.text))
 		if err == nil || !strings.Contains(err.Error(), f.want) {
 			t.Errorf("%s: error %v, want %q in it", name, err, f.want)
 		}
@@ -268,7 +268,7 @@
 }
 
 func TestClassesAreRead(t *testing.T) {
-	c, err := ParseProduct("x.toml", []byte(tenLines+`
+	c, err := ParseDaemon("x.toml", []byte(tenLines+`
 [classes.payment]
 semantics = "keyed"
 key_scope = "zone"
@@ -296,7 +296,7 @@
 	f.Add("[[routes]]\npool=\"a\"\n[routes.x]\n[[routes.x.y]]\nz=[1,[2]]\n")
 	f.Add("listeners = [{a=1}]\npools={a={nodes=[\"1\"]}}")
 	f.Fuzz(func(t *testing.T, text string) {
-		if c, err := ParseProduct("x.toml", []byte(text)); (c == nil) != (err != nil) {
+		if c, err := ParseDaemon("x.toml", []byte(text)); (c == nil) != (err != nil) {
 			t.Errorf("%q: %v, %v", text, c, err)
 		}
 	})
--- a/internal/config/quorum.go
+++ b/internal/config/quorum.go
@@ -49,44 +49,44 @@
 		return nil, err
 	}
 	if !top.Has("quorum") {
-		top.Wrong("quorum", "", "a table [quorum]")
+		top.AddErrorAt("quorum", "", "a table [quorum]")
 	}
 	t := top.Table("quorum")
-	q := &Quorum{Cluster: t.Text("cluster", ""), ID: t.Whole("id", 0, 1, 1<<31), Listen: t.Text("listen", ""), Dir: t.Text("dir", "")}
-	q.Tick = t.Time("tick", defaultTick, 10*time.Millisecond)
-	if !tomlfile.GoodName(q.Cluster) {
-		t.Fault("cluster", q.Cluster, "a name of letters, digits, - and _, 64 at most")
+	q := &Quorum{Cluster: t.Text("cluster", ""), ID: t.Integer("id", 0, 1, 1<<31), Listen: t.Text("listen", ""), Dir: t.Text("dir", "")}
+	q.Tick = t.Duration("tick", defaultTick, 10*time.Millisecond)
+	if !tomlfile.ValidName(q.Cluster) {
+		t.AddError("cluster", q.Cluster, "a name of letters, digits, - and _, 64 at most")
 	}
 	seen, addresses := map[int]bool{}, map[string]bool{}
-	for _, v := range t.List("voters") {
-		id, address := v.Whole("id", 0, 1, 1<<31), v.Text("address", "")
+	for _, v := range t.TableList("voters") {
+		id, address := v.Integer("id", 0, 1, 1<<31), v.Text("address", "")
 		if id == 0 || seen[id] {
-			v.Wrong(v.At("id"), tomlfile.Show(int64(id)), "a number from 1 that no other voter has or had")
+			v.AddErrorAt(v.KeyPath("id"), tomlfile.FormatValue(int64(id)), "a number from 1 that no other voter has or had")
 		}
 		if _, _, err := net.SplitHostPort(address); err != nil || addresses[address] {
-			v.Fault("address", address, "address:port, each once")
+			v.AddError("address", address, "address:port, each once")
 		}
 		seen[id], addresses[address] = true, true
-		v.End()
+		v.RejectUnknownKeys()
 		q.Voters = append(q.Voters, QuorumVoter{id, address})
 	}
 	switch n := len(q.Voters); {
 	case n == 0 || n > mostVoters:
-		t.Wrong(t.At("voters"), fmt.Sprintf("%d of them", n), fmt.Sprintf("1 to %d, [[quorum.voters]]", mostVoters))
+		t.AddErrorAt(t.KeyPath("voters"), fmt.Sprintf("%d of them", n), fmt.Sprintf("1 to %d, [[quorum.voters]]", mostVoters))
 	case n%2 == 0:
 		q.Warnings = append(q.Warnings, fmt.Sprintf("%s: quorum.voters: %d of them bear the loss of no more than %d would", file, n, n-1))
 	}
 	if q.ID != 0 {
 		if !seen[q.ID] {
-			t.Fault("id", int64(q.ID), "one of the voters")
+			t.AddError("id", int64(q.ID), "one of the voters")
 		}
 		if q.Dir == "" {
-			t.Wrong(t.At("dir"), "", "the folder of this voter's log")
+			t.AddErrorAt(t.KeyPath("dir"), "", "the folder of this voter's log")
 		} else if !filepath.IsAbs(q.Dir) {
 			q.Dir = filepath.Join(filepath.Dir(file), q.Dir)
 		}
 	}
-	t.End()
+	t.RejectUnknownKeys()
 	if err := top.Err(); err != nil {
 		return nil, err
 	}
--- a/internal/daemon/apply.go
+++ b/internal/daemon/apply.go
@@ -20,7 +20,7 @@
 // makes all that is new beside the old and can fail; commit cannot.
 type plan struct {
 	d        *Daemon
-	cfg      *config.Product
+	cfg      *config.Daemon
 	services map[string]*service
 	fresh    []*service // of services, made by this plan
 	replaced map[string]*service
@@ -30,7 +30,7 @@
 	changes  []string
 }
 
-func newPlan(d *Daemon, cfg *config.Product) *plan {
+func newPlan(d *Daemon, cfg *config.Daemon) *plan {
 	return &plan{d: d, cfg: cfg, services: map[string]*service{}, replaced: map[string]*service{}, tables: map[string]*httpfront.Table{}}
 }
 
@@ -84,9 +84,9 @@
 // end, takes over its door: there is no moment without one.
 func (p *plan) open(c *config.Listener, t *httpfront.Table) error {
 	l := &listener{cfg: *c}
-	l.judge = httpfront.NewTableRouter(t, c.Form == config.Strict, c.ClassHeader, p.d.keys, p.d.ids)
-	l.callers = httpfront.NewServer(l.judge, c.Connections, httpfront.Timeouts{Hello: c.Hello, Request: c.Request, Idle: c.Idle})
-	l.callers.ForwardCallerIP = c.Form == config.Ordinary
+	l.judge = httpfront.NewTableRouter(t, c.Form == config.FormPlatform, c.ClassHeader, p.d.keys, p.d.ids)
+	l.callers = httpfront.NewServer(l.judge, c.Connections, httpfront.Timeouts{Hello: c.HelloTimeout, Request: c.RequestTimeout, Idle: c.IdleTimeout})
+	l.callers.ForwardCallerIP = c.Form == config.FormOrdinary
 	if old := p.holds(c); old != nil {
 		l.door, l.takesOver = old.door, true
 	} else {
@@ -128,7 +128,7 @@
 		p.services[c.Name] = old
 		return nil
 	}
-	known := c.Nodes.Known()
+	known := c.NodeSource.InitialList()
 	var conns *upstream.Pool
 	var ages *pool.Ages
 	if old != nil && sameConns(&old.cfg, c) {
@@ -144,7 +144,7 @@
 		Balance: balancing(p.cfg, c),
 		OwnZone: c.Zone,
 		Known:   known,
-		Source:  c.Nodes.Open(),
+		Source:  c.NodeSource.NewSource(),
 		Limits:  limits(c),
 		Ages:    ages,
 	}, conns)
@@ -172,17 +172,17 @@
 // sameBalance tells whether what differs between a and b can be changed while
 // the pool serves.
 func sameBalance(a, b *config.Pool) bool {
-	return a.Zone == b.Zone && a.PreferZone == b.PreferZone && a.Attempts == b.Attempts &&
+	return a.Zone == b.Zone && a.PreferOwnZone == b.PreferOwnZone && a.Attempts == b.Attempts &&
 		a.WarmUp == b.WarmUp && a.ColdShare == b.ColdShare && sameConns(a, b)
 }
 
 func sameConns(a, b *config.Pool) bool {
 	return a.ConnectTimeout == b.ConnectTimeout && a.IdleTimeout == b.IdleTimeout &&
-		a.AnswerTime == b.AnswerTime && a.MaxAnswer == b.MaxAnswer
+		a.ResponseStallTimeout == b.ResponseStallTimeout && a.MaxResponse == b.MaxResponse
 }
 
 func limits(c *config.Pool) pool.Limits {
-	return pool.Limits{Requests: c.Requests, BodyBytes: c.Memory / config.BodyShare}
+	return pool.Limits{Requests: c.Requests, BodyBytes: c.Memory / config.RequestBodyMemoryDivisor}
 }
 
 // zonePrice makes a node of another zone read twice as slow.
@@ -192,7 +192,7 @@
 const overloadFor = 3 * time.Second
 
 // balancing is what the Balancer of a pool is told.
-func balancing(cfg *config.Product, c *config.Pool) balance.Config {
+func balancing(cfg *config.Daemon, c *config.Pool) balance.Config {
 	b := balance.Config{
 		Index:           cfg.Process.Instance,
 		Instances:       cfg.Process.Instances,
@@ -204,7 +204,7 @@
 		IdleConnTimeout: c.IdleTimeout,
 		Multiplex:       1,
 	}
-	if c.PreferZone {
+	if c.PreferOwnZone {
 		b.CrossZonePrice = zonePrice
 	}
 	for _, r := range cfg.Routes {
@@ -239,7 +239,7 @@
 
 // table makes the routing table of a listener.
 func (p *plan) table(name string) (*httpfront.Table, error) {
-	routes, err := p.cfg.Table(name)
+	routes, err := p.cfg.RoutingTable(name)
 	if err != nil {
 		return nil, fmt.Errorf("listeners.%s: %w", name, err)
 	}
@@ -277,7 +277,7 @@
 func (p *plan) namesClasses(listener string) bool {
 	for _, l := range p.cfg.Listeners {
 		if l.Name == listener {
-			return l.Form == config.Strict || l.ClassHeader != ""
+			return l.Form == config.FormPlatform || l.ClassHeader != ""
 		}
 	}
 	return false
@@ -362,14 +362,14 @@
 		} else {
 			p.say("pool %s: starts anew, the old one drains", name)
 			old.sharing = next.pool.Conns() == old.pool.Conns()
-			old.pool.SetSource(next.cfg.Nodes.Open()) // it must hear of drains to the end
+			old.pool.SetSource(next.cfg.NodeSource.NewSource()) // it must hear of drains to the end
 		}
 		left = append(left, old)
 	}
 	d.retired = append(d.retired, left...)
 	for _, s := range p.fresh {
 		if p.replaced[s.cfg.Name] == nil {
-			p.say("pool %s: new, %s", s.cfg.Name, &s.cfg.Nodes)
+			p.say("pool %s: new, %s", s.cfg.Name, &s.cfg.NodeSource)
 		}
 		var ctx context.Context
 		ctx, s.cancel = context.WithCancel(d.ctx)
@@ -394,7 +394,7 @@
 		{"connections", old.Connections, c.Connections},
 		{"bytes of memory", old.Memory, c.Memory},
 		{"bytes of the longest body", old.MaxBody, c.MaxBody},
-		{"nodes from", old.Nodes.String(), c.Nodes.String()},
+		{"nodes from", old.NodeSource.String(), c.NodeSource.String()},
 	} {
 		if n.had != n.has {
 			p.say("pool %s: %s %v, had %v", c.Name, n.what, n.has, n.had)
@@ -402,10 +402,10 @@
 	}
 	s.pool.SetLimits(limits(c))
 	if old.Memory != c.Memory {
-		s.pool.Conns().SetLimits(s.pool.Conns().MaxConns(), c.Memory/config.LargeShare)
+		s.pool.Conns().SetLimits(s.pool.Conns().MaxConns(), c.Memory/config.LargeResponseMemoryDivisor)
 	}
-	if old.Nodes.String() != c.Nodes.String() {
-		s.pool.SetSource(c.Nodes.Open())
+	if old.NodeSource.String() != c.NodeSource.String() {
+		s.pool.SetSource(c.NodeSource.NewSource())
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,7 +29,7 @@
 	ids    *httpfront.SeenIDs
 
 	mu        sync.Mutex
-	cfg       *config.Product // the one in force
+	cfg       *config.Daemon // the one in force
 	services  map[string]*service
 	retired   []*service
 	listeners map[string]*listener
@@ -59,14 +59,14 @@
 }
 
 // Start serves by cfg. With an error nothing is left running.
-func Start(cfg *config.Product) (*Daemon, error) {
+func Start(cfg *config.Daemon) (*Daemon, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{
 		ctx:       ctx,
 		cancel:    cancel,
 		keys:      httpfront.NewKeyBindings(keySpan(cfg)),
 		ids:       httpfront.NewSeenIDs(cfg.LongestDeadline()),
-		cfg:       &config.Product{},
+		cfg:       &config.Daemon{},
 		services:  map[string]*service{},
 		listeners: map[string]*listener{},
 	}
@@ -104,7 +104,7 @@
 }
 
 // keySpan is the longest time that nodes remember a key.
-func keySpan(cfg *config.Product) (span time.Duration) {
+func keySpan(cfg *config.Daemon) (span time.Duration) {
 	for i := range cfg.Classes {
 		if c := &cfg.Classes[i]; c.ByMethod || c.Semantics == balance.Keyed {
 			span = max(span, c.DeduplicationWindow)
@@ -116,7 +116,7 @@
 // Apply makes cfg the configuration in force, as a whole or, with an error, not
 // at all. It tells what has changed. Requests that are open end in the pool
 // that took them.
-func (d *Daemon) Apply(cfg *config.Product) (changes []string, err error) {
+func (d *Daemon) Apply(cfg *config.Daemon) (changes []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
@@ -197,7 +197,7 @@
 			most = max(has, most-(over*more+grown-1)/grown)
 		}
 		if most != has {
-			s.pool.Conns().SetLimits(most, s.cfg.Memory/config.LargeShare)
+			s.pool.Conns().SetLimits(most, s.cfg.Memory/config.LargeResponseMemoryDivisor)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 
 // seedOf is the seed of a pool's draws: all pools differ, and a seed in the
 // file makes them the same at each start.
-func seedOf(cfg *config.Product, name string) uint64 {
+func seedOf(cfg *config.Daemon, name string) uint64 {
 	if cfg.Process.Seed == 0 {
 		return rand.Uint64()
 	}
@@ -263,9 +263,9 @@
 		DialTimeout:          p.ConnectTimeout,
 		IdleTimeout:          p.IdleTimeout,
 		MaxConns:             bound,
-		LargeResponseBytes:   p.Memory / config.LargeShare,
-		MaxResponseBytes:     int(p.MaxAnswer),
-		ResponseStallTimeout: p.AnswerTime,
+		LargeResponseBytes:   p.Memory / config.LargeResponseMemoryDivisor,
+		MaxResponseBytes:     int(p.MaxResponse),
+		ResponseStallTimeout: p.ResponseStallTimeout,
 		PassThroughStatus:    true,
 	})
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -84,7 +84,7 @@
 	broken := 0
 	for i := 1; i <= reloads; i++ {
 		if i%10 == 0 {
-			if _, err := config.ParseProduct("x", []byte(file(i)+"[[routes]]\npool = \"none\"\n")); err == nil {
+			if _, err := config.ParseDaemon("x", []byte(file(i)+"[[routes]]\npool = \"none\"\n")); err == nil {
 				t.Fatal("a broken file was taken")
 			}
 			// And one that is whole, but names an address that is in use.
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -70,9 +70,9 @@
 	return fmt.Sprintf("[[routes]]\nhost = %q\npool = %q\n", host, pool)
 }
 
-func parse(t testing.TB, text ...string) *config.Product {
+func parse(t testing.TB, text ...string) *config.Daemon {
 	t.Helper()
-	cfg, err := config.ParseProduct("test.toml", []byte(strings.Join(text, "")))
+	cfg, err := config.ParseDaemon("test.toml", []byte(strings.Join(text, "")))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/http/routed.go
+++ b/internal/front/http/routed.go
@@ -116,11 +116,11 @@
 	}
 	var host, port string
 	if name != "" || req.Minor > 0 { // Host is optional in HTTP/1.0
-		if host, port, err = route.Host(name); err != nil {
+		if host, port, err = route.NormalizeHost(name); err != nil {
 			return rejection(http.StatusBadRequest, err)
 		}
 	}
-	path, query, err := route.Target(uri)
+	path, query, err := route.NormalizeTarget(uri)
 	if err != nil {
 		return rejection(http.StatusBadRequest, err)
 	}
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -41,7 +41,7 @@
 	if runs {
 		return fmt.Errorf("sidecar %d: runs already", number)
 	}
-	cfg, err := config.LoadProduct(path)
+	cfg, err := config.LoadDaemon(path)
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", number, err)
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func poolNames(cfg *config.Product) (names []string) {
+func poolNames(cfg *config.Daemon) (names []string) {
 	for i := range cfg.Pools {
 		names = append(names, cfg.Pools[i].Name)
 	}
@@ -87,7 +87,7 @@
 	if s == nil {
 		return nil, fmt.Errorf("sidecar %d: does not run", number)
 	}
-	cfg, err := config.LoadProduct(s.path)
+	cfg, err := config.LoadDaemon(s.path)
 	if err == nil {
 		changes, err = s.d.Apply(cfg)
 	}
--- a/internal/proving/beside.go
+++ b/internal/proving/beside.go
@@ -26,11 +26,11 @@
 
 func beside(t *tomlfile.Table, one Size) *Beside {
 	one.Services, one.Changes = 150, 3000
-	b := &Beside{Size: size(t, one), Rate: t.Number("rate", 300, 1, 1e5), Pairs: t.Whole("pairs", 8, 1, 100), Window: t.Time("window", 2*time.Second, 100*time.Millisecond)}
+	b := &Beside{Size: size(t, one), Rate: t.Number("rate", 300, 1, 1e5), Pairs: t.Integer("pairs", 8, 1, 100), Window: t.Duration("window", 2*time.Second, 100*time.Millisecond)}
 	if b.Size.Sidecars != 1 {
-		t.Fault("sidecars", b.Size.Sidecars, "one")
+		t.AddError("sidecars", b.Size.Sidecars, "one")
 	}
-	t.End()
+	t.RejectUnknownKeys()
 	return b
 }
 
--- a/internal/proving/chain.go
+++ b/internal/proving/chain.go
@@ -36,11 +36,11 @@
 
 func chains(t *tomlfile.Table) *Chains {
 	c := &Chains{
-		Rate: t.Number("rate", 40, 1, 1000), Nodes: t.Whole("nodes", 3, 1, 20), Work: t.Time("work", 2*time.Millisecond, 0), Queue: t.Whole("queue", 4, 0, 1000),
-		Calm: t.Time("calm", 4*time.Second, time.Millisecond), Trouble: t.Time("trouble", 3*time.Second, time.Millisecond),
-		Gap: t.Time("gap", 5*time.Second, 0), After: t.Time("after", 3*time.Second, time.Millisecond),
+		Rate: t.Number("rate", 40, 1, 1000), Nodes: t.Integer("nodes", 3, 1, 20), Work: t.Duration("work", 2*time.Millisecond, 0), Queue: t.Integer("queue", 4, 0, 1000),
+		Calm: t.Duration("calm", 4*time.Second, time.Millisecond), Trouble: t.Duration("trouble", 3*time.Second, time.Millisecond),
+		Gap: t.Duration("gap", 5*time.Second, 0), After: t.Duration("after", 3*time.Second, time.Millisecond),
 	}
-	t.End()
+	t.RejectUnknownKeys()
 	return c
 }
 
--- a/internal/proving/experiment.go
+++ b/internal/proving/experiment.go
@@ -169,21 +169,21 @@
 	}
 	e := &Experiment{groups: map[string]int{}, links: map[string]int{}}
 	e.Name = top.Text("name", strings.TrimSuffix(filepath.Base(file), ".toml"))
-	e.Seed = uint64(top.Whole("seed", 1, 0, math.MaxInt64))
-	e.Step = top.Time("step", 500*time.Millisecond, 10*time.Millisecond)
-	e.Conns = top.Whole("connections", defaultConns, 1, 20000)
+	e.Seed = uint64(top.Integer("seed", 1, 0, math.MaxInt64))
+	e.Step = top.Duration("step", 500*time.Millisecond, 10*time.Millisecond)
+	e.Conns = top.Integer("connections", defaultConns, 1, 20000)
 	e.instances(top.Table("instances"), filepath.Dir(file))
 	e.nodes(top.Table("nodes"))
 	e.streams(top)
 	e.allGroups(top)
 	if a := e.Nodes.Absent; a != "" && e.group(a, KindNodes) == nil {
-		top.Wrong("nodes.absent", tomlfile.Show(a), "a group of nodes")
+		top.AddErrorAt("nodes.absent", tomlfile.FormatValue(a), "a group of nodes")
 	}
 	e.allLinks(top)
 	e.events(top)
 	e.windows(top)
 	e.wants(top)
-	top.End()
+	top.RejectUnknownKeys()
 	if err := top.Err(); err != nil {
 		return nil, err
 	}
@@ -192,31 +192,31 @@
 
 func (e *Experiment) instances(t *tomlfile.Table, dir string) {
 	n := &e.Instances
-	n.Count = t.Whole("count", 1, 1, mostInstances)
+	n.Count = t.Integer("count", 1, 1, mostInstances)
 	if n.Program = t.Text("program", ""); n.Program != "" && !filepath.IsAbs(n.Program) {
 		n.Program = filepath.Join(dir, n.Program)
 	}
-	if n.Arguments = t.Texts("arguments"); n.Arguments == nil {
+	if n.Arguments = t.TextList("arguments"); n.Arguments == nil {
 		n.Arguments = []string{"serve", "--config", "{{.Config}}"}
 	}
 	n.Config = t.Text("config", defaultConfig)
-	if n.Ports = t.Texts("ports"); len(n.Ports) == 0 {
+	if n.Ports = t.TextList("ports"); len(n.Ports) == 0 {
 		n.Ports = []string{"front"}
 	}
 	seen := map[string]bool{}
 	for i, p := range n.Ports {
-		if seen[p] || !tomlfile.GoodName(p) || i >= portsEach {
-			t.Wrong(tomlfile.Index(t.At("ports"), i), tomlfile.Show(p), fmt.Sprintf("a name, each once, %d at most", portsEach))
+		if seen[p] || !tomlfile.ValidName(p) || i >= portsEach {
+			t.AddErrorAt(tomlfile.ElementPath(t.KeyPath("ports"), i), tomlfile.FormatValue(p), fmt.Sprintf("a name, each once, %d at most", portsEach))
 		}
 		seen[p] = true
 	}
 	n.Ready = t.Text("ready", "/")
 	if n.Ready != "none" && !strings.HasPrefix(n.Ready, "/") {
-		t.Fault("ready", n.Ready, "a path, or none for processes that nobody calls")
+		t.AddError("ready", n.Ready, "a path, or none for processes that nobody calls")
 	}
-	n.Within = t.Time("ready_within", 20*time.Second, time.Millisecond)
-	n.Drain = t.Time("drain", 20*time.Second, time.Millisecond)
-	n.Heavy = t.Whole("heavy", 0, 0, n.Count)
+	n.Within = t.Duration("ready_within", 20*time.Second, time.Millisecond)
+	n.Drain = t.Duration("drain", 20*time.Second, time.Millisecond)
+	n.Heavy = t.Integer("heavy", 0, 0, n.Count)
 	n.Weight = t.Number("weight", 1, 0.001, 1000)
 	// A template is tried on a place like the real ones: what it names and there is
 	// not is told now, not by the hundredth process.
@@ -227,15 +227,15 @@
 			err = tm.Execute(new(strings.Builder), like)
 		}
 		if err != nil {
-			t.Wrong(path, "a template with a fault ("+strings.TrimPrefix(err.Error(), "template: ")+")", "a text of text/template")
+			t.AddErrorAt(path, "a template with a fault ("+strings.TrimPrefix(err.Error(), "template: ")+")", "a text of text/template")
 		}
 		return tm
 	}
-	n.config = try(t.At("config"), n.Config)
+	n.config = try(t.KeyPath("config"), n.Config)
 	for i, a := range n.Arguments {
-		n.arguments = append(n.arguments, try(tomlfile.Index(t.At("arguments"), i), a))
+		n.arguments = append(n.arguments, try(tomlfile.ElementPath(t.KeyPath("arguments"), i), a))
 	}
-	t.End()
+	t.RejectUnknownKeys()
 }
 
 // defaultConfig is a file of gorselink serve with one pool of all nodes.
@@ -257,49 +257,49 @@
 
 func (e *Experiment) nodes(t *tomlfile.Table) {
 	n := &e.Nodes
-	n.Count = t.Whole("count", 1, 1, mostNodes)
-	n.Cores = t.Whole("cores", 4, 1, 1024)
-	n.Work = t.Time("work", 12*time.Millisecond, 0)
+	n.Count = t.Integer("count", 1, 1, mostNodes)
+	n.Cores = t.Integer("cores", 4, 1, 1024)
+	n.Work = t.Duration("work", 12*time.Millisecond, 0)
 	n.Even = t.OneOf("spread", "exponential", "exponential", "none") == "none"
-	n.Queue = t.Whole("queue", 0, 0, 1<<20)
-	n.Warm = t.Time("warm", 0, 0)
+	n.Queue = t.Integer("queue", 0, 0, 1<<20)
+	n.Warm = t.Duration("warm", 0, 0)
 	n.Cold = t.Number("cold_share", 0.1, 0.001, 1)
-	n.Drain = t.Time("drain", time.Second, 0)
+	n.Drain = t.Duration("drain", time.Second, 0)
 	n.Absent = t.Text("absent", "")
-	t.End()
+	t.RejectUnknownKeys()
 }
 
 func (e *Experiment) streams(top *tomlfile.Table) {
 	names := map[string]bool{}
-	for i, t := range top.List("streams") {
+	for i, t := range top.TableList("streams") {
 		s := traffic.Stream{
 			Name: t.Text("name", fmt.Sprintf("stream-%d", i+1)), Method: t.Text("method", "GET"), Host: t.Text("host", "proving"), Path: t.Text("path", "/"),
-			Class: t.Text("class", ""), Body: t.Whole("body", 0, 0, 1<<20), Keyed: t.Flag("keyed", false), Budget: t.Time("budget", defaultBudget, time.Millisecond), Skew: 1,
+			Class: t.Text("class", ""), Body: t.Integer("body", 0, 0, 1<<20), Keyed: t.Bool("keyed", false), Budget: t.Duration("budget", defaultBudget, time.Millisecond), Skew: 1,
 		}
 		if names[s.Name] {
-			t.Fault("name", s.Name, "a name of its own")
+			t.AddError("name", s.Name, "a name of its own")
 		}
 		names[s.Name] = true
 		shape := t.Text("shape", "hold 100 10s")
 		var err error
 		if s.Shape, err = traffic.ParseShape(shape); err != nil {
-			t.Fault("shape", shape, "a shape of gorselink load: "+err.Error())
+			t.AddError("shape", shape, "a shape of gorselink load: "+err.Error())
 		} else if e.Span = max(e.Span, s.Shape.Span()); e.Span > longestSpan {
-			t.Fault("shape", shape, "an hour at most")
+			t.AddError("shape", shape, "an hour at most")
 		}
 		s.Pattern, _ = traffic.ParsePattern(t.OneOf("arrivals", "poisson", "poisson", "even"))
 		if err := s.Check(); err != nil {
-			t.Fault("path", s.Path, err.Error())
+			t.AddError("path", s.Path, err.Error())
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		e.Streams = append(e.Streams, s)
 	}
-	if span := top.Time("span", 0, time.Second); len(e.Streams) == 0 {
+	if span := top.Duration("span", 0, time.Second); len(e.Streams) == 0 {
 		if e.Span = span; span == 0 {
-			top.Wrong("streams", "", "one stream at least, [[streams]], or a span without callers")
+			top.AddErrorAt("streams", "", "one stream at least, [[streams]], or a span without callers")
 		}
 	} else if span != 0 {
-		top.Fault("span", span, "no such key beside streams: they say how long it is")
+		top.AddError("span", span, "no such key beside streams: they say how long it is")
 	}
 }
 
@@ -326,17 +326,17 @@
 		}
 		add(g)
 	}
-	for _, t := range top.List("groups") {
+	for _, t := range top.TableList("groups") {
 		g := Group{Name: t.Text("name", ""), Of: Kind(t.OneOf("of", "nodes", "nodes", "instances"))}
-		if _, taken := e.groups[g.Name]; taken || !tomlfile.GoodName(g.Name) {
-			t.Fault("name", g.Name, "a name of letters, digits, - and _ that no other group has")
+		if _, taken := e.groups[g.Name]; taken || !tomlfile.ValidName(g.Name) {
+			t.AddError("name", g.Name, "a name of letters, digits, - and _ that no other group has")
 		}
 		n := e.count(g.Of)
-		every, from := t.Whole("every", 1, 1, n), t.Whole("from", 0, 0, n-1)
-		for most := t.Whole("members", n, 1, n); from < n && len(g.Members) < most; from += every {
+		every, from := t.Integer("every", 1, 1, n), t.Integer("from", 0, 0, n-1)
+		for most := t.Integer("members", n, 1, n); from < n && len(g.Members) < most; from += every {
 			g.Members = append(g.Members, from)
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		add(g)
 	}
 }
@@ -351,28 +351,28 @@
 
 func (e *Experiment) allLinks(top *tomlfile.Table) {
 	paths := 0
-	for _, t := range top.List("links") {
+	for _, t := range top.TableList("links") {
 		l := Link{Name: t.Text("name", ""), From: t.Text("from", ""), To: t.Text("to", ""), Weather: weather(t)}
 		_, taken := e.links[l.Name]
-		if _, group := e.groups[l.Name]; taken || group || !tomlfile.GoodName(l.Name) {
-			t.Fault("name", l.Name, "a name of letters, digits, - and _ that no other link or group has")
+		if _, group := e.groups[l.Name]; taken || group || !tomlfile.ValidName(l.Name) {
+			t.AddError("name", l.Name, "a name of letters, digits, - and _ that no other link or group has")
 		}
 		from, to := e.group(l.From, KindCallers, KindInstances), e.group(l.To, KindInstances, KindNodes)
 		switch {
 		case from == nil:
-			t.Fault("from", l.From, "callers or a group of instances")
+			t.AddError("from", l.From, "callers or a group of instances")
 		case to == nil || from.Of == KindCallers && to.Of == KindNodes:
-			t.Fault("to", l.To, "a group of instances, or of nodes where from is one of instances")
+			t.AddError("to", l.To, "a group of instances, or of nodes where from is one of instances")
 		default:
 			each := 1
 			if from.Of == KindInstances && to.Of == KindInstances {
 				each = 2 * len(e.Instances.Ports)
 			}
 			if paths += len(from.Members) * len(to.Members) * each; paths > mostPaths {
-				t.Fault("from", l.From, fmt.Sprintf("%d ways at most over all links, each is a listener of its own: smaller groups", mostPaths))
+				t.AddError("from", l.From, fmt.Sprintf("%d ways at most over all links, each is a listener of its own: smaller groups", mostPaths))
 			}
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		e.links[l.Name] = len(e.Links)
 		e.Links = append(e.Links, l)
 	}
@@ -384,7 +384,7 @@
 
 func weather(t *tomlfile.Table) Weather {
 	return Weather{
-		Delay: t.Time("delay", 0, 0), Jitter: t.Time("jitter", 0, 0), Loss: t.Number("loss", 0, 0, 1),
+		Delay: t.Duration("delay", 0, 0), Jitter: t.Duration("jitter", 0, 0), Loss: t.Number("loss", 0, 0, 1),
 		Rate: int64(t.Bytes("rate", 0, 1)),
 	}
 }
@@ -403,8 +403,8 @@
 		modes = append(modes, m)
 	}
 	slices.Sort(modes)
-	for _, t := range top.List("events") {
-		ev := Event{At: t.Time("at", 0, 0), On: t.Text("on", ""), Every: t.Time("every", 0, 0), Times: t.Whole("times", 1, 1, 10000), Period: t.Time("period", 0, 0), key: t.At("do")}
+	for _, t := range top.TableList("events") {
+		ev := Event{At: t.Duration("at", 0, 0), On: t.Text("on", ""), Every: t.Duration("every", 0, 0), Times: t.Integer("times", 1, 1, 10000), Period: t.Duration("period", 0, 0), key: t.KeyPath("do")}
 		var deeds []string
 		_, link := e.links[ev.On]
 		switch {
@@ -416,10 +416,10 @@
 		case e.group(ev.On, KindInstances) != nil:
 			deeds = instanceDeeds
 		default:
-			t.Fault("on", ev.On, "a group of nodes or instances, or a link")
+			t.AddError("on", ev.On, "a group of nodes or instances, or a link")
 		}
 		if ev.Do = t.Text("do", ""); deeds != nil && !slices.Contains(deeds, ev.Do) {
-			t.Fault("do", ev.Do, "one of "+strings.Join(deeds, ", "))
+			t.AddError("do", ev.Do, "one of "+strings.Join(deeds, ", "))
 		}
 		switch ev.Do {
 		case "slow":
@@ -428,27 +428,27 @@
 			ev.To = weather(t)
 		}
 		if ev.At > e.Span {
-			t.Fault("at", ev.At, fmt.Sprintf("a time within the load, %v at most", e.Span))
+			t.AddError("at", ev.At, fmt.Sprintf("a time within the load, %v at most", e.Span))
 		}
 		if ev.Times > 1 && ev.Period == 0 {
-			t.Fault("times", ev.Times, "a period with it")
+			t.AddError("times", ev.Times, "a period with it")
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		e.Events = append(e.Events, ev)
 	}
 	slices.SortStableFunc(e.Events, func(a, b Event) int { return int(a.At - b.At) })
 }
 
 func (e *Experiment) windows(top *tomlfile.Table) {
-	for _, t := range top.List("windows") {
-		w := Window{Name: t.Text("name", ""), From: t.Time("from", 0, 0), To: t.Time("to", e.Span, 0)}
+	for _, t := range top.TableList("windows") {
+		w := Window{Name: t.Text("name", ""), From: t.Duration("from", 0, 0), To: t.Duration("to", e.Span, 0)}
 		if w.Name == "" || e.window(w.Name) != nil {
-			t.Fault("name", w.Name, "a name that no other window has")
+			t.AddError("name", w.Name, "a name that no other window has")
 		}
 		if w.To <= w.From || w.To > e.Span {
-			t.Fault("to", w.To, fmt.Sprintf("a time after from and within the load, %v at most", e.Span))
+			t.AddError("to", w.To, fmt.Sprintf("a time after from and within the load, %v at most", e.Span))
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		e.Windows = append(e.Windows, w)
 	}
 }
@@ -472,14 +472,14 @@
 		known = append(known, name)
 	}
 	slices.Sort(known)
-	for _, t := range top.List("wants") {
+	for _, t := range top.TableList("wants") {
 		w := Want{Measure: t.OneOf("measure", "", known...), Window: t.Text("window", ""), Group: t.Text("group", ""), Stream: t.Text("stream", "")}
 		w.Least, w.Most = t.Number("least", math.Inf(-1), -1e12, 1e12), t.Number("most", math.Inf(1), -1e12, 1e12)
 		if e.window(w.Window) == nil {
-			t.Fault("window", w.Window, "a window that there is")
+			t.AddError("window", w.Window, "a window that there is")
 		}
 		if w.Stream != "" && !slices.ContainsFunc(e.Streams, func(s traffic.Stream) bool { return s.Name == w.Stream }) {
-			t.Fault("stream", w.Stream, "a stream that there is")
+			t.AddError("stream", w.Stream, "a stream that there is")
 		}
 		if m, ok := measures[w.Measure]; ok {
 			of := []Kind{KindNodes}
@@ -488,18 +488,18 @@
 			}
 			switch {
 			case w.Group != "" && m.at == atAll:
-				t.Fault("group", w.Group, "no such key: "+w.Measure+" is counted over all")
+				t.AddError("group", w.Group, "no such key: "+w.Measure+" is counted over all")
 			case w.Group != "" && e.group(w.Group, of...) == nil:
-				t.Fault("group", w.Group, "a group of "+string(of[0])+", where "+w.Measure+" is counted")
+				t.AddError("group", w.Group, "a group of "+string(of[0])+", where "+w.Measure+" is counted")
 			}
 			if w.Stream != "" && m.at != atCallers {
-				t.Fault("stream", w.Stream, "no such key: "+w.Measure+" is not counted at callers")
+				t.AddError("stream", w.Stream, "no such key: "+w.Measure+" is not counted at callers")
 			}
 		}
 		if math.IsInf(w.Least, 0) && math.IsInf(w.Most, 0) {
-			t.Wrong(t.At("most"), "", "one of least and most")
+			t.AddErrorAt(t.KeyPath("most"), "", "one of least and most")
 		}
-		t.End()
+		t.RejectUnknownKeys()
 		e.Wants = append(e.Wants, w)
 	}
 }
--- a/internal/proving/rig_test.go
+++ b/internal/proving/rig_test.go
@@ -454,7 +454,7 @@
 most = 1
 colour = "red"
 `))
-	var faults tomlfile.Faults
+	var faults tomlfile.Errors
 	if !errors.As(err, &faults) {
 		t.Fatal(err)
 	}
--- a/internal/proving/scale.go
+++ b/internal/proving/scale.go
@@ -117,26 +117,26 @@
 	s := &Scale{}
 	top.OneOf("kind", "", "scale")
 	s.Name = top.Text("name", strings.TrimSuffix(filepath.Base(file), ".toml"))
-	s.Seed = uint64(top.Whole("seed", 1, 0, math.MaxInt64))
-	s.Settle = top.Time("settle", 1500*time.Millisecond, 10*time.Millisecond)
-	s.Span = top.Time("span", 4*time.Second, 100*time.Millisecond)
+	s.Seed = uint64(top.Integer("seed", 1, 0, math.MaxInt64))
+	s.Settle = top.Duration("settle", 1500*time.Millisecond, 10*time.Millisecond)
+	s.Span = top.Duration("span", 4*time.Second, 100*time.Millisecond)
 	fleet := top.Table("fleet")
-	s.Each = fleet.Whole("each", 100, 1, 1000)
+	s.Each = fleet.Integer("each", 100, 1, 1000)
 	s.Base = size(fleet, Size{Sidecars: 24, Services: 10, Endpoints: 10, Changes: 60})
-	fleet.End()
+	fleet.RejectUnknownKeys()
 	s.Chains = chains(top.Table("chains"))
-	for _, t := range top.List("sweeps") {
+	for _, t := range top.TableList("sweeps") {
 		s.sweep(t)
 	}
 	one := s.Base
 	one.Sidecars = 1
 	for _, key := range []string{"reals", "reloads"} {
-		for _, t := range top.List(key) {
+		for _, t := range top.TableList(key) {
 			x := size(t, one)
 			if x.Sidecars != 1 {
-				t.Fault("sidecars", x.Sidecars, "one")
+				t.AddError("sidecars", x.Sidecars, "one")
 			}
-			t.End()
+			t.RejectUnknownKeys()
 			if key == "reals" {
 				s.Reals = append(s.Reals, x)
 			} else {
@@ -151,9 +151,9 @@
 		s.day(top.Table("day"))
 	}
 	if len(s.Sweeps) == 0 && s.Day == nil && s.Beside == nil && len(s.Reals) == 0 && len(s.Reloads) == 0 {
-		top.Wrong("sweeps", "", "something to measure: [[sweeps]], [[reals]], [[reloads]], [beside] or [day]")
+		top.AddErrorAt("sweeps", "", "something to measure: [[sweeps]], [[reals]], [[reloads]], [beside] or [day]")
 	}
-	top.End()
+	top.RejectUnknownKeys()
 	if err := top.Err(); err != nil {
 		return nil, err
 	}
@@ -168,11 +168,11 @@
 // size reads what a fleet has; what is not there is as in without.
 func size(t *tomlfile.Table, without Size) Size {
 	s := Size{
-		Sidecars: t.Whole("sidecars", without.Sidecars, 1, 5000), Services: t.Whole("services", without.Services, 1, 1000),
-		Endpoints: t.Whole("endpoints", without.Endpoints, 1, 250), Changes: t.Number("changes", without.Changes, 0, 1e5),
+		Sidecars: t.Integer("sidecars", without.Sidecars, 1, 5000), Services: t.Integer("services", without.Services, 1, 1000),
+		Endpoints: t.Integer("endpoints", without.Endpoints, 1, 250), Changes: t.Number("changes", without.Changes, 0, 1e5),
 	}
 	if n := s.Sidecars * s.Services; n > mostPools {
-		t.Fault("sidecars", n, fmt.Sprintf("%d at most, times services: each is a connection", mostPools))
+		t.AddError("sidecars", n, fmt.Sprintf("%d at most, times services: each is a connection", mostPools))
 	}
 	return s
 }
@@ -189,51 +189,51 @@
 	for _, v := range all {
 		n, ok := v.(int64)
 		if !ok || n < 1 || len(w.Sizes) > 0 && int(n) <= w.Sizes[len(w.Sizes)-1] {
-			t.Fault("sizes", v, "whole numbers, each above the one before")
+			t.AddError("sizes", v, "whole numbers, each above the one before")
 			continue
 		}
 		w.Sizes = append(w.Sizes, int(n))
 	}
 	if len(w.Sizes) < 4 {
-		t.Fault("sizes", list, "four sizes at least")
+		t.AddError("sizes", list, "four sizes at least")
 	} else if set := dimensions[w.Of]; set != nil {
 		last := s.Base
 		set(&last, w.Sizes[len(w.Sizes)-1])
 		if w.Of == "depth" && w.Sizes[len(w.Sizes)-1] > mostDepth {
-			t.Fault("sizes", list, fmt.Sprintf("a depth of %d at most, each tier is a process", mostDepth))
+			t.AddError("sizes", list, fmt.Sprintf("a depth of %d at most, each tier is a process", mostDepth))
 		}
 		if w.Of != "endpoints" && w.Of != "changes" && last.Sidecars*last.Services > mostPools || last.Endpoints > 250 || last.Changes > 1e5 {
-			t.Fault("sizes", list, fmt.Sprintf("sidecars times services of %d at most, 250 endpoints, 100,000 changes a minute", mostPools))
+			t.AddError("sizes", list, fmt.Sprintf("sidecars times services of %d at most, 250 endpoints, 100,000 changes a minute", mostPools))
 		}
 	}
-	t.End()
+	t.RejectUnknownKeys()
 	s.Sweeps = append(s.Sweeps, w)
 }
 
 func (s *Scale) day(t *tomlfile.Table) {
 	d := &Day{Fleet: size(t, s.Base)}
-	d.Span = t.Time("span", time.Minute, time.Second)
-	d.Changes = t.Whole("changes_a_day", 2700, 0, 1e6)
-	d.Restarts = t.Whole("restarts", 260, 0, 1e5)
-	d.Machines = t.Whole("machines_fail", 6, 0, 1000)
-	d.Machine = t.Whole("machine", 4, 1, 1000)
-	d.Regions, d.Zones = t.Whole("regions", 3, 1, 50), t.Whole("zones", 7, 1, 100)
-	d.Region, d.Zone = t.Time("region_delay", 0, 0), t.Time("zone_delay", 0, 0)
+	d.Span = t.Duration("span", time.Minute, time.Second)
+	d.Changes = t.Integer("changes_a_day", 2700, 0, 1e6)
+	d.Restarts = t.Integer("restarts", 260, 0, 1e5)
+	d.Machines = t.Integer("machines_fail", 6, 0, 1000)
+	d.Machine = t.Integer("machine", 4, 1, 1000)
+	d.Regions, d.Zones = t.Integer("regions", 3, 1, 50), t.Integer("zones", 7, 1, 100)
+	d.Region, d.Zone = t.Duration("region_delay", 0, 0), t.Duration("zone_delay", 0, 0)
 	d.Fleet.Changes = float64(d.Changes) / (24 * 60)
-	for _, et := range t.List("events") {
-		e := ScaleEvent{Hour: et.Number("hour", 0, 0, 24), Do: et.OneOf("do", "", "cut", "heal", "weather", "stop", "start"), Place: et.Text("on", ""), key: et.At("do")}
+	for _, et := range t.TableList("events") {
+		e := ScaleEvent{Hour: et.Number("hour", 0, 0, 24), Do: et.OneOf("do", "", "cut", "heal", "weather", "stop", "start"), Place: et.Text("on", ""), key: et.KeyPath("do")}
 		if e.Do == "weather" {
 			e.To = weather(et)
 		}
 		if len(d.at(e.Place)) == 0 {
-			et.Fault("on", e.Place, "a place with sidecars: region-, zone-, rack- or machine- and a number from 0")
+			et.AddError("on", e.Place, "a place with sidecars: region-, zone-, rack- or machine- and a number from 0")
 		} else if kind, _, _ := strings.Cut(e.Place, "-"); (kind == "rack" || kind == "machine") && e.Do != "stop" && e.Do != "start" {
-			et.Fault("on", e.Place, "a region or a zone: "+e.Do+" is of its way to the registry")
+			et.AddError("on", e.Place, "a region or a zone: "+e.Do+" is of its way to the registry")
 		}
-		et.End()
+		et.RejectUnknownKeys()
 		d.Events = append(d.Events, e)
 	}
-	t.End()
+	t.RejectUnknownKeys()
 	s.Day = d
 }
 
--- a/internal/proving/scale_test.go
+++ b/internal/proving/scale_test.go
@@ -347,7 +347,7 @@
 // Everything that is wrong with a file is told at once, with line and key.
 func TestScaleFaults(t *testing.T) {
 	_, err := ParseScale("x.toml", []byte("kind = \"scale\"\nspan = \"1\"\n[fleet]\nsidecars = 5000\nservices = 900\n[[sweeps]]\nof = \"moons\"\nsizes = [3, 4, 5]\n[[sweeps]]\nof = \"endpoints\"\nsizes = [4, 3, 5, 6, 7]\n[[reals]]\nsidecars = 2\n[day]\nnight = 1\n[[day.events]]\non = \"zone-9\"\ndo = \"cut\"\n"))
-	var faults tomlfile.Faults
+	var faults tomlfile.Errors
 	if !errors.As(err, &faults) {
 		t.Fatalf("%v", err)
 	}
--- a/internal/sidecar/answers_test.go
+++ b/internal/sidecar/answers_test.go
@@ -394,7 +394,7 @@
 	s.t.Helper()
 	path := filepath.Join(s.t.TempDir(), "config.json")
 	put(s.t, path, text(listen))
-	cfg, err := config.Load(path)
+	cfg, err := config.LoadPlatform(path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -80,9 +80,9 @@
 // Sidecar is one process of the platform's sidecar.
 type Sidecar struct {
 	place    Place
-	cfg      *config.Config // guarded by mu once it serves
-	longest  time.Duration  // the shortest that LongestDeadline has been
-	limits   config.Limits  // as they were at the start
+	cfg      *config.Platform // guarded by mu once it serves
+	longest  time.Duration    // the shortest that LongestDeadline has been
+	limits   config.Limits    // as they were at the start
 	listener net.Listener
 	up       *upstream.Pool
 	pool     *pool.Pool
@@ -105,7 +105,7 @@
 	if at.Config == "" {
 		return errors.New("ROUTER_CONFIG: missing")
 	}
-	cfg, err := config.Load(at.Config)
+	cfg, err := config.LoadPlatform(at.Config)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 }
 
 // thrifty is cfg with connections kept idle for no longer than upstream.KeepIdle.
-func thrifty(cfg *config.Config) *config.Config {
+func thrifty(cfg *config.Platform) *config.Platform {
 	cfg.Balance.IdleConnTimeout = min(cfg.Balance.IdleConnTimeout, upstream.OptimalIdleTimeout(cfg.HandshakePrice, cfg.ConnectionPrice))
 	return cfg
 }
@@ -131,7 +131,7 @@
 	s.limits, s.longest = cfg.Limits, cfg.LongestDeadline()
 	var console net.Listener
 	var err error
-	if addr := cfg.Console(s.place.Console); addr != "" {
+	if addr := cfg.ConsoleAddress(s.place.Console); addr != "" {
 		if console, err = net.Listen("tcp", addr); err != nil {
 			return fmt.Errorf("console: %w", err)
 		}
@@ -257,7 +257,7 @@
 	if s.before != nil || s.after != nil {
 		parts = 2
 	}
-	memory, conns := s.memory()/parts, max(2, s.limits.Sockets/int(parts)-config.OwnDescriptors)
+	memory, conns := s.memory()/parts, max(2, s.limits.Sockets/int(parts)-config.ReservedDescriptors)
 	debug.SetMemoryLimit(int64(float64(memory) * heapShare))
 	s.up.SetLimits(conns/2, memory/largeShare)
 	s.callers.SetMaxConns(conns / 2)
@@ -357,7 +357,7 @@
 }
 
 // discovery is the source that the configuration names.
-func discovery(cfg *config.Config) *nodes.Discovery {
+func discovery(cfg *config.Platform) *nodes.Discovery {
 	if cfg.Balance.PullDiscovery {
 		return nodes.NewDiscovery(cfg.Discovery, nodes.SharedServiceTimeouts())
 	}
@@ -365,7 +365,7 @@
 }
 
 // form is how requests are judged by cfg, whose classes the pool learns of.
-func (s *Sidecar) form(cfg *config.Config) (*httpfront.PlatformConfig, error) {
+func (s *Sidecar) form(cfg *config.Platform) (*httpfront.PlatformConfig, error) {
 	f := &httpfront.PlatformConfig{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
 	for name, i := range cfg.Classes {
 		class := cfg.Balance.Classes[i]
@@ -383,7 +383,7 @@
 // Requests that are open keep their class. Addresses and limits hold for the life
 // of the process.
 func (s *Sidecar) reread() {
-	cfg, err := config.Reload(s.place.Config, s.cfg)
+	cfg, err := config.ReloadPlatform(s.place.Config, s.cfg)
 	if err == nil {
 		err = s.retune(thrifty(cfg))
 	}
@@ -402,7 +402,7 @@
 // mostClasses bounds the classes that the Balancer knows, used or not.
 const mostClasses = 1024
 
-func (s *Sidecar) retune(cfg *config.Config) error {
+func (s *Sidecar) retune(cfg *config.Platform) error {
 	if s.pool.ClassCount() > mostClasses {
 		return fmt.Errorf("over %d classes since the start", mostClasses)
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -105,7 +105,7 @@
 	}
 	console := l.Addr().String()
 	l.Close()
-	cfg, err := config.Load(path)
+	cfg, err := config.LoadPlatform(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/thrift_test.go
+++ b/internal/sidecar/thrift_test.go
@@ -67,7 +67,7 @@
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
 		put(t, path, strings.Replace(configuration("127.0.0.1:1", "127.0.0.1:2"), `"settings":{`, `"settings":{`+text+",", 1))
-		cfg, err := config.Load(path)
+		cfg, err := config.LoadPlatform(path)
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
@@ -77,7 +77,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	put(t, path, strings.Replace(configuration("127.0.0.1:1", "127.0.0.1:2"), `"settings":{`, `"settings":{"Prices":{"Handshake":"much"},`, 1))
-	if _, err := config.Load(path); err == nil || !strings.Contains(err.Error(), "Prices.Handshake") {
+	if _, err := config.LoadPlatform(path); err == nil || !strings.Contains(err.Error(), "Prices.Handshake") {
 		t.Errorf("a price that is no number: %v, want an error that names it", err)
 	}
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -42,9 +42,9 @@
 }
 
 // Faults are all that is wrong with a file, in the order of its lines.
-type Faults []Fault
+type Errors []Fault
 
-func (fs Faults) Error() string {
+func (fs Errors) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
 		lines[i] = f.Error()
@@ -57,7 +57,7 @@
 type document struct {
 	file   string
 	lines  map[string]int // of keys and elements, by path
-	faults Faults
+	faults Errors
 }
 
 // Parse reads the text of a file. A file that is no TOML has one fault.
@@ -70,7 +70,7 @@
 		if errors.As(err, &de) {
 			f.Line, _ = de.Position()
 		}
-		return nil, Faults{f}
+		return nil, Errors{f}
 	}
 	d.locate(text)
 	return &Table{doc: d, values: tree}, nil
@@ -91,14 +91,14 @@
 	keys := func(base string, n *unstable.Node, last func(path string) string) string {
 		path := base
 		for it := n.Key(); it.Next(); {
-			path = Join(path, string(it.Node().Data))
+			path = JoinPath(path, string(it.Node().Data))
 			if it.IsLast() && last != nil {
 				path = last(path)
 			}
 			note(path, line(it.Node()))
 			// Below a list of tables a key belongs to the last of them.
 			if n := counts[path]; n > 0 && !it.IsLast() {
-				path = Index(path, n-1)
+				path = ElementPath(path, n-1)
 			}
 		}
 		return path
@@ -113,9 +113,9 @@
 					continue
 				}
 				if it.Node().Kind != unstable.Array {
-					note(Index(path, i), line(it.Node()))
+					note(ElementPath(path, i), line(it.Node()))
 				}
-				value(Index(path, i), it.Node())
+				value(ElementPath(path, i), it.Node())
 				i++
 			}
 		case unstable.InlineTable:
@@ -133,7 +133,7 @@
 		case unstable.ArrayTable:
 			prefix = keys("", e, func(path string) string {
 				counts[path]++
-				return Index(path, counts[path]-1)
+				return ElementPath(path, counts[path]-1)
 			})
 		case unstable.KeyValue:
 			value(keys(prefix, e, nil), e.Value())
@@ -142,7 +142,7 @@
 }
 
 // Join is the path of a key within what has a path.
-func Join(path, key string) string {
+func JoinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
@@ -150,7 +150,7 @@
 }
 
 // Index is the path of an element of a list.
-func Index(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
+func ElementPath(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
 // fault books what is wrong at a path. Where the path itself stands nowhere,
 // the line is that of what it would stand in.
@@ -183,7 +183,7 @@
 }
 
 // At is the path of a key.
-func (t *Table) At(key string) string { return Join(t.path, key) }
+func (t *Table) KeyPath(key string) string { return JoinPath(t.path, key) }
 
 // Get is what stands under a key, which may be anything.
 func (t *Table) Get(key string) (any, bool) {
@@ -196,29 +196,29 @@
 func (t *Table) Has(key string) bool { _, ok := t.values[key]; return ok }
 
 // Wrong books what is wrong at a path of the file.
-func (t *Table) Wrong(path, found, want string) { t.doc.fault(path, found, want) }
+func (t *Table) AddErrorAt(path, found, want string) { t.doc.fault(path, found, want) }
 
 // Empty is a table that stands nowhere in the file of t.
-func (t *Table) Empty(path string) *Table {
+func (t *Table) EmptyTable(path string) *Table {
 	return &Table{doc: t.doc, path: path, values: map[string]any{}}
 }
 
 // Fault books what is wrong with the value of a key.
-func (t *Table) Fault(key string, found any, want string) {
-	t.Wrong(t.At(key), Show(found), want)
+func (t *Table) AddError(key string, found any, want string) {
+	t.AddErrorAt(t.KeyPath(key), FormatValue(found), want)
 }
 
 // End books the keys that nobody has asked for.
-func (t *Table) End() {
+func (t *Table) RejectUnknownKeys() {
 	for key, v := range t.values {
 		if !slices.Contains(t.asked, key) {
-			t.Fault(key, v, "one of "+strings.Join(t.asked, ", "))
+			t.AddError(key, v, "one of "+strings.Join(t.asked, ", "))
 		}
 	}
 }
 
 // Show words a value as it might stand in the file.
-func Show(v any) string {
+func FormatValue(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return ""
@@ -240,7 +240,7 @@
 	}
 	s, ok := v.(string)
 	if !ok || s == "" {
-		t.Fault(key, v, "a text in quotes")
+		t.AddError(key, v, "a text in quotes")
 		return without
 	}
 	return s
@@ -250,34 +250,34 @@
 func (t *Table) OneOf(key, without string, among ...string) string {
 	s := t.Text(key, without)
 	if !slices.Contains(among, s) {
-		t.Fault(key, s, "one of "+strings.Join(among, ", "))
+		t.AddError(key, s, "one of "+strings.Join(among, ", "))
 		return without
 	}
 	return s
 }
 
 // Flag is true or false.
-func (t *Table) Flag(key string, without bool) bool {
+func (t *Table) Bool(key string, without bool) bool {
 	v, ok := t.Get(key)
 	if !ok {
 		return without
 	}
 	b, ok := v.(bool)
 	if !ok {
-		t.Fault(key, v, "true or false")
+		t.AddError(key, v, "true or false")
 	}
 	return b
 }
 
 // Whole is a whole number within bounds.
-func (t *Table) Whole(key string, without, least, most int) int {
+func (t *Table) Integer(key string, without, least, most int) int {
 	v, ok := t.Get(key)
 	if !ok {
 		return without
 	}
 	n, ok := v.(int64)
 	if !ok || n < int64(least) || n > int64(most) {
-		t.Fault(key, v, fmt.Sprintf("a whole number from %d to %d", least, most))
+		t.AddError(key, v, fmt.Sprintf("a whole number from %d to %d", least, most))
 		return without
 	}
 	return int(n)
@@ -294,7 +294,7 @@
 		x, ok = float64(n), true
 	}
 	if !ok || math.IsNaN(x) || x < least || x > most {
-		t.Fault(key, v, fmt.Sprintf("a number from %v to %v", least, most))
+		t.AddError(key, v, fmt.Sprintf("a number from %v to %v", least, most))
 		return without
 	}
 	return x
@@ -304,7 +304,7 @@
 const longest = 24 * time.Hour
 
 // Time is a time with its unit.
-func (t *Table) Time(key string, without, least time.Duration) time.Duration {
+func (t *Table) Duration(key string, without, least time.Duration) time.Duration {
 	v, ok := t.Get(key)
 	if !ok {
 		return without
@@ -312,7 +312,7 @@
 	s, _ := v.(string)
 	d, err := time.ParseDuration(s)
 	if err != nil || d < least || d > longest {
-		t.Fault(key, v, fmt.Sprintf("a time with its unit, as \"250ms\", from %v to %v", least, longest))
+		t.AddError(key, v, fmt.Sprintf("a time with its unit, as \"250ms\", from %v to %v", least, longest))
 		return without
 	}
 	return d
@@ -341,12 +341,12 @@
 		}
 		return n * u.bytes
 	}
-	t.Fault(key, v, fmt.Sprintf("a size with its unit, as \"64 KiB\", of %s at least", Size(least)))
+	t.AddError(key, v, fmt.Sprintf("a size with its unit, as \"64 KiB\", of %s at least", FormatSize(least)))
 	return without
 }
 
 // Size words a number of bytes.
-func Size(n int64) string {
+func FormatSize(n int64) string {
 	for _, u := range units {
 		if n >= u.bytes && n%u.bytes == 0 {
 			return strconv.FormatInt(n/u.bytes, 10) + " " + u.name
@@ -356,20 +356,20 @@
 }
 
 // Texts is a list of texts that are not empty.
-func (t *Table) Texts(key string) (all []string) {
+func (t *Table) TextList(key string) (all []string) {
 	v, ok := t.Get(key)
 	if !ok {
 		return nil
 	}
 	list, ok := v.([]any)
 	if !ok {
-		t.Fault(key, v, "a list of texts")
+		t.AddError(key, v, "a list of texts")
 		return nil
 	}
 	for i, v := range list {
 		s, ok := v.(string)
 		if !ok || s == "" {
-			t.Wrong(Index(t.At(key), i), Show(v), "a text in quotes")
+			t.AddErrorAt(ElementPath(t.KeyPath(key), i), FormatValue(v), "a text in quotes")
 			continue
 		}
 		all = append(all, s)
@@ -379,22 +379,22 @@
 
 // Table is the table under a key; without one it is empty.
 func (t *Table) Table(key string) *Table {
-	sub := t.Empty(t.At(key))
+	sub := t.EmptyTable(t.KeyPath(key))
 	if v, ok := t.Get(key); ok {
 		if sub.values, ok = v.(map[string]any); !ok {
-			t.Fault(key, v, "a table")
+			t.AddError(key, v, "a table")
 		}
 	}
 	return sub
 }
 
 // Tables are the tables under a key that holds one for each name, by name.
-func (t *Table) Tables(key string) (names []string, subs map[string]*Table) {
+func (t *Table) NamedTables(key string) (names []string, subs map[string]*Table) {
 	all := t.Table(key)
 	subs = map[string]*Table{}
 	for name := range all.values {
-		if !GoodName(name) {
-			all.Fault(name, name, "a name of letters, digits, - and _, 64 at most")
+		if !ValidName(name) {
+			all.AddError(name, name, "a name of letters, digits, - and _, 64 at most")
 			continue
 		}
 		names = append(names, name)
@@ -405,21 +405,21 @@
 }
 
 // List are the tables of a list of tables.
-func (t *Table) List(key string) (all []*Table) {
+func (t *Table) TableList(key string) (all []*Table) {
 	v, ok := t.Get(key)
 	if !ok {
 		return nil
 	}
 	list, ok := v.([]any)
 	if !ok {
-		t.Fault(key, v, "a list of tables, [["+key+"]]")
+		t.AddError(key, v, "a list of tables, [["+key+"]]")
 		return nil
 	}
 	for i, v := range list {
-		path := Index(t.At(key), i)
+		path := ElementPath(t.KeyPath(key), i)
 		values, ok := v.(map[string]any)
 		if !ok {
-			t.Wrong(path, Show(v), "a table")
+			t.AddErrorAt(path, FormatValue(v), "a table")
 			continue
 		}
 		all = append(all, &Table{doc: t.doc, path: path, values: values})
@@ -428,7 +428,7 @@
 }
 
 // GoodName tells whether s can name a thing in a file, in logs and in metrics.
-func GoodName(s string) bool {
+func ValidName(s string) bool {
 	if s == "" || len(s) > 64 {
 		return false
 	}
--- a/route/normal.go
+++ b/route/normal.go
@@ -22,7 +22,7 @@
 // Only what RFC 3986, section 3.2.2, calls a reg-name without escapes or an
 // IP-literal is taken: a host that a node could read in another way is an
 // error.
-func Host(s string) (name, port string, err error) {
+func NormalizeHost(s string) (name, port string, err error) {
 	name = s
 	if strings.HasPrefix(s, "[") {
 		end := strings.IndexByte(s, ']')
@@ -219,7 +219,7 @@
 // Target splits the target of a request in origin form into path and query and
 // brings the path to its normal form. The query goes on as it came; bytes that
 // end a request line early, or start a fragment, are an error.
-func Target(s string) (path, query string, err error) {
+func NormalizeTarget(s string) (path, query string, err error) {
 	path, query, hasQuery := strings.Cut(s, "?")
 	if path, err = Path(path); err != nil {
 		return "", "", err
--- a/route/route.go
+++ b/route/route.go
@@ -157,7 +157,7 @@
 	if wild {
 		from = t.below
 	}
-	normal, port, err := Host(name)
+	normal, port, err := NormalizeHost(name)
 	if err == nil && port != "" {
 		err = fmt.Errorf("%.80q has a port, and hosts are matched without it", host)
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -41,7 +41,7 @@
 		"sen-vàng.vn":            "",
 		strings.Repeat("a", 254): "",
 	} {
-		got, _, err := Host(in)
+		got, _, err := NormalizeHost(in)
 		if got != want || (err == nil) != (want != "") {
 			t.Errorf("Host(%q) = %q, %v, want %q", in, got, err, want)
 		}
@@ -50,7 +50,7 @@
 
 func TestHostKeepsThePortApart(t *testing.T) {
 	for in, want := range map[string]string{"a": "", "a:": "", "a:80": ":80", "[::1]:8080": ":8080", "[::1]": ""} {
-		if _, port, err := Host(in); port != want || err != nil {
+		if _, port, err := NormalizeHost(in); port != want || err != nil {
 			t.Errorf("Host(%q): port %q, %v, want %q", in, port, err, want)
 		}
 	}
@@ -118,15 +118,15 @@
 }
 
 func TestTarget(t *testing.T) {
-	path, query, err := Target("/a/../b?x=/../%2F&y=?")
+	path, query, err := NormalizeTarget("/a/../b?x=/../%2F&y=?")
 	if path != "/b" || query != "?x=/../%2F&y=?" || err != nil {
 		t.Errorf("%q %q %v", path, query, err)
 	}
-	if _, query, err = Target("/b?"); query != "?" || err != nil {
+	if _, query, err = NormalizeTarget("/b?"); query != "?" || err != nil {
 		t.Errorf("%q %v", query, err)
 	}
 	for _, in := range []string{"/b?x#y", "/b?x y", "/b?\x7f", "?x", "/b?caf\u00e9"} {
-		if _, _, err := Target(in); err == nil {
+		if _, _, err := NormalizeTarget(in); err == nil {
 			t.Errorf("Target(%q): no error", in)
 		}
 	}
