--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,4 +1,5 @@
-// Package config reads what the deployment tells a sidecar at its start.
+// Package config reads the configuration files: the platform's JSON file for a
+// sidecar, and the TOML file for the daemon and the quorum.
 package config
 
 import (
@@ -19,35 +20,36 @@
 	"gorselink/internal/wire"
 )
 
-// Config is what one sidecar is told.
+// Platform is the configuration that the platform gives one sidecar.
 type Platform struct {
 	Name      string
 	Listen    string
 	Discovery string
 	Seed      uint64
 	Limits    Limits
-	Known     nodes.List // the endpoints as last known, maybe outdated
+	Known     nodes.List // initial endpoint list, which may be outdated
 
 	Tier        int
 	Balance     balance.Config
-	Classes     map[string]int // by the first part of the path
-	Tenants     map[string]int
-	Zones       map[string]int
-	DialTimeout time.Duration // a connection that is not up within it never will be
-	DrainGrace  time.Duration // after the news of a drain; 0 if not told
+	Classes     map[string]int // index in Balance.Classes by name, the first segment of the path
+	Tenants     map[string]int // index by name
+	Zones       map[string]int // index by name
+	DialTimeout time.Duration  // limit for opening a connection
+	DrainGrace  time.Duration  // time an endpoint accepts requests after its drain is announced; 0 if not set
 
-	// What the goal charges for new connections and for open ones, see upstream.KeepIdle.
+	// Weights of new and of open connections in the operators' goal, see
+	// upstream.OptimalIdleTimeout.
 	HandshakePrice, ConnectionPrice float64
 
-	console string
-	values  map[string]string // the settings by path
+	consoleAddress string
+	settings       map[string]string // settings by path
 }
 
-// Console is where operators call, address:port; fallback unless the file says.
-// It is "" for nowhere.
-func (c *Platform) ConsoleAddress(fallback string) string { return cmp.Or(c.console, fallback) }
+// ConsoleAddress returns the address:port of the operator console, or fallback if
+// the file sets none. It is "" if there is no console.
+func (c *Platform) ConsoleAddress(fallback string) string { return cmp.Or(c.consoleAddress, fallback) }
 
-// LongestDeadline is the longest time that any request is owed an answer in.
+// LongestDeadline returns the longest deadline of all classes.
 func (c *Platform) LongestDeadline() time.Duration {
 	var d time.Duration
 	for i := range c.Balance.Classes {
@@ -56,7 +58,7 @@
 	return d
 }
 
-// Limits are the bounds that the deployment enforces.
+// Limits are the resource limits that the deployment enforces on the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -64,7 +66,7 @@
 }
 
 // file is the form of the configuration file.
-type file struct {
+type platformFile struct {
 	Name      string                     `json:"name"`
 	Listen    string                     `json:"listen"`
 	Discovery string                     `json:"discovery"`
@@ -75,47 +77,48 @@
 	Settings  map[string]json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration file at path. Every error names its key.
+// LoadPlatform reads the configuration file at path. Validation errors name the key.
 func LoadPlatform(path string) (*Platform, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := Parse(text)
+	c, err := ParsePlatform(text)
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return c, nil
 }
 
-// Reload reads the configuration file at path in the place of old. It must have
-// all the settings that old has; those of old's classes are compared with the
-// settings that all of them have, as classes come and go.
+// ReloadPlatform reads the configuration file at path as the successor of old. All
+// settings of old must be present. Classes may be added and removed; each class
+// of the new file must have the settings that all classes of old have.
 func ReloadPlatform(path string, old *Platform) (*Platform, error) {
 	c, err := LoadPlatform(path)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range slices.Sorted(maps.Keys(old.values)) {
-		if _, ok := c.values[key]; !ok && !inClass(key) {
+	for _, key := range slices.Sorted(maps.Keys(old.settings)) {
+		if _, ok := c.settings[key]; !ok && !isListKey(key) {
 			return nil, fmt.Errorf("configuration %s: settings.%s: missing", path, key)
 		}
 	}
-	for _, key := range old.classKeys() {
+	for _, key := range old.commonClassKeys() {
 		for i := range len(c.Balance.Classes) {
-			if at := fmt.Sprintf("%s%d.%s", classList, i, key); !c.has(at) {
-				return nil, fmt.Errorf("configuration %s: settings.%s: missing", path, at)
+			if setting := fmt.Sprintf("%s%d.%s", classPrefix, i, key); !c.hasSetting(setting) {
+				return nil, fmt.Errorf("configuration %s: settings.%s: missing", path, setting)
 			}
 		}
 	}
 	return c, nil
 }
 
-const classList = "RequestClasses."
+// classPrefix starts the paths of class settings; the index of the class follows.
+const classPrefix = "RequestClasses."
 
-// inClass tells whether a key is one of a class, or of another list, whose length
-// may change.
-func inClass(key string) bool {
+// isListKey reports whether key belongs to an element of a list, such as a class.
+// The length of a list may change in a reload.
+func isListKey(key string) bool {
 	for part := range strings.SplitSeq(key, ".") {
 		if part != "" && strings.Trim(part, "0123456789") == "" {
 			return true
@@ -124,34 +127,34 @@
 	return false
 }
 
-func (c *Platform) has(key string) bool { _, ok := c.values[key]; return ok }
+func (c *Platform) hasSetting(key string) bool { _, ok := c.settings[key]; return ok }
 
-// classKeys are the keys that all classes have.
-func (c *Platform) classKeys() (keys []string) {
-	for _, key := range slices.Sorted(maps.Keys(c.values)) {
-		key, first := strings.CutPrefix(key, classList+"0.")
+// commonClassKeys returns the keys that all classes have, without their prefix.
+func (c *Platform) commonClassKeys() (keys []string) {
+	for _, key := range slices.Sorted(maps.Keys(c.settings)) {
+		key, inAll := strings.CutPrefix(key, classPrefix+"0.")
 		for i := range len(c.Balance.Classes) {
-			first = first && c.has(fmt.Sprintf("%s%d.%s", classList, i, key))
+			inAll = inAll && c.hasSetting(fmt.Sprintf("%s%d.%s", classPrefix, i, key))
 		}
-		if first {
+		if inAll {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// Parse reads the text of a configuration file.
-func Parse(text []byte) (*Platform, error) {
-	var f file
+// ParsePlatform parses a configuration file.
+func ParsePlatform(text []byte) (*Platform, error) {
+	var f platformFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	c := &Platform{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, console: f.Console, Limits: f.Limits}
+	c := &Platform{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, consoleAddress: f.Console, Limits: f.Limits}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q, want a hexadecimal number of 64 bits", f.Seed)
+		return nil, fmt.Errorf("seed: %q, want a 64-bit hexadecimal number", f.Seed)
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	if len(f.Known) > 0 {
@@ -162,10 +165,11 @@
 	if f.Settings == nil {
 		return nil, errors.New("settings: missing")
 	}
-	return c, c.settings(f.Settings)
+	return c, c.readSettings(f.Settings)
 }
 
-func (c *Platform) check() error {
+// validate checks the values outside the settings and the endpoint list.
+func (c *Platform) validate() error {
 	switch {
 	case c.Name == "":
 		return errors.New("name: missing")
@@ -177,8 +181,8 @@
 		return fmt.Errorf("limits.sockets: %v, want more than 0", c.Limits.Sockets)
 	}
 	addresses := map[string]string{"listen": c.Listen, "discovery": c.Discovery}
-	if c.console != "" {
-		addresses["console"] = c.console
+	if c.consoleAddress != "" {
+		addresses["console"] = c.consoleAddress
 	}
 	for key, addr := range addresses {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
@@ -188,8 +192,8 @@
 	return nil
 }
 
-// settings reads the settings, which have the names of the simulator's wire.
-func (c *Platform) settings(tree map[string]json.RawMessage) error {
+// readSettings reads the settings, which have the names of the simulator's protocol.
+func (c *Platform) readSettings(tree map[string]json.RawMessage) error {
 	values := map[string]string{}
 	for key, value := range tree {
 		if err := flatten(values, key, value); err != nil {
@@ -197,25 +201,25 @@
 		}
 	}
 	s := wire.NewSettings(values)
-	c.values = values
+	c.settings = values
 	c.Balance = s.BalancerConfig()
 	c.Tier = s.Integer("Tier")
 	c.DialTimeout = s.Duration("Limits.ConnectTimeoutS")
 	c.DrainGrace = s.Duration("Obligations.DrainGraceS")
 	c.HandshakePrice, c.ConnectionPrice = s.ConnPrices()
-	c.Classes = names(s, "RequestClasses", ".Name")
-	c.Tenants = names(s, "Tenants", ".Name")
-	c.Zones = names(s, "Zones", "") // a deployment without zones may have one without a name
+	c.Classes = indexByName(s, "RequestClasses", ".Name")
+	c.Tenants = indexByName(s, "Tenants", ".Name")
+	c.Zones = indexByName(s, "Zones", "") // a deployment without zones may list one unnamed zone
 	for _, path := range []string{"Me", "NInstances", "Zone", "Tier", "Limits.ConnectTimeoutS", "Limits.ConnIdleS", "Limits.TryLimit", "RequestClasses.count", "Zones.count"} {
 		if _, ok := values[path]; !ok {
 			s.AddError(path, "a value")
 		}
 	}
-	if !c.has("Limits.Multiplex") {
-		c.Balance.Multiplex = 1 // one request at a time on a connection, as the protocol says
+	if !c.hasSetting("Limits.Multiplex") {
+		c.Balance.Multiplex = 1 // the platform's protocol allows one request at a time on a connection
 	}
 	b := &c.Balance
-	for _, x := range []struct {
+	for _, check := range []struct {
 		key  string
 		ok   bool
 		want string
@@ -233,18 +237,18 @@
 		{"Goal.WorstClass", b.WorstClassWeight >= 0 && b.WorstClassWeight <= 1, "0 to 1"},
 		{"Prices.CrossZone", b.CrossZonePrice >= 0, "0 or more"},
 	} {
-		if !x.ok {
-			s.AddError(x.key, x.want)
+		if !check.ok {
+			s.AddError(check.key, check.want)
 		}
 	}
 	for i, class := range c.Balance.Classes {
 		for key, value := range map[string]time.Duration{"DeadlineS": class.Deadline, "AimS": class.LatencyTarget} {
-			if at := fmt.Sprintf("%s%d.%s", classList, i, key); value <= 0 && (key == "DeadlineS" || c.has(at)) {
-				s.AddError(at, "more than 0")
+			if setting := fmt.Sprintf("%s%d.%s", classPrefix, i, key); value <= 0 && (key == "DeadlineS" || c.hasSetting(setting)) {
+				s.AddError(setting, "more than 0")
 			}
 		}
-		if at := fmt.Sprintf("%s%d.Semantics", classList, i); !c.has(at) {
-			s.AddError(at, "a value")
+		if setting := fmt.Sprintf("%s%d.Semantics", classPrefix, i); !c.hasSetting(setting) {
+			s.AddError(setting, "a value")
 		}
 	}
 	if c.DialTimeout <= 0 {
@@ -256,22 +260,22 @@
 	return s.Err()
 }
 
-// names reads the position of each name in a list of the settings.
-func names(s *wire.Settings, list, field string) map[string]int {
-	all := map[string]int{}
+// indexByName returns the index of each name in a list of the settings.
+func indexByName(s *wire.Settings, list, field string) map[string]int {
+	indexes := map[string]int{}
 	for i := range s.Integer(list + ".count") {
 		path := list + "." + strconv.Itoa(i) + field
 		name := s.Text(path)
 		if name == "" && field != "" {
 			s.AddError(path, "a name")
 		}
-		all[name] = i
+		indexes[name] = i
 	}
-	return all
+	return indexes
 }
 
-// flatten adds the settings below path in the form of the wire: a list gives
-// its length under .count and its items under .0, .1 and so on.
+// flatten adds the settings below path in the notation of the simulator's
+// protocol: the length of a list under .count and its items under .0, .1 and so on.
 func flatten(values map[string]string, path string, text json.RawMessage) error {
 	switch text[0] {
 	case '{':
@@ -301,7 +305,7 @@
 			return fmt.Errorf("settings.%s: %w", path, err)
 		}
 		values[path] = s
-	case 'n': // null: as if missing
+	case 'n': // null equals a missing setting
 	default:
 		values[path] = strings.TrimSpace(string(text))
 	}
--- a/internal/config/product.go
+++ b/internal/config/product.go
@@ -18,86 +18,87 @@
 	"gorselink/route"
 )
 
-// Product is the product's own configuration: many services in one process.
-// docs/operating.md tells every key with its unit and default.
+// Daemon is the configuration of a process that serves several services.
+// docs/operating.md documents every key with its unit and default.
 type Daemon struct {
 	Process   Process
-	Listeners []Listener // by name
-	Classes   []Class    // by name; the one called "default" is always there
-	Pools     []Pool     // by name
+	Listeners []Listener // sorted by name
+	Classes   []Class    // sorted by name; includes the class "default"
+	Pools     []Pool     // sorted by name
 	Routes    []Route    // in the order of the file
 }
 
-// Process is what the whole process has.
+// Process holds the settings of the whole process.
 type Process struct {
 	Name        string
-	Seed        uint64 // of all draws; 0 for one of the system's
+	Seed        uint64 // seed of the random number generators; 0 for a random seed
 	Memory      int64  // bytes
 	Descriptors int
-	Cores       int // 0 for all there are
-	Instance    int // among Instances that serve the same
-	Instances   int
+	Cores       int // 0 for all cores
+	Instance    int // index of this process, from 0 to Instances-1
+	Instances   int // processes with the same configuration
 }
 
-// Form is what a listener asks of a request.
+// Form is the protocol that a listener requires of requests.
 type Form string
 
-// The forms that there are.
+// The supported forms.
 const (
-	FormOrdinary Form = "ordinary" // any HTTP/1.x client: the id is made, the class is the route's
-	FormPlatform Form = "platform" // id, budget and method by class, as the platform's protocol has it
+	FormOrdinary Form = "ordinary" // any HTTP/1.x client; the request ID is generated and the route selects the class
+	FormPlatform Form = "platform" // the platform's protocol, which requires an ID, a budget and the method of the class
 )
 
-// Listener is an address where callers come.
+// Listener is an address that accepts connections from callers.
 type Listener struct {
 	Name           string
 	Address        string
 	Form           Form
-	ClassHeader    string // names the class in the ordinary form; "" for none
-	Connections    int
-	HelloTimeout   time.Duration
-	RequestTimeout time.Duration
-	IdleTimeout    time.Duration
+	ClassHeader    string        // header field with the class of a request in the ordinary form; "" for none
+	Connections    int           // maximum number of open connections
+	HelloTimeout   time.Duration // limit for the first byte on a new connection
+	RequestTimeout time.Duration // limit from the first to the last byte of a request
+	IdleTimeout    time.Duration // limit between two requests on a connection
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name     string
-	ByMethod bool // Semantics follow from the method and from Idempotency-Key
+	ByMethod bool // the method and Idempotency-Key of a request determine its semantics
 	balance.Class
 }
 
-// Pool is one service.
+// Pool is the configuration of one service and its endpoints.
 type Pool struct {
 	Name                 string
-	NodeSource           Nodes
+	NodeSource           NodeSource
 	Zone                 string
 	PreferOwnZone        bool
-	Attempts             int
+	Attempts             int // maximum number of attempts per request
 	ConnectTimeout       time.Duration
 	IdleTimeout          time.Duration
-	ResponseStallTimeout time.Duration
-	WarmUp               time.Duration
-	ColdShare            float64
-
-	Share       float64 // of what the pools that name no limit have
-	Connections int
-	Requests    int
-	Memory      int64 // bytes
-	MaxBody     int64
-	MaxResponse int64
+	ResponseStallTimeout time.Duration // longest pause inside a response
+	WarmUp               time.Duration // slow-start period of a new endpoint
+	ColdShare            float64       // initial share of capacity of a new endpoint
+
+	Share       float64 // weight in the distribution of resources among pools without a limit
+	Connections int     // maximum number of open connections to endpoints
+	Requests    int     // maximum number of requests in progress
+	Memory      int64   // bytes
+	MaxBody     int64   // bytes of a request body
+	MaxResponse int64   // bytes of a response body
 }
 
-// Nodes says where the node list of a pool comes from: one of three.
-type Nodes struct {
+// NodeSource specifies where the endpoint list of a pool comes from: a fixed list, a
+// file or a discovery service.
+type NodeSource struct {
 	Fixed     nodes.Fixed
-	File      string // path
-	Refresh   time.Duration
-	Discovery string // address
+	File      string        // path
+	Refresh   time.Duration // interval at which File is read
+	Discovery string        // address:port
 }
 
-// Open returns a source that nobody else follows.
-func (n *Nodes) NewSource() nodes.Source {
+// NewSource returns a new source of the endpoint list.
+func (n *NodeSource) NewSource() nodes.Source {
 	switch {
 	case n.File != "":
 		return &nodes.File{Path: n.File, Interval: n.Refresh}
@@ -107,70 +108,77 @@
 	return n.Fixed
 }
 
-// String names the source; two of one name tell the same.
-func (n *Nodes) String() string { return n.NewSource().String() }
+// String identifies the source: equal strings mean equal sources.
+func (n *NodeSource) String() string { return n.NewSource().String() }
 
-// Known is what is known before the source has told anything.
-func (n *Nodes) InitialList() nodes.List {
+// InitialList returns the list to use until the source supplies one.
+func (n *NodeSource) InitialList() nodes.List {
 	return nodes.List{Snapshot: true, Undated: true, Endpoints: n.Fixed}
 }
 
-// Route sends what it matches to a pool.
+// Route maps the requests that it matches to a pool and a class.
 type Route struct {
-	Listeners []string // none for all
+	Listeners []string // empty for all
 	Host      string
 	Path      string
-	Methods   []string // none for any
-	IfClass   string   // the class that the request must name; "" for any
+	Methods   []string // empty for any
+	IfClass   string   // the class that the request must specify; "" for any
 	Pool      string
-	Class     string // what the requests are, unless they name their class
+	Class     string // class of requests that specify none
 }
 
-// Parts of what a process or a pool has. docs/pools.md tells why.
+// Division of the resources of a process or a pool; see docs/pools.md.
 const (
-	// OwnDescriptors are those not for connections of callers and nodes: logs,
-	// listeners, sources, the runtime's poller.
+	// ReservedDescriptors are file descriptors for everything but connections of
+	// callers and endpoints: logs, listeners, sources and the runtime's poller.
 	ReservedDescriptors = 32
 
-	// callerMargin of a listener's connections is beyond all requests that the
-	// pools may hold open, so that there is always one that can give way to a
-	// new caller.
-	callerMargin = 0.2
+	// spareConnectionShare is the share of a listener's connections that exceeds
+	// the requests all pools may hold, so that an idle connection can always be
+	// closed for a new caller.
+	spareConnectionShare = 0.2
 
-	// BodyShare, LargeShare and requestShare are the parts of a pool's memory
-	// for request bodies, for long answers and for the requests themselves.
+	// Request bodies, large responses and open requests each get the memory of the
+	// pool divided by their divisor.
 	RequestBodyMemoryDivisor   = 4
 	LargeResponseMemoryDivisor = 4
-	requestShare               = 2
-	// requestBytes is what an open request may hold beside its body and a long
-	// answer: an answer of 64 KiB, buffers on both sides, stacks.
-	requestBytes = 128 << 10
+	openRequestMemoryDivisor   = 2
+	// bytesPerOpenRequest bounds the memory of a request except for its body and a
+	// large response: a response of 64 KiB, buffers on both sides and stacks.
+	bytesPerOpenRequest = 128 << 10
 
-	// fileLimit bounds a configuration file.
-	fileLimit = 4 << 20
+	// maxFileBytes bounds the size of a configuration file.
+	maxFileBytes = 4 << 20
 )
 
-// Defaults, as docs/operating.md has them.
+// Bounds of settings.
 const (
-	defaultMemory      = 512 << 20
-	defaultDescriptors = 4096
-	defaultMaxBody     = 1 << 20
-	defaultMaxAnswer   = 1 << 20
-	defaultDeadline    = 10 * time.Second
-	defaultAim         = 2 * time.Second
-	defaultMemorySpan  = 30 * time.Second
-	defaultClass       = "default"
+	minListenerConnections = 4
+	minDescriptors         = 128
+	maxDescriptors         = 1 << 20
 )
 
-// LoadProduct reads the file at path. The error is Faults, or tells why the
-// file cannot be read.
+// Defaults, documented in docs/operating.md.
+const (
+	defaultMemoryBytes         = 512 << 20
+	defaultDescriptors         = 4096
+	defaultMaxBodyBytes        = 1 << 20
+	defaultMaxResponseBytes    = 1 << 20
+	defaultDeadline            = 10 * time.Second
+	defaultLatencyTarget       = 2 * time.Second
+	defaultDeduplicationWindow = 30 * time.Second
+	defaultClass               = "default"
+)
+
+// LoadDaemon reads the configuration file at path. Its error is tomlfile.Errors if
+// the file can be read but is invalid.
 func LoadDaemon(path string) (*Daemon, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if info.Size() > fileLimit {
-		return nil, fmt.Errorf("configuration %s: %d bytes, want %d at most", path, info.Size(), fileLimit)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("configuration %s: %d bytes, want at most %d", path, info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -179,19 +187,19 @@
 	return ParseDaemon(path, text)
 }
 
-// ParseProduct reads the text of a file. Paths in it are relative to the folder
-// of file. A text with any fault gives none of a Product.
+// ParseDaemon parses a configuration file. Relative paths in it start at the
+// directory of file. The error is tomlfile.Errors, with a nil Daemon.
 func ParseDaemon(file string, text []byte) (*Daemon, error) {
 	top, err := tomlfile.Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
 	c := &Daemon{}
-	c.process(top.Table("process"))
-	c.classes(top)
-	c.listeners(top)
-	c.pools(top, filepath.Dir(file))
-	c.routes(top)
+	c.readProcess(top.Table("process"))
+	c.readClasses(top)
+	c.readListeners(top)
+	c.readPools(top, filepath.Dir(file))
+	c.readRoutes(top)
 	top.RejectUnknownKeys()
 	if err := top.Err(); err != nil {
 		return nil, err
@@ -199,7 +207,8 @@
 	return c, nil
 }
 
-// CheckFiles tells what is wrong with the files that the configuration names.
+// CheckFiles reads the node files that the configuration refers to and returns all
+// errors in them.
 func (c *Daemon) CheckFiles() error {
 	var errs []error
 	for i := range c.Pools {
@@ -221,7 +230,7 @@
 	return &c.Classes[i]
 }
 
-// LongestDeadline is the longest time that any request is owed an answer in.
+// LongestDeadline returns the longest deadline of all classes.
 func (c *Daemon) LongestDeadline() (d time.Duration) {
 	for i := range c.Classes {
 		d = max(d, c.Classes[i].Deadline)
@@ -229,148 +238,150 @@
 	return d
 }
 
-func (c *Daemon) process(t *tomlfile.Table) {
+func (c *Daemon) readProcess(t *tomlfile.Table) {
 	host, _ := os.Hostname()
 	p := &c.Process
 	p.Name = t.Text("name", host)
 	if s := t.Text("seed", "0"); s != "0" {
 		var err error
 		if p.Seed, err = strconv.ParseUint(s, 16, 64); err != nil {
-			t.AddError("seed", s, "a hexadecimal number of 64 bits")
+			t.AddError("seed", s, "a 64-bit hexadecimal number")
 		}
 	}
-	p.Memory = t.Bytes("memory", defaultMemory, 16<<20)
-	p.Descriptors = t.Integer("descriptors", min(defaultDescriptors, allowed()), 128, 1<<20)
+	p.Memory = t.Bytes("memory", defaultMemoryBytes, 16<<20)
+	p.Descriptors = t.Integer("descriptors", min(defaultDescriptors, descriptorLimit()), minDescriptors, maxDescriptors)
 	p.Cores = t.Integer("cores", 0, 1, 1024)
 	p.Instances = t.Integer("instances", 1, 1, 10000)
 	p.Instance = t.Integer("instance", 0, 0, p.Instances-1)
 	t.RejectUnknownKeys()
 }
 
-// allowed is how many descriptors the system lets the process have.
-func allowed() int {
+// descriptorLimit returns how many file descriptors the process may open, from
+// minDescriptors to maxDescriptors.
+func descriptorLimit() int {
 	var l syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil || l.Max > 1<<20 {
-		return 1 << 20
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil || l.Max > maxDescriptors {
+		return maxDescriptors
 	}
-	return max(128, int(l.Max))
+	return max(minDescriptors, int(l.Max))
 }
 
-func (c *Daemon) classes(top *tomlfile.Table) {
-	names, subs := top.NamedTables("classes")
+func (c *Daemon) readClasses(top *tomlfile.Table) {
+	names, tables := top.NamedTables("classes")
 	if !slices.Contains(names, defaultClass) {
 		names = append(names, defaultClass)
 		slices.Sort(names)
-		subs[defaultClass] = top.EmptyTable("classes.default")
+		tables[defaultClass] = top.EmptyTable("classes.default")
 	}
 	for _, name := range names {
-		t := subs[name]
-		k := Class{Name: name}
+		t := tables[name]
+		class := Class{Name: name}
 		switch t.OneOf("semantics", "by-method", "by-method", "safe", "keyed", "unsafe") {
 		case "by-method":
-			k.ByMethod = true
+			class.ByMethod = true
 		case "keyed":
-			k.Semantics = balance.Keyed
+			class.Semantics = balance.Keyed
 		case "unsafe":
-			k.Semantics = balance.Unsafe
+			class.Semantics = balance.Unsafe
 		}
-		k.Deadline = t.Duration("deadline", defaultDeadline, time.Millisecond)
-		k.LatencyTarget = t.Duration("aim", min(defaultAim, k.Deadline), time.Millisecond)
-		if k.LatencyTarget > k.Deadline {
-			t.AddError("aim", k.LatencyTarget, fmt.Sprintf("the deadline, %v, at most", k.Deadline))
+		class.Deadline = t.Duration("deadline", defaultDeadline, time.Millisecond)
+		class.LatencyTarget = t.Duration("aim", min(defaultLatencyTarget, class.Deadline), time.Millisecond)
+		if class.LatencyTarget > class.Deadline {
+			t.AddError("aim", class.LatencyTarget, fmt.Sprintf("at most the deadline, %v", class.Deadline))
 		}
-		k.Worth = t.Number("worth", 1, 0, 1e6)
-		k.LateWorth = t.Number("late_worth", 0.5, 0, 1)
-		k.DeduplicationWindow = t.Duration("memory_span", defaultMemorySpan, time.Millisecond)
+		class.Worth = t.Number("worth", 1, 0, 1e6)
+		class.LateWorth = t.Number("late_worth", 0.5, 0, 1)
+		class.DeduplicationWindow = t.Duration("memory_span", defaultDeduplicationWindow, time.Millisecond)
 		switch t.OneOf("key_scope", "all", "all", "zone", "cell") {
 		case "zone":
-			k.Scope = balance.ScopeZone
+			class.Scope = balance.ScopeZone
 		case "cell":
-			k.Scope = balance.ScopeCell
+			class.Scope = balance.ScopeCell
 		}
 		t.RejectUnknownKeys()
-		c.Classes = append(c.Classes, k)
+		c.Classes = append(c.Classes, class)
 	}
 }
 
-func (c *Daemon) listeners(top *tomlfile.Table) {
-	names, subs := top.NamedTables("listeners")
+func (c *Daemon) readListeners(top *tomlfile.Table) {
+	names, tables := top.NamedTables("listeners")
 	if len(names) == 0 {
 		top.AddError("listeners", nil, "a table [listeners.NAME] with an address")
 	}
-	at := map[string]string{}
+	nameByAddress := map[string]string{}
 	for _, name := range names {
-		t := subs[name]
-		l := Listener{Name: name}
-		if l.Address = t.Text("address", ""); l.Address == "" && !t.Has("address") {
+		t := tables[name]
+		listener := Listener{Name: name}
+		if listener.Address = t.Text("address", ""); listener.Address == "" && !t.Has("address") {
 			t.AddError("address", nil, "address:port")
-		} else if _, err := netip.ParseAddrPort(l.Address); err != nil && l.Address != "" {
-			t.AddError("address", l.Address, "address:port")
-		} else if other, ok := at[l.Address]; ok && !strings.HasSuffix(l.Address, ":0") {
-			t.AddError("address", l.Address, "another one than listeners."+other+" has")
-		}
-		at[l.Address] = name
-		l.Form = Form(t.OneOf("form", string(FormOrdinary), string(FormOrdinary), string(FormPlatform)))
-		if l.ClassHeader = t.Text("class_header", ""); l.ClassHeader != "" {
-			if !tomlfile.ValidName(l.ClassHeader) {
-				t.AddError("class_header", l.ClassHeader, "the name of a header field")
+		} else if _, err := netip.ParseAddrPort(listener.Address); err != nil && listener.Address != "" {
+			t.AddError("address", listener.Address, "address:port")
+		} else if other, ok := nameByAddress[listener.Address]; ok && !strings.HasSuffix(listener.Address, ":0") {
+			t.AddError("address", listener.Address, "an address that listeners."+other+" does not use")
+		}
+		nameByAddress[listener.Address] = name
+		listener.Form = Form(t.OneOf("form", string(FormOrdinary), string(FormOrdinary), string(FormPlatform)))
+		if listener.ClassHeader = t.Text("class_header", ""); listener.ClassHeader != "" {
+			if !tomlfile.ValidName(listener.ClassHeader) {
+				t.AddError("class_header", listener.ClassHeader, "the name of a header field")
 			}
-			if l.Form == FormPlatform {
-				t.AddError("class_header", l.ClassHeader, "none with form = \"platform\", where the path names the class")
+			if listener.Form == FormPlatform {
+				t.AddError("class_header", listener.ClassHeader, "no such key with form = \"platform\", where the path specifies the class")
 			}
 		}
-		l.Connections = t.Integer("connections", 0, 4, 1<<20)
-		l.HelloTimeout = t.Duration("hello_timeout", 2*time.Second, 10*time.Millisecond)
+		listener.Connections = t.Integer("connections", 0, minListenerConnections, maxDescriptors)
+		listener.HelloTimeout = t.Duration("hello_timeout", 2*time.Second, 10*time.Millisecond)
 		requestTime := 10 * time.Second
-		if l.Form == FormPlatform {
+		if listener.Form == FormPlatform {
 			requestTime = 2500 * time.Millisecond
 		}
-		l.RequestTimeout = t.Duration("request_timeout", requestTime, 10*time.Millisecond)
-		l.IdleTimeout = t.Duration("idle_timeout", 10*time.Second, 10*time.Millisecond)
+		listener.RequestTimeout = t.Duration("request_timeout", requestTime, 10*time.Millisecond)
+		listener.IdleTimeout = t.Duration("idle_timeout", 10*time.Second, 10*time.Millisecond)
 		t.RejectUnknownKeys()
-		c.Listeners = append(c.Listeners, l)
+		c.Listeners = append(c.Listeners, listener)
 	}
-	c.dealConnections(top)
+	c.distributeConnections(top)
 }
 
-// dealConnections gives the listeners that name no bound even shares of the
-// half of the descriptors that is for callers.
-func (c *Daemon) dealConnections(top *tomlfile.Table) {
-	left, open := c.perSide(), 0
+// distributeConnections divides the caller connections that are left equally among
+// the listeners without a limit.
+func (c *Daemon) distributeConnections(top *tomlfile.Table) {
+	remaining, unlimited := c.connectionsPerSide(), 0
 	for i := range c.Listeners {
-		left -= c.Listeners[i].Connections
+		remaining -= c.Listeners[i].Connections
 		if c.Listeners[i].Connections == 0 {
-			open++
+			unlimited++
 		}
 	}
-	if left < 4*open || left < 0 {
-		top.AddErrorAt("listeners", fmt.Sprintf("connections beyond the %d for callers", c.perSide()),
-			"fewer, or process.descriptors raised: half of them, less the process's own, are for callers")
-		left = max(left, 4*open)
+	if remaining < minListenerConnections*unlimited || remaining < 0 {
+		top.AddErrorAt("listeners", fmt.Sprintf("more connections than the %d available for callers", c.connectionsPerSide()),
+			"fewer connections or more process.descriptors: callers get half of those that are not reserved")
+		remaining = max(remaining, minListenerConnections*unlimited)
 	}
 	for i := range c.Listeners {
 		if c.Listeners[i].Connections == 0 {
-			c.Listeners[i].Connections = left / open
+			c.Listeners[i].Connections = remaining / unlimited
 		}
 	}
 }
 
-// perSide is how many descriptors there are for callers, and for nodes.
-func (c *Daemon) perSide() int { return (c.Process.Descriptors - ReservedDescriptors) / 2 }
+// connectionsPerSide returns how many connections are available for callers, and
+// how many for endpoints.
+func (c *Daemon) connectionsPerSide() int { return (c.Process.Descriptors - ReservedDescriptors) / 2 }
 
-func (c *Daemon) pools(top *tomlfile.Table, dir string) {
-	names, subs := top.NamedTables("pools")
+func (c *Daemon) readPools(top *tomlfile.Table, dir string) {
+	names, tables := top.NamedTables("pools")
 	if len(names) == 0 {
 		top.AddError("pools", nil, "a table [pools.NAME] with nodes")
 	}
 	for _, name := range names {
-		t := subs[name]
+		t := tables[name]
 		p := Pool{Name: name}
-		p.source(t, dir)
+		p.readNodeSource(t, dir)
 		p.Zone = t.Text("zone", "")
 		p.PreferOwnZone = t.Bool("prefer_own_zone", false)
 		if p.PreferOwnZone && p.Zone == "" {
-			t.AddError("prefer_own_zone", true, "a zone beside it")
+			t.AddError("prefer_own_zone", true, "a zone in the same table")
 		}
 		p.Attempts = t.Integer("attempts", 3, 1, 16)
 		p.ConnectTimeout = t.Duration("connect_timeout", 250*time.Millisecond, time.Millisecond)
@@ -379,50 +390,51 @@
 		p.WarmUp = t.Duration("warm_up", 10*time.Second, 0)
 		p.ColdShare = t.Number("cold_share", 0.3, 0.01, 1)
 		p.Share = t.Number("share", 1, 0.001, 1e6)
-		p.Connections = t.Integer("connections", 0, 1, 1<<20)
+		p.Connections = t.Integer("connections", 0, 1, maxDescriptors)
 		p.Requests = t.Integer("requests", 0, 1, 1<<20)
 		p.Memory = t.Bytes("memory", 0, 64<<10)
 		p.MaxBody = t.Bytes("max_body", 0, 1)
 		p.MaxResponse = t.Bytes("max_answer", 0, 1)
 		c.Pools = append(c.Pools, p)
 	}
-	c.dealPools(top, subs)
-	for _, t := range subs {
+	c.distributePoolLimits(top, tables)
+	for _, t := range tables {
 		t.RejectUnknownKeys()
 	}
 }
 
-// source reads where the node list of a pool comes from.
-func (p *Pool) source(t *tomlfile.Table, dir string) {
+// readNodeSource reads the source of the pool's endpoint list. Relative paths start
+// at dir.
+func (p *Pool) readNodeSource(t *tomlfile.Table, dir string) {
 	p.NodeSource.Refresh = t.Duration("refresh", time.Second, 10*time.Millisecond)
-	given := 0
+	keyCount := 0
 	for _, key := range []string{"nodes", "nodes_file", "discovery"} {
 		if t.Has(key) {
-			given++
+			keyCount++
 		}
 	}
-	if given != 1 {
+	if keyCount != 1 {
 		found := ""
-		if given > 1 {
-			found = fmt.Sprintf("%d of them", given)
+		if keyCount > 1 {
+			found = fmt.Sprintf("%d of the keys", keyCount)
 		}
-		t.AddErrorAt(t.KeyPath("nodes"), found, "one of nodes, nodes_file and discovery")
+		t.AddErrorAt(t.KeyPath("nodes"), found, "exactly one of nodes, nodes_file and discovery")
 	}
 	if list := t.TextList("nodes"); t.Has("nodes") {
 		var fixed nodes.Fixed
-		for i, s := range list {
-			e, err := nodes.ParseEndpoint(strings.Fields(s))
+		for i, text := range list {
+			node, err := nodes.ParseEndpoint(strings.Fields(text))
 			if err != nil {
-				t.AddErrorAt(tomlfile.ElementPath(t.KeyPath("nodes"), i), tomlfile.FormatValue(s), "a node: "+err.Error())
+				t.AddErrorAt(tomlfile.ElementPath(t.KeyPath("nodes"), i), tomlfile.FormatValue(text), "a node: "+err.Error())
 				continue
 			}
-			fixed = append(fixed, e)
+			fixed = append(fixed, node)
 		}
 		if err := fixed.Validate(); err != nil {
-			t.AddErrorAt(t.KeyPath("nodes"), err.Error(), "each node once")
+			t.AddErrorAt(t.KeyPath("nodes"), err.Error(), "unique nodes")
 		}
 		if len(list) == 0 {
-			t.AddErrorAt(t.KeyPath("nodes"), "an empty list", "one node at least; nodes_file and discovery may be empty for a while")
+			t.AddErrorAt(t.KeyPath("nodes"), "an empty list", "at least one node; only nodes_file and discovery may be empty temporarily")
 		}
 		p.NodeSource.Fixed = fixed
 	}
@@ -440,68 +452,69 @@
 	}
 }
 
-// dealPools gives the pools that name no limit their shares of what the others
-// leave. All shares together are never more than there is: what a pool has, no
-// other pool can take.
-func (c *Daemon) dealPools(top *tomlfile.Table, subs map[string]*tomlfile.Table) {
-	least := 1 << 30
+// distributePoolLimits sets the limits that pools do not specify to shares of what
+// the other pools leave. The limits never add up to more than the process has, so
+// that no pool can use resources of another.
+func (c *Daemon) distributePoolLimits(top *tomlfile.Table, tables map[string]*tomlfile.Table) {
+	fewestConnections := 1 << 30
 	for i := range c.Listeners {
-		least = min(least, c.Listeners[i].Connections)
+		fewestConnections = min(fewestConnections, c.Listeners[i].Connections)
 	}
-	requests := int(float64(least) * (1 - callerMargin))
-	deal(c, top, "connections", int64(c.perSide()), "connections to nodes", func(p *Pool) *int { return &p.Connections })
-	deal(c, top, "memory", c.Process.Memory, "bytes of process.memory", func(p *Pool) *int64 { return &p.Memory })
-	asked := make([]int, len(c.Pools))
+	requests := int(float64(fewestConnections) * (1 - spareConnectionShare))
+	distribute(c, top, "connections", int64(c.connectionsPerSide()), "connections to nodes", func(p *Pool) *int { return &p.Connections })
+	distribute(c, top, "memory", c.Process.Memory, "bytes of process.memory", func(p *Pool) *int64 { return &p.Memory })
+	configuredRequests := make([]int, len(c.Pools))
 	for i := range c.Pools {
-		asked[i] = c.Pools[i].Requests
+		configuredRequests[i] = c.Pools[i].Requests
 	}
-	deal(c, top, "requests", int64(requests), "requests, four fifths of what the smallest listener has connections for", func(p *Pool) *int { return &p.Requests })
+	distribute(c, top, "requests", int64(requests), "requests (four fifths of the connections of the smallest listener)", func(p *Pool) *int { return &p.Requests })
 	for i := range c.Pools {
-		p, t := &c.Pools[i], subs[c.Pools[i].Name]
-		room := max(1, int(p.Memory/requestShare/requestBytes))
-		if asked[i] > room {
-			t.AddError("requests", asked[i], fmt.Sprintf("%d at most with a memory of %s", room, tomlfile.FormatSize(p.Memory)))
-		} else if asked[i] == 0 {
-			p.Requests = max(1, min(p.Requests, p.Connections, room))
+		p, t := &c.Pools[i], tables[c.Pools[i].Name]
+		maximum := max(1, int(p.Memory/openRequestMemoryDivisor/bytesPerOpenRequest))
+		if configuredRequests[i] > maximum {
+			t.AddError("requests", configuredRequests[i], fmt.Sprintf("at most %d with a memory of %s", maximum, tomlfile.FormatSize(p.Memory)))
+		} else if configuredRequests[i] == 0 {
+			p.Requests = max(1, min(p.Requests, p.Connections, maximum))
 		}
-		p.fit(t, "max_body", &p.MaxBody, defaultMaxBody, p.Memory/RequestBodyMemoryDivisor)
-		p.fit(t, "max_answer", &p.MaxResponse, defaultMaxAnswer, p.Memory/LargeResponseMemoryDivisor/2)
+		p.setSizeLimit(t, "max_body", &p.MaxBody, defaultMaxBodyBytes, p.Memory/RequestBodyMemoryDivisor)
+		p.setSizeLimit(t, "max_answer", &p.MaxResponse, defaultMaxResponseBytes, p.Memory/LargeResponseMemoryDivisor/2)
 	}
 }
 
-// fit checks a size against the room that the pool's memory leaves for it, or
-// gives the default.
-func (p *Pool) fit(t *tomlfile.Table, key string, have *int64, without, room int64) {
-	if *have == 0 {
-		*have = min(without, room)
-	} else if *have > room {
-		t.AddError(key, tomlfile.FormatSize(*have), fmt.Sprintf("%s at most: a memory of %s has room for no more", tomlfile.FormatSize(room), tomlfile.FormatSize(p.Memory)))
+// setSizeLimit checks a size limit against the maximum that the pool's memory
+// allows, or sets the default if there is none.
+func (p *Pool) setSizeLimit(t *tomlfile.Table, key string, value *int64, fallback, maximum int64) {
+	if *value == 0 {
+		*value = min(fallback, maximum)
+	} else if *value > maximum {
+		t.AddError(key, tomlfile.FormatSize(*value), fmt.Sprintf("at most %s with a memory of %s", tomlfile.FormatSize(maximum), tomlfile.FormatSize(p.Memory)))
 	}
 }
 
-// deal gives each pool without a limit its share of what there is.
-func deal[N int | int64](c *Daemon, top *tomlfile.Table, key string, all int64, what string, of func(*Pool) *N) {
-	left, shares := all, 0.0
+// distribute sets the limit of each pool that has none to its share of the total
+// that the other pools leave. limit returns the field of a pool.
+func distribute[N int | int64](c *Daemon, top *tomlfile.Table, key string, total int64, resource string, limit func(*Pool) *N) {
+	remaining, shares := total, 0.0
 	for i := range c.Pools {
 		p := &c.Pools[i]
-		if n := *of(p); n > 0 {
-			left -= int64(n)
+		if n := *limit(p); n > 0 {
+			remaining -= int64(n)
 		} else {
 			shares += p.Share
 		}
 	}
-	if left < 0 || shares > 0 && left < int64(len(c.Pools)) {
-		top.AddErrorAt("pools", fmt.Sprintf("%s that take %d of %d", key, all-left, all), "no more than there are "+what)
-		left = max(left, int64(len(c.Pools)))
+	if remaining < 0 || shares > 0 && remaining < int64(len(c.Pools)) {
+		top.AddErrorAt("pools", fmt.Sprintf("limits on %s that total %d of %d", key, total-remaining, total), "at most the available "+resource+", with a remainder for pools without a limit")
+		remaining = max(remaining, int64(len(c.Pools)))
 	}
 	for i := range c.Pools {
-		if p := &c.Pools[i]; *of(p) == 0 {
-			*of(p) = max(1, N(float64(left)*p.Share/shares))
+		if p := &c.Pools[i]; *limit(p) == 0 {
+			*limit(p) = max(1, N(float64(remaining)*p.Share/shares))
 		}
 	}
 }
 
-func (c *Daemon) routes(top *tomlfile.Table) {
+func (c *Daemon) readRoutes(top *tomlfile.Table) {
 	list := top.TableList("routes")
 	if !top.Has("routes") || len(list) == 0 {
 		top.AddError("routes", nil, "a table [[routes]] with a pool")
@@ -519,62 +532,65 @@
 		if r.Pool == "" && !t.Has("pool") {
 			t.AddError("pool", nil, "the name of a pool")
 		} else if !slices.ContainsFunc(c.Pools, func(p Pool) bool { return p.Name == r.Pool }) && r.Pool != "" {
-			t.AddError("pool", r.Pool, "a pool that there is")
+			t.AddError("pool", r.Pool, "the name of a configured pool")
 		}
-		for _, k := range []struct{ key, name string }{{"class", r.Class}, {"if_class", r.IfClass}} {
-			if k.name != "" && c.Class(k.name) == nil {
-				t.AddError(k.key, k.name, "a class that there is")
+		for _, reference := range []struct{ key, name string }{{"class", r.Class}, {"if_class", r.IfClass}} {
+			if reference.name != "" && c.Class(reference.name) == nil {
+				t.AddError(reference.key, reference.name, "the name of a configured class")
 			}
 		}
 		for i, name := range r.Listeners {
 			if !slices.ContainsFunc(c.Listeners, func(l Listener) bool { return l.Name == name }) {
-				t.AddErrorAt(tomlfile.ElementPath(t.KeyPath("listeners"), i), tomlfile.FormatValue(name), "a listener that there is")
+				t.AddErrorAt(tomlfile.ElementPath(t.KeyPath("listeners"), i), tomlfile.FormatValue(name), "the name of a configured listener")
 			}
 		}
 		if t.Has("methods") && len(r.Methods) == 0 {
-			t.AddErrorAt(t.KeyPath("methods"), "an empty list", "methods, or no such key for any")
+			t.AddErrorAt(t.KeyPath("methods"), "an empty list", "at least one method; omit the key for any method")
 		}
 		t.RejectUnknownKeys()
 		c.Routes = append(c.Routes, r)
 	}
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, l := range c.Listeners {
 		if _, err := c.RoutingTable(l.Name); err != nil {
-			c.routeFaults(top, l.Name, err, told)
+			c.addRouteErrors(top, l.Name, err, reported)
 		}
 	}
 }
 
-// routeFaults books what is wrong with the routes of a listener, each once.
-func (c *Daemon) routeFaults(top *tomlfile.Table, listener string, err error, told map[string]bool) {
+// addRouteErrors records the errors in the routes of a listener. reported holds the
+// paths that already have an error, as a route may belong to several listeners.
+func (c *Daemon) addRouteErrors(top *tomlfile.Table, listener string, err error, reported map[string]bool) {
 	joined, _ := err.(interface{ Unwrap() []error })
-	rules := c.rules(listener)
+	rules := c.routeRules(listener)
 	for _, err := range joined.Unwrap() {
 		path, found, want := "", "", ""
-		var conflict *route.Conflict
-		var invalid *route.Invalid
+		var conflict *route.ConflictError
+		var invalid *route.InvalidRuleError
 		switch {
 		case errors.As(err, &conflict):
 			path = tomlfile.ElementPath("routes", rules[conflict.Second].Target)
-			found = "just what " + tomlfile.ElementPath("routes", rules[conflict.First].Target) + " matches"
-			want = "a host, path, method or class that tells them apart"
+			found = "the same conditions as " + tomlfile.ElementPath("routes", rules[conflict.First].Target)
+			want = "a different host, path, method or class"
 		case errors.As(err, &invalid):
 			path = tomlfile.JoinPath(tomlfile.ElementPath("routes", rules[invalid.Rule].Target), strings.Replace(invalid.Field, "method", "methods", 1))
-			found, want = invalid.Err.Error(), "one that a request can have"
+			found, want = invalid.Err.Error(), "a value that a request can have"
 		}
-		if !told[path] {
-			told[path] = true
+		if !reported[path] {
+			reported[path] = true
 			top.AddErrorAt(path, found, want)
 		}
 	}
 }
 
-// Table is the routing table of a listener. Its targets are places in Routes.
+// RoutingTable returns the routing table of a listener. Its targets are indexes in
+// Routes.
 func (c *Daemon) RoutingTable(listener string) (*route.Table, error) {
-	return route.New(c.rules(listener))
+	return route.New(c.routeRules(listener))
 }
 
-func (c *Daemon) rules(listener string) (rules []route.Rule) {
+// routeRules returns the routing rules of a listener, one for each method of a route.
+func (c *Daemon) routeRules(listener string) (rules []route.Rule) {
 	for i, r := range c.Routes {
 		if len(r.Listeners) > 0 && !slices.Contains(r.Listeners, listener) {
 			continue
--- a/internal/config/quorum.go
+++ b/internal/config/quorum.go
@@ -10,30 +10,31 @@
 	"gorselink/internal/tomlfile"
 )
 
-// Quorum is a cluster of voters as a file names it: [quorum], with [[quorum.voters]].
+// Quorum is the configuration of a cluster of voters: the table [quorum] of a file,
+// with [[quorum.voters]].
 type Quorum struct {
 	Cluster string
 	Voters  []QuorumVoter
-	ID      int // of the voter that this file is for; 0 for clients only
+	ID      int // ID of the voter that this file configures; 0 in files for clients only
 	Listen  string
-	Dir     string
+	Dir     string // directory of the voter's log
 	Tick    time.Duration
 
-	Warnings []string
+	Warnings []string // problems that do not prevent operation
 }
 
-// QuorumVoter is one voter.
+// QuorumVoter is one member of the cluster.
 type QuorumVoter struct {
 	ID      int
 	Address string
 }
 
 const (
-	mostVoters  = 9
+	maxVoters   = 9
 	defaultTick = 100 * time.Millisecond
 )
 
-// LoadQuorum reads the quorum of a file, whatever else stands in it.
+// LoadQuorum reads the table [quorum] of the file at path and ignores other tables.
 func LoadQuorum(path string) (*Quorum, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return ParseQuorum(path, text)
 }
 
-// ParseQuorum reads the text of a file. A text with any fault gives none.
+// ParseQuorum parses the table [quorum] of a file. Its error is tomlfile.Errors.
 func ParseQuorum(file string, text []byte) (*Quorum, error) {
 	top, err := tomlfile.Parse(file, text)
 	if err != nil {
@@ -51,42 +52,42 @@
 	if !top.Has("quorum") {
 		top.AddErrorAt("quorum", "", "a table [quorum]")
 	}
-	t := top.Table("quorum")
-	q := &Quorum{Cluster: t.Text("cluster", ""), ID: t.Integer("id", 0, 1, 1<<31), Listen: t.Text("listen", ""), Dir: t.Text("dir", "")}
-	q.Tick = t.Duration("tick", defaultTick, 10*time.Millisecond)
+	table := top.Table("quorum")
+	q := &Quorum{Cluster: table.Text("cluster", ""), ID: table.Integer("id", 0, 1, 1<<31), Listen: table.Text("listen", ""), Dir: table.Text("dir", "")}
+	q.Tick = table.Duration("tick", defaultTick, 10*time.Millisecond)
 	if !tomlfile.ValidName(q.Cluster) {
-		t.AddError("cluster", q.Cluster, "a name of letters, digits, - and _, 64 at most")
+		table.AddError("cluster", q.Cluster, "a name of 1 to 64 letters, digits, - and _")
 	}
-	seen, addresses := map[int]bool{}, map[string]bool{}
-	for _, v := range t.TableList("voters") {
-		id, address := v.Integer("id", 0, 1, 1<<31), v.Text("address", "")
-		if id == 0 || seen[id] {
-			v.AddErrorAt(v.KeyPath("id"), tomlfile.FormatValue(int64(id)), "a number from 1 that no other voter has or had")
+	ids, addresses := map[int]bool{}, map[string]bool{}
+	for _, voter := range table.TableList("voters") {
+		id, address := voter.Integer("id", 0, 1, 1<<31), voter.Text("address", "")
+		if id == 0 || ids[id] {
+			voter.AddErrorAt(voter.KeyPath("id"), tomlfile.FormatValue(int64(id)), "a number from 1 that no other voter, present or removed, has used")
 		}
 		if _, _, err := net.SplitHostPort(address); err != nil || addresses[address] {
-			v.AddError("address", address, "address:port, each once")
+			voter.AddError("address", address, "a unique address:port")
 		}
-		seen[id], addresses[address] = true, true
-		v.RejectUnknownKeys()
+		ids[id], addresses[address] = true, true
+		voter.RejectUnknownKeys()
 		q.Voters = append(q.Voters, QuorumVoter{id, address})
 	}
 	switch n := len(q.Voters); {
-	case n == 0 || n > mostVoters:
-		t.AddErrorAt(t.KeyPath("voters"), fmt.Sprintf("%d of them", n), fmt.Sprintf("1 to %d, [[quorum.voters]]", mostVoters))
+	case n == 0 || n > maxVoters:
+		table.AddErrorAt(table.KeyPath("voters"), fmt.Sprintf("%d voters", n), fmt.Sprintf("1 to %d tables [[quorum.voters]]", maxVoters))
 	case n%2 == 0:
-		q.Warnings = append(q.Warnings, fmt.Sprintf("%s: quorum.voters: %d of them bear the loss of no more than %d would", file, n, n-1))
+		q.Warnings = append(q.Warnings, fmt.Sprintf("%s: quorum.voters: %d voters tolerate no more failures than %d voters", file, n, n-1))
 	}
 	if q.ID != 0 {
-		if !seen[q.ID] {
-			t.AddError("id", int64(q.ID), "one of the voters")
+		if !ids[q.ID] {
+			table.AddError("id", int64(q.ID), "the id of one of the voters")
 		}
 		if q.Dir == "" {
-			t.AddErrorAt(t.KeyPath("dir"), "", "the folder of this voter's log")
+			table.AddErrorAt(table.KeyPath("dir"), "", "the directory of this voter's log")
 		} else if !filepath.IsAbs(q.Dir) {
 			q.Dir = filepath.Join(filepath.Dir(file), q.Dir)
 		}
 	}
-	t.RejectUnknownKeys()
+	table.RejectUnknownKeys()
 	if err := top.Err(); err != nil {
 		return nil, err
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads a TOML file as tables. It tells everything that is wrong
-// with the file at once, with line and key, and keys that nothing heeds too.
+// Package tomlfile reads TOML files and validates their values. It collects all
+// errors of a file, including unknown keys, with their line and key.
 package tomlfile
 
 import (
@@ -16,76 +16,78 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
+// Error is one invalid or missing value in a file.
+type Error struct {
 	File  string
-	Line  int // from 1; 0 if it stands nowhere
+	Line  int // from 1; 0 if unknown
 	Key   string
-	Found string // "" if something is missing
+	Found string // "" if the value is missing
 	Want  string
 }
 
-func (f Fault) Error() string {
-	s := f.File
-	if f.Line > 0 {
-		s += ":" + strconv.Itoa(f.Line)
+func (e Error) Error() string {
+	text := e.File
+	if e.Line > 0 {
+		text += ":" + strconv.Itoa(e.Line)
 	}
-	if f.Key != "" {
-		s += ": " + f.Key
+	if e.Key != "" {
+		text += ": " + e.Key
 	}
-	if f.Found != "" {
-		s += ": found " + f.Found
+	if e.Found != "" {
+		text += ": found " + e.Found
 	} else {
-		s += ": missing"
+		text += ": missing"
 	}
-	return s + ", want " + f.Want
+	return text + ", want " + e.Want
 }
 
-// Faults are all that is wrong with a file, in the order of its lines.
-type Errors []Fault
+// Errors are all errors of a file, sorted by line.
+type Errors []Error
 
-func (fs Errors) Error() string {
-	lines := make([]string, len(fs))
-	for i, f := range fs {
-		lines[i] = f.Error()
+func (errs Errors) Error() string {
+	lines := make([]string, len(errs))
+	for i, e := range errs {
+		lines[i] = e.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// document is a TOML file that is being read. It collects what is wrong, so
-// that everything can be told at once, and which keys have been asked for.
+// document holds what the tables of one file share: the line of each value and
+// the errors found.
 type document struct {
 	file   string
-	lines  map[string]int // of keys and elements, by path
-	faults Errors
+	lines  map[string]int // lines of keys and list elements by path
+	errors Errors
 }
 
-// Parse reads the text of a file. A file that is no TOML has one fault.
+// Parse parses a TOML file and returns its top-level table. file is the name used in
+// errors. Text that is not valid TOML gives a single error.
 func Parse(file string, text []byte) (*Table, error) {
 	d := &document{file: file, lines: map[string]int{}}
 	tree := map[string]any{}
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		f := Fault{File: file, Found: strings.TrimPrefix(err.Error(), "toml: "), Want: "TOML 1.0"}
-		var de *toml.DecodeError
-		if errors.As(err, &de) {
-			f.Line, _ = de.Position()
+		e := Error{File: file, Found: strings.TrimPrefix(err.Error(), "toml: "), Want: "TOML 1.0"}
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			e.Line, _ = decodeErr.Position()
 		}
-		return nil, Errors{f}
+		return nil, Errors{e}
 	}
-	d.locate(text)
+	d.recordLines(text)
 	return &Table{doc: d, values: tree}, nil
 }
 
-// locate notes the line of every key. The decoder tells them only for errors
-// of its own, so the text is read once more, by the same library's parser.
-func (d *document) locate(text []byte) {
+// recordLines records the line of every key and list element. The decoder reports
+// lines only in its own errors, so the text is parsed again with the library's
+// parser.
+func (d *document) recordLines(text []byte) {
 	var p unstable.Parser
 	p.Reset(text)
 	prefix, counts := "", map[string]int{}
 	line := func(n *unstable.Node) int { return p.Shape(n.Raw).Start.Line }
-	note := func(path string, at int) {
-		if _, ok := d.lines[path]; !ok && at > 0 {
-			d.lines[path] = at
+	record := func(path string, lineNumber int) {
+		if _, ok := d.lines[path]; !ok && lineNumber > 0 {
+			d.lines[path] = lineNumber
 		}
 	}
 	keys := func(base string, n *unstable.Node, last func(path string) string) string {
@@ -95,8 +97,8 @@
 			if it.IsLast() && last != nil {
 				path = last(path)
 			}
-			note(path, line(it.Node()))
-			// Below a list of tables a key belongs to the last of them.
+			record(path, line(it.Node()))
+			// A key below a list of tables refers to the last table so far.
 			if n := counts[path]; n > 0 && !it.IsLast() {
 				path = ElementPath(path, n-1)
 			}
@@ -113,7 +115,7 @@
 					continue
 				}
 				if it.Node().Kind != unstable.Array {
-					note(ElementPath(path, i), line(it.Node()))
+					record(ElementPath(path, i), line(it.Node()))
 				}
 				value(ElementPath(path, i), it.Node())
 				i++
@@ -141,7 +143,7 @@
 	}
 }
 
-// Join is the path of a key within what has a path.
+// JoinPath returns the path of a key in the table at path.
 func JoinPath(path, key string) string {
 	if path == "" {
 		return key
@@ -149,75 +151,78 @@
 	return path + "." + key
 }
 
-// Index is the path of an element of a list.
+// ElementPath returns the path of an element of the list at path.
 func ElementPath(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
-// fault books what is wrong at a path. Where the path itself stands nowhere,
-// the line is that of what it would stand in.
-func (d *document) fault(path, found, want string) {
-	f := Fault{File: d.file, Key: path, Found: found, Want: want}
-	for at := path; at != "" && f.Line == 0; {
-		f.Line = d.lines[at]
-		at = at[:max(0, strings.LastIndexAny(at, ".["))]
+// addError records an error at a path. If the path is not in the file, the line
+// is that of the closest enclosing table or list.
+func (d *document) addError(path, found, want string) {
+	e := Error{File: d.file, Key: path, Found: found, Want: want}
+	for ancestor := path; ancestor != "" && e.Line == 0; {
+		e.Line = d.lines[ancestor]
+		ancestor = ancestor[:max(0, strings.LastIndexAny(ancestor, ".["))]
 	}
-	d.faults = append(d.faults, f)
+	d.errors = append(d.errors, e)
 }
 
-// Err is all that has been booked for the file, or nil.
+// Err returns all errors recorded for the file as Errors, or nil.
 func (t *Table) Err() error {
 	d := t.doc
-	if len(d.faults) == 0 {
+	if len(d.errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(d.faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
-	return d.faults
+	slices.SortStableFunc(d.errors, func(a, b Error) int { return cmp.Compare(a.Line, b.Line) })
+	return d.errors
 }
 
-// Table is a table of the file. Its methods return the value under a key, or
-// the default where it is missing or, with a fault booked, wrong.
+// Table is a table of the file. Its accessors return the value of a key, or the
+// fallback if the key is missing. For an invalid value they record an error and
+// return the fallback.
 type Table struct {
-	doc    *document
-	path   string
-	values map[string]any
-	asked  []string
+	doc      *document
+	path     string
+	values   map[string]any
+	readKeys []string
 }
 
-// At is the path of a key.
+// KeyPath returns the path of a key of t.
 func (t *Table) KeyPath(key string) string { return JoinPath(t.path, key) }
 
-// Get is what stands under a key, which may be anything.
+// Get returns the value of a key without validation, and whether the key is present.
+// Like all accessors it marks the key as known.
 func (t *Table) Get(key string) (any, bool) {
-	t.asked = append(t.asked, key)
+	t.readKeys = append(t.readKeys, key)
 	v, ok := t.values[key]
 	return v, ok
 }
 
-// Has tells whether something stands under a key.
+// Has reports whether a key is present, without marking it as known.
 func (t *Table) Has(key string) bool { _, ok := t.values[key]; return ok }
 
-// Wrong books what is wrong at a path of the file.
-func (t *Table) AddErrorAt(path, found, want string) { t.doc.fault(path, found, want) }
+// AddErrorAt records an error at a path of the file.
+func (t *Table) AddErrorAt(path, found, want string) { t.doc.addError(path, found, want) }
 
-// Empty is a table that stands nowhere in the file of t.
+// EmptyTable returns an empty table at a path of the file of t.
 func (t *Table) EmptyTable(path string) *Table {
 	return &Table{doc: t.doc, path: path, values: map[string]any{}}
 }
 
-// Fault books what is wrong with the value of a key.
+// AddError records an error for the value of a key.
 func (t *Table) AddError(key string, found any, want string) {
 	t.AddErrorAt(t.KeyPath(key), FormatValue(found), want)
 }
 
-// End books the keys that nobody has asked for.
+// RejectUnknownKeys records an error for each key of t that no accessor has
+// asked for.
 func (t *Table) RejectUnknownKeys() {
 	for key, v := range t.values {
-		if !slices.Contains(t.asked, key) {
-			t.AddError(key, v, "one of "+strings.Join(t.asked, ", "))
+		if !slices.Contains(t.readKeys, key) {
+			t.AddError(key, v, "one of the keys "+strings.Join(t.readKeys, ", "))
 		}
 	}
 }
 
-// Show words a value as it might stand in the file.
+// FormatValue returns a short text for a value in an error, "" for nil.
 func FormatValue(v any) string {
 	switch v := v.(type) {
 	case nil:
@@ -225,42 +230,42 @@
 	case string:
 		return fmt.Sprintf("%.60q", v)
 	case []any:
-		return fmt.Sprintf("a list of %d", len(v))
+		return fmt.Sprintf("a list of %d elements", len(v))
 	case map[string]any:
 		return "a table"
 	}
 	return fmt.Sprintf("%.60s", fmt.Sprint(v))
 }
 
-// Text is a text that is not empty.
-func (t *Table) Text(key, without string) string {
+// Text reads a non-empty string.
+func (t *Table) Text(key, fallback string) string {
 	v, ok := t.Get(key)
 	if !ok {
-		return without
+		return fallback
 	}
 	s, ok := v.(string)
 	if !ok || s == "" {
-		t.AddError(key, v, "a text in quotes")
-		return without
+		t.AddError(key, v, "a non-empty string")
+		return fallback
 	}
 	return s
 }
 
-// OneOf is a text that must be one of some.
-func (t *Table) OneOf(key, without string, among ...string) string {
-	s := t.Text(key, without)
-	if !slices.Contains(among, s) {
-		t.AddError(key, s, "one of "+strings.Join(among, ", "))
-		return without
+// OneOf reads a string that must be one of allowed.
+func (t *Table) OneOf(key, fallback string, allowed ...string) string {
+	s := t.Text(key, fallback)
+	if !slices.Contains(allowed, s) {
+		t.AddError(key, s, "one of "+strings.Join(allowed, ", "))
+		return fallback
 	}
 	return s
 }
 
-// Flag is true or false.
-func (t *Table) Bool(key string, without bool) bool {
+// Bool reads a boolean. An invalid value gives false.
+func (t *Table) Bool(key string, fallback bool) bool {
 	v, ok := t.Get(key)
 	if !ok {
-		return without
+		return fallback
 	}
 	b, ok := v.(bool)
 	if !ok {
@@ -269,85 +274,86 @@
 	return b
 }
 
-// Whole is a whole number within bounds.
-func (t *Table) Integer(key string, without, least, most int) int {
+// Integer reads an integer from minimum to maximum.
+func (t *Table) Integer(key string, fallback, minimum, maximum int) int {
 	v, ok := t.Get(key)
 	if !ok {
-		return without
+		return fallback
 	}
 	n, ok := v.(int64)
-	if !ok || n < int64(least) || n > int64(most) {
-		t.AddError(key, v, fmt.Sprintf("a whole number from %d to %d", least, most))
-		return without
+	if !ok || n < int64(minimum) || n > int64(maximum) {
+		t.AddError(key, v, fmt.Sprintf("an integer from %d to %d", minimum, maximum))
+		return fallback
 	}
 	return int(n)
 }
 
-// Number is a number within bounds.
-func (t *Table) Number(key string, without, least, most float64) float64 {
+// Number reads an integer or floating-point number from minimum to maximum.
+func (t *Table) Number(key string, fallback, minimum, maximum float64) float64 {
 	v, ok := t.Get(key)
 	if !ok {
-		return without
+		return fallback
 	}
 	x, ok := v.(float64)
 	if n, whole := v.(int64); whole {
 		x, ok = float64(n), true
 	}
-	if !ok || math.IsNaN(x) || x < least || x > most {
-		t.AddError(key, v, fmt.Sprintf("a number from %v to %v", least, most))
-		return without
+	if !ok || math.IsNaN(x) || x < minimum || x > maximum {
+		t.AddError(key, v, fmt.Sprintf("a number from %v to %v", minimum, maximum))
+		return fallback
 	}
 	return x
 }
 
-// longest bounds every time in a file: longer ones are slips.
-const longest = 24 * time.Hour
+// maxDuration bounds all durations in a file; longer ones are taken for mistakes.
+const maxDuration = 24 * time.Hour
 
-// Time is a time with its unit.
-func (t *Table) Duration(key string, without, least time.Duration) time.Duration {
+// Duration reads a duration in the notation of time.ParseDuration, of at minimum minimum.
+func (t *Table) Duration(key string, fallback, minimum time.Duration) time.Duration {
 	v, ok := t.Get(key)
 	if !ok {
-		return without
+		return fallback
 	}
 	s, _ := v.(string)
 	d, err := time.ParseDuration(s)
-	if err != nil || d < least || d > longest {
-		t.AddError(key, v, fmt.Sprintf("a time with its unit, as \"250ms\", from %v to %v", least, longest))
-		return without
+	if err != nil || d < minimum || d > maxDuration {
+		t.AddError(key, v, fmt.Sprintf("a duration with a unit, such as \"250ms\", from %v to %v", minimum, maxDuration))
+		return fallback
 	}
 	return d
 }
 
-var units = []struct {
+// sizeUnits are the units of sizes, the largest first.
+var sizeUnits = []struct {
 	name  string
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// Bytes is a size with its unit.
-func (t *Table) Bytes(key string, without, least int64) int64 {
+// Bytes reads a size in bytes with a unit, of at least minimum.
+func (t *Table) Bytes(key string, fallback, minimum int64) int64 {
 	v, ok := t.Get(key)
 	if !ok {
-		return without
+		return fallback
 	}
 	s, _ := v.(string)
-	for _, u := range units {
+	for _, u := range sizeUnits {
 		text, ok := strings.CutSuffix(s, u.name)
 		if !ok {
 			continue
 		}
 		n, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
-		if err != nil || n < 0 || n > math.MaxInt64/u.bytes || n*u.bytes < least {
+		if err != nil || n < 0 || n > math.MaxInt64/u.bytes || n*u.bytes < minimum {
 			break
 		}
 		return n * u.bytes
 	}
-	t.AddError(key, v, fmt.Sprintf("a size with its unit, as \"64 KiB\", of %s at least", FormatSize(least)))
-	return without
+	t.AddError(key, v, fmt.Sprintf("a size with a unit, such as \"64 KiB\", of at least %s", FormatSize(minimum)))
+	return fallback
 }
 
-// Size words a number of bytes.
+// FormatSize formats a number of bytes with the largest unit that divides it.
 func FormatSize(n int64) string {
-	for _, u := range units {
+	for _, u := range sizeUnits {
 		if n >= u.bytes && n%u.bytes == 0 {
 			return strconv.FormatInt(n/u.bytes, 10) + " " + u.name
 		}
@@ -355,29 +361,29 @@
 	return strconv.FormatInt(n, 10) + " B"
 }
 
-// Texts is a list of texts that are not empty.
-func (t *Table) TextList(key string) (all []string) {
+// TextList reads a list of non-empty strings. Invalid elements are left out.
+func (t *Table) TextList(key string) (texts []string) {
 	v, ok := t.Get(key)
 	if !ok {
 		return nil
 	}
 	list, ok := v.([]any)
 	if !ok {
-		t.AddError(key, v, "a list of texts")
+		t.AddError(key, v, "a list of strings")
 		return nil
 	}
 	for i, v := range list {
 		s, ok := v.(string)
 		if !ok || s == "" {
-			t.AddErrorAt(ElementPath(t.KeyPath(key), i), FormatValue(v), "a text in quotes")
+			t.AddErrorAt(ElementPath(t.KeyPath(key), i), FormatValue(v), "a non-empty string")
 			continue
 		}
-		all = append(all, s)
+		texts = append(texts, s)
 	}
-	return all
+	return texts
 }
 
-// Table is the table under a key; without one it is empty.
+// Table returns the table of a key, which is empty if the key is missing.
 func (t *Table) Table(key string) *Table {
 	sub := t.EmptyTable(t.KeyPath(key))
 	if v, ok := t.Get(key); ok {
@@ -388,24 +394,25 @@
 	return sub
 }
 
-// Tables are the tables under a key that holds one for each name, by name.
-func (t *Table) NamedTables(key string) (names []string, subs map[string]*Table) {
-	all := t.Table(key)
-	subs = map[string]*Table{}
-	for name := range all.values {
+// NamedTables reads a table that maps names to tables. It returns the sorted names
+// and the tables by name.
+func (t *Table) NamedTables(key string) (names []string, tables map[string]*Table) {
+	table := t.Table(key)
+	tables = map[string]*Table{}
+	for name := range table.values {
 		if !ValidName(name) {
-			all.AddError(name, name, "a name of letters, digits, - and _, 64 at most")
+			table.AddError(name, name, "a name of 1 to 64 letters, digits, - and _")
 			continue
 		}
 		names = append(names, name)
-		subs[name] = all.Table(name)
+		tables[name] = table.Table(name)
 	}
 	slices.Sort(names)
-	return names, subs
+	return names, tables
 }
 
-// List are the tables of a list of tables.
-func (t *Table) TableList(key string) (all []*Table) {
+// TableList reads a list of tables. Elements that are not tables are left out.
+func (t *Table) TableList(key string) (tables []*Table) {
 	v, ok := t.Get(key)
 	if !ok {
 		return nil
@@ -422,12 +429,13 @@
 			t.AddErrorAt(path, FormatValue(v), "a table")
 			continue
 		}
-		all = append(all, &Table{doc: t.doc, path: path, values: values})
+		tables = append(tables, &Table{doc: t.doc, path: path, values: values})
 	}
-	return all
+	return tables
 }
 
-// GoodName tells whether s can name a thing in a file, in logs and in metrics.
+// ValidName reports whether s is usable as a name in files, logs and metrics: 1 to
+// 64 ASCII letters, digits, hyphens and underscores.
 func ValidName(s string) bool {
 	if s == "" || len(s) > 64 {
 		return false
--- a/route/normal.go
+++ b/route/normal.go
@@ -7,63 +7,65 @@
 	"strings"
 )
 
-// Longest names and paths that are judged. A host name has 253 characters at
-// the most (RFC 1035, section 2.3.4, less the root's dot and length bytes); a
-// path is bounded by the head that brings it, this is the last guard.
+// Limits on hosts and paths, in bytes.
 const (
-	MaxHost = 253
-	MaxPath = 8 << 10
+	// MaxHostLength follows RFC 1035, section 2.3.4: 255 encoded bytes,
+	// less the first length byte and the root label.
+	MaxHostLength = 253
+	// MaxPathLength bounds paths in addition to the limit on the request head.
+	MaxPathLength = 8 << 10
 )
 
-// Host brings a host, as it comes in a Host field or in an absolute URI, to the
-// one form that is matched: lower case, without the dot of the root. An address
-// in brackets keeps them. The port comes apart, with its colon or empty.
+// NormalizeHost returns the normal form of a host from a Host field or an
+// absolute URI: lower case and without a trailing dot. An IP address in brackets
+// keeps its brackets. The port is returned with its colon, or is empty.
 //
-// Only what RFC 3986, section 3.2.2, calls a reg-name without escapes or an
-// IP-literal is taken: a host that a node could read in another way is an
-// error.
+// Only a reg-name without percent-encoding and an IP-literal are accepted
+// (RFC 3986, section 3.2.2), because endpoints could interpret other hosts
+// differently.
 func NormalizeHost(s string) (name, port string, err error) {
 	name = s
 	if strings.HasPrefix(s, "[") {
 		end := strings.IndexByte(s, ']')
 		if end < 0 {
-			return "", "", fmt.Errorf("host %.80q: no closing bracket", s)
+			return "", "", fmt.Errorf("host %.80q: missing closing bracket", s)
 		}
 		name, port = s[:end+1], s[end+1:]
 		if port != "" && port[0] != ':' {
-			return "", "", fmt.Errorf("host %.80q: bytes behind the bracket", s)
+			return "", "", fmt.Errorf("host %.80q: unexpected characters after the closing bracket", s)
 		}
-		if i := badByte(name[1:end], "0123456789abcdefABCDEF:."); i >= 0 || end == 1 {
-			return "", "", fmt.Errorf("host %.80q: no address in the brackets", s)
+		if i := indexNotIn(name[1:end], "0123456789abcdefABCDEF:."); i >= 0 || end == 1 {
+			return "", "", fmt.Errorf("host %.80q: invalid IP address in brackets", s)
 		}
 	} else if i := strings.IndexByte(s, ':'); i >= 0 {
 		name, port = s[:i], s[i:]
 	}
-	if port != "" && badByte(port[1:], "0123456789") >= 0 || len(port) > 6 {
-		return "", "", fmt.Errorf("host %.80q: the port is no number", s)
+	if port != "" && indexNotIn(port[1:], "0123456789") >= 0 || len(port) > 6 {
+		return "", "", fmt.Errorf("host %.80q: invalid port number", s)
 	}
 	if port == ":" {
-		port = "" // RFC 3986, section 6.2.3
+		port = "" // an empty port equals no port: RFC 3986, section 6.2.3
 	}
 	if !strings.HasPrefix(name, "[") {
 		name = strings.TrimSuffix(name, ".")
-		if err := checkLabels(name); err != nil {
+		if err := validateHostName(name); err != nil {
 			return "", "", fmt.Errorf("host %.80q: %w", s, err)
 		}
 	}
 	return strings.ToLower(name), port, nil
 }
 
-// checkLabels tells whether a name consists of labels as hosts have them.
-func checkLabels(name string) error {
-	if name == "" || len(name) > MaxHost {
-		return fmt.Errorf("a name of %d characters, want 1 to %d", len(name), MaxHost)
+// validateHostName checks the length of a host name, that no label is empty and
+// that all characters are allowed. Underscores are accepted.
+func validateHostName(name string) error {
+	if name == "" || len(name) > MaxHostLength {
+		return fmt.Errorf("name has %d characters, want 1 to %d", len(name), MaxHostLength)
 	}
 	start := 0
 	for i := 0; i <= len(name); i++ {
 		if i == len(name) || name[i] == '.' {
 			if i == start {
-				return errors.New("an empty label")
+				return errors.New("empty label")
 			}
 			start = i + 1
 			continue
@@ -71,14 +73,14 @@
 		switch c := name[i]; {
 		case c >= 'a' && c <= 'z', c >= '0' && c <= '9', c >= 'A' && c <= 'Z', c == '-', c == '_':
 		default:
-			return fmt.Errorf("%q cannot stand in a name", c)
+			return fmt.Errorf("character %q is not allowed in a host name", c)
 		}
 	}
 	return nil
 }
 
-// badByte is the first place in s of a byte that is not in set, or -1.
-func badByte(s, set string) int {
+// indexNotIn returns the index of the first byte of s that is not in set, or -1.
+func indexNotIn(s, set string) int {
 	for i := range len(s) {
 		if strings.IndexByte(set, s[i]) < 0 {
 			return i
@@ -87,124 +89,127 @@
 	return -1
 }
 
-// Errors of Path that callers tell apart in tests.
+// Errors that NormalizePath wraps.
 var (
-	errEscape = errors.New("a percent sign without two hexadecimal digits")
-	errAbove  = errors.New("it climbs above the root")
-	errHidden = errors.New("an encoded slash, backslash or NUL, which some servers read as a border")
-	errByte   = errors.New("a byte that must be encoded")
-	errParam  = errors.New("a dot segment with parameters, which some servers resolve")
+	errInvalidEscape        = errors.New("percent sign without two hexadecimal digits")
+	errAboveRoot            = errors.New("dot segments lead above the root")
+	errEncodedSeparator     = errors.New("encoded slash, backslash or NUL, which some servers treat as a separator or terminator")
+	errUnencodedByte        = errors.New("character that must be percent-encoded")
+	errDotSegmentParameters = errors.New("dot segment with parameters, which some servers resolve as a dot segment")
 )
 
-// Path brings the path of a request, still encoded and without its query, to
-// the one form that is both matched and sent on: escapes of unreserved
-// characters are undone and the others in upper case (RFC 3986, section 6.2.2),
-// dot segments resolved (section 5.2.4) and empty segments dropped. A slash at
-// the end stays.
+// NormalizePath returns the normal form of a percent-encoded path without its
+// query; this form is both matched and forwarded. It decodes unreserved
+// characters, writes other escapes in upper case (RFC 3986, section 6.2.2),
+// resolves dot segments (section 5.2.4) and removes empty segments. It keeps a
+// trailing slash and is idempotent.
 //
-// What servers are known to read in different ways is an error, since then the
-// request could be judged as one path and arrive as another: an encoded slash,
-// backslash or NUL, a bare backslash, "..;" and "." with parameters, and a path
-// that climbs above the root. Path is idempotent: Path(Path(s)) == Path(s).
-func Path(s string) (string, error) {
-	if s == "" || s[0] != '/' || len(s) > MaxPath {
-		return "", fmt.Errorf("path %.80q, want a slash first and %d bytes at the most", s, MaxPath)
-	}
-	if plain(s) {
+// Paths that servers are known to interpret differently are rejected, because a
+// request could match one path and reach the endpoint as another: encoded
+// slashes, backslashes and NULs, bare backslashes, dot segments with parameters
+// ("..;x"), and paths that lead above the root.
+func NormalizePath(s string) (string, error) {
+	if s == "" || s[0] != '/' || len(s) > MaxPathLength {
+		return "", fmt.Errorf("path %.80q: want a leading slash and at most %d bytes", s, MaxPathLength)
+	}
+	if isNormalPath(s) {
 		return s, nil
 	}
 	out := make([]byte, 0, len(s))
 	for rest := s[1:]; ; {
-		seg, more, found := strings.Cut(rest, "/")
-		from := len(out)
+		segment, remaining, hasMore := strings.Cut(rest, "/")
+		start := len(out)
 		out = append(out, '/')
 		var err error
-		if out, err = appendSegment(out, seg); err != nil {
+		if out, err = appendNormalSegment(out, segment); err != nil {
 			return "", fmt.Errorf("path %.80q: %w", s, err)
 		}
-		switch got := string(out[from+1:]); {
-		case got == "" || got == ".":
-			out = out[:from]
-		case got == "..":
-			if from == 0 {
-				return "", fmt.Errorf("path %.80q: %w", s, errAbove)
+		switch normal := string(out[start+1:]); {
+		case normal == "" || normal == ".":
+			out = out[:start]
+		case normal == "..":
+			if start == 0 {
+				return "", fmt.Errorf("path %.80q: %w", s, errAboveRoot)
 			}
-			out = out[:bytes.LastIndexByte(out[:from], '/')]
-		case strings.HasPrefix(got, ".;") || strings.HasPrefix(got, "..;"):
-			return "", fmt.Errorf("path %.80q: %w", s, errParam)
-		case found:
-			rest = more
+			out = out[:bytes.LastIndexByte(out[:start], '/')]
+		case strings.HasPrefix(normal, ".;") || strings.HasPrefix(normal, "..;"):
+			return "", fmt.Errorf("path %.80q: %w", s, errDotSegmentParameters)
+		case hasMore:
+			rest = remaining
 			continue
 		default:
 			return string(out), nil
 		}
-		if !found { // the last segment has gone: what is left names a folder
+		if !hasMore { // the last segment was removed: a directory remains
 			return string(append(out, '/')), nil
 		}
-		rest = more
+		rest = remaining
 	}
 }
 
-// plain tells that s is in its normal form for sure: it spares most requests
-// the copy.
-func plain(s string) bool {
+// isNormalPath reports whether s needs no normalization, so that most requests
+// avoid a copy. It may return false for a path in normal form.
+func isNormalPath(s string) bool {
 	for i := range len(s) {
 		switch c := s[i]; {
 		case c == '/':
 			if i+1 < len(s) && (s[i+1] == '/' || s[i+1] == '.') {
 				return false
 			}
-		case !pathByte(c):
+		case !isPathByte(c):
 			return false
 		}
 	}
 	return true
 }
 
-// pathByte tells whether c may stand unencoded in a segment: pchar of RFC 3986,
-// section 3.3, without the percent sign.
-func pathByte(c byte) bool {
-	return unreserved(c) || strings.IndexByte("!$&'()*+,;=:@", c) >= 0
+// isPathByte reports whether c may appear unencoded in a segment: pchar of
+// RFC 3986, section 3.3, without the percent sign.
+func isPathByte(c byte) bool {
+	return isUnreserved(c) || strings.IndexByte("!$&'()*+,;=:@", c) >= 0
 }
 
-func unreserved(c byte) bool {
+// isUnreserved reports whether c is an unreserved character of RFC 3986,
+// section 2.3.
+func isUnreserved(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
 		c == '-' || c == '.' || c == '_' || c == '~'
 }
 
-// appendSegment appends one segment in its normal form.
-func appendSegment(out []byte, seg string) ([]byte, error) {
+// appendNormalSegment appends the normal form of one percent-encoded segment.
+func appendNormalSegment(out []byte, segment string) ([]byte, error) {
 	const upperHex = "0123456789ABCDEF"
-	for i := 0; i < len(seg); i++ {
-		c := seg[i]
+	for i := 0; i < len(segment); i++ {
+		c := segment[i]
 		if c != '%' {
-			if !pathByte(c) {
-				return nil, errByte
+			if !isPathByte(c) {
+				return nil, errUnencodedByte
 			}
 			out = append(out, c)
 			continue
 		}
-		if i+2 >= len(seg) {
-			return nil, errEscape
+		if i+2 >= len(segment) {
+			return nil, errInvalidEscape
 		}
-		hi, lo := hexDigit(seg[i+1]), hexDigit(seg[i+2])
-		if hi < 0 || lo < 0 {
-			return nil, errEscape
+		high, low := hexValue(segment[i+1]), hexValue(segment[i+2])
+		if high < 0 || low < 0 {
+			return nil, errInvalidEscape
 		}
 		i += 2
-		switch c = byte(hi<<4 | lo); {
-		case unreserved(c):
+		switch c = byte(high<<4 | low); {
+		case isUnreserved(c):
 			out = append(out, c)
 		case c == '/' || c == '\\' || c == 0:
-			return nil, errHidden
+			return nil, errEncodedSeparator
 		default:
-			out = append(out, '%', upperHex[hi], upperHex[lo])
+			out = append(out, '%', upperHex[high], upperHex[low])
 		}
 	}
 	return out, nil
 }
 
-func hexDigit(c byte) int {
+// hexValue returns the value of a hexadecimal digit, or -1.
+func hexValue(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
@@ -216,17 +221,17 @@
 	return -1
 }
 
-// Target splits the target of a request in origin form into path and query and
-// brings the path to its normal form. The query goes on as it came; bytes that
-// end a request line early, or start a fragment, are an error.
+// NormalizeTarget splits a request target in origin form into its normalized
+// path and its query. The query, with its question mark, is unchanged; spaces,
+// control and non-ASCII bytes and "#" in it are errors.
 func NormalizeTarget(s string) (path, query string, err error) {
 	path, query, hasQuery := strings.Cut(s, "?")
-	if path, err = Path(path); err != nil {
+	if path, err = NormalizePath(path); err != nil {
 		return "", "", err
 	}
 	for i := range len(query) {
 		if c := query[i]; c <= ' ' || c == '#' || c >= 0x7f {
-			return "", "", fmt.Errorf("query %.80q: %w", query, errByte)
+			return "", "", fmt.Errorf("query %.80q: %w", query, errUnencodedByte)
 		}
 	}
 	if hasQuery {
--- a/route/route.go
+++ b/route/route.go
@@ -1,12 +1,12 @@
-// Package route says which pool a request belongs to. It is pure: a Table is
-// built once from rules and only read after that, by any number of goroutines;
-// there is no I/O, clock or order of a map in what it answers.
+// Package route maps requests to routing targets. A Table is built once from
+// rules, is immutable, and is safe for concurrent use. Its results depend only
+// on the rules and the request.
 //
-// A rule names a host, the first segments of a path, a method and a class, each
-// of which may be left open. Of the rules that match a request the most
-// specific one wins: first by host (exact, then the longest wildcard, then
-// any), then by the number of path segments, then by method, then by class.
-// docs/pools.md weighs this against first-match and host-first tables.
+// A rule may restrict the host, a path prefix, the method and the class. Of the
+// rules that match a request the most specific one wins: first by host (exact,
+// then the longest wildcard, then any), then by the number of path segments,
+// then by method, then by class. docs/pools.md compares this with first-match
+// and host-first tables.
 package route
 
 import (
@@ -15,17 +15,17 @@
 	"strings"
 )
 
-// Rule sends the requests that it matches to a target.
+// Rule maps the requests that it matches to a target.
 type Rule struct {
-	Host   string // "example.org", "*.example.org" for all names below it, or "" for any
-	Path   string // "/a/b" matches itself and what is below it; "" or "/" matches all
+	Host   string // "example.org", "*.example.org" for all its subdomains, or "" for any
+	Path   string // "/a/b" matches itself and all paths below it; "" or "/" matches all
 	Method string // "" for any
-	Class  string // the class that the request names, "" for any
-	Target int    // what Find returns
+	Class  string // the class that the request specifies, "" for any
+	Target int    // the value that Find returns
 }
 
-// Request is what a request is judged by. Host and Path must be in the form
-// that the functions of these names return.
+// Request holds the properties of a request that rules match. Host must be in the
+// form that NormalizeHost returns, and Path in the form that NormalizePath returns.
 type Request struct {
 	Host   string
 	Path   string
@@ -33,51 +33,54 @@
 	Class  string
 }
 
-// Table finds the rule for a request. Its cost hangs on the labels of the host
-// and the segments of the path, not on the number of rules. The zero Table
-// matches nothing.
+// Table finds the most specific rule for a request. The cost of a lookup depends
+// on the number of host labels and path segments, not on the number of rules.
+// The zero Table matches nothing.
 type Table struct {
-	exact    map[string]*node // by host
-	below    map[string]*node // by what follows "*."
-	anywhere *node
+	exactHosts    map[string]*pathNode // by host
+	wildcardHosts map[string]*pathNode // by the host pattern without "*."
+	anyHost       *pathNode
 }
 
-// node is one segment of a path below one host.
-type node struct {
-	next   map[string]*node
-	leaves []leaf // the most specific first: at most one for each method and class
+// pathNode is a node of the tree of path segments of one host.
+type pathNode struct {
+	children map[string]*pathNode
+	matchers []matcher // the most specific first; at most one for each pair of method and class
 }
 
-type leaf struct {
+// matcher is the method and class condition of one rule.
+type matcher struct {
 	method, class string
 	target        int
-	rule          int
+	rule          int // index in the list of rules
 }
 
-// Conflict tells of two rules that nothing tells apart.
-type Conflict struct{ First, Second int }
+// ConflictError reports two rules that match the same requests.
+type ConflictError struct{ First, Second int }
 
-func (c *Conflict) Error() string {
-	return fmt.Sprintf("rule %d matches just what rule %d matches", c.Second, c.First)
+func (c *ConflictError) Error() string {
+	return fmt.Sprintf("rule %d matches the same requests as rule %d", c.Second, c.First)
 }
 
-// Invalid tells of a rule that cannot be used.
-type Invalid struct {
+// InvalidRuleError reports a rule with an invalid field.
+type InvalidRuleError struct {
 	Rule  int
 	Field string // "host", "path" or "method"
 	Err   error
 }
 
-func (e *Invalid) Error() string { return fmt.Sprintf("rule %d: %s: %v", e.Rule, e.Field, e.Err) }
-func (e *Invalid) Unwrap() error { return e.Err }
+func (e *InvalidRuleError) Error() string {
+	return fmt.Sprintf("rule %d: %s: %v", e.Rule, e.Field, e.Err)
+}
+func (e *InvalidRuleError) Unwrap() error { return e.Err }
 
-// New builds a Table. The error joins an *Invalid or *Conflict for every rule
-// that is wrong; with an error there is no Table.
+// New builds a Table. Its error joins an *InvalidRuleError or *ConflictError for
+// every rejected rule; the Table is then nil.
 func New(rules []Rule) (*Table, error) {
-	t := &Table{exact: map[string]*node{}, below: map[string]*node{}}
+	t := &Table{exactHosts: map[string]*pathNode{}, wildcardHosts: map[string]*pathNode{}}
 	var errs []error
 	for i, r := range rules {
-		if err := t.add(i, r); err != nil {
+		if err := t.addRule(i, r); err != nil {
 			errs = append(errs, err)
 		}
 	}
@@ -87,147 +90,151 @@
 	return t, nil
 }
 
-func (t *Table) add(i int, r Rule) error {
-	top, err := t.top(r.Host)
+// addRule adds rule number i to the tree of its host.
+func (t *Table) addRule(i int, r Rule) error {
+	root, err := t.hostRoot(r.Host)
 	if err != nil {
-		return &Invalid{Rule: i, Field: "host", Err: err}
+		return &InvalidRuleError{Rule: i, Field: "host", Err: err}
 	}
 	path := "/"
 	if r.Path != "" {
-		if path, err = Path(r.Path); err != nil {
-			return &Invalid{Rule: i, Field: "path", Err: err}
+		if path, err = NormalizePath(r.Path); err != nil {
+			return &InvalidRuleError{Rule: i, Field: "path", Err: err}
 		}
 	}
-	if badByte(r.Method, "ABCDEFGHIJKLMNOPQRSTUVWXYZ-") >= 0 {
-		return &Invalid{Rule: i, Field: "method", Err: fmt.Errorf("%.40q, want capital letters", r.Method)}
+	if indexNotIn(r.Method, "ABCDEFGHIJKLMNOPQRSTUVWXYZ-") >= 0 {
+		return &InvalidRuleError{Rule: i, Field: "method", Err: fmt.Errorf("%.40q, want upper-case letters and hyphens", r.Method)}
 	}
-	if *top == nil {
-		*top = &node{}
+	if *root == nil {
+		*root = &pathNode{}
 	}
-	at := *top
+	node := *root
 	for rest := strings.Trim(path, "/"); rest != ""; {
-		var seg string
-		seg, rest, _ = strings.Cut(rest, "/")
-		if at.next == nil {
-			at.next = map[string]*node{}
+		var segment string
+		segment, rest, _ = strings.Cut(rest, "/")
+		if node.children == nil {
+			node.children = map[string]*pathNode{}
 		}
-		if at.next[seg] == nil {
-			at.next[seg] = &node{}
+		if node.children[segment] == nil {
+			node.children[segment] = &pathNode{}
 		}
-		at = at.next[seg]
+		node = node.children[segment]
 	}
-	return at.add(leaf{method: r.Method, class: r.Class, target: r.Target, rule: i})
+	return node.addMatcher(matcher{method: r.Method, class: r.Class, target: r.Target, rule: i})
 }
 
-// add puts l before the first leaf that is less specific.
-func (n *node) add(l leaf) error {
-	place := len(n.leaves)
-	for k, o := range n.leaves {
-		if o.method == l.method && o.class == l.class {
-			return &Conflict{First: o.rule, Second: l.rule}
+// addMatcher inserts m before the first matcher that is less specific.
+func (n *pathNode) addMatcher(m matcher) error {
+	position := len(n.matchers)
+	for i, other := range n.matchers {
+		if other.method == m.method && other.class == m.class {
+			return &ConflictError{First: other.rule, Second: m.rule}
 		}
-		if place == len(n.leaves) && o.rank() < l.rank() {
-			place = k
+		if position == len(n.matchers) && other.specificity() < m.specificity() {
+			position = i
 		}
 	}
-	n.leaves = append(n.leaves, leaf{})
-	copy(n.leaves[place+1:], n.leaves[place:])
-	n.leaves[place] = l
+	n.matchers = append(n.matchers, matcher{})
+	copy(n.matchers[position+1:], n.matchers[position:])
+	n.matchers[position] = m
 	return nil
 }
 
-// rank orders the leaves of a node: a method weighs more than a class.
-func (l *leaf) rank() (r int) {
-	if l.method != "" {
-		r += 2
+// specificity orders the matchers of a node: a method outranks a class.
+func (m *matcher) specificity() (rank int) {
+	if m.method != "" {
+		rank += 2
 	}
-	if l.class != "" {
-		r++
+	if m.class != "" {
+		rank++
 	}
-	return r
+	return rank
 }
 
-// top is the place of the node for a rule's host.
-func (t *Table) top(host string) (**node, error) {
+// hostRoot returns a pointer to the root node for a rule's host, and creates the
+// node for a host that has none. The node for any host may be nil.
+func (t *Table) hostRoot(host string) (**pathNode, error) {
 	if host == "" {
-		return &t.anywhere, nil
+		return &t.anyHost, nil
 	}
-	from := t.exact
-	name, wild := strings.CutPrefix(host, "*.")
-	if wild {
-		from = t.below
+	roots := t.exactHosts
+	name, isWildcard := strings.CutPrefix(host, "*.")
+	if isWildcard {
+		roots = t.wildcardHosts
 	}
-	normal, port, err := NormalizeHost(name)
+	normalized, port, err := NormalizeHost(name)
 	if err == nil && port != "" {
-		err = fmt.Errorf("%.80q has a port, and hosts are matched without it", host)
+		err = fmt.Errorf("%.80q has a port, but rules match hosts without a port", host)
 	}
 	if err != nil {
 		return nil, err
 	}
-	n := from[normal]
-	if n == nil {
-		n = &node{}
-		from[normal] = n
+	root := roots[normalized]
+	if root == nil {
+		root = &pathNode{}
+		roots[normalized] = root
 	}
-	return &n, nil
+	return &root, nil
 }
 
-// Find returns the target of the most specific rule that matches, and whether
-// there is one.
+// Find returns the target of the most specific rule that matches r, and whether
+// any rule matches.
 func (t *Table) Find(r *Request) (target int, ok bool) {
-	if l := t.exact[r.Host].find(r); l != nil {
-		return l.target, true
+	if m := t.exactHosts[r.Host].findDeepest(r); m != nil {
+		return m.target, true
 	}
-	// The longest name below which it stands is the first one met.
-	if len(t.below) > 0 {
+	// Wildcards are looked up from the longest to the shortest.
+	if len(t.wildcardHosts) > 0 {
 		for rest := r.Host; ; {
-			_, after, more := strings.Cut(rest, ".")
-			if !more {
+			_, parent, hasParent := strings.Cut(rest, ".")
+			if !hasParent {
 				break
 			}
-			if l := t.below[after].find(r); l != nil {
-				return l.target, true
+			if m := t.wildcardHosts[parent].findDeepest(r); m != nil {
+				return m.target, true
 			}
-			rest = after
+			rest = parent
 		}
 	}
-	if l := t.anywhere.find(r); l != nil {
-		return l.target, true
+	if m := t.anyHost.findDeepest(r); m != nil {
+		return m.target, true
 	}
 	return 0, false
 }
 
-// find returns the best leaf on the way along the path, the deepest first.
-func (n *node) find(r *Request) *leaf {
+// findDeepest follows the path of r and returns the matcher of the deepest node
+// that has one for r, or nil.
+func (n *pathNode) findDeepest(r *Request) *matcher {
 	if n == nil {
 		return nil
 	}
-	best := n.leaf(r)
-	for rest := r.Path; n.next != nil; {
+	best := n.match(r)
+	for rest := r.Path; n.children != nil; {
 		rest = strings.TrimPrefix(rest, "/")
 		if rest == "" {
 			break
 		}
-		seg := rest
+		segment := rest
 		if i := strings.IndexByte(rest, '/'); i >= 0 {
-			seg = rest[:i]
+			segment = rest[:i]
 		}
-		rest = rest[len(seg):]
-		if n = n.next[seg]; n == nil {
+		rest = rest[len(segment):]
+		if n = n.children[segment]; n == nil {
 			break
 		}
-		if l := n.leaf(r); l != nil {
-			best = l
+		if m := n.match(r); m != nil {
+			best = m
 		}
 	}
 	return best
 }
 
-func (n *node) leaf(r *Request) *leaf {
-	for k := range n.leaves {
-		l := &n.leaves[k]
-		if (l.method == "" || l.method == r.Method) && (l.class == "" || l.class == r.Class) {
-			return l
+// match returns the most specific matcher of n for r, or nil.
+func (n *pathNode) match(r *Request) *matcher {
+	for i := range n.matchers {
+		m := &n.matchers[i]
+		if (m.method == "" || m.method == r.Method) && (m.class == "" || m.class == r.Class) {
+			return m
 		}
 	}
 	return nil
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestHost(t *testing.T) {
+func TestNormalizeHost(t *testing.T) {
 	for in, want := range map[string]string{
 		"Donate.Example.ORG":     "donate.example.org",
 		"donate.example.org.":    "donate.example.org",
@@ -20,7 +20,7 @@
 		"a:":                     "a",
 		"xn--sen-vng-6wa.vn":     "xn--sen-vng-6wa.vn",
 		strings.Repeat("a", 253): strings.Repeat("a", 253),
-		// None of these is one host to every server.
+		// Invalid hosts, and hosts that servers interpret differently.
 		"":                       "",
 		".":                      "",
 		"..":                     "",
@@ -43,20 +43,20 @@
 	} {
 		got, _, err := NormalizeHost(in)
 		if got != want || (err == nil) != (want != "") {
-			t.Errorf("Host(%q) = %q, %v, want %q", in, got, err, want)
+			t.Errorf("NormalizeHost(%q) = %q, %v, want %q", in, got, err, want)
 		}
 	}
 }
 
-func TestHostKeepsThePortApart(t *testing.T) {
+func TestNormalizeHostReturnsPort(t *testing.T) {
 	for in, want := range map[string]string{"a": "", "a:": "", "a:80": ":80", "[::1]:8080": ":8080", "[::1]": ""} {
 		if _, port, err := NormalizeHost(in); port != want || err != nil {
-			t.Errorf("Host(%q): port %q, %v, want %q", in, port, err, want)
+			t.Errorf("NormalizeHost(%q): port %q, %v, want %q", in, port, err, want)
 		}
 	}
 }
 
-func TestPath(t *testing.T) {
+func TestNormalizePath(t *testing.T) {
 	for in, want := range map[string]string{
 		"/":                  "/",
 		"/a/b":               "/a/b",
@@ -82,72 +82,72 @@
 		"/...":               "/...",
 		"/a:b@c/!$&'()*+,;=": "/a:b@c/!$&'()*+,;=",
 	} {
-		if got, err := Path(in); got != want || err != nil {
-			t.Errorf("Path(%q) = %q, %v, want %q", in, got, err, want)
+		if got, err := NormalizePath(in); got != want || err != nil {
+			t.Errorf("NormalizePath(%q) = %q, %v, want %q", in, got, err, want)
 		}
 	}
 	for in, want := range map[string]error{
-		"/a%2fb":          errHidden,
-		"/a/%2F..%2Fb":    errHidden,
-		"/a%5c..":         errHidden,
-		"/a%00":           errHidden,
-		`/a\b`:            errByte,
-		"/a b":            errByte,
-		"/a?b":            errByte,
-		"/a#b":            errByte,
-		"/caf\u00e9":      errByte,
-		"/a%":             errEscape,
-		"/a%4":            errEscape,
-		"/a%zz":           errEscape,
-		"/..":             errAbove,
-		"/a/../../b":      errAbove,
-		"/%2e%2e/b":       errAbove,
-		"/a/..;/b":        errParam,
-		"/a/.;x/b":        errParam,
-		"/a/%2e%2e;x=1/b": errParam,
+		"/a%2fb":          errEncodedSeparator,
+		"/a/%2F..%2Fb":    errEncodedSeparator,
+		"/a%5c..":         errEncodedSeparator,
+		"/a%00":           errEncodedSeparator,
+		`/a\b`:            errUnencodedByte,
+		"/a b":            errUnencodedByte,
+		"/a?b":            errUnencodedByte,
+		"/a#b":            errUnencodedByte,
+		"/caf\u00e9":      errUnencodedByte,
+		"/a%":             errInvalidEscape,
+		"/a%4":            errInvalidEscape,
+		"/a%zz":           errInvalidEscape,
+		"/..":             errAboveRoot,
+		"/a/../../b":      errAboveRoot,
+		"/%2e%2e/b":       errAboveRoot,
+		"/a/..;/b":        errDotSegmentParameters,
+		"/a/.;x/b":        errDotSegmentParameters,
+		"/a/%2e%2e;x=1/b": errDotSegmentParameters,
 	} {
-		if got, err := Path(in); !errors.Is(err, want) {
-			t.Errorf("Path(%q) = %q, %v, want %v", in, got, err, want)
+		if got, err := NormalizePath(in); !errors.Is(err, want) {
+			t.Errorf("NormalizePath(%q) = %q, %v, want %v", in, got, err, want)
 		}
 	}
-	for _, in := range []string{"", "a", "*", "/" + strings.Repeat("a", MaxPath)} {
-		if got, err := Path(in); err == nil {
-			t.Errorf("Path(%.20q) = %.20q, want an error", in, got)
+	for _, in := range []string{"", "a", "*", "/" + strings.Repeat("a", MaxPathLength)} {
+		if got, err := NormalizePath(in); err == nil {
+			t.Errorf("NormalizePath(%.20q) = %.20q, want an error", in, got)
 		}
 	}
 }
 
-func TestTarget(t *testing.T) {
+func TestNormalizeTarget(t *testing.T) {
 	path, query, err := NormalizeTarget("/a/../b?x=/../%2F&y=?")
 	if path != "/b" || query != "?x=/../%2F&y=?" || err != nil {
-		t.Errorf("%q %q %v", path, query, err)
+		t.Errorf("NormalizeTarget = %q, %q, %v, want \"/b\" with the query unchanged", path, query, err)
 	}
 	if _, query, err = NormalizeTarget("/b?"); query != "?" || err != nil {
-		t.Errorf("%q %v", query, err)
+		t.Errorf("NormalizeTarget(\"/b?\"): query %q, %v, want \"?\"", query, err)
 	}
 	for _, in := range []string{"/b?x#y", "/b?x y", "/b?\x7f", "?x", "/b?caf\u00e9"} {
 		if _, _, err := NormalizeTarget(in); err == nil {
-			t.Errorf("Target(%q): no error", in)
+			t.Errorf("NormalizeTarget(%q): no error, want one", in)
 		}
 	}
 }
 
-// decodings are the ways in which servers behind a proxy are known to read a
-// path: as it is, decoded once, and with parameters dropped; each then resolves
-// dot segments and empty ones.
-func decodings(path string) (all []string) {
-	once := decode(path)
-	for _, s := range []string{path, once, dropParams(path), dropParams(once)} {
-		all = append(all, resolve(s))
-	}
-	return all
+// serverReadings returns the interpretations of a path by known servers: unchanged,
+// decoded once, and without parameters, each with dot segments and empty segments
+// resolved.
+func serverReadings(path string) (readings []string) {
+	decoded := percentDecode(path)
+	for _, s := range []string{path, decoded, dropParameters(path), dropParameters(decoded)} {
+		readings = append(readings, resolveDotSegments(s))
+	}
+	return readings
 }
 
-func decode(s string) string {
+func percentDecode(s string) string {
 	var out strings.Builder
 	for i := 0; i < len(s); i++ {
 		if s[i] == '%' {
-			out.WriteByte(byte(hexDigit(s[i+1])<<4 | hexDigit(s[i+2])))
+			out.WriteByte(byte(hexValue(s[i+1])<<4 | hexValue(s[i+2])))
 			i += 2
 			continue
 		}
@@ -156,99 +156,100 @@
 	return out.String()
 }
 
-func dropParams(s string) string {
-	segs := strings.Split(s, "/")
-	for i, seg := range segs {
-		segs[i], _, _ = strings.Cut(seg, ";")
+func dropParameters(s string) string {
+	segments := strings.Split(s, "/")
+	for i, segment := range segments {
+		segments[i], _, _ = strings.Cut(segment, ";")
 	}
-	return strings.Join(segs, "/")
+	return strings.Join(segments, "/")
 }
 
-// resolve is written apart from Path, on lists of segments.
-func resolve(s string) string {
+// resolveDotSegments resolves dot segments and empty segments independently of
+// NormalizePath.
+func resolveDotSegments(s string) string {
 	var kept []string
-	for _, seg := range strings.Split(strings.ReplaceAll(s, `\`, "/"), "/") {
-		switch seg {
+	for _, segment := range strings.Split(strings.ReplaceAll(s, `\`, "/"), "/") {
+		switch segment {
 		case "", ".":
 		case "..":
 			if len(kept) > 0 {
 				kept = kept[:len(kept)-1]
 			}
 		default:
-			kept = append(kept, seg)
+			kept = append(kept, segment)
 		}
 	}
 	return strings.Join(kept, "/")
 }
 
-// checkPath holds Path to its contract: the form is stable, and no server
-// resolves it to other segments than those that were matched.
-func checkPath(t *testing.T, in string) {
-	got, err := Path(in)
+// checkNormalizePath checks that NormalizePath is idempotent and that no server
+// resolves its result to other segments than those that are matched.
+func checkNormalizePath(t *testing.T, in string) {
+	normal, err := NormalizePath(in)
 	if err != nil {
 		return
 	}
-	if again, err := Path(got); again != got || err != nil {
-		t.Errorf("Path(%q) = %q, and of that %q, %v", in, got, again, err)
+	if again, err := NormalizePath(normal); again != normal || err != nil {
+		t.Errorf("NormalizePath(%q) = %q, whose normal form is %q, %v", in, normal, again, err)
 	}
-	if strings.Contains(got, "//") || got[0] != '/' {
-		t.Errorf("Path(%q) = %q, which has an empty segment", in, got)
+	if strings.Contains(normal, "//") || normal[0] != '/' {
+		t.Errorf("NormalizePath(%q) = %q, which has an empty segment", in, normal)
 	}
-	segments := strings.Count(strings.Trim(got, "/"), "/")
-	for _, read := range decodings(got) {
-		if strings.Count(read, "/") != segments && !strings.Contains(got, ";") {
-			t.Errorf("Path(%q) = %q, which some server reads as %q", in, got, read)
+	segments := strings.Count(strings.Trim(normal, "/"), "/")
+	for _, reading := range serverReadings(normal) {
+		if strings.Count(reading, "/") != segments && !strings.Contains(normal, ";") {
+			t.Errorf("NormalizePath(%q) = %q, which a server may read as %q", in, normal, reading)
 		}
-		if strings.Contains(got, ";") && strings.Count(read, "/") > segments {
-			t.Errorf("Path(%q) = %q, which some server reads as %q", in, got, read)
+		if strings.Contains(normal, ";") && strings.Count(reading, "/") > segments {
+			t.Errorf("NormalizePath(%q) = %q, which a server may read as %q", in, normal, reading)
 		}
 	}
 }
 
 var pathSeeds = []string{"/", "/a/../b", "/%2e%2e/b", "/a/..;/b", "//a", "/a%2fb", "/a/.%2e/%41", "/;/a", "/a/b/../..", "/%25%32%65"}
 
-func FuzzPath(f *testing.F) {
+func FuzzNormalizePath(f *testing.F) {
 	for _, s := range pathSeeds {
 		f.Add(s)
 	}
-	f.Fuzz(checkPath)
+	f.Fuzz(checkNormalizePath)
 }
 
-// The fuzz target's contract on paths that are put together of all that is
-// known to confuse servers.
-func TestPathByPieces(t *testing.T) {
+// Checks NormalizePath with random paths of elements that servers interpret
+// differently.
+func TestNormalizePathRandom(t *testing.T) {
 	pieces := []string{"/", "/", "a", "b", ".", "..", "%2e", "%2E", "%2f", "%5c", ";", ";x=1", "%25", "%41", "\\", "%", "c d"}
 	rng := rand.New(rand.NewPCG(1, 2))
-	taken := 0
+	accepted := 0
 	for range 50000 {
 		s := "/"
 		for range rng.IntN(9) {
 			s += pieces[rng.IntN(len(pieces))]
 		}
-		if _, err := Path(s); err == nil {
-			taken++
+		if _, err := NormalizePath(s); err == nil {
+			accepted++
 		}
-		checkPath(t, s)
+		checkNormalizePath(t, s)
 	}
-	if taken < 5000 {
-		t.Errorf("only %d of 50000 paths were taken: the test tests little", taken)
+	if accepted < 5000 {
+		t.Errorf("only %d of 50000 paths were accepted, want at least 5000 for a useful test", accepted)
 	}
 }
 
-// Each rule's target is its place.
-func table(t testing.TB, rules ...Rule) *Table {
+// newTable builds a Table in which the target of each rule is its index.
+func newTable(t testing.TB, rules ...Rule) *Table {
 	t.Helper()
 	for i := range rules {
 		rules[i].Target = i
 	}
-	tab, err := New(rules)
+	table, err := New(rules)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return tab
+	return table
 }
 
-func TestFindTakesTheMostSpecific(t *testing.T) {
+func TestFindReturnsMostSpecificRule(t *testing.T) {
 	rules := []Rule{
 		0:  {},
 		1:  {Host: "*.example.org"},
@@ -263,7 +264,7 @@
 		10: {Path: "/status"},
 		11: {Host: "[::1]", Path: "/v6"},
 	}
-	tab := table(t, rules...)
+	table := newTable(t, rules...)
 	for _, c := range []struct {
 		host, path, method, class string
 		want                      int
@@ -271,9 +272,9 @@
 		{"elsewhere.net", "/", "GET", "", 0},
 		{"elsewhere.net", "/status/now", "GET", "", 10},
 		{"elsewhere.net", "/statusnow", "GET", "", 0},
-		{"any.example.org", "/status", "GET", "", 1}, // the host weighs more than the path
+		{"any.example.org", "/status", "GET", "", 1}, // the host outranks the path
 		{"a.b.example.org", "/", "GET", "", 1},
-		{"example.org", "/", "GET", "", 0}, // the wildcard is for what is below
+		{"example.org", "/", "GET", "", 0}, // a wildcard matches only subdomains
 		{"x.hall.example.org", "/", "GET", "", 8},
 		{"hall.example.org", "/", "GET", "", 1},
 		{"donate.example.org", "/", "GET", "", 2},
@@ -281,7 +282,7 @@
 		{"donate.example.org", "/apis", "GET", "", 2},
 		{"donate.example.org", "/api/v1/x", "GET", "", 3},
 		{"donate.example.org", "/api/v2", "GET", "", 4},
-		{"donate.example.org", "/api/v2/x", "POST", "bulk", 4}, // the path weighs more than method and class
+		{"donate.example.org", "/api/v2/x", "POST", "bulk", 4}, // the path outranks method and class
 		{"donate.example.org", "/api/x", "POST", "", 5},
 		{"donate.example.org", "/api/x", "GET", "bulk", 6},
 		{"donate.example.org", "/api/x", "POST", "bulk", 7},
@@ -291,23 +292,23 @@
 		{"[::1]", "/v6", "GET", "", 11},
 		{"", "/", "GET", "", 0},
 	} {
-		got, ok := tab.Find(&Request{Host: c.host, Path: c.path, Method: c.method, Class: c.class})
+		got, ok := table.Find(&Request{Host: c.host, Path: c.path, Method: c.method, Class: c.class})
 		if !ok || got != c.want {
 			t.Errorf("%s %s%s (%s): rule %d, %t, want %d", c.method, c.host, c.path, c.class, got, ok, c.want)
 		}
 	}
-	if _, ok := table(t, rules[2]).Find(&Request{Host: "x", Path: "/", Method: "GET"}); ok {
-		t.Error("a host that no rule names was found")
+	if _, ok := newTable(t, rules[2]).Find(&Request{Host: "x", Path: "/", Method: "GET"}); ok {
+		t.Error("Find found a rule for a host that no rule matches")
 	}
 	if _, ok := new(Table).Find(&Request{Host: "x", Path: "/"}); ok {
-		t.Error("the zero Table found something")
+		t.Error("the zero Table found a rule")
 	}
 }
 
-func TestNewTellsEveryError(t *testing.T) {
+func TestNewReportsEveryError(t *testing.T) {
 	_, err := New([]Rule{
 		0: {Host: "a.example.org", Path: "/x"},
-		1: {Host: "A.Example.org.", Path: "//x/"}, // the same once normal
+		1: {Host: "A.Example.org.", Path: "//x/"}, // the same in normal form
 		2: {Host: "a b"},
 		3: {Path: "/a/%2f"},
 		4: {Method: "get"},
@@ -318,12 +319,12 @@
 	})
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want joined errors", err)
 	}
 	var got []string
 	for _, e := range joined.Unwrap() {
-		var c *Conflict
-		var inv *Invalid
+		var c *ConflictError
+		var inv *InvalidRuleError
 		switch {
 		case errors.As(e, &c):
 			got = append(got, fmt.Sprintf("%d=%d", c.Second, c.First))
@@ -337,47 +338,48 @@
 	}
 }
 
-// slow finds the best rule by looking at all: the reference for Find.
-func slow(rules []Rule, r *Request) int {
-	best, rank := -1, []int(nil)
+// referenceFind returns the index of the most specific matching rule by comparing
+// all rules, or -1.
+func referenceFind(rules []Rule, r *Request) int {
+	best, bestRank := -1, []int(nil)
 	for i, rule := range rules {
-		k := []int{0, 0, 0, 0}
+		rank := []int{0, 0, 0, 0}
 		switch suffix, wild := strings.CutPrefix(rule.Host, "*"); {
 		case rule.Host == "":
 		case rule.Host == r.Host:
-			k[0] = 1 << 20
+			rank[0] = 1 << 20
 		case wild && strings.HasSuffix(r.Host, suffix) && len(r.Host) > len(suffix):
-			k[0] = len(suffix)
+			rank[0] = len(suffix)
 		default:
 			continue
 		}
-		p := strings.Trim(rule.Path, "/")
-		if p != "" {
-			if !strings.HasPrefix(strings.Trim(r.Path, "/")+"/", p+"/") {
+		path := strings.Trim(rule.Path, "/")
+		if path != "" {
+			if !strings.HasPrefix(strings.Trim(r.Path, "/")+"/", path+"/") {
 				continue
 			}
-			k[1] = 1 + strings.Count(p, "/")
+			rank[1] = 1 + strings.Count(path, "/")
 		}
 		if rule.Method != "" {
 			if rule.Method != r.Method {
 				continue
 			}
-			k[2] = 1
+			rank[2] = 1
 		}
 		if rule.Class != "" {
 			if rule.Class != r.Class {
 				continue
 			}
-			k[3] = 1
+			rank[3] = 1
 		}
-		if best < 0 || less(rank, k) {
-			best, rank = i, k
+		if best < 0 || rankLess(bestRank, rank) {
+			best, bestRank = i, rank
 		}
 	}
 	return best
 }
 
-func less(a, b []int) bool {
+func rankLess(a, b []int) bool {
 	for i := range a {
 		if a[i] != b[i] {
 			return a[i] < b[i]
@@ -386,55 +388,55 @@
 	return false
 }
 
-// Find agrees with a look at all rules, whatever the table.
-func TestFindAgreesWithTheReference(t *testing.T) {
+// Compares Find with the reference for random tables and requests.
+func TestFindMatchesReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	of := func(s ...string) string { return s[rng.IntN(len(s))] }
+	oneOf := func(s ...string) string { return s[rng.IntN(len(s))] }
 	path := func() string {
 		s := ""
 		for range rng.IntN(4) {
-			s += "/" + of("a", "b", "c")
+			s += "/" + oneOf("a", "b", "c")
 		}
 		return s
 	}
 	found := 0
 	for range 400 {
 		var rules []Rule
-		known := map[Rule]bool{}
+		seen := map[Rule]bool{}
 		for range 1 + rng.IntN(30) {
-			r := Rule{Host: of("", "a.x", "b.a.x", "*.x", "*.a.x"), Path: path(), Method: of("", "", "GET"), Class: of("", "", "bulk")}
-			if !known[r] {
-				known[r] = true
+			r := Rule{Host: oneOf("", "a.x", "b.a.x", "*.x", "*.a.x"), Path: path(), Method: oneOf("", "", "GET"), Class: oneOf("", "", "bulk")}
+			if !seen[r] {
+				seen[r] = true
 				rules = append(rules, r)
 			}
 		}
-		tab := table(t, rules...)
+		table := newTable(t, rules...)
 		for range 50 {
-			q := Request{Host: of("a.x", "b.a.x", "c.b.a.x", "x", "y"), Path: "/" + strings.Trim(path()+of("", "/"), "/"), Method: of("GET", "POST"), Class: of("", "bulk")}
-			got, ok := tab.Find(&q)
+			request := Request{Host: oneOf("a.x", "b.a.x", "c.b.a.x", "x", "y"), Path: "/" + strings.Trim(path()+oneOf("", "/"), "/"), Method: oneOf("GET", "POST"), Class: oneOf("", "bulk")}
+			got, ok := table.Find(&request)
 			if !ok {
 				got = -1
 			} else {
 				found++
 			}
-			want := slow(rules, &q)
-			for k := range rules {
-				rules[k].Target = 0
+			want := referenceFind(rules, &request)
+			for i := range rules {
+				rules[i].Target = 0
 			}
 			if got != want {
-				t.Fatalf("%+v: rule %d, want %d of %+v", q, got, want, rules)
+				t.Fatalf("%+v: rule %d, want %d of %+v", request, got, want, rules)
 			}
 		}
 	}
 	if found < 5000 {
-		t.Errorf("only %d requests found a rule", found)
+		t.Errorf("only %d requests matched a rule, want at least 5000", found)
 	}
 }
 
-// many is a table of n rules over hosts and paths, and requests for it.
-func many(b testing.TB, n int) (*Table, []Request) {
+// benchmarkTable returns a table of n rules and requests that match them.
+func benchmarkTable(b testing.TB, n int) (*Table, []Request) {
 	var rules []Rule
-	var asked []Request
+	var requests []Request
 	for i := range n {
 		host := fmt.Sprintf("site-%d.example.org", i/10)
 		if i%10 == 9 {
@@ -442,32 +444,32 @@
 		}
 		r := Rule{Host: host, Path: fmt.Sprintf("/app/part-%d", i%10)}
 		rules = append(rules, r)
-		asked = append(asked, Request{Host: strings.Replace(host, "*", "www", 1), Path: r.Path + "/item/17", Method: "GET"})
+		requests = append(requests, Request{Host: strings.Replace(host, "*", "www", 1), Path: r.Path + "/item/17", Method: "GET"})
 	}
-	rand.New(rand.NewPCG(5, 6)).Shuffle(len(asked), func(i, k int) { asked[i], asked[k] = asked[k], asked[i] })
-	return table(b, rules...), asked[:min(len(asked), 64)]
+	rand.New(rand.NewPCG(5, 6)).Shuffle(len(requests), func(i, j int) { requests[i], requests[j] = requests[j], requests[i] })
+	return newTable(b, rules...), requests[:min(len(requests), 64)]
 }
 
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
-			tab, asked := many(b, n)
+			table, requests := benchmarkTable(b, n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if _, ok := tab.Find(&asked[i%len(asked)]); !ok {
-					b.Fatal("not found")
+				if _, ok := table.Find(&requests[i%len(requests)]); !ok {
+					b.Fatal("no rule found")
 				}
 			}
 		})
 	}
 }
 
-func BenchmarkPath(b *testing.B) {
-	for name, s := range map[string]string{"plain": "/app/part-3/item/17", "mended": "/app//part-3/%69tem/../item/17"} {
+func BenchmarkNormalizePath(b *testing.B) {
+	for name, s := range map[string]string{"plain": "/app/part-3/item/17", "denormalized": "/app//part-3/%69tem/../item/17"} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Path(s); err != nil {
+				if _, err := NormalizePath(s); err != nil {
 					b.Fatal(err)
 				}
 			}
