--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -19,16 +19,16 @@
 	"gorselink/internal/standin"
 )
 
-// patience bounds every wait of these tests; a sound run needs far less.
-const patience = 20 * time.Second
+// testTimeout bounds each wait in these tests.
+const testTimeout = 20 * time.Second
 
-// service names for the tests.
+// Hosts of the services in these tests.
 const (
 	donateHost   = "donate.example.org"
 	receiptsHost = "receipts.example.org"
 )
 
-// startNodes starts n nodes that are called after name.
+// startNodes starts n nodes named name-0, name-1 and so on.
 func startNodes(t testing.TB, name string, n int, cfg standin.NodeConfig) (all []*standin.Node) {
 	t.Helper()
 	for i := range n {
@@ -43,8 +43,8 @@
 	return all
 }
 
-// list is the nodes as a file has them.
-func list(nodes []*standin.Node) string {
+// nodeList returns the nodes as a key of a configuration file.
+func nodeList(nodes []*standin.Node) string {
 	var s strings.Builder
 	for _, n := range nodes {
 		fmt.Fprintf(&s, "%q,", n.Addr())
@@ -52,7 +52,7 @@
 	return "nodes = [" + s.String() + "]\n"
 }
 
-const head = `
+const baseConfig = `
 [process]
 seed = "1f"
 memory = "128 MiB"
@@ -61,7 +61,7 @@
 address = "127.0.0.1:0"
 `
 
-// poolText and routeText are parts of a file.
+// poolText and routeText return parts of a configuration file.
 func poolText(name, more string) string { return "[pools." + name + "]\n" + more + "\n" }
 func routeText(host, pool string) string {
 	if host == "" { // any
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("[[routes]]\nhost = %q\npool = %q\n", host, pool)
 }
 
-func parse(t testing.TB, text ...string) *config.Daemon {
+func parseConfig(t testing.TB, text ...string) *config.Daemon {
 	t.Helper()
 	cfg, err := config.ParseDaemon("test.toml", []byte(strings.Join(text, "")))
 	if err != nil {
@@ -79,9 +79,9 @@
 	return cfg
 }
 
-func start(t testing.TB, text ...string) *Daemon {
+func startDaemon(t testing.TB, text ...string) *Daemon {
 	t.Helper()
-	d, err := Start(parse(t, text...))
+	d, err := Start(parseConfig(t, text...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,16 +89,16 @@
 	return d
 }
 
-func apply(t testing.TB, d *Daemon, text ...string) []string {
+func applyConfig(t testing.TB, d *Daemon, text ...string) []string {
 	t.Helper()
-	changes, err := d.Apply(parse(t, text...))
+	changes, err := d.Apply(parseConfig(t, text...))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return changes
 }
 
-func (d *Daemon) at(t testing.TB) string {
+func (d *Daemon) publicAddr(t testing.TB) string {
 	t.Helper()
 	a := d.Addr("public")
 	if a == nil {
@@ -107,7 +107,7 @@
 	return a.String()
 }
 
-// client asks a daemon as a plain HTTP client does.
+// client is an ordinary HTTP client of a daemon.
 type client struct {
 	http.Client
 	addr string
@@ -122,55 +122,55 @@
 		DisableCompression:  true,
 	}
 	t.Cleanup(tr.CloseIdleConnections)
-	return &client{Client: http.Client{Transport: tr, Timeout: patience, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}, addr: addr}
+	return &client{Client: http.Client{Transport: tr, Timeout: testTimeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}, addr: addr}
 }
 
-// reply is what a client was answered; status 0 if nothing came.
-type reply struct {
+// response is the response to a client; its status is 0 if there was none.
+type response struct {
 	status int
 	body   string
 	header http.Header
 	err    error
 }
 
-// ask makes one request; header has pairs of names and values.
-func (c *client) ask(method, host, path, body string, header ...string) reply {
+// send sends one request; header consists of pairs of names and values.
+func (c *client) send(method, host, path, body string, header ...string) response {
 	var in io.Reader
 	if body != "" {
 		in = strings.NewReader(body)
 	}
 	req, err := http.NewRequest(method, "http://"+host+path, in)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
-	return reply{status: resp.StatusCode, body: string(text), header: resp.Header}
+	return response{status: resp.StatusCode, body: string(text), header: resp.Header}
 }
 
-func (c *client) get(host, path string, header ...string) reply {
-	return c.ask(http.MethodGet, host, path, "", header...)
+func (c *client) get(host, path string, header ...string) response {
+	return c.send(http.MethodGet, host, path, "", header...)
 }
 
-// raw writes text on a connection of its own and reads one answer.
-func raw(t testing.TB, addr, text string) (status int, body string) {
+// sendRaw writes text on a new connection and reads one response.
+func sendRaw(t testing.TB, addr, text string) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, text)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -182,59 +182,58 @@
 
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// openLoop calls do at an even rate for as long as span, whether or not the
-// calls before have come back, and waits for all. Each call is given the moment
-// that it was due at.
+// openLoop calls do at a constant rate for the given duration, regardless of whether earlier
+// calls have returned, and waits for all calls. Each call receives the time at which it was due.
 func openLoop(perSecond int, span time.Duration, do func(i int, due time.Time)) {
 	var wg sync.WaitGroup
-	begin, gap := time.Now(), time.Second/time.Duration(perSecond)
-	for i := 0; time.Duration(i)*gap < span; i++ {
-		due := begin.Add(time.Duration(i) * gap)
+	started, interval := time.Now(), time.Second/time.Duration(perSecond)
+	for i := 0; time.Duration(i)*interval < span; i++ {
+		due := started.Add(time.Duration(i) * interval)
 		time.Sleep(time.Until(due))
 		wg.Go(func() { do(i, due) })
 	}
 	wg.Wait()
 }
 
-// times collects latencies.
-type times struct {
+// latencies collects latencies for quantiles.
+type latencies struct {
 	mu  sync.Mutex
 	all []time.Duration
 }
 
-func (s *times) add(d time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.all = append(s.all, d)
+func (l *latencies) add(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.all = append(l.all, d)
 }
 
-func (s *times) quantile(q float64) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.all) == 0 {
+func (l *latencies) quantile(q float64) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.all) == 0 {
 		return 0
 	}
-	slices.Sort(s.all)
-	return s.all[min(int(q*float64(len(s.all))), len(s.all)-1)]
+	slices.Sort(l.all)
+	return l.all[min(int(q*float64(len(l.all))), len(l.all)-1)]
 }
 
-// tally counts runs by a token of the test's own, over all nodes together.
-type tally struct {
+// runCounter counts the runs of requests by their X-Token, over all nodes.
+type runCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func newTally() *tally { return &tally{runs: map[string]int{}} }
+func newRunCounter() *runCounter { return &runCounter{runs: map[string]int{}} }
 
-// answer is a NodeConfig.Answer that counts the X-Token of what runs.
-func (c *tally) answer(req *http.Request, body []byte) standin.Answer {
+// answer is a NodeConfig.Answer that counts a run and returns the token.
+func (c *runCounter) answer(req *http.Request, body []byte) standin.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if token := req.Header.Get("X-Token"); token != "" {
@@ -243,8 +242,8 @@
 	return standin.Answer{Body: req.Header.Get("X-Token")}
 }
 
-// of is how often a token has run.
-func (c *tally) of(token string) int {
+// count returns the number of runs with a token.
+func (c *runCounter) count(token string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.runs[token]
@@ -254,20 +253,20 @@
 
 func newToken() string { return fmt.Sprintf("t%d", lastToken.Add(1)) }
 
-// slowBody gives n bytes in ten parts, with a pause before each.
+// slowBody is a request body that is read in ten parts with a delay before each.
 type slowBody struct {
-	n     int
-	pause time.Duration
-	given int
+	size  int
+	delay time.Duration
+	sent  int
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
-	if b.given >= b.n {
+	if b.sent >= b.size {
 		return 0, io.EOF
 	}
-	time.Sleep(b.pause)
-	k := min(len(p), max(1, b.n/10), b.n-b.given)
+	time.Sleep(b.delay)
+	k := min(len(p), max(1, b.size/10), b.size-b.sent)
 	copy(p, bytes.Repeat([]byte("s"), k))
-	b.given += k
+	b.sent += k
 	return k, nil
 }
