--- a/cmd/prove/main.go
+++ b/cmd/prove/main.go
@@ -123,7 +123,7 @@
 				fmt.Fprintf(s.err, "%s, turn %d of %d\n", name, turn+1, c.Turns)
 				o.Tell = func(line string) { fmt.Fprintf(s.err, "  %s\n", line) }
 			}
-			rec, err := proving.Play(s.ctx, e, o)
+			rec, err := proving.Run(s.ctx, e, o)
 			if err != nil {
 				return fmt.Errorf("prove: %s, turn %d: %w", name, turn+1, err)
 			}
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -45,7 +45,7 @@
 	"tries":   {atAll, "requests at nodes for each request of callers", func(c *cut) float64 { return float64(len(c.arrivals())) / float64(len(c.endings())) }},
 	"twice":   {atAll, "requests that may not be repeated and ran more than once, in the whole play", (*cut).twice},
 	"crashes": {atAll, "processes that ended by themselves, in the whole play", func(c *cut) float64 { return float64(len(c.r.Crashes)) }},
-	"drains":  {atAll, "processes that did not end well after SIGTERM, in the whole play", func(c *cut) float64 { return float64(len(c.r.Drains)) }},
+	"drains":  {atAll, "processes that did not end well after SIGTERM, in the whole play", func(c *cut) float64 { return float64(len(c.r.DrainFailures)) }},
 }
 
 // always is what is wanted of every play, whatever its file says: no request has two
--- a/internal/proving/record.go
+++ b/internal/proving/record.go
@@ -15,11 +15,11 @@
 // Record is what a play has counted: at the nodes what came and what ran, at the callers
 // how each request ended. Measures are taken from it alone.
 type Record struct {
-	Seed    uint64
-	Void    []string // why the generator, and not what it measured, was the bottleneck
-	Faults  []string // of what the script wanted and could not have
-	Crashes []string // processes that ended by themselves
-	Drains  []string // processes that did not end after a SIGTERM as they should
+	Seed          uint64
+	Void          []string // why the generator, and not what it measured, was the bottleneck
+	EventErrors   []string // of what the script wanted and could not have
+	Crashes       []string // processes that ended by themselves
+	DrainFailures []string // processes that did not end after a SIGTERM as they should
 
 	e     *Experiment
 	start time.Time
@@ -121,7 +121,7 @@
 func (r *Record) fault(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Faults = append(r.Faults, text)
+	r.EventErrors = append(r.EventErrors, text)
 }
 
 func (r *Record) happened(d deed, err error) {
@@ -129,7 +129,7 @@
 	case err == nil || errors.Is(err, context.Canceled):
 	case errors.Is(err, errUndrained):
 		r.mu.Lock()
-		r.Drains = append(r.Drains, err.Error())
+		r.DrainFailures = append(r.DrainFailures, err.Error())
 		r.mu.Unlock()
 	default:
 		r.fault(d.event.key + ": " + err.Error())
--- a/internal/proving/result.go
+++ b/internal/proving/result.go
@@ -79,7 +79,7 @@
 
 // Result is what is kept of a Record.
 func (r *Record) Result(build string, turn int) *Result {
-	res := &Result{Experiment: r.e.Name, Build: build, Turn: turn, Seed: r.Seed, At: r.start.UTC(), Outcomes: map[string]int{}, Void: r.Void, Faults: r.Faults, Crashes: r.Crashes, Drains: r.Drains}
+	res := &Result{Experiment: r.e.Name, Build: build, Turn: turn, Seed: r.Seed, At: r.start.UTC(), Outcomes: map[string]int{}, Void: r.Void, Faults: r.EventErrors, Crashes: r.Crashes, Drains: r.DrainFailures}
 	for _, w := range append(slices.Clone(r.e.Wants), always...) {
 		res.Figures = append(res.Figures, Figure{What: w.String(), Value: finite(r.Value(&w)), Least: finite(w.Least), Most: finite(w.Most)})
 	}
--- a/internal/proving/rig.go
+++ b/internal/proving/rig.go
@@ -27,12 +27,12 @@
 	Program string            // in place of the experiment's; "" for that one
 	Turn    uint64            // plays of one experiment with different turns draw differently
 	Tell    func(line string) // called with what happens; may be nil
-	Started func(pids []int)  // called once all instances are ready; may be nil
+	OnReady func(pids []int)  // called once all instances are ready; may be nil
 }
 
 // Play plays an experiment once. Every process, socket and file that it made is gone
 // when it returns; where ctx ends it breaks off with an error.
-func Play(ctx context.Context, e *Experiment, o Options) (*Record, error) {
+func Run(ctx context.Context, e *Experiment, o Options) (*Record, error) {
 	r := &rig{e: e, o: o, seed: e.Seed + o.Turn*0x9e3779b97f4a7c15, wires: map[pair]*wire{}, off: map[int]bool{}}
 	r.record = newRecord(e, r.seed)
 	defer r.end()
@@ -319,12 +319,12 @@
 		}
 	}
 	r.tell("%d processes started within %v, ready after %v", len(r.procs), started.Round(time.Millisecond), time.Since(begin).Round(time.Millisecond))
-	if r.o.Started != nil {
+	if r.o.OnReady != nil {
 		var pids []int
 		for _, n := range r.procs {
 			pids = append(pids, n.life.cmd.Process.Pid)
 		}
-		r.o.Started(pids)
+		r.o.OnReady(pids)
 	}
 	return nil
 }
--- a/internal/proving/rig_test.go
+++ b/internal/proving/rig_test.go
@@ -41,7 +41,7 @@
 	case os.Getenv(asRig) != "":
 		e, err := Read(os.Getenv(asRig))
 		if err == nil {
-			_, err = Play(context.Background(), e, Options{Program: os.Args[1], Started: func(pids []int) { fmt.Println(pids) }})
+			_, err = Run(context.Background(), e, Options{Program: os.Args[1], OnReady: func(pids []int) { fmt.Println(pids) }})
 		}
 		fmt.Println(err)
 		return
@@ -94,7 +94,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 		defer cancel()
-		rec, err := Play(ctx, e, Options{Program: path})
+		rec, err := Run(ctx, e, Options{Program: path})
 		if err != nil {
 			return nil, err
 		}
@@ -302,7 +302,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	rec, err := Play(ctx, e, Options{Program: self})
+	rec, err := Run(ctx, e, Options{Program: self})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -355,7 +355,7 @@
 	var pids []int
 	begun := make(chan bool)
 	go func() { <-begun; time.Sleep(300 * time.Millisecond); cancel() }()
-	if _, err := Play(ctx, e, Options{Program: path, Started: func(p []int) { pids = p; close(begun) }}); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, e, Options{Program: path, OnReady: func(p []int) { pids = p; close(begun) }}); !errors.Is(err, context.Canceled) {
 		t.Errorf("broken off: %v", err)
 	}
 	if len(pids) != 20 {
@@ -366,11 +366,11 @@
 		t.Errorf("folders %v", left)
 	}
 
-	_, err = Play(context.Background(), e, Options{Program: "/bin/false"})
+	_, err = Run(context.Background(), e, Options{Program: "/bin/false"})
 	if err == nil || !strings.Contains(err.Error(), "i000: ended before it was ready") {
 		t.Errorf("a program that ends: %v", err)
 	}
-	if _, err = Play(context.Background(), e, Options{Program: file}); err == nil || !strings.Contains(err.Error(), "long.toml: not a program") {
+	if _, err = Run(context.Background(), e, Options{Program: file}); err == nil || !strings.Contains(err.Error(), "long.toml: not a program") {
 		t.Errorf("no program: %v", err)
 	}
 	if left := dirs(); len(left) > 0 {
--- a/internal/voter/storm_test.go
+++ b/internal/voter/storm_test.go
@@ -163,11 +163,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
 	start := int64(0)
-	record, err := proving.Play(ctx, e, proving.Options{Program: "/bin/sh", Started: func([]int) { start = int64(quorum.Now()) }})
+	record, err := proving.Run(ctx, e, proving.Options{Program: "/bin/sh", OnReady: func([]int) { start = int64(quorum.Now()) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, problem := range slices.Concat(record.Faults, record.Crashes, record.Drains) {
+	for _, problem := range slices.Concat(record.EventErrors, record.Crashes, record.DrainFailures) {
 		t.Error(problem)
 	}
 	return readClaims(t, e.Name), start
