--- a/cmd/prove/main.go
+++ b/cmd/prove/main.go
@@ -1,6 +1,6 @@
-// Command prove plays experiments with many processes of the program: on links with
-// faults, before stand-in nodes, counted and judged from outside. It is a program of its
-// own because its charts would cost every sidecar five megabytes of memory.
+// Command prove runs experiments with many processes of the program, in front of stand-in nodes
+// and over emulated network links. It is separate from gorselink because the chart library
+// would add five megabytes to every sidecar's memory.
 package main
 
 import (
@@ -21,39 +21,39 @@
 	"gorselink/internal/proving"
 )
 
-// commands are the subcommands; to play an experiment is the one that needs no name.
+// commands holds the subcommands. The default one is play.
 type commands struct {
-	Play     playCommand     `cmd:"" default:"withargs" help:"Play an experiment."`
-	Capacity capacityCommand `cmd:"" help:"Write the page of what a fleet costs from the files of its targets and slopes."`
-	Role     roleCommand     `cmd:"" hidden:"" help:"Play one part of a scale run, asked over the input."`
+	Play     playCommand     `cmd:"" default:"withargs" help:"Run an experiment."`
+	Capacity capacityCommand `cmd:"" help:"Write the capacity page from the files of fleets and slopes."`
+	Role     roleCommand     `cmd:"" hidden:"" help:"Run one role of a scale run, with commands on standard input."`
 }
 
 type playCommand struct {
-	File  string   `arg:"" type:"path" help:"The experiment, a TOML file."`
-	Build []string `sep:"none" placeholder:"NAME=PROGRAM" help:"A build to play it with, in place of the file's program. Several are played in turn, and the last is compared with the first."`
-	Turns int      `default:"1" help:"How often each build is played. Six pairs make an interval that is sure to 97 per cent."`
-	Seed  uint64   `help:"In place of the file's."`
-	Out   string   `type:"path" help:"A folder for the results: a JSON file for each play, the table and a page with charts."`
-	Check bool     `help:"Read the file, tell what is wrong with it, and play nothing."`
-	Quiet bool     `help:"Tell only the table."`
+	File  string   `arg:"" type:"path" help:"Experiment file in TOML."`
+	Build []string `sep:"none" placeholder:"NAME=PROGRAM" help:"A build to run instead of the file's program. Several builds run alternately, and the last is compared with the first."`
+	Turns int      `default:"1" help:"How often each build runs. Six turns give an interval with a confidence of 97 per cent."`
+	Seed  uint64   `help:"Seed to use instead of the file's."`
+	Out   string   `type:"path" help:"Folder for the results: a JSON file for each run, the table and a page with charts."`
+	Check bool     `help:"Check the file without running it."`
+	Quiet bool     `help:"Print only the table."`
 }
 
 // Exit codes.
 const (
-	exitBroken     = 1 // a play could not be made or broke off
-	exitUsage      = 2 // of the arguments or the file
-	exitBottleneck = 3 // the generator was the bottleneck: the figures must not be used
-	exitUnkept     = 4 // something that was wanted is not kept
+	exitFailed     = 1 // a run failed or was interrupted
+	exitUsage      = 2 // wrong arguments or experiment file
+	exitBottleneck = 3 // the load generator was the bottleneck, so the figures are invalid
+	exitViolation  = 4 // an expectation is not met
 )
 
-// coded is an error with an exit code of its own.
-type coded struct {
+// exitError is an error with an exit code.
+type exitError struct {
 	error
 	code int
 }
 
-// shell is what the command works with.
-type shell struct {
+// environment is the context and the output streams of a command.
+type environment struct {
 	ctx      context.Context
 	out, err io.Writer
 }
@@ -61,54 +61,54 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	err := run(&shell{ctx, os.Stdout, os.Stderr}, os.Args[1:])
+	err := run(&environment{ctx, os.Stdout, os.Stderr}, os.Args[1:])
 	if err == nil {
 		return
 	}
 	fmt.Fprintln(os.Stderr, err)
-	code := exitBroken
-	var c coded
+	code := exitFailed
+	var c exitError
 	if errors.As(err, &c) {
 		code = c.code
 	}
 	os.Exit(code)
 }
 
-// run does what the arguments say.
-func run(s *shell, args []string) error {
+// run parses the arguments and runs the command.
+func run(env *environment, args []string) error {
 	var c commands
-	parser, err := kong.New(&c, kong.Name("prove"), kong.Description("Play an experiment: many processes before stand-in nodes, with faults, counted and judged from outside."),
-		kong.Writers(s.out, s.err), kong.UsageOnError())
+	parser, err := kong.New(&c, kong.Name("prove"), kong.Description("Run an experiment: many processes in front of stand-in nodes, with faults, measured from outside."),
+		kong.Writers(env.out, env.err), kong.UsageOnError())
 	if err != nil {
 		return err
 	}
 	call, err := parser.Parse(args)
 	if err != nil {
-		return coded{fmt.Errorf("prove: %w", err), exitUsage}
+		return exitError{fmt.Errorf("prove: %w", err), exitUsage}
 	}
-	return call.Run(s)
+	return call.Run(env)
 }
 
-// Run plays the experiment and tells what it measured.
-func (c *playCommand) Run(s *shell) error {
+// Run runs the experiment and reports the results.
+func (c *playCommand) Run(env *environment) error {
 	e, scale, err := proving.ReadAny(c.File)
 	if err != nil {
-		return coded{err, exitUsage}
+		return exitError{err, exitUsage}
 	}
 	if scale != nil {
-		return c.playScale(s, scale)
+		return c.runScale(env, scale)
 	}
 	if c.Check {
-		fmt.Fprintf(s.out, "%s: %d processes, %d nodes, %v, %d events, %d wants\n", c.File, e.Instances.Count, e.Nodes.Count, e.Span, len(e.Events), len(e.Wants))
+		fmt.Fprintf(env.out, "%s: %d processes, %d nodes, %v, %d events, %d expectations\n", c.File, e.Instances.Count, e.Nodes.Count, e.Duration, len(e.Events), len(e.Expectations))
 		return nil
 	}
 	e.Seed = cmp.Or(c.Seed, e.Seed)
-	names, programs, err := c.builds(e)
+	names, programs, err := c.selectBuilds(e)
 	if err != nil {
-		return coded{fmt.Errorf("prove: %w", err), exitUsage}
+		return exitError{fmt.Errorf("prove: %w", err), exitUsage}
 	}
 	if c.Turns < 1 {
-		return coded{errors.New("prove: --turns: want 1 at least"), exitUsage}
+		return exitError{errors.New("prove: --turns: want at least 1"), exitUsage}
 	}
 	if c.Out != "" {
 		if err := os.MkdirAll(c.Out, 0o755); err != nil {
@@ -120,10 +120,10 @@
 		for i, name := range names {
 			o := proving.Options{Program: programs[i], Turn: uint64(turn)}
 			if !c.Quiet {
-				fmt.Fprintf(s.err, "%s, turn %d of %d\n", name, turn+1, c.Turns)
-				o.Tell = func(line string) { fmt.Fprintf(s.err, "  %s\n", line) }
+				fmt.Fprintf(env.err, "%s, turn %d of %d\n", name, turn+1, c.Turns)
+				o.Log = func(line string) { fmt.Fprintf(env.err, "  %s\n", line) }
 			}
-			rec, err := proving.Run(s.ctx, e, o)
+			rec, err := proving.Run(env.ctx, e, o)
 			if err != nil {
 				return fmt.Errorf("prove: %s, turn %d: %w", name, turn+1, err)
 			}
@@ -136,15 +136,15 @@
 			}
 		}
 	}
-	return c.conclude(s, e, names, results)
+	return c.report(env, e, names, results)
 }
 
-// builds are the names and programs to play, in order.
-func (c *playCommand) builds(e *proving.Experiment) (names, programs []string, err error) {
+// selectBuilds returns the names and programs to run, in order.
+func (c *playCommand) selectBuilds(e *proving.Experiment) (names, programs []string, err error) {
 	for _, b := range c.Build {
 		name, program, ok := strings.Cut(b, "=")
 		if !ok || name == "" || program == "" || strings.ContainsAny(name, "/ ") || slices.Contains(names, name) {
-			return nil, nil, fmt.Errorf("--build %q, want NAME=PROGRAM, each name once", b)
+			return nil, nil, fmt.Errorf("--build %q: want NAME=PROGRAM with unique names", b)
 		}
 		names, programs = append(names, name), append(programs, program)
 	}
@@ -154,44 +154,44 @@
 		}
 		return names, programs, nil
 	}
-	return nil, nil, errors.New("no program: instances.program in the file, or --build NAME=PROGRAM")
+	return nil, nil, errors.New("no program given: want instances.program in the file, or --build NAME=PROGRAM")
 }
 
-// conclude writes what all plays say together.
-func (c *playCommand) conclude(s *shell, e *proving.Experiment, names []string, results []*proving.Result) error {
-	if err := proving.WriteTable(s.out, names, proving.Compare(names, results)); err != nil {
+// report writes the comparison of all runs and returns an error if an expectation is not met.
+func (c *playCommand) report(env *environment, e *proving.Experiment, names []string, results []*proving.Result) error {
+	if err := proving.WriteTable(env.out, names, proving.Compare(names, results)); err != nil {
 		return err
 	}
 	if c.Out != "" {
-		if err := c.keep(e, names, results); err != nil {
+		if err := c.writeFiles(e, names, results); err != nil {
 			return fmt.Errorf("prove: %w", err)
 		}
 	}
-	unkept, void := 0, 0
+	violations, void := 0, 0
 	for _, res := range results {
 		for _, line := range res.Void {
-			fmt.Fprintf(s.out, "%s, turn %d is void: %s\n", res.Build, res.Turn+1, line)
+			fmt.Fprintf(env.out, "%s, turn %d is void: %s\n", res.Build, res.Turn+1, line)
 			void++
 		}
-		// The earlier builds are there to be compared with.
+		// Only the last build is checked; the earlier ones are for comparison.
 		if res.Build != names[len(names)-1] {
 			continue
 		}
-		for _, line := range res.Broken() {
-			fmt.Fprintf(s.out, "%s, turn %d: %s\n", res.Build, res.Turn+1, line)
-			unkept++
+		for _, line := range res.Violations() {
+			fmt.Fprintf(env.out, "%s, turn %d: %s\n", res.Build, res.Turn+1, line)
+			violations++
 		}
 	}
 	switch {
 	case void > 0:
-		return coded{errors.New("prove: the generator was the bottleneck"), exitBottleneck}
-	case unkept > 0:
-		return coded{fmt.Errorf("prove: %d wants are not kept", unkept), exitUnkept}
+		return exitError{errors.New("prove: the load generator was the bottleneck; the figures are invalid"), exitBottleneck}
+	case violations > 0:
+		return exitError{fmt.Errorf("prove: %d expectations are not met", violations), exitViolation}
 	}
 	return nil
 }
 
-func (c *playCommand) keep(e *proving.Experiment, names []string, results []*proving.Result) error {
+func (c *playCommand) writeFiles(e *proving.Experiment, names []string, results []*proving.Result) error {
 	table, err := os.Create(filepath.Join(c.Out, "table.txt"))
 	if err != nil {
 		return err
--- a/cmd/prove/scale.go
+++ b/cmd/prove/scale.go
@@ -12,61 +12,60 @@
 	"gorselink/internal/proving"
 )
 
-// playScale plays a scale run, keeps its tables and charts, and tells what is not as it
-// must be.
-func (c *playCommand) playScale(s *shell, e *proving.Scale) error {
+// runScale runs a scale experiment, writes its result files and reports violations.
+func (c *playCommand) runScale(env *environment, e *proving.ScaleExperiment) error {
 	if c.Turns != 1 || len(c.Build) > 1 {
-		return coded{errors.New("prove: a scale run is played once, with one --build at most"), exitUsage}
+		return exitError{errors.New("prove: a scale experiment runs once, with at most one --build"), exitUsage}
 	}
 	o := proving.ScaleOptions{}
 	if len(c.Build) == 1 {
 		var ok bool
 		if _, o.Program, ok = strings.Cut(c.Build[0], "="); !ok || o.Program == "" {
-			return coded{fmt.Errorf("prove: --build %q, want NAME=PROGRAM", c.Build[0]), exitUsage}
+			return exitError{fmt.Errorf("prove: --build %q: want NAME=PROGRAM", c.Build[0]), exitUsage}
 		}
 	}
 	if e.NeedsProgram() && o.Program == "" {
-		return coded{errors.New("prove: real sidecars and chains need a program: --build NAME=PROGRAM"), exitUsage}
+		return exitError{errors.New("prove: real sidecars and chains need a program: want --build NAME=PROGRAM"), exitUsage}
 	}
 	if c.Check {
-		fmt.Fprintf(s.out, "%s: a scale run: %d sweeps, %d real sizes, %d reloads, a day: %t\n", c.File, len(e.Sweeps), len(e.Reals), len(e.Reloads), e.Day != nil)
+		fmt.Fprintf(env.out, "%s: a scale experiment: %d sweeps, %d real sidecars, %d reloads, simulated day: %t\n", c.File, len(e.Sweeps), len(e.RealSidecars), len(e.Reloads), e.Day != nil)
 		return nil
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("prove: %w", err)
 	}
-	o.Self = []string{self, "role"}
+	o.RoleCommand = []string{self, "role"}
 	e.Seed = cmp.Or(c.Seed, e.Seed)
 	if !c.Quiet {
-		o.Tell = func(line string) { fmt.Fprintln(s.err, line) }
+		o.Log = func(line string) { fmt.Fprintln(env.err, line) }
 	}
-	res, err := proving.PlayScale(s.ctx, e, o)
+	res, err := proving.RunScale(env.ctx, e, o)
 	if err != nil {
 		return fmt.Errorf("prove: %w", err)
 	}
-	if err := res.WriteTable(s.out); err != nil {
+	if err := res.WriteTable(env.out); err != nil {
 		return err
 	}
 	if c.Out != "" {
-		if err := keepScale(c.Out, c.File, res); err != nil {
+		if err := writeScaleFiles(c.Out, c.File, res); err != nil {
 			return fmt.Errorf("prove: %w", err)
 		}
 	}
-	broken, void := res.Broken(), res.Void()
-	for _, line := range append(void, broken...) {
-		fmt.Fprintln(s.out, line)
+	violations, void := res.Violations(), res.Void()
+	for _, line := range append(void, violations...) {
+		fmt.Fprintln(env.out, line)
 	}
 	switch {
-	case len(broken) > 0:
-		return coded{fmt.Errorf("prove: %d things are not as they must be", len(broken)), exitUnkept}
+	case len(violations) > 0:
+		return exitError{fmt.Errorf("prove: %d requirements are not met", len(violations)), exitViolation}
 	case len(void) > 0:
-		return coded{errors.New("prove: the machine was the bottleneck at some sizes: there is no figure of them"), exitBottleneck}
+		return exitError{errors.New("prove: the machine was the bottleneck at some sizes; their figures are left out"), exitBottleneck}
 	}
 	return nil
 }
 
-func keepScale(dir, file string, res *proving.ScaleResult) error {
+func writeScaleFiles(dir, file string, res *proving.ScaleResult) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -99,8 +98,8 @@
 }
 
 type roleCommand struct {
-	Part string `arg:"" help:"sidecars or registry."`
+	Part string `arg:"" help:"The role: sidecars or registry."`
 }
 
-// Run plays the part until the input ends.
-func (c *roleCommand) Run(s *shell) error { return hollow.Serve(c.Part, os.Stdin, s.out) }
+// Run runs the role until its input ends.
+func (c *roleCommand) Run(env *environment) error { return hollow.Serve(c.Part, os.Stdin, env.out) }
--- a/internal/proving/beside.go
+++ b/internal/proving/beside.go
@@ -15,35 +15,35 @@
 	"gorselink/traffic"
 )
 
-// Beside is a real sidecar under load, with many lists besides the one that is asked for:
-// windows of calm and of a storm of changes in those lists in turn, each two a pair.
-type Beside struct {
-	Size   Size    // its Changes are those of the storm, a minute
-	Rate   float64 // requests a second
+// BackgroundChurn measures the request latency of one real sidecar while service lists
+// that its requests don't use change. Calm windows and windows with changes are paired.
+type BackgroundChurn struct {
+	Fleet  Size    // Fleet.Changes are the changes a minute in the windows with changes
+	Rate   float64 // requests per second
 	Pairs  int
 	Window time.Duration
 }
 
-func beside(t *tomlfile.Table, one Size) *Beside {
-	one.Services, one.Changes = 150, 3000
-	b := &Beside{Size: size(t, one), Rate: t.Number("rate", 300, 1, 1e5), Pairs: t.Integer("pairs", 8, 1, 100), Window: t.Duration("window", 2*time.Second, 100*time.Millisecond)}
-	if b.Size.Sidecars != 1 {
-		t.AddError("sidecars", b.Size.Sidecars, "one")
+func parseBackgroundChurn(t *tomlfile.Table, defaults Size) *BackgroundChurn {
+	defaults.Services, defaults.Changes = 150, 3000
+	b := &BackgroundChurn{Fleet: parseSize(t, defaults), Rate: t.Number("rate", 300, 1, 1e5), Pairs: t.Integer("pairs", 8, 1, 100), Window: t.Duration("window", 2*time.Second, 100*time.Millisecond)}
+	if b.Fleet.Sidecars != 1 {
+		t.AddError("sidecars", b.Fleet.Sidecars, "exactly 1")
 	}
 	t.RejectUnknownKeys()
 	return b
 }
 
-// playBeside plays it. Which of a pair is the storm is in turn, so that what drifts meets
-// both alike.
-func playBeside(ctx context.Context, s *Scale, o *ScaleOptions) (*Measured, error) {
-	b := s.Beside
-	c, err := newScene(s, b.Size, nil, o)
-	defer c.end()
+// runBackgroundChurn runs the load and the changes. The order of calm and churn alternates
+// from pair to pair, so that a drift affects both in the same way.
+func runBackgroundChurn(ctx context.Context, s *ScaleExperiment, o *ScaleOptions) (*Measured, error) {
+	b := s.BackgroundChurn
+	c, err := newFleetRun(s, b.Fleet, nil, o)
+	defer c.close()
 	if err != nil {
 		return nil, err
 	}
-	block, lock, err := takeBlock()
+	block, lock, err := acquireAddressBlock()
 	if err != nil {
 		return nil, err
 	}
@@ -57,20 +57,20 @@
 		defer n.Close()
 		addrs = append(addrs, n.Addr())
 	}
-	text, err := os.ReadFile(c.paths[0])
+	text, err := os.ReadFile(c.configPaths[0])
 	if err != nil {
 		return nil, err
 	}
-	front := fmt.Sprintf("%s:%d", hostOf(block, 0), portBase)
-	file := strings.Replace(string(text), "127.0.0.1:0", front, 1) + fmt.Sprintf("[pools.loaded]\nnodes = [\"%s\"]\nshare = 50\n[[routes]]\nhost = \"loaded.internal\"\npool = \"loaded\"\n", strings.Join(addrs, `", "`))
-	if err := os.WriteFile(c.paths[0], []byte(file), 0o600); err != nil {
+	listenAddr := fmt.Sprintf("%s:%d", instanceHost(block, 0), portBase)
+	config := strings.Replace(string(text), "127.0.0.1:0", listenAddr, 1) + fmt.Sprintf("[pools.loaded]\nnodes = [\"%s\"]\nshare = 50\n[[routes]]\nhost = \"loaded.internal\"\npool = \"loaded\"\n", strings.Join(addrs, `", "`))
+	if err := os.WriteFile(c.configPaths[0], []byte(config), 0o600); err != nil {
 		return nil, err
 	}
 	if err := c.startReal(ctx); err != nil {
 		return nil, err
 	}
-	if !pause(ctx, s.Settle) {
-		return nil, fmt.Errorf("broken off: %w", ctx.Err())
+	if !sleep(ctx, s.SettleTime) {
+		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
 	span := time.Duration(2*b.Pairs) * b.Window
 	shape, err := traffic.ParseShape(fmt.Sprintf("hold %g %s", b.Rate, span))
@@ -79,9 +79,9 @@
 	}
 	streams := []traffic.Stream{{Name: "loaded", Shape: shape, Host: "loaded.internal", Path: "/", Budget: defaultBudget, Skew: 1}}
 	var mu sync.Mutex
-	took := make([][]float64, 2*b.Pairs) // ms, by window
+	took := make([][]float64, 2*b.Pairs) // latencies in ms by window
 	failed := 0
-	run, err := load.New(load.Config{Addr: front, Streams: streams, Plan: traffic.NewPlan(streams, s.Seed), Seed: s.Seed, Conns: 200, Span: span, Grace: time.Second, Ended: func(e load.Ending) {
+	run, err := load.New(load.Config{Addr: listenAddr, Streams: streams, Plan: traffic.NewPlan(streams, s.Seed), Seed: s.Seed, Conns: 200, Span: span, Grace: time.Second, Ended: func(e load.Ending) {
 		mu.Lock()
 		defer mu.Unlock()
 		if k := int(e.Due / b.Window); k < len(took) {
@@ -94,28 +94,28 @@
 	if err != nil {
 		return nil, err
 	}
-	m, err := c.begin()
+	m, err := c.startMeter()
 	if err != nil {
 		return nil, err
 	}
-	storm, cancel := context.WithCancel(ctx)
+	churnCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var stormed error
+	var churnErr error
 	var all sync.WaitGroup
-	all.Go(func() { stormed = c.storm(storm, b, time.Now()) })
+	all.Go(func() { churnErr = c.changeLists(churnCtx, b, time.Now()) })
 	rep, err := run.Run(ctx).Report()
 	cancel()
 	all.Wait()
 	if err == nil {
-		err = stormed
+		err = churnErr
 	}
 	if err == nil && ctx.Err() != nil {
-		err = fmt.Errorf("broken off: %w", ctx.Err())
+		err = fmt.Errorf("interrupted: %w", ctx.Err())
 	}
 	if err != nil {
 		return nil, err
 	}
-	res, err := m.end()
+	res, err := m.finish()
 	if err != nil {
 		return nil, err
 	}
@@ -123,53 +123,53 @@
 	mu.Lock()
 	defer mu.Unlock()
 	res.Costs["load_failed"] = float64(failed)
-	b.compare(res, took)
-	return res, c.inForce(res)
+	b.recordDifferences(res, took)
+	return res, c.recordPropagation(res)
 }
 
-// stormy tells whether a window is one of a storm: the second of the first pair, the first
-// of the next one, and so on.
-func stormy(window int) bool { return (window/2)%2 != window%2 }
+// isChurnWindow reports whether lists change in a window. The order within the pairs
+// alternates: calm first in one pair, churn first in the next.
+func isChurnWindow(window int) bool { return (window/2)%2 != window%2 }
 
-func (c *scene) storm(ctx context.Context, b *Beside, begin time.Time) error {
-	every := time.Duration(float64(time.Minute) / b.Size.Changes)
+func (c *fleetRun) changeLists(ctx context.Context, b *BackgroundChurn, begin time.Time) error {
+	every := time.Duration(float64(time.Minute) / b.Fleet.Changes)
 	for due := time.Duration(0); due < time.Duration(2*b.Pairs)*b.Window; due += every {
-		if !stormy(int(due / b.Window)) {
+		if !isChurnWindow(int(due / b.Window)) {
 			continue
 		}
-		if !pause(ctx, time.Until(begin.Add(due))) {
+		if !sleep(ctx, time.Until(begin.Add(due))) {
 			return nil
 		}
-		if err := c.edit(1); err != nil {
+		if err := c.changeEndpoints(1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// compare books the medians of windows, and the median difference of pairs with its
-// interval, as of the sign test.
-func (b *Beside) compare(m *Measured, took [][]float64) {
+// recordDifferences stores the medians over the windows, and the median difference within
+// pairs with the confidence interval of the sign test.
+func (b *BackgroundChurn) recordDifferences(m *Measured, took [][]float64) {
 	for name, q := range map[string]int{"p50": 50, "p99": 99} {
-		var calm, storm, diffs []float64
+		var calm, churn, diffs []float64
 		for k := 0; k+1 < len(took); k += 2 {
-			var pair [2]float64 // calm, storm
+			var pair [2]float64 // calm, churn
 			for w := k; w < k+2; w++ {
 				if len(took[w]) == 0 {
 					return
 				}
 				slices.Sort(took[w])
 				i := 0
-				if stormy(w) {
+				if isChurnWindow(w) {
 					i = 1
 				}
 				pair[i] = took[w][len(took[w])*q/100]
 			}
-			calm, storm, diffs = append(calm, pair[0]), append(storm, pair[1]), append(diffs, pair[1]-pair[0])
+			calm, churn, diffs = append(calm, pair[0]), append(churn, pair[1]), append(diffs, pair[1]-pair[0])
 		}
 		slices.Sort(diffs)
 		low, high, sure := signInterval(diffs)
-		m.Costs["load_calm_"+name], m.Costs["load_storm_"+name], m.Costs["load_diff_"+name] = median(calm), median(storm), median(diffs)
+		m.Costs["load_calm_"+name], m.Costs["load_storm_"+name], m.Costs["load_diff_"+name] = median(calm), median(churn), median(diffs)
 		m.Costs["load_low_"+name], m.Costs["load_high_"+name], m.Costs["load_sure"] = low, high, 100*sure
 	}
 }
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -9,114 +9,116 @@
 	"gorselink/internal/load"
 )
 
-// Where a measure is counted.
-type place int
+// measurePoint is where a measure is taken.
+type measurePoint int
 
 const (
-	atNodes place = iota
+	atNodes measurePoint = iota
 	atCallers
 	atAll
 )
 
-// measure is one figure of a window.
+// measure computes one value over a selection.
 type measure struct {
-	at   place
-	what string // for tables
-	of   func(c *cut) float64
+	point       measurePoint
+	description string
+	compute     func(c *selection) float64
 }
 
-// measures by the names that experiments use. A measure of nothing (no request in the
-// window) is not a number.
+// measures holds the measures by the names used in experiment files. A measure without
+// any requests is NaN.
 var measures = map[string]measure{
-	"scatter": {atNodes, "coefficient of variation of requests a node, over that of chance alone", (*cut).scatter},
-	"least":   {atNodes, "requests of the least used node, over the mean", func(c *cut) float64 { return slices.Min(c.each()) / c.mean() }},
-	"busiest": {atNodes, "requests of the most used node, over the mean", func(c *cut) float64 { return slices.Max(c.each()) / c.mean() }},
-	"share":   {atNodes, "requests of the group over its fair share", (*cut).share},
-	"peak":    {atNodes, "the most of that in any step", (*cut).peak},
-	"cold":    {atNodes, "the most work that came to a cold node in a step, over what it can do", (*cut).pushed},
-	"strays":  {atNodes, "requests at nodes that had left the list, after their drain", (*cut).strays},
-	"p50":     {atCallers, "median time from due to answer, ms", func(c *cut) float64 { return c.quantile(0.5) }},
-	"p99":     {atCallers, "99th percentile of it, ms", func(c *cut) float64 { return c.quantile(0.99) }},
-	"p999":    {atCallers, "99.9th percentile of it, ms", func(c *cut) float64 { return c.quantile(0.999) }},
-	"rate":    {atCallers, "requests a second", func(c *cut) float64 { return float64(len(c.endings())) / (c.To - c.From).Seconds() }},
-	"failed":  {atCallers, "requests that were not answered below 400", func(c *cut) float64 { return c.count(func(o load.Outcome) bool { return o != load.OK }) }},
-	"refused": {atCallers, "requests answered 429 or 503", func(c *cut) float64 { return c.count(func(o load.Outcome) bool { return o == load.Refused }) }},
-	"lost":    {atCallers, "requests without an answer", func(c *cut) float64 { return c.count(lost) }},
-	"tries":   {atAll, "requests at nodes for each request of callers", func(c *cut) float64 { return float64(len(c.arrivals())) / float64(len(c.endings())) }},
-	"twice":   {atAll, "requests that may not be repeated and ran more than once, in the whole play", (*cut).twice},
-	"crashes": {atAll, "processes that ended by themselves, in the whole play", func(c *cut) float64 { return float64(len(c.r.Crashes)) }},
-	"drains":  {atAll, "processes that did not end well after SIGTERM, in the whole play", func(c *cut) float64 { return float64(len(c.r.DrainFailures)) }},
-}
-
-// always is what is wanted of every play, whatever its file says: no request has two
-// ends, no effect comes twice, no process crashes, drains are kept.
-var always = []Want{
-	{Measure: "twice", Least: math.Inf(-1)}, {Measure: "crashes", Least: math.Inf(-1)},
-	{Measure: "drains", Least: math.Inf(-1)}, {Measure: "strays", Least: math.Inf(-1)},
-}
-
-func lost(o load.Outcome) bool {
+	"scatter": {atNodes, "coefficient of variation of requests per node, relative to that of a Poisson distribution", (*selection).scatter},
+	"least":   {atNodes, "requests at the least used node, relative to the mean", func(c *selection) float64 { return slices.Min(c.requestsPerNode()) / c.meanPerNode() }},
+	"busiest": {atNodes, "requests at the most used node, relative to the mean", func(c *selection) float64 { return slices.Max(c.requestsPerNode()) / c.meanPerNode() }},
+	"share":   {atNodes, "requests at the group, relative to its fair share", (*selection).fairShareRatio},
+	"peak":    {atNodes, "maximum of share over all steps", (*selection).peakShare},
+	"cold":    {atNodes, "maximum of the work sent to a cold node in a step, relative to its capacity", (*selection).peakColdLoad},
+	"strays":  {atNodes, "requests at nodes that are off the list, after their drain", (*selection).strayRequests},
+	"p50":     {atCallers, "median latency since the request was due, ms", func(c *selection) float64 { return c.quantile(0.5) }},
+	"p99":     {atCallers, "99th percentile of the latency, ms", func(c *selection) float64 { return c.quantile(0.99) }},
+	"p999":    {atCallers, "99.9th percentile of the latency, ms", func(c *selection) float64 { return c.quantile(0.999) }},
+	"rate":    {atCallers, "requests per second", func(c *selection) float64 { return float64(len(c.endings())) / (c.To - c.From).Seconds() }},
+	"failed":  {atCallers, "requests not answered with a status below 400", func(c *selection) float64 { return c.count(func(o load.Outcome) bool { return o != load.OK }) }},
+	"refused": {atCallers, "requests answered 429 or 503", func(c *selection) float64 { return c.count(func(o load.Outcome) bool { return o == load.Refused }) }},
+	"lost":    {atCallers, "requests without an answer", func(c *selection) float64 { return c.count(isUnanswered) }},
+	"tries":   {atAll, "requests at nodes per request of the callers", func(c *selection) float64 { return float64(len(c.arrivals())) / float64(len(c.endings())) }},
+	"twice":   {atAll, "requests executed more than once although unsafe to repeat, or answered twice, in the whole run", (*selection).duplicateExecutions},
+	"crashes": {atAll, "processes that exited unexpectedly, in the whole run", func(c *selection) float64 { return float64(len(c.record.Crashes)) }},
+	"drains":  {atAll, "processes that did not exit cleanly after SIGTERM, in the whole run", func(c *selection) float64 { return float64(len(c.record.DrainFailures)) }},
+}
+
+// standingExpectations are checked in every run: no request is executed or answered twice if
+// that is unsafe, no process crashes, and drains complete.
+var standingExpectations = []Expectation{
+	{Measure: "twice", Min: math.Inf(-1)}, {Measure: "crashes", Min: math.Inf(-1)},
+	{Measure: "drains", Min: math.Inf(-1)}, {Measure: "strays", Min: math.Inf(-1)},
+}
+
+func isUnanswered(o load.Outcome) bool {
 	return o == load.Broken || o == load.NoConn || o == load.TimedOut || o == load.Unanswered
 }
 
-// cut is a window of a Record, of some nodes or of one stream.
-type cut struct {
-	r *Record
+// selection is a window of a Record, restricted to some nodes, instances or a stream.
+type selection struct {
+	record *Record
 	Window
-	group  *Group // of nodes
-	asked  *Group // of instances; nil for all
-	stream int    // -1 for all
+	nodes     *Group
+	instances *Group // nil for all
+	stream    int    // -1 for all
 }
 
-// Value is a measure of a window; NaN of nothing.
-func (r *Record) Value(w *Want) float64 {
-	c := &cut{r: r, Window: *r.e.window(w.Window), group: r.e.group(string(KindNodes), KindNodes), stream: -1}
-	if g := r.e.group(w.Group, KindNodes); g != nil {
-		c.group = g
+// Value returns a measure, or NaN if there is nothing to measure.
+func (r *Record) Value(w *Expectation) float64 {
+	c := &selection{record: r, Window: *r.experiment.lookupWindow(w.Window), nodes: r.experiment.lookupGroup(string(KindNodes), KindNodes), stream: -1}
+	if g := r.experiment.lookupGroup(w.Group, KindNodes); g != nil {
+		c.nodes = g
 	}
-	c.asked = r.e.group(w.Group, KindInstances)
-	for i := range r.e.Streams {
-		if w.Stream != "" && r.e.Streams[i].Name == w.Stream {
+	c.instances = r.experiment.lookupGroup(w.Group, KindInstances)
+	for i := range r.experiment.Streams {
+		if w.Stream != "" && r.experiment.Streams[i].Name == w.Stream {
 			c.stream = i
 		}
 	}
-	return measures[w.Measure].of(c)
+	return measures[w.Measure].compute(c)
 }
 
-func (c *cut) arrivals() []arrival {
-	from, _ := slices.BinarySearchFunc(c.r.arrivals, c.From, func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) })
-	to, _ := slices.BinarySearchFunc(c.r.arrivals, c.To, func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) })
-	return c.r.arrivals[from:to]
+func (c *selection) arrivals() []arrival {
+	from, _ := slices.BinarySearchFunc(c.record.arrivals, c.From, func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) })
+	to, _ := slices.BinarySearchFunc(c.record.arrivals, c.To, func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) })
+	return c.record.arrivals[from:to]
 }
 
-func (c *cut) endings() (all []load.Ending) {
-	from, _ := slices.BinarySearchFunc(c.r.endings, c.From, func(e load.Ending, at time.Duration) int { return cmp.Compare(e.Due, at) })
-	to, _ := slices.BinarySearchFunc(c.r.endings, c.To, func(e load.Ending, at time.Duration) int { return cmp.Compare(e.Due, at) })
-	if c.stream < 0 && c.asked == nil {
-		return c.r.endings[from:to]
+func (c *selection) endings() (all []load.Ending) {
+	from, _ := slices.BinarySearchFunc(c.record.endings, c.From, func(e load.Ending, at time.Duration) int { return cmp.Compare(e.Due, at) })
+	to, _ := slices.BinarySearchFunc(c.record.endings, c.To, func(e load.Ending, at time.Duration) int { return cmp.Compare(e.Due, at) })
+	if c.stream < 0 && c.instances == nil {
+		return c.record.endings[from:to]
 	}
-	for _, e := range c.r.endings[from:to] {
-		if (c.stream < 0 || e.Stream == c.stream) && (c.asked == nil || c.asked.Has(e.Target)) {
+	for _, e := range c.record.endings[from:to] {
+		if (c.stream < 0 || e.Stream == c.stream) && (c.instances == nil || c.instances.Contains(e.Target)) {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// each is what came to each node of the group.
-func (c *cut) each() []float64 {
-	all := make([]float64, c.r.e.Nodes.Count)
+// requestsPerNode returns the number of arrivals at each node of the group.
+func (c *selection) requestsPerNode() []float64 {
+	all := make([]float64, c.record.experiment.Nodes.Count)
 	for _, a := range c.arrivals() {
 		all[a.node]++
 	}
-	mine := make([]float64, len(c.group.Members))
-	for i, m := range c.group.Members {
-		mine[i] = all[m]
+	counts := make([]float64, len(c.nodes.Members))
+	for i, m := range c.nodes.Members {
+		counts[i] = all[m]
 	}
-	return mine
+	return counts
 }
 
-func (c *cut) mean() float64 { return sum(c.each()) / float64(len(c.group.Members)) }
+func (c *selection) meanPerNode() float64 {
+	return sum(c.requestsPerNode()) / float64(len(c.nodes.Members))
+}
 
 func sum(all []float64) (s float64) {
 	for _, x := range all {
@@ -125,67 +127,67 @@
 	return s
 }
 
-// scatter: requests that go to nodes by chance alone are Poisson, with a deviation of the
-// square root of their mean.
-func (c *cut) scatter() float64 {
-	mean, squares := c.mean(), 0.0
-	for _, x := range c.each() {
+// scatter compares the deviation to that of a Poisson distribution, which is the square root
+// of the mean.
+func (c *selection) scatter() float64 {
+	mean, squares := c.meanPerNode(), 0.0
+	for _, x := range c.requestsPerNode() {
 		squares += (x - mean) * (x - mean)
 	}
-	return math.Sqrt(squares/float64(len(c.group.Members))) / math.Sqrt(mean)
+	return math.Sqrt(squares/float64(len(c.nodes.Members))) / math.Sqrt(mean)
 }
 
-func (c *cut) share() float64 {
-	fair := float64(len(c.group.Members)) / float64(c.r.e.Nodes.Count)
-	return sum(c.each()) / float64(len(c.arrivals())) / fair
+func (c *selection) fairShareRatio() float64 {
+	fair := float64(len(c.nodes.Members)) / float64(c.record.experiment.Nodes.Count)
+	return sum(c.requestsPerNode()) / float64(len(c.arrivals())) / fair
 }
 
-// peak looks at whole steps.
-func (c *cut) peak() float64 {
-	most := math.NaN()
-	step := c.r.e.Step
+// peakShare considers whole steps only.
+func (c *selection) peakShare() float64 {
+	peak := math.NaN()
+	step := c.record.experiment.Step
 	for at := c.From; at+step <= c.To; at += step {
 		s := *c
 		s.Window = Window{From: at, To: at + step}
-		if x := s.share(); !(x <= most) && !math.IsNaN(x) {
-			most = x
+		if x := s.fairShareRatio(); !(x <= peak) && !math.IsNaN(x) {
+			peak = x
 		}
 	}
-	return most
+	return peak
 }
 
-// pushed counts from a node's return on, in steps, for as long as it is cold.
-func (c *cut) pushed() float64 {
-	most, n := 0.0, &c.r.e.Nodes
-	step := c.r.e.Step
-	for _, x := range c.r.cold {
-		if !c.group.Has(x.node) {
+// peakColdLoad considers the steps from a node's return until it is warm.
+func (c *selection) peakColdLoad() float64 {
+	peak, n := 0.0, &c.record.experiment.Nodes
+	step := c.record.experiment.Step
+	for _, x := range c.record.coldSpans {
+		if !c.nodes.Contains(x.node) {
 			continue
 		}
 		for at := x.from; at+step <= x.to && at+step <= c.To; at += step {
 			if at < c.From {
 				continue
 			}
-			came := 0.0
-			for _, a := range (&cut{r: c.r, Window: Window{From: at, To: at + step}}).arrivals() {
+			requests := 0.0
+			for _, a := range (&selection{record: c.record, Window: Window{From: at, To: at + step}}).arrivals() {
 				if a.node == x.node {
-					came++
+					requests++
 				}
 			}
-			speed := n.Cold + (1-n.Cold)*(at+step/2-x.from).Seconds()/n.Warm.Seconds()
-			most = max(most, came*n.Work.Seconds()/(float64(n.Cores)*step.Seconds()*speed))
+			speed := n.ColdShare + (1-n.ColdShare)*(at+step/2-x.from).Seconds()/n.WarmUp.Seconds()
+			peak = max(peak, requests*n.Work.Seconds()/(float64(n.Cores)*step.Seconds()*speed))
 		}
 	}
-	return most
+	return peak
 }
 
-func (c *cut) strays() (n float64) {
-	for _, x := range c.r.left {
-		if !c.group.Has(x.node) {
+func (c *selection) strayRequests() (n float64) {
+	for _, x := range c.record.absentSpans {
+		if !c.nodes.Contains(x.node) {
 			continue
 		}
 		for _, a := range c.arrivals() {
-			if a.node == x.node && a.at > x.from+c.r.e.Nodes.Drain && a.at < x.to {
+			if a.node == x.node && a.at > x.from+c.record.experiment.Nodes.DrainTime && a.at < x.to {
 				n++
 			}
 		}
@@ -193,7 +195,7 @@
 	return n
 }
 
-func (c *cut) quantile(q float64) float64 {
+func (c *selection) quantile(q float64) float64 {
 	var all []float64
 	for _, e := range c.endings() {
 		all = append(all, (e.Ended-e.Due).Seconds()*1000)
@@ -205,28 +207,28 @@
 	return all[int(math.Ceil(q*float64(len(all))))-1]
 }
 
-func (c *cut) count(is func(load.Outcome) bool) (n float64) {
+func (c *selection) count(matches func(load.Outcome) bool) (n float64) {
 	for _, e := range c.endings() {
-		if is(e.How) {
+		if matches(e.How) {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *cut) twice() (n float64) {
-	for id := range c.r.frail {
-		if c.r.runs[id] > 1 {
+func (c *selection) duplicateExecutions() (n float64) {
+	for id := range c.record.nonIdempotent {
+		if c.record.executions[id] > 1 {
 			n++
 		}
 	}
-	// An end that was told twice would be an answer too many.
+	// A request that ends twice got more than one answer.
 	type request struct {
 		stream int
 		index  uint64
 	}
 	seen := map[request]bool{}
-	for _, e := range c.r.endings {
+	for _, e := range c.record.endings {
 		k := request{e.Stream, e.Index}
 		if seen[k] {
 			n++
--- a/internal/proving/page.go
+++ b/internal/proving/page.go
@@ -17,42 +17,42 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// WritePage writes the plays of an experiment as a page that needs nothing else.
+// WritePage writes the results as a self-contained HTML page.
 func WritePage(w io.Writer, e *Experiment, builds []string, results []*Result) error {
 	rows := Compare(builds, results)
 	var table strings.Builder
 	if err := WriteTable(&table, builds, rows); err != nil {
 		return err
 	}
-	type drawing struct {
+	type chart struct {
 		Title string
 		SVG   template.HTML
 	}
-	type play struct {
-		Title  string
-		Broken []string
-		Void   []string
+	type runSummary struct {
+		Title      string
+		Violations []string
+		Void       []string
 	}
 	var data struct {
 		Name      string
 		Table     string
-		Drawings  []drawing
-		Plays     []play
+		Charts    []chart
+		Runs      []runSummary
 		Seed      uint64
 		Instances int
 		Nodes     int
 	}
 	data.Name, data.Table, data.Seed, data.Instances, data.Nodes = e.Name, table.String(), e.Seed, e.Instances.Count, e.Nodes.Count
-	add := func(title, unit string, of func(s *Second) float64) error {
-		svg, err := draw(e, unit, builds, results, of)
+	addChart := func(title, unit string, value func(s *Second) float64) error {
+		svg, err := drawSeconds(e, unit, builds, results, value)
 		if err == nil {
-			data.Drawings = append(data.Drawings, drawing{title, template.HTML(svg)})
+			data.Charts = append(data.Charts, chart{title, template.HTML(svg)})
 		}
 		return err
 	}
 	for i := range e.Groups {
-		if g := &e.Groups[i]; g.Of == KindNodes && g.Name != string(KindNodes) {
-			if err := add("Share of "+g.Name+" over the fair one", "", func(s *Second) float64 {
+		if g := &e.Groups[i]; g.Kind == KindNodes && g.Name != string(KindNodes) {
+			if err := addChart("Share of "+g.Name+" relative to its fair share", "", func(s *Second) float64 {
 				if x, ok := s.Shares[g.Name]; ok {
 					return x
 				}
@@ -62,21 +62,21 @@
 			}
 		}
 	}
-	if err := add("99th percentile from due to answer", "ms", func(s *Second) float64 { return s.P99 }); err != nil {
+	if err := addChart("99th percentile of latency", "ms", func(s *Second) float64 { return s.P99 }); err != nil {
 		return err
 	}
-	if err := add("Requests not answered below 400, a second", "", func(s *Second) float64 { return float64(s.Failed) }); err != nil {
+	if err := addChart("Failed requests per second", "", func(s *Second) float64 { return float64(s.Failed) }); err != nil {
 		return err
 	}
 	for _, res := range results {
-		data.Plays = append(data.Plays, play{fmt.Sprintf("%s, turn %d, seed %d", res.Build, res.Turn+1, res.Seed), res.Broken(), res.Void})
+		data.Runs = append(data.Runs, runSummary{fmt.Sprintf("%s, turn %d, seed %d", res.Build, res.Turn+1, res.Seed), res.Violations(), res.Void})
 	}
-	return page.Execute(w, data)
+	return experimentPage.Execute(w, data)
 }
 
-// draw draws a figure by second: a line for each play, a colour for each build, and a
-// stroke at each event.
-func draw(e *Experiment, unit string, builds []string, results []*Result, of func(s *Second) float64) (string, error) {
+// drawSeconds draws a value by second: a line for each run, a colour for each build and a
+// dashed line for each event.
+func drawSeconds(e *Experiment, unit string, builds []string, results []*Result, value func(s *Second) float64) (string, error) {
 	p := plot.New()
 	p.X.Label.Text = "s"
 	p.Y.Label.Text = unit
@@ -86,13 +86,13 @@
 	if err != nil {
 		return "", err
 	}
-	most, named := 0.0, map[string]bool{}
+	maxValue, inLegend := 0.0, map[string]bool{}
 	for _, res := range results {
 		var points plotter.XYs
 		for i := range res.Seconds {
-			if y := of(&res.Seconds[i]); !math.IsNaN(y) {
+			if y := value(&res.Seconds[i]); !math.IsNaN(y) {
 				points = append(points, plotter.XY{X: float64(i) + 0.5, Y: y})
-				most = max(most, y)
+				maxValue = max(maxValue, y)
 			}
 		}
 		if len(points) == 0 {
@@ -104,22 +104,22 @@
 		}
 		l.Color = colours.Colors()[slices.Index(builds, res.Build)%len(colours.Colors())]
 		p.Add(l)
-		if !named[res.Build] {
-			named[res.Build] = true
+		if !inLegend[res.Build] {
+			inLegend[res.Build] = true
 			p.Legend.Add(res.Build, l)
 		}
 	}
-	if most == 0 {
-		most = 1
+	if maxValue == 0 {
+		maxValue = 1
 	}
 	seen := map[float64]bool{}
-	for _, d := range deeds(e) {
+	for _, d := range actionsInOrder(e) {
 		at := math.Floor(d.at.Seconds()*10) / 10
 		if seen[at] {
 			continue
 		}
 		seen[at] = true
-		l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: most}})
+		l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: maxValue}})
 		if err != nil {
 			return "", err
 		}
@@ -127,33 +127,33 @@
 		l.Width = vg.Points(0.5)
 		p.Add(l)
 	}
-	p.X.Min, p.X.Max, p.Y.Max = 0, e.Span.Seconds(), most*1.05
-	return drawn(p, 20*vg.Centimeter)
+	p.X.Min, p.X.Max, p.Y.Max = 0, e.Duration.Seconds(), maxValue*1.05
+	return renderSVG(p, 20*vg.Centimeter)
 }
 
-// drawn is a chart of this width as an element of a page.
-func drawn(p *plot.Plot, width vg.Length) (string, error) {
+// renderSVG returns a chart as an SVG element.
+func renderSVG(p *plot.Plot, width vg.Length) (string, error) {
 	c := vgsvg.New(width, 6*vg.Centimeter)
 	p.Draw(vgdraw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	// Within a page the prologue of a file of its own has no place.
+	// The XML prologue is not allowed within an HTML page.
 	_, svg, ok := strings.Cut(b.String(), "<svg")
 	if !ok {
-		return "", fmt.Errorf("a drawing without svg")
+		return "", fmt.Errorf("chart output contains no svg element")
 	}
 	return "<svg" + svg, nil
 }
 
-var page = template.Must(template.New("").Parse(`<!DOCTYPE html>
+var experimentPage = template.Must(template.New("").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font:15px/1.4 sans-serif;max-width:60em;margin:2em auto;padding:0 1em}pre{overflow-x:auto;background:#f4f4f4;padding:1em}h2{font-size:1.1em}li{margin:.2em 0}</style></head>
 <body><h1>{{.Name}}</h1>
-<p>{{.Instances}} processes before {{.Nodes}} nodes, seed {{.Seed}}. Dashed strokes are events.</p>
+<p>{{.Instances}} processes, {{.Nodes}} nodes, seed {{.Seed}}. Dashed lines are events.</p>
 <pre>{{.Table}}</pre>
-{{range .Drawings}}<h2>{{.Title}}</h2>{{.SVG}}
-{{end}}<h2>Plays</h2><ul>{{range .Plays}}<li>{{.Title}}: {{if or .Broken .Void}}<ul>{{range .Void}}<li>void: {{.}}</li>{{end}}{{range .Broken}}<li>{{.}}</li>{{end}}</ul>{{else}}all as wanted{{end}}</li>
+{{range .Charts}}<h2>{{.Title}}</h2>{{.SVG}}
+{{end}}<h2>Runs</h2><ul>{{range .Runs}}<li>{{.Title}}: {{if or .Violations .Void}}<ul>{{range .Void}}<li>void: {{.}}</li>{{end}}{{range .Violations}}<li>{{.}}</li>{{end}}</ul>{{else}}all expectations met{{end}}</li>
 {{end}}</ul></body></html>
 `))
--- a/internal/proving/place.go
+++ b/internal/proving/place.go
@@ -12,116 +12,119 @@
 	"syscall"
 )
 
-// Place is where one instance runs and what it may know of the others: what the
-// templates of an experiment are filled with.
-type Place struct {
-	Name      string // as i017
-	Index     int    // from 0
+// InstanceInfo is the data of the templates in an experiment: where one instance runs and
+// how it reaches the others.
+type InstanceInfo struct {
+	Name      string // such as i017
+	Index     int
 	Count     int
-	Seed      uint64 // of this instance
-	Dir       string // its own, empty at its first start and kept over restarts
-	Config    string // the file that its configuration is written to
-	Host      string // a loopback address of its own; its ports are on it
-	NodesFile string // the nodes as this instance reaches them, one a line
+	Seed      uint64 // differs by instance
+	Dir       string // working directory, empty at the first start and kept over restarts
+	Config    string // path of the configuration file
+	Host      string // loopback address of this instance
+	NodesFile string // file with the nodes' addresses as this instance reaches them, one per line
 	NodeList  []string
 
-	ports []string
-	peers int
-	via   func(to int, port string) string
-	block int
+	ports      []string
+	peerCount  int
+	linkedAddr func(to int, port string) string
+	block      int
 }
 
-// Address is where a port of this instance is to be opened.
-func (p *Place) Address(port string) (string, error) { return p.address(p.Index, port, portBase) }
+// Address returns the address on which this instance opens a port.
+func (p *InstanceInfo) Address(port string) (string, error) {
+	return p.address(p.Index, port, portBase)
+}
 
-// Advertise is the address of a port that all the others may be told: what comes to
-// it goes over the link of whoever it is from, known by its loopback address. It is
-// the port itself where no link leads to this instance.
-func (p *Place) Advertise(port string) (string, error) {
-	if _, err := p.Address(port); err != nil || p.via == nil {
+// Advertise returns the address of a port that every other instance can use. Connections to
+// it go over the sender's link, which is found by the sender's loopback address. Without a
+// link to this instance it is the port itself.
+func (p *InstanceInfo) Advertise(port string) (string, error) {
+	if _, err := p.Address(port); err != nil || p.linkedAddr == nil {
 		return "127.0.0.1:1", err
 	}
-	return p.via(-1, port), nil
+	return p.linkedAddr(-1, port), nil
 }
 
-// Reach is where this instance reaches a port of an instance, which may be itself.
-func (p *Place) Reach(i int, port string) (string, error) {
+// Reach returns the address at which this instance reaches a port of instance i, which may be
+// itself.
+func (p *InstanceInfo) Reach(i int, port string) (string, error) {
 	if i == p.Index {
 		return p.Address(port)
 	}
-	return Peer{Index: i, of: p}.Address(port)
+	return Peer{Index: i, from: p}.Address(port)
 }
 
-// Peers are all instances but this one, as this one reaches them.
-func (p *Place) Peers() (all []Peer) {
-	for i := range p.peers {
+// Peers returns all other instances as this one reaches them.
+func (p *InstanceInfo) Peers() (all []Peer) {
+	for i := range p.peerCount {
 		if i != p.Index {
-			all = append(all, Peer{Name: instanceName(i), Index: i, of: p})
+			all = append(all, Peer{Name: formatInstanceName(i), Index: i, from: p})
 		}
 	}
 	return all
 }
 
-// Peer is another instance.
+// Peer is another instance, as seen by one instance.
 type Peer struct {
 	Name  string
 	Index int
-	of    *Place
+	from  *InstanceInfo
 }
 
-// Address is where this instance reaches a port of the other, over the link between
-// them if there is one.
+// Address returns the address at which the instance reaches a port of the peer, over the link
+// between them if there is one.
 func (p Peer) Address(port string) (string, error) {
-	a, err := p.of.address(p.Index, port, portBase)
-	if err != nil || p.of.via == nil {
+	a, err := p.from.address(p.Index, port, portBase)
+	if err != nil || p.from.linkedAddr == nil {
 		return a, err
 	}
-	return p.of.via(p.Index, port), nil
+	return p.from.linkedAddr(p.Index, port), nil
 }
 
-func (p *Place) address(i int, port string, base int) (string, error) {
+func (p *InstanceInfo) address(i int, port string, base int) (string, error) {
 	for k, name := range p.ports {
 		if name == port {
-			return hostOf(p.block, i) + ":" + strconv.Itoa(base+k), nil
+			return instanceHost(p.block, i) + ":" + strconv.Itoa(base+k), nil
 		}
 	}
-	return "", fmt.Errorf("no port %q, there are %s", port, strings.Join(p.ports, ", "))
+	return "", fmt.Errorf("unknown port %q, want one of %s", port, strings.Join(p.ports, ", "))
 }
 
-func instanceName(i int) string { return fmt.Sprintf("i%03d", i) }
+func formatInstanceName(i int) string { return fmt.Sprintf("i%03d", i) }
 
-// Each play has a block of loopback addresses, 127.B.0.0/16, so that several can run at
-// once and no port is taken between its choice and its use. In a block each instance
-// has a host; what it sees through links listens on its host too.
+// Each run takes a block of loopback addresses, 127.B.0.0/16, so that several can run at once
+// without competing for ports. Each instance has an address in the block; its links listen on
+// that address too.
 const (
-	firstBlock = 64
-	blocks     = 128
-	lockPort   = 19999
-	portBase   = 20000 // of the ports that an instance opens
-	portsEach  = 8     // at most
-	adBase     = 20100 // of what it advertises
-	callBase   = 20200 // of what callers reach it by
-	nodeBase   = 21000 // of the nodes as it sees them, mostNodes at most
-	peerBase   = 22000 // of the others as it sees them, portsEach for each
+	firstAddressBlock = 64
+	addressBlocks     = 128
+	lockPort          = 19999
+	portBase          = 20000 // of the ports that an instance opens
+	maxPorts          = 8     // per instance
+	advertiseBase     = 20100 // of the advertised ports
+	callerBase        = 20200 // of the ports that callers connect to, over a link
+	nodeBase          = 21000 // of the links to nodes, maxNodes at most
+	peerBase          = 22000 // of the links to peers, maxPorts for each
 )
 
-func hostOf(block, instance int) string {
+func instanceHost(block, instance int) string {
 	return fmt.Sprintf("127.%d.%d.%d", block, 1+instance/250, 1+instance%250)
 }
 
-// hostIndex is the instance whose host an address is, if it is one's of the block.
-func hostIndex(block int, a netip.Addr) (int, bool) {
+// instanceOfHost returns the instance that has an address, if the address is in the block.
+func instanceOfHost(block int, a netip.Addr) (int, bool) {
 	b := a.As4()
 	i := (int(b[2])-1)*250 + int(b[3]) - 1
 	return i, int(b[1]) == block && b[2] >= 1 && b[3] >= 1
 }
 
-// takeBlock takes a block that no other play has. The listener holds it: it goes with
-// the process, however that ends.
-func takeBlock() (int, net.Listener, error) {
+// acquireAddressBlock takes a block that no other run has. The listener holds the block and is
+// closed by the system when the process exits.
+func acquireAddressBlock() (int, net.Listener, error) {
 	var errs []error
-	for i := range blocks {
-		b := firstBlock + (os.Getpid()+i)%blocks
+	for i := range addressBlocks {
+		b := firstAddressBlock + (os.Getpid()+i)%addressBlocks
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", b, lockPort))
 		if err == nil {
 			return b, l, nil
@@ -130,15 +133,15 @@
 			break
 		}
 	}
-	return 0, nil, fmt.Errorf("no block of loopback addresses is free: %w", errs[len(errs)-1])
+	return 0, nil, fmt.Errorf("no free block of loopback addresses: %w", errs[len(errs)-1])
 }
 
-// dirPrefix begins the names of the folders of plays, with the process's number.
+// dirPrefix is followed by the process ID in the names of run directories.
 const dirPrefix = "gorselink-prove-"
 
-// takeDir makes the folder of a play, and removes those of plays whose process is gone:
-// one that was killed could not.
-func takeDir() (string, error) {
+// makeRunDir makes the directory of a run, and removes those of runs whose process no longer
+// exists, as a killed process can't remove its own.
+func makeRunDir() (string, error) {
 	old, _ := filepath.Glob(filepath.Join(os.TempDir(), dirPrefix+"*"))
 	for _, dir := range old {
 		pid, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), dirPrefix), "-")
--- a/internal/proving/process.go
+++ b/internal/proving/process.go
@@ -17,187 +17,187 @@
 	"time"
 )
 
-// nursery starts processes that end with this one, however it ends: the system kills
-// them when the thread that started them is gone (prctl(2), PR_SET_PDEATHSIG), and that
-// thread lives as long as the nursery. A process that is stopped dies all the same.
-type nursery struct {
-	asked chan func()
-	done  chan struct{}
+// processSpawner starts processes that end when this one ends. The kernel kills them when the
+// thread that started them exits (prctl(2), PR_SET_PDEATHSIG), which is when the spawner is
+// closed. This also ends processes that are stopped by a signal.
+type processSpawner struct {
+	requests chan func()
+	done     chan struct{}
 }
 
-func newNursery() *nursery {
-	n := &nursery{asked: make(chan func()), done: make(chan struct{})}
+func newProcessSpawner() *processSpawner {
+	n := &processSpawner{requests: make(chan func()), done: make(chan struct{})}
 	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
+		runtime.LockOSThread() // not unlocked, so that the thread exits with the goroutine
 		defer close(n.done)
-		for f := range n.asked {
+		for f := range n.requests {
 			f()
 		}
 	}()
 	return n
 }
 
-func (n *nursery) start(cmd *exec.Cmd) error {
+func (n *processSpawner) start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	got := make(chan error)
-	n.asked <- func() { got <- cmd.Start() }
+	n.requests <- func() { got <- cmd.Start() }
 	return <-got
 }
 
-// close ends the thread, and with it all that is still alive.
-func (n *nursery) close() {
-	close(n.asked)
+// close ends the thread and thereby all remaining processes.
+func (n *processSpawner) close() {
+	close(n.requests)
 	<-n.done
 }
 
-// instance is one place of a process, which may be started several times.
+// instance runs a process of the program, which may be started several times.
 type instance struct {
-	place   *Place
-	program string
-	args    []string
-	config  string
-	nursery *nursery
-	ready   string // URL
-	within  time.Duration
-	drain   time.Duration
-	crashed func(text string) // called when a process ends that nobody has ended
-
-	mu    sync.Mutex
-	life  *life // the newest; nil before the first
-	lives int
+	info         *InstanceInfo
+	program      string
+	args         []string
+	config       string
+	spawner      *processSpawner
+	readyURL     string
+	readyTimeout time.Duration
+	drainTimeout time.Duration
+	onCrash      func(text string) // called when a process exits unexpectedly
+
+	mu      sync.Mutex
+	process *process // the latest; nil before the first start
+	starts  int
 }
 
-// life is one process of an instance.
-type life struct {
-	cmd   *exec.Cmd
-	ended chan struct{}
-	meant bool // its end
-	state *os.ProcessState
+// process is one run of an instance.
+type process struct {
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool
+	state        *os.ProcessState
 }
 
-// start starts a process. It does not wait until it is ready.
+// start starts a process. It does not wait until the process is ready.
 func (n *instance) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life != nil && !n.life.gone() {
-		return fmt.Errorf("%s: runs already", n.place.Name)
+	if n.process != nil && !n.process.hasExited() {
+		return fmt.Errorf("%s: is already running", n.info.Name)
 	}
-	if err := os.WriteFile(n.place.Config, []byte(n.config), 0o600); err != nil {
+	if err := os.WriteFile(n.info.Config, []byte(n.config), 0o600); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(filepath.Join(n.place.Dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(n.info.Dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	cmd := exec.Command(n.program, n.args...)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = n.place.Dir, log, log
-	cmd.Env = append(os.Environ(), "TMPDIR="+n.place.Dir)
-	if err := n.nursery.start(cmd); err != nil {
-		return fmt.Errorf("%s: %w", n.place.Name, err)
+	cmd.Dir, cmd.Stdout, cmd.Stderr = n.info.Dir, log, log
+	cmd.Env = append(os.Environ(), "TMPDIR="+n.info.Dir)
+	if err := n.spawner.start(cmd); err != nil {
+		return fmt.Errorf("%s: %w", n.info.Name, err)
 	}
-	l := &life{cmd: cmd, ended: make(chan struct{})}
-	n.life = l
-	n.lives++
+	p := &process{cmd: cmd, exited: make(chan struct{})}
+	n.process = p
+	n.starts++
 	go func() {
 		cmd.Wait()
 		n.mu.Lock()
-		l.state = cmd.ProcessState
-		meant := l.meant
-		close(l.ended)
+		p.state = cmd.ProcessState
+		expected := p.exitExpected
+		close(p.exited)
 		n.mu.Unlock()
-		if !meant {
-			n.crashed(fmt.Sprintf("%s ended by itself: %v%s", n.place.Name, cmd.ProcessState, n.lastWords()))
+		if !expected {
+			n.onCrash(fmt.Sprintf("%s exited unexpectedly: %v%s", n.info.Name, cmd.ProcessState, n.logTail()))
 		}
 	}()
 	return nil
 }
 
-func (l *life) gone() bool {
+func (p *process) hasExited() bool {
 	select {
-	case <-l.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// lastWords is the end of what the processes of an instance have logged.
-func (n *instance) lastWords() string {
-	text, _ := os.ReadFile(filepath.Join(n.place.Dir, "log"))
+// logTail returns the end of the instance's log file.
+func (n *instance) logTail() string {
+	text, _ := os.ReadFile(filepath.Join(n.info.Dir, "log"))
 	text = bytes.TrimSpace(text[max(0, len(text)-600):])
 	if len(text) == 0 {
-		return ", and logged nothing"
+		return "; its log is empty"
 	}
 	return "; its log ends with\n\t" + strings.ReplaceAll(string(text), "\n", "\n\t")
 }
 
-// signal sends the process a signal. meant tells that it may end by it.
-func (n *instance) signal(s syscall.Signal, meant bool) (*life, error) {
+// signal sends a signal to the process. exitExpected says that the process may exit due to it.
+func (n *instance) signal(s syscall.Signal, exitExpected bool) (*process, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.life
-	if l == nil || l.gone() {
-		return nil, fmt.Errorf("%s: does not run", n.place.Name)
+	p := n.process
+	if p == nil || p.hasExited() {
+		return nil, fmt.Errorf("%s: is not running", n.info.Name)
 	}
-	l.meant = l.meant || meant
-	return l, l.cmd.Process.Signal(s)
+	p.exitExpected = p.exitExpected || exitExpected
+	return p, p.cmd.Process.Signal(s)
 }
 
-// kill ends what runs, if anything does, with all that it has started.
+// kill kills the process group, if the process is running, and waits for the process to exit.
 func (n *instance) kill() {
 	n.mu.Lock()
-	l := n.life
-	if l != nil && !l.gone() {
-		l.meant = true
-		syscall.Kill(-l.cmd.Process.Pid, syscall.SIGKILL)
+	p := n.process
+	if p != nil && !p.hasExited() {
+		p.exitExpected = true
+		syscall.Kill(-p.cmd.Process.Pid, syscall.SIGKILL)
 	}
 	n.mu.Unlock()
-	if l != nil {
-		<-l.ended
+	if p != nil {
+		<-p.exited
 	}
 }
 
-var errUndrained = errors.New("has not ended by itself after SIGTERM")
+var errDrainFailed = errors.New("did not exit cleanly after SIGTERM")
 
-// term has the process drain, and waits for its end.
-func (n *instance) term(ctx context.Context) error {
-	l, err := n.signal(syscall.SIGTERM, true)
+// terminate sends SIGTERM and waits for the process to drain and exit.
+func (n *instance) terminate(ctx context.Context) error {
+	p, err := n.signal(syscall.SIGTERM, true)
 	if err != nil {
 		return err
 	}
-	t := time.NewTimer(n.drain)
+	t := time.NewTimer(n.drainTimeout)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-t.C:
 		n.kill()
-		return fmt.Errorf("%s: %w within %v", n.place.Name, errUndrained, n.drain)
-	case <-l.ended:
-		if !l.state.Success() {
-			return fmt.Errorf("%s: %w: %v", n.place.Name, errUndrained, l.state)
+		return fmt.Errorf("%s: %w within %v", n.info.Name, errDrainFailed, n.drainTimeout)
+	case <-p.exited:
+		if !p.state.Success() {
+			return fmt.Errorf("%s: %w: %v", n.info.Name, errDrainFailed, p.state)
 		}
 		return nil
 	}
 }
 
-// await waits until the process can serve.
-func (n *instance) await(ctx context.Context, client *http.Client) error {
+// awaitReady waits until the process answers its readiness request with 200.
+func (n *instance) awaitReady(ctx context.Context, client *http.Client) error {
 	n.mu.Lock()
-	l := n.life
+	p := n.process
 	n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, n.within)
+	ctx, cancel := context.WithTimeout(ctx, n.readyTimeout)
 	defer cancel()
-	if n.ready == "" {
-		return nil // nobody calls it: whether it ends by itself is seen later
+	if n.readyURL == "" {
+		return nil // without requests there is no readiness; a crash is reported by onCrash
 	}
-	last := errors.New("nothing asked yet")
-	for pause(ctx, 5*time.Millisecond) {
-		if l.gone() {
-			return fmt.Errorf("%s: ended before it was ready: %v%s", n.place.Name, l.state, n.lastWords())
+	last := errors.New("no readiness request sent yet")
+	for sleep(ctx, 5*time.Millisecond) {
+		if p.hasExited() {
+			return fmt.Errorf("%s: exited before it was ready: %v%s", n.info.Name, p.state, n.logTail())
 		}
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, n.ready, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, n.readyURL, nil)
 		if err != nil {
 			return err
 		}
@@ -215,5 +215,5 @@
 		}
 		last = fmt.Errorf("status %s", resp.Status)
 	}
-	return fmt.Errorf("%s: not ready within %v: %w%s", n.place.Name, n.within, last, n.lastWords())
+	return fmt.Errorf("%s: not ready within %v: %w%s", n.info.Name, n.readyTimeout, last, n.logTail())
 }
--- a/internal/proving/record.go
+++ b/internal/proving/record.go
@@ -12,25 +12,25 @@
 	"gorselink/internal/load"
 )
 
-// Record is what a play has counted: at the nodes what came and what ran, at the callers
-// how each request ended. Measures are taken from it alone.
+// Record holds the observations of a run: arrivals and executions at the nodes, and the
+// outcome of each request at the callers. All measures are computed from it.
 type Record struct {
 	Seed          uint64
-	Void          []string // why the generator, and not what it measured, was the bottleneck
-	EventErrors   []string // of what the script wanted and could not have
-	Crashes       []string // processes that ended by themselves
-	DrainFailures []string // processes that did not end after a SIGTERM as they should
-
-	e     *Experiment
-	start time.Time
-
-	mu       sync.Mutex
-	arrivals []arrival // by time once done
-	endings  []load.Ending
-	runs     map[string]int  // by id, over all nodes
-	frail    map[string]bool // ids of requests that may not be repeated
-	cold     []span          // by node, of each cold time
-	left     []span
+	Void          []string // reasons why the load generator was the bottleneck
+	EventErrors   []string // events that could not be performed
+	Crashes       []string // processes that exited unexpectedly
+	DrainFailures []string // processes that did not exit cleanly after SIGTERM
+
+	experiment *Experiment
+	startedAt  time.Time
+
+	mu            sync.Mutex
+	arrivals      []arrival // sorted by time at the end
+	endings       []load.Ending
+	executions    map[string]int  // by request ID, over all nodes
+	nonIdempotent map[string]bool // IDs of requests that must not be repeated
+	coldSpans     []nodeSpan      // spans in which a node is cold
+	absentSpans   []nodeSpan
 }
 
 type arrival struct {
@@ -38,105 +38,105 @@
 	node int
 }
 
-// span is a time of a node.
-type span struct {
+// nodeSpan is a time span of a node.
+type nodeSpan struct {
 	node     int
 	from, to time.Duration
 }
 
 func newRecord(e *Experiment, seed uint64) *Record {
-	return &Record{e: e, Seed: seed, runs: map[string]int{}, frail: map[string]bool{}}
+	return &Record{experiment: e, Seed: seed, executions: map[string]int{}, nonIdempotent: map[string]bool{}}
 }
 
-// begin forgets what came before the load.
+// begin discards the arrivals before the load.
 func (r *Record) begin() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.start, r.arrivals = time.Now(), nil
-	if g := r.e.group(r.e.Nodes.Absent, KindNodes); g != nil {
+	r.startedAt, r.arrivals = time.Now(), nil
+	if g := r.experiment.lookupGroup(r.experiment.Nodes.AbsentGroup, KindNodes); g != nil {
 		for _, i := range g.Members {
-			r.left = append(r.left, span{i, -r.e.Nodes.Drain, math.MaxInt64})
+			r.absentSpans = append(r.absentSpans, nodeSpan{i, -r.experiment.Nodes.DrainTime, math.MaxInt64})
 		}
 	}
 }
 
-func (r *Record) arrived(node int, req *http.Request) {
+func (r *Record) recordArrival(node int, req *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.start.IsZero() {
+	if r.startedAt.IsZero() {
 		return
 	}
-	r.arrivals = append(r.arrivals, arrival{time.Since(r.start), node})
+	r.arrivals = append(r.arrivals, arrival{time.Since(r.startedAt), node})
 	if req.Method != http.MethodGet && req.Method != http.MethodHead && req.Header.Get("Idempotency-Key") == "" {
-		r.frail[req.Header.Get("X-Call-Id")] = true
+		r.nonIdempotent[req.Header.Get("X-Call-Id")] = true
 	}
 }
 
-func (r *Record) ended(e load.Ending) {
+func (r *Record) recordEnding(e load.Ending) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.endings = append(r.endings, e)
 }
 
-// ran books what has run at a node, by id. Callers make one try of a request, so that an
-// id is a request.
-func (r *Record) ran(runs map[string]int) {
+// recordExecutions adds the executions at a node by request ID. Clients don't retry, so each ID
+// belongs to one request.
+func (r *Record) recordExecutions(runs map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, n := range runs {
 		if id != "" {
-			r.runs[id] += n
+			r.executions[id] += n
 		}
 	}
 }
 
-func (r *Record) returned(node int) {
+func (r *Record) recordReturn(node int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := time.Since(r.start)
-	r.cold = append(r.cold, span{node, at, at + r.e.Nodes.Warm})
+	at := time.Since(r.startedAt)
+	r.coldSpans = append(r.coldSpans, nodeSpan{node, at, at + r.experiment.Nodes.WarmUp})
 }
 
-func (r *Record) listed(node int, on bool) {
+func (r *Record) recordListChange(node int, listed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := time.Since(r.start)
-	if !on {
-		r.left = append(r.left, span{node, at, math.MaxInt64})
+	at := time.Since(r.startedAt)
+	if !listed {
+		r.absentSpans = append(r.absentSpans, nodeSpan{node, at, math.MaxInt64})
 		return
 	}
-	for i := range r.left {
-		if l := &r.left[i]; l.node == node {
+	for i := range r.absentSpans {
+		if l := &r.absentSpans[i]; l.node == node {
 			l.to = min(l.to, at)
 		}
 	}
 }
 
-func (r *Record) crashed(text string) {
+func (r *Record) recordCrash(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Crashes = append(r.Crashes, text)
 }
 
-func (r *Record) fault(text string) {
+func (r *Record) recordEventError(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.EventErrors = append(r.EventErrors, text)
 }
 
-func (r *Record) happened(d deed, err error) {
+func (r *Record) recordAction(d action, err error) {
 	switch {
 	case err == nil || errors.Is(err, context.Canceled):
-	case errors.Is(err, errUndrained):
+	case errors.Is(err, errDrainFailed):
 		r.mu.Lock()
 		r.DrainFailures = append(r.DrainFailures, err.Error())
 		r.mu.Unlock()
 	default:
-		r.fault(d.event.key + ": " + err.Error())
+		r.recordEventError(d.event.key + ": " + err.Error())
 	}
 }
 
-func (r *Record) done() *Record {
+func (r *Record) sortByTime() *Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slices.SortStableFunc(r.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
--- a/internal/proving/rig.go
+++ b/internal/proving/rig.go
@@ -22,83 +22,83 @@
 	"gorselink/traffic"
 )
 
-// Options are what a play takes from its caller.
+// Options configures a run.
 type Options struct {
-	Program string            // in place of the experiment's; "" for that one
-	Turn    uint64            // plays of one experiment with different turns draw differently
-	Tell    func(line string) // called with what happens; may be nil
+	Program string            // replaces the experiment's program; "" to keep it
+	Turn    uint64            // number of the repetition; it changes the random numbers
+	Log     func(line string) // called with progress messages; may be nil
 	OnReady func(pids []int)  // called once all instances are ready; may be nil
 }
 
-// Play plays an experiment once. Every process, socket and file that it made is gone
-// when it returns; where ctx ends it breaks off with an error.
+// Run runs an experiment once. All its processes, sockets and files are gone when it returns.
+// If ctx ends, it stops with an error.
 func Run(ctx context.Context, e *Experiment, o Options) (*Record, error) {
-	r := &rig{e: e, o: o, seed: e.Seed + o.Turn*0x9e3779b97f4a7c15, wires: map[pair]*wire{}, off: map[int]bool{}}
+	r := &testbed{experiment: e, options: o, seed: e.Seed + o.Turn*0x9e3779b97f4a7c15, netPaths: map[partyPair]*netPath{}, unlisted: map[int]bool{}}
 	r.record = newRecord(e, r.seed)
-	defer r.end()
+	defer r.close()
 	if err := r.build(); err != nil {
 		return nil, err
 	}
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
 	}
-	return r.play(ctx)
+	return r.run(ctx)
 }
 
-// pair is a way between two parties.
-type pair struct {
+// partyPair identifies the path from one group member to another.
+type partyPair struct {
 	fromKind Kind
 	from     int
 	toKind   Kind
 	to       int
 }
 
-type rig struct {
-	e      *Experiment
-	o      Options
-	seed   uint64
-	dir    string
-	block  int
-	lock   net.Listener
-	nurse  *nursery
-	nodes  []*standin.Node
-	procs  []*instance
-	wires  map[pair]*wire
-	linked map[string][]*wire // by link
-	fronts []string           // where callers reach each instance
-	via    []map[int]string   // by instance, by node: where it reaches it
-	fwd    []*forwarder
-	client *http.Client
-	record *Record
+type testbed struct {
+	experiment      *Experiment
+	options         Options
+	seed            uint64
+	dir             string
+	block           int
+	blockLock       net.Listener
+	spawner         *processSpawner
+	nodes           []*standin.Node
+	instances       []*instance
+	netPaths        map[partyPair]*netPath
+	pathsByLink     map[string][]*netPath // by link name
+	callerAddrs     []string              // addresses at which callers reach each instance
+	linkedNodeAddrs []map[int]string      // by instance, then by node: address of the link's listener
+	forwarders      []*forwarder
+	client          *http.Client
+	record          *Record
 
-	mu  sync.Mutex // guards what follows, and the files of nodes
-	off map[int]bool
+	mu       sync.Mutex // guards unlisted and the node files
+	unlisted map[int]bool
 }
 
-func (r *rig) tell(format string, args ...any) {
-	if r.o.Tell != nil {
-		r.o.Tell(fmt.Sprintf(format, args...))
+func (r *testbed) logf(format string, args ...any) {
+	if r.options.Log != nil {
+		r.options.Log(fmt.Sprintf(format, args...))
 	}
 }
 
-// build makes all but the processes.
-func (r *rig) build() (err error) {
-	e := r.e
-	if r.dir, err = takeDir(); err != nil {
+// build creates everything except the processes.
+func (r *testbed) build() (err error) {
+	e := r.experiment
+	if r.dir, err = makeRunDir(); err != nil {
 		return err
 	}
-	if r.block, r.lock, err = takeBlock(); err != nil {
+	if r.block, r.blockLock, err = acquireAddressBlock(); err != nil {
 		return err
 	}
-	r.nurse = newNursery()
+	r.spawner = newProcessSpawner()
 	r.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range e.Nodes.Count {
 		rng, mu := rand.New(rand.NewPCG(r.seed, uint64(i))), new(sync.Mutex)
 		cfg := standin.NodeConfig{
-			Name: fmt.Sprintf("n%03d", i), Work: e.Nodes.Work, Cores: e.Nodes.Cores, Queue: e.Nodes.Queue, Warm: e.Nodes.Warm, ColdShare: e.Nodes.Cold,
-			Observe: func(req *http.Request, _ []byte) { r.record.arrived(i, req) },
+			Name: fmt.Sprintf("n%03d", i), Work: e.Nodes.Work, Cores: e.Nodes.Cores, Queue: e.Nodes.Queue, Warm: e.Nodes.WarmUp, ColdShare: e.Nodes.ColdShare,
+			Observe: func(req *http.Request, _ []byte) { r.record.recordArrival(i, req) },
 		}
-		if !e.Nodes.Even {
+		if !e.Nodes.ConstantWork {
 			cfg.Draw = func() float64 {
 				mu.Lock()
 				defer mu.Unlock()
@@ -111,62 +111,62 @@
 		}
 		r.nodes = append(r.nodes, n)
 	}
-	if g := e.group(e.Nodes.Absent, KindNodes); g != nil {
+	if g := e.lookupGroup(e.Nodes.AbsentGroup, KindNodes); g != nil {
 		for _, i := range g.Members {
-			r.off[i] = true
+			r.unlisted[i] = true
 		}
 	}
-	if err := r.link(); err != nil {
+	if err := r.buildLinks(); err != nil {
 		return err
 	}
-	return r.places()
+	return r.buildInstances()
 }
 
-// link makes the wires of all links and the listeners before them.
-func (r *rig) link() error {
-	e := r.e
-	r.linked = map[string][]*wire{}
-	r.via = make([]map[int]string, e.Instances.Count)
-	for i := range r.via {
-		r.via[i] = map[int]string{}
+// buildLinks creates the network paths of all links, and their listeners.
+func (r *testbed) buildLinks() error {
+	e := r.experiment
+	r.pathsByLink = map[string][]*netPath{}
+	r.linkedNodeAddrs = make([]map[int]string, e.Instances.Count)
+	for i := range r.linkedNodeAddrs {
+		r.linkedNodeAddrs[i] = map[int]string{}
 	}
 	for i := range e.Instances.Count {
-		r.fronts = append(r.fronts, fmt.Sprintf("%s:%d", hostOf(r.block, i), portBase))
+		r.callerAddrs = append(r.callerAddrs, fmt.Sprintf("%s:%d", instanceHost(r.block, i), portBase))
 	}
 	toInstance := map[int]bool{}
 	for _, l := range e.Links {
-		from, to := e.group(l.From, KindCallers, KindInstances), e.group(l.To, KindInstances, KindNodes)
+		from, to := e.lookupGroup(l.From, KindCallers, KindInstances), e.lookupGroup(l.To, KindInstances, KindNodes)
 		for _, i := range from.Members {
 			for _, k := range to.Members {
-				p := pair{from.Of, i, to.Of, k}
-				if from.Of == to.Of && i == k {
+				p := partyPair{from.Kind, i, to.Kind, k}
+				if from.Kind == to.Kind && i == k {
 					continue
 				}
-				w, known := r.wires[p]
-				if !known {
-					w = newWire(r.seed, uint64(len(r.wires)))
-					r.wires[p] = w
-					if err := r.before(p, w); err != nil {
+				w, exists := r.netPaths[p]
+				if !exists {
+					w = newNetPath(r.seed, uint64(len(r.netPaths)))
+					r.netPaths[p] = w
+					if err := r.listenForPair(p, w); err != nil {
 						return err
 					}
 				}
-				if from.Of == KindInstances && to.Of == KindInstances {
+				if from.Kind == KindInstances && to.Kind == KindInstances {
 					toInstance[k] = true
 				}
-				w.set(Both, func(x *Weather) { *x = l.Weather })
-				r.linked[l.Name] = append(r.linked[l.Name], w)
+				w.setConditions(DirectionBoth, func(x *Conditions) { *x = l.Conditions })
+				r.pathsByLink[l.Name] = append(r.pathsByLink[l.Name], w)
 			}
 		}
 	}
-	// Whoever one may hear of from others is reached at one address by all.
+	// An advertised address is the same for all instances that use it.
 	for k := range toInstance {
 		for p := range e.Instances.Ports {
-			if err := r.listen(hostOf(r.block, k), adBase+p, fmt.Sprintf("%s:%d", hostOf(r.block, k), portBase+p), true, func(a netip.Addr) *wire {
-				i, ok := hostIndex(r.block, a)
-				if w := r.wires[pair{KindInstances, i, KindInstances, k}]; ok && w != nil {
+			if err := r.startListener(instanceHost(r.block, k), advertiseBase+p, fmt.Sprintf("%s:%d", instanceHost(r.block, k), portBase+p), true, func(a netip.Addr) *netPath {
+				i, ok := instanceOfHost(r.block, a)
+				if w := r.netPaths[partyPair{KindInstances, i, KindInstances, k}]; ok && w != nil {
 					return w
 				}
-				return straight
+				return directPath
 			}); err != nil {
 				return err
 			}
@@ -175,120 +175,120 @@
 	return nil
 }
 
-// straight is the wire of those that no link is about.
-var straight = newWire(0, 0)
+// directPath is the path between instances without a link.
+var directPath = newNetPath(0, 0)
 
-// before opens what the party at the near end of a wire is to connect to.
-func (r *rig) before(p pair, w *wire) error {
-	over := func(netip.Addr) *wire { return w }
+// listenForPair opens the listeners that the near end of a path connects to.
+func (r *testbed) listenForPair(p partyPair, w *netPath) error {
+	pathFor := func(netip.Addr) *netPath { return w }
 	switch {
 	case p.fromKind == KindCallers:
-		host := hostOf(r.block, p.to)
-		r.fronts[p.to] = fmt.Sprintf("%s:%d", host, callBase)
-		return r.listen(host, callBase, fmt.Sprintf("%s:%d", host, portBase), false, over)
+		host := instanceHost(r.block, p.to)
+		r.callerAddrs[p.to] = fmt.Sprintf("%s:%d", host, callerBase)
+		return r.startListener(host, callerBase, fmt.Sprintf("%s:%d", host, portBase), false, pathFor)
 	case p.toKind == KindNodes:
-		host := hostOf(r.block, p.from)
-		r.via[p.from][p.to] = fmt.Sprintf("%s:%d", host, nodeBase+p.to)
-		return r.listen(host, nodeBase+p.to, r.nodes[p.to].Addr(), false, over)
+		host := instanceHost(r.block, p.from)
+		r.linkedNodeAddrs[p.from][p.to] = fmt.Sprintf("%s:%d", host, nodeBase+p.to)
+		return r.startListener(host, nodeBase+p.to, r.nodes[p.to].Addr(), false, pathFor)
 	}
-	for k := range r.e.Instances.Ports {
-		if err := r.listen(hostOf(r.block, p.from), peerBase+p.to*portsEach+k, fmt.Sprintf("%s:%d", hostOf(r.block, p.to), portBase+k), true, over); err != nil {
+	for k := range r.experiment.Instances.Ports {
+		if err := r.startListener(instanceHost(r.block, p.from), peerBase+p.to*maxPorts+k, fmt.Sprintf("%s:%d", instanceHost(r.block, p.to), portBase+k), true, pathFor); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *rig) listen(host string, port int, target string, datagrams bool, over func(netip.Addr) *wire) error {
-	f, err := forward(fmt.Sprintf("%s:%d", host, port), target, datagrams, over)
+func (r *testbed) startListener(host string, port int, target string, datagrams bool, pathFor func(netip.Addr) *netPath) error {
+	f, err := startForwarder(fmt.Sprintf("%s:%d", host, port), target, datagrams, pathFor)
 	if err != nil {
-		return fmt.Errorf("link: %w", err)
+		return fmt.Errorf("open listener of a link: %w", err)
 	}
-	r.fwd = append(r.fwd, f)
+	r.forwarders = append(r.forwarders, f)
 	return nil
 }
 
-// places makes the instances.
-func (r *rig) places() error {
-	in := &r.e.Instances
-	program := cmp.Or(r.o.Program, in.Program)
+// buildInstances prepares the instances.
+func (r *testbed) buildInstances() error {
+	in := &r.experiment.Instances
+	program := cmp.Or(r.options.Program, in.Program)
 	if program == "" {
-		return errors.New("instances.program: missing, and no build is named")
+		return errors.New("no program: neither instances.program nor a build is given")
 	}
 	program, err := filepath.Abs(program)
 	if err != nil {
 		return err
 	}
 	if info, err := os.Stat(program); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return fmt.Errorf("program %s: not a program that can be started", program)
+		return fmt.Errorf("program %s: not an executable file", program)
 	}
 	rng := rand.New(rand.NewPCG(r.seed, 0x706c616365))
 	for i := range in.Count {
-		dir := filepath.Join(r.dir, instanceName(i))
+		dir := filepath.Join(r.dir, formatInstanceName(i))
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			return err
 		}
-		p := &Place{
-			Name: instanceName(i), Index: i, Count: in.Count, Seed: rng.Uint64(), Dir: dir, Config: filepath.Join(dir, "config.toml"),
-			Host: hostOf(r.block, i), NodesFile: filepath.Join(dir, "nodes"), ports: in.Ports, peers: in.Count, block: r.block,
+		p := &InstanceInfo{
+			Name: formatInstanceName(i), Index: i, Count: in.Count, Seed: rng.Uint64(), Dir: dir, Config: filepath.Join(dir, "config.toml"),
+			Host: instanceHost(r.block, i), NodesFile: filepath.Join(dir, "nodes"), ports: in.Ports, peerCount: in.Count, block: r.block,
 		}
-		p.NodeList = r.seen(i)
-		p.via = func(to int, port string) string { return r.reach(i, to, port) }
-		n := &instance{place: p, program: program, nursery: r.nurse, within: in.Within, drain: in.Drain, crashed: r.record.crashed,
-			ready: fmt.Sprintf("http://%s:%d%s", hostOf(r.block, i), portBase, in.Ready)}
+		p.NodeList = r.nodeList(i)
+		p.linkedAddr = func(to int, port string) string { return r.peerAddr(i, to, port) }
+		n := &instance{info: p, program: program, spawner: r.spawner, readyTimeout: in.ReadyTimeout, drainTimeout: in.DrainTimeout, onCrash: r.record.recordCrash,
+			readyURL: fmt.Sprintf("http://%s:%d%s", instanceHost(r.block, i), portBase, in.Ready)}
 		if in.Ready == "none" {
-			n.ready = ""
+			n.readyURL = ""
 		}
 		var b strings.Builder
-		if err := in.config.Execute(&b, p); err != nil {
+		if err := in.configTemplate.Execute(&b, p); err != nil {
 			return err
 		}
 		n.config = b.String()
-		for _, a := range in.arguments {
+		for _, a := range in.argumentTemplates {
 			b.Reset()
 			if err := a.Execute(&b, p); err != nil {
 				return err
 			}
 			n.args = append(n.args, b.String())
 		}
-		r.procs = append(r.procs, n)
+		r.instances = append(r.instances, n)
 	}
-	return r.writeLists()
+	return r.writeNodeLists()
 }
 
-// reach is where an instance reaches a port of another one, or, with -1, where all
-// others reach its own.
-func (r *rig) reach(from, to int, port string) string {
-	k := slices.Index(r.e.Instances.Ports, port)
+// peerAddr returns the address at which an instance reaches a port of another one. If to is -1,
+// it returns the address at which the others reach the instance itself.
+func (r *testbed) peerAddr(from, to int, port string) string {
+	k := slices.Index(r.experiment.Instances.Ports, port)
 	if to < 0 {
-		for p := range r.wires {
+		for p := range r.netPaths {
 			if p.toKind == KindInstances && p.fromKind == KindInstances && p.to == from {
-				return fmt.Sprintf("%s:%d", hostOf(r.block, from), adBase+k)
+				return fmt.Sprintf("%s:%d", instanceHost(r.block, from), advertiseBase+k)
 			}
 		}
-		return fmt.Sprintf("%s:%d", hostOf(r.block, from), portBase+k)
+		return fmt.Sprintf("%s:%d", instanceHost(r.block, from), portBase+k)
 	}
-	if r.wires[pair{KindInstances, from, KindInstances, to}] != nil {
-		return fmt.Sprintf("%s:%d", hostOf(r.block, from), peerBase+to*portsEach+k)
+	if r.netPaths[partyPair{KindInstances, from, KindInstances, to}] != nil {
+		return fmt.Sprintf("%s:%d", instanceHost(r.block, from), peerBase+to*maxPorts+k)
 	}
-	return fmt.Sprintf("%s:%d", hostOf(r.block, to), portBase+k)
+	return fmt.Sprintf("%s:%d", instanceHost(r.block, to), portBase+k)
 }
 
-// seen is the list of nodes as an instance reaches them.
-func (r *rig) seen(i int) (list []string) {
+// nodeList returns the addresses of the listed nodes as an instance reaches them.
+func (r *testbed) nodeList(i int) (list []string) {
 	for k, n := range r.nodes {
-		if !r.off[k] {
-			list = append(list, cmp.Or(r.via[i][k], n.Addr()))
+		if !r.unlisted[k] {
+			list = append(list, cmp.Or(r.linkedNodeAddrs[i][k], n.Addr()))
 		}
 	}
 	return list
 }
 
-// writeLists writes the list of nodes for all. Readers see the old one or the new one.
-func (r *rig) writeLists() error {
-	for i, p := range r.procs {
-		path := p.place.NodesFile
-		if err := os.WriteFile(path+".new", []byte(strings.Join(r.seen(i), "\n")+"\n"), 0o600); err != nil {
+// writeNodeLists writes the node list of each instance. It replaces the files atomically.
+func (r *testbed) writeNodeLists() error {
+	for i, p := range r.instances {
+		path := p.info.NodesFile
+		if err := os.WriteFile(path+".new", []byte(strings.Join(r.nodeList(i), "\n")+"\n"), 0o600); err != nil {
 			return err
 		}
 		if err := os.Rename(path+".new", path); err != nil {
@@ -298,33 +298,33 @@
 	return nil
 }
 
-// startAll starts the instances as fast as it can, and waits until all are ready.
-func (r *rig) startAll(ctx context.Context) error {
+// startAll starts all instances at once and waits until they are ready.
+func (r *testbed) startAll(ctx context.Context) error {
 	begin := time.Now()
-	for _, n := range r.procs {
+	for _, n := range r.instances {
 		if err := n.start(); err != nil {
 			return err
 		}
 	}
 	started := time.Since(begin)
-	errs := make([]error, len(r.procs))
+	errs := make([]error, len(r.instances))
 	var all sync.WaitGroup
-	for i, n := range r.procs {
-		all.Go(func() { errs[i] = n.await(ctx, r.client) })
+	for i, n := range r.instances {
+		all.Go(func() { errs[i] = n.awaitReady(ctx, r.client) })
 	}
 	all.Wait()
 	for _, err := range errs {
 		if err != nil {
-			return fmt.Errorf("%w (%d of %d are not ready, this is the first of them)", err, len(errs)-countNil(errs), len(errs))
+			return fmt.Errorf("%w (first error; %d of %d instances are not ready)", err, len(errs)-countNil(errs), len(errs))
 		}
 	}
-	r.tell("%d processes started within %v, ready after %v", len(r.procs), started.Round(time.Millisecond), time.Since(begin).Round(time.Millisecond))
-	if r.o.OnReady != nil {
+	r.logf("started %d processes in %v; all ready after %v", len(r.instances), started.Round(time.Millisecond), time.Since(begin).Round(time.Millisecond))
+	if r.options.OnReady != nil {
 		var pids []int
-		for _, n := range r.procs {
-			pids = append(pids, n.life.cmd.Process.Pid)
+		for _, n := range r.instances {
+			pids = append(pids, n.process.cmd.Process.Pid)
 		}
-		r.o.OnReady(pids)
+		r.options.OnReady(pids)
 	}
 	return nil
 }
@@ -338,64 +338,64 @@
 	return n
 }
 
-// play has the load and the events run, and counts.
-func (r *rig) play(ctx context.Context) (*Record, error) {
-	e := r.e
+// run generates the load, performs the events and collects the observations.
+func (r *testbed) run(ctx context.Context) (*Record, error) {
+	e := r.experiment
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if len(e.Streams) == 0 {
-		return r.playAlone(ctx)
+		return r.runWithoutLoad(ctx)
 	}
 	run, err := load.New(load.Config{
-		Addrs: r.fronts, Choose: chooser(e, r.seed), Streams: e.Streams, Plan: traffic.NewPlan(e.Streams, r.seed), Seed: r.seed,
-		Conns: e.Conns, Span: e.Span, Grace: graceOf(e), Ended: r.record.ended,
+		Addrs: r.callerAddrs, Choose: instanceChooser(e, r.seed), Streams: e.Streams, Plan: traffic.NewPlan(e.Streams, r.seed), Seed: r.seed,
+		Conns: e.MaxConnections, Span: e.Duration, Grace: answerGrace(e), Ended: r.record.recordEnding,
 	})
 	if err != nil {
 		return nil, err
 	}
 	r.record.begin()
 	var script sync.WaitGroup
-	script.Go(func() { r.script(ctx) })
+	script.Go(func() { r.runEvents(ctx) })
 	res := run.Run(ctx)
-	broken := ctx.Err()
+	interrupted := ctx.Err()
 	cancel()
 	script.Wait()
-	if broken != nil {
-		return nil, fmt.Errorf("broken off: %w", broken)
+	if interrupted != nil {
+		return nil, fmt.Errorf("interrupted: %w", interrupted)
 	}
 	for _, n := range r.nodes {
-		r.record.ran(n.Runs())
+		r.record.recordExecutions(n.Runs())
 	}
 	rep, err := res.Report()
 	if err != nil {
 		return nil, err
 	}
 	r.record.Void = rep.Verdict.Void
-	return r.record.done(), nil
+	return r.record.sortByTime(), nil
 }
 
-// playAlone has the events run while nobody calls.
-func (r *rig) playAlone(ctx context.Context) (*Record, error) {
+// runWithoutLoad performs the events without any requests.
+func (r *testbed) runWithoutLoad(ctx context.Context) (*Record, error) {
 	r.record.begin()
-	r.script(ctx)
-	if !pause(ctx, time.Until(r.record.start.Add(r.e.Span))) {
-		return nil, fmt.Errorf("broken off: %w", ctx.Err())
+	r.runEvents(ctx)
+	if !sleep(ctx, time.Until(r.record.startedAt.Add(r.experiment.Duration))) {
+		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	return r.record.done(), nil
+	return r.record.sortByTime(), nil
 }
 
-// graceOf is how long answers are awaited after the end: all budgets are over then.
-func graceOf(e *Experiment) (d time.Duration) {
+// answerGrace is how long to wait for answers after the load ends. All budgets end before it.
+func answerGrace(e *Experiment) (d time.Duration) {
 	for i := range e.Streams {
 		d = max(d, e.Streams[i].Budget)
 	}
 	return d + time.Second
 }
 
-// chooser says which instance a request goes to: drawn by the callers' weights, the
-// same for the same request.
-func chooser(e *Experiment, seed uint64) func(stream int, index uint64) int {
-	n, heavy, w := e.Instances.Count, e.Instances.Heavy, e.Instances.Weight
+// instanceChooser returns a function that chooses the instance of a request by weight. The
+// choice depends only on the seed and the request.
+func instanceChooser(e *Experiment, seed uint64) func(stream int, index uint64) int {
+	n, heavy, w := e.Instances.Count, e.Instances.HeavyCount, e.Instances.HeavyWeight
 	all := float64(n-heavy) + float64(heavy)*w
 	return func(stream int, index uint64) int {
 		x := rand.New(rand.NewPCG(seed^uint64(stream+1)<<32, index)).Float64() * all
@@ -407,25 +407,25 @@
 	}
 }
 
-// end leaves nothing behind.
-func (r *rig) end() {
-	for _, n := range r.procs {
+// close ends all processes and removes all resources of the run.
+func (r *testbed) close() {
+	for _, n := range r.instances {
 		n.kill()
 	}
-	for _, w := range r.wires {
-		w.end()
+	for _, w := range r.netPaths {
+		w.close()
 	}
 	for _, n := range r.nodes {
 		n.Close()
 	}
-	for _, f := range r.fwd {
+	for _, f := range r.forwarders {
 		f.close()
 	}
-	if r.nurse != nil {
-		r.nurse.close()
+	if r.spawner != nil {
+		r.spawner.close()
 	}
-	if r.lock != nil {
-		r.lock.Close()
+	if r.blockLock != nil {
+		r.blockLock.Close()
 	}
 	if r.client != nil {
 		r.client.CloseIdleConnections()
@@ -435,41 +435,41 @@
 	}
 }
 
-// deed is one event, done to one party or link.
-type deed struct {
+// action is an event applied to one group member or to a link.
+type action struct {
 	at    time.Duration
 	event *Event
 	party int // -1 for a link
 }
 
-// deeds is the whole script in order.
-func deeds(e *Experiment) (all []deed) {
+// actionsInOrder returns the actions of all events, by time.
+func actionsInOrder(e *Experiment) (all []action) {
 	for i := range e.Events {
 		ev := &e.Events[i]
-		for k := range ev.Times {
+		for k := range ev.Repeat {
 			at := ev.At + time.Duration(k)*ev.Period
-			if _, link := e.links[ev.On]; link {
-				all = append(all, deed{at, ev, -1})
+			if _, link := e.linkIndex[ev.Target]; link {
+				all = append(all, action{at, ev, -1})
 				continue
 			}
-			for m, party := range e.Groups[e.groups[ev.On]].Members {
-				all = append(all, deed{at + time.Duration(m)*ev.Every, ev, party})
+			for m, party := range e.Groups[e.groupIndex[ev.Target]].Members {
+				all = append(all, action{at + time.Duration(m)*ev.Stagger, ev, party})
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b deed) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(all, func(a, b action) int { return cmp.Compare(a.at, b.at) })
 	return all
 }
 
-// script does what is written down, each at its time. What takes long (a drain) does not
-// hold up what follows.
-func (r *rig) script(ctx context.Context) {
+// runEvents performs each action at its time. Actions that take long, such as a drain, don't
+// delay later ones.
+func (r *testbed) runEvents(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	todo := deeds(r.e)
+	todo := actionsInOrder(r.experiment)
 	for len(todo) > 0 {
 		at := todo[0].at
-		if !pause(ctx, time.Until(r.record.start.Add(at))) {
+		if !sleep(ctx, time.Until(r.record.startedAt.Add(at))) {
 			return
 		}
 		n := 0
@@ -478,79 +478,79 @@
 		}
 		lists := false
 		for _, d := range todo[:n] {
-			lists = lists || d.event.Do == "leave" || d.event.Do == "join"
-			if slices.Contains([]string{"term", "restart"}, d.event.Do) {
-				running.Go(func() { r.done(d, r.do(ctx, d)) })
+			lists = lists || d.event.Action == "leave" || d.event.Action == "join"
+			if slices.Contains([]string{"term", "restart"}, d.event.Action) {
+				running.Go(func() { r.reportAction(d, r.perform(ctx, d)) })
 			} else {
-				r.done(d, r.do(ctx, d))
+				r.reportAction(d, r.perform(ctx, d))
 			}
 		}
 		if lists {
 			r.mu.Lock()
-			err := r.writeLists()
+			err := r.writeNodeLists()
 			r.mu.Unlock()
 			if err != nil {
-				r.record.fault(err.Error())
+				r.record.recordEventError(err.Error())
 			}
 		}
 		todo = todo[n:]
 	}
 }
 
-func (r *rig) done(d deed, err error) {
-	r.record.happened(d, err)
-	who := ""
+func (r *testbed) reportAction(d action, err error) {
+	r.record.recordAction(d, err)
+	member := ""
 	if d.party >= 0 {
-		who = fmt.Sprintf(", number %d", d.party)
+		member = fmt.Sprintf(", member %d", d.party)
 	}
 	switch {
 	case err != nil && !errors.Is(err, context.Canceled):
-		r.tell("%v: %s on %s%s: %v", d.at, d.event.Do, d.event.On, who, err)
-	case d.event.Every > 0 || d.party < 0:
-		r.tell("%v: %s on %s%s", d.at, d.event.Do, d.event.On, who)
+		r.logf("%v: %s on %s%s failed: %v", d.at, d.event.Action, d.event.Target, member, err)
+	case d.event.Stagger > 0 || d.party < 0:
+		r.logf("%v: %s on %s%s", d.at, d.event.Action, d.event.Target, member)
 	}
 }
 
-func (r *rig) do(ctx context.Context, d deed) error {
+func (r *testbed) perform(ctx context.Context, d action) error {
 	ev := d.event
 	if d.party < 0 {
-		for _, w := range r.linked[ev.On] {
-			switch ev.Do {
+		for _, w := range r.pathsByLink[ev.Target] {
+			switch ev.Action {
 			case "weather":
-				w.set(ev.Way, func(x *Weather) { *x = ev.To })
+				w.setConditions(ev.Direction, func(x *Conditions) { *x = ev.Conditions })
 			case "cut":
-				w.set(ev.Way, func(x *Weather) { x.Cut = true })
+				w.setConditions(ev.Direction, func(x *Conditions) { x.Cut = true })
 			case "heal":
-				w.set(ev.Way, func(x *Weather) { *x = Weather{} })
+				w.setConditions(ev.Direction, func(x *Conditions) { *x = Conditions{} })
 			case "reset":
-				w.reset()
+				w.resetConnections()
 			}
 		}
 		return nil
 	}
-	if r.e.Groups[r.e.groups[ev.On]].Of == KindNodes {
+	if r.experiment.Groups[r.experiment.groupIndex[ev.Target]].Kind == KindNodes {
 		n := r.nodes[d.party]
-		switch ev.Do {
+		switch ev.Action {
 		case "slow":
 			n.Slow(ev.Factor)
 		case "vanish":
 			n.Vanish()
 		case "return":
-			r.record.returned(d.party)
+			r.record.recordReturn(d.party)
 			return n.Return()
 		case "leave", "join":
 			r.mu.Lock()
-			r.off[d.party] = ev.Do == "leave"
+			r.unlisted[d.party] = ev.Action == "leave"
 			r.mu.Unlock()
-			r.record.listed(d.party, ev.Do == "join")
+			r.record.recordListChange(d.party, ev.Action == "join")
 		default:
-			n.Set(standin.Modes[ev.Do])
+			n.Set(standin.Modes[ev.Action])
 		}
 		return nil
 	}
-	p := r.procs[d.party]
+	p := r.instances[d.party]
 	var err error
-	switch ev.Do {
+	switch ev.Action {
 	case "kill":
 		_, err = p.signal(syscall.SIGKILL, true)
 	case "stop":
@@ -560,11 +560,11 @@
 	case "start":
 		err = p.start()
 	case "term":
-		err = p.term(ctx)
+		err = p.terminate(ctx)
 	case "restart":
-		if err = p.term(ctx); err == nil {
+		if err = p.terminate(ctx); err == nil {
 			if err = p.start(); err == nil {
-				err = p.await(ctx, r.client)
+				err = p.awaitReady(ctx, r.client)
 			}
 		}
 	}
--- a/internal/proving/rig_test.go
+++ b/internal/proving/rig_test.go
@@ -22,24 +22,24 @@
 	"gorselink/internal/tomlfile"
 )
 
-// What this test's own program does where its environment or arguments say so.
+// Roles of the test binary, selected by its environment or arguments.
 const (
-	asRig  = "GORSELINK_TEST_RIG" // plays the experiment named there and prints the numbers of its processes
-	asPeer = "be-a-peer"          // is an instance, see peer
+	testbedEnv = "GORSELINK_TESTBED" // runs the experiment in this file and prints the process IDs
+	peerArg    = "run-peer"          // runs an instance, see runPeer
 )
 
 func TestMain(m *testing.M) {
 	switch {
-	case len(os.Args) == 3 && os.Args[1] == asRole:
+	case len(os.Args) == 3 && os.Args[1] == roleArg:
 		if err := hollow.Serve(os.Args[2], os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
-	case len(os.Args) > 3 && os.Args[1] == asPeer:
-		peer(os.Args[2], os.Args[3:])
-	case os.Getenv(asRig) != "":
-		e, err := Read(os.Getenv(asRig))
+	case len(os.Args) > 3 && os.Args[1] == peerArg:
+		runPeer(os.Args[2], os.Args[3:])
+	case os.Getenv(testbedEnv) != "":
+		e, err := Read(os.Getenv(testbedEnv))
 		if err == nil {
 			_, err = Run(context.Background(), e, Options{Program: os.Args[1], OnReady: func(pids []int) { fmt.Println(pids) }})
 		}
@@ -57,14 +57,14 @@
 	os.Exit(code)
 }
 
-// built is the program, built once.
+// built is the program, built once for all tests.
 var built struct {
 	sync.Once
 	path string
 	err  error
 }
 
-func program(t *testing.T) string {
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	built.Do(func() {
 		var out []byte
@@ -78,16 +78,16 @@
 	return built.path
 }
 
-// played are the experiments of testdata that have been played, each once for all tests
-// that look at it.
-var played sync.Map
+// testdataResults caches the results of the experiments in testdata, as several tests check the
+// same experiment.
+var testdataResults sync.Map
 
-// kept checks what an experiment wants: the figures whose names begin with one of these,
-// and what is wanted of every play.
-func kept(t *testing.T, name string, figures ...string) {
+// checkExperiment checks that the named figures and the standing expectations of an experiment
+// are met.
+func checkExperiment(t *testing.T, name string, figures ...string) {
 	t.Helper()
-	path := program(t)
-	once, _ := played.LoadOrStore(name, sync.OnceValues(func() (*Result, error) {
+	path := buildProgram(t)
+	once, _ := testdataResults.LoadOrStore(name, sync.OnceValues(func() (*Result, error) {
 		e, err := Read(filepath.Join("testdata", name+".toml"))
 		if err != nil {
 			return nil, err
@@ -105,60 +105,60 @@
 		t.Fatal(err)
 	}
 	for _, want := range append(figures, "twice", "crashes", "drains", "strays") {
-		i := slices.IndexFunc(res.Figures, func(f Figure) bool { return f.What == want })
+		i := slices.IndexFunc(res.Figures, func(f Figure) bool { return f.Name == want })
 		if i < 0 {
-			t.Fatalf("%s.toml wants nothing of %s", name, want)
+			t.Fatalf("%s.toml has no expectation of %s", name, want)
 		}
 		f := &res.Figures[i]
-		if !f.Kept() {
-			t.Errorf("%s: %v, want %s", f.What, number(*f.Value), f.bounds())
+		if !f.Met() {
+			t.Errorf("%s: %v, want %s", f.Name, formatNumber(*f.Value), f.bounds())
 		} else {
-			t.Logf("%s: %s, want %s", f.What, number(*f.Value), f.bounds())
+			t.Logf("%s: %s, want %s", f.Name, formatNumber(*f.Value), f.bounds())
 		}
 	}
-	for _, x := range append(res.Faults, res.Crashes...) {
+	for _, x := range append(res.EventErrors, res.Crashes...) {
 		t.Error(x)
 	}
 }
 
-func TestStartTogetherNoHerd(t *testing.T) {
+func TestSimultaneousStartSpreadsLoad(t *testing.T) {
 	t.Parallel()
-	kept(t, "thin", "busiest in start", "failed")
+	checkExperiment(t, "thin", "busiest in start", "failed")
 }
 
-func TestEvenOverProcesses(t *testing.T) {
+func TestLoadIsEvenOverProcesses(t *testing.T) {
 	t.Parallel()
-	kept(t, "thin", "scatter in sound", "least in sound")
+	checkExperiment(t, "thin", "scatter in sound", "least in sound")
 }
 
-func TestSlowNodeStaysShunned(t *testing.T) {
+func TestSlowNodeKeepsSmallShare(t *testing.T) {
 	t.Parallel()
-	kept(t, "thin", "share of sick in slow", "failed")
+	checkExperiment(t, "thin", "share of sick in slow", "failed")
 }
 
-func TestMendedNodeComesBack(t *testing.T) {
+func TestRecoveredNodeRegainsShare(t *testing.T) {
 	t.Parallel()
-	kept(t, "thin", "share of sick in back")
+	checkExperiment(t, "thin", "share of sick in back")
 }
 
-func TestNoHerdOnReturn(t *testing.T) {
+func TestReturnedNodeIsNotOverloaded(t *testing.T) {
 	t.Parallel()
-	kept(t, "thin", "peak of sick in return")
+	checkExperiment(t, "thin", "peak of sick in return")
 }
 
-func TestCutLinkIsOneProcessOnly(t *testing.T) {
+func TestCutLinkAffectsOneProcessOnly(t *testing.T) {
 	t.Parallel()
-	kept(t, "cut", "share of far in cut", "p99 of rest in cut", "failed of rest", "lost of one", "failed of one", "p50 of one in found out")
+	checkExperiment(t, "cut", "share of far in cut", "p99 of rest in cut", "failed of rest", "lost of one", "failed of one", "p50 of one in found out")
 }
 
-func TestLookingNeverCostsAnUnsafe(t *testing.T) {
+func TestProbingNeverFailsUnsafeRequests(t *testing.T) {
 	t.Parallel()
-	kept(t, "unsafe", "failed of pledge in known", "failed of read", "share of sick in back")
+	checkExperiment(t, "unsafe", "failed of pledge in known", "failed of read", "share of sick in back")
 }
 
-// peer is an instance that answers its callers with 200 as long as it reaches all of its
-// peers, over TCP and UDP, and echoes to them.
-func peer(front string, addrs []string) {
+// runPeer runs an instance that echoes to its peers, and answers requests with 200 only if it
+// reaches all peers over TCP and UDP.
+func runPeer(front string, addrs []string) {
 	own, peers := addrs[0], addrs[1:]
 	l, err := net.Listen("tcp", own)
 	if err != nil {
@@ -213,9 +213,8 @@
 	os.Exit(1)
 }
 
-// Links between instances: two that are cut off from each other, and from nobody else,
-// know it both over TCP and over UDP, and so it ends. A process that is killed, stopped,
-// started and continued is told from one that ended by itself.
+// A cut link between two instances affects only these two, over TCP and UDP, until it heals. An
+// instance killed by an event is not reported as a crash.
 func TestLinksBetweenInstances(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
@@ -228,7 +227,7 @@
 ports = ["front", "peer"]
 ready = "/ready"
 config = "{{.Seed}}"
-arguments = ['be-a-peer', '{{.Address "front"}}', '{{.Address "peer"}}', '{{range $i, $p := .Peers}}{{if eq $i 0}}{{$p.Address "peer"}}{{end}}{{end}}', '{{range $i, $p := .Peers}}{{if eq $i 1}}{{$p.Address "peer"}}{{end}}{{end}}', '{{range $i, $p := .Peers}}{{if eq $i 2}}{{$p.Address "peer"}}{{end}}{{end}}']
+arguments = ['run-peer', '{{.Address "front"}}', '{{.Address "peer"}}', '{{range $i, $p := .Peers}}{{if eq $i 0}}{{$p.Address "peer"}}{{end}}{{end}}', '{{range $i, $p := .Peers}}{{if eq $i 1}}{{$p.Address "peer"}}{{end}}{{end}}', '{{range $i, $p := .Peers}}{{if eq $i 2}}{{$p.Address "peer"}}{{end}}{{end}}']
 [[streams]]
 shape = "hold 40 12s"
 [[groups]]
@@ -306,15 +305,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range rec.Result("this", 0).Broken() {
+	for _, x := range rec.Result("this", 0).Violations() {
 		t.Error(x)
 	}
 }
 
-// gone waits until none of these processes is alive: a zombie is not.
-func gone(t *testing.T, pids []int) {
+// waitExited waits until none of the processes is alive; zombies count as exited.
+func waitExited(t *testing.T, pids []int) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		left := slices.DeleteFunc(slices.Clone(pids), func(pid int) bool {
 			stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 			_, state, _ := strings.Cut(string(stat), ") ")
@@ -324,20 +323,19 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("processes %v are alive", left)
+			t.Fatalf("processes %v are still alive", left)
 		}
 	}
 }
 
-func dirs() []string {
+func runDirs() []string {
 	all, _ := filepath.Glob(filepath.Join(os.TempDir(), dirPrefix+"*"))
 	return all
 }
 
-// However a play ends, its processes, folders and listeners are gone: one that is broken
-// off, one whose program does not start, and one whose rig is killed in the middle, with
-// a process that is stopped at that moment.
-func TestRigLeavesNothing(t *testing.T) {
+// No processes or directories remain after a run is interrupted, after a program fails to start,
+// or after the testbed process is killed while some instances are stopped.
+func TestRunLeavesNothingBehind(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	file := filepath.Join(t.TempDir(), "long.toml")
 	text := "[instances]\ncount = 20\n[nodes]\ncount = 5\n[[streams]]\nshape = \"hold 100 1h\"\n" +
@@ -350,44 +348,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := program(t)
+	path := buildProgram(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	var pids []int
-	begun := make(chan bool)
-	go func() { <-begun; time.Sleep(300 * time.Millisecond); cancel() }()
-	if _, err := Run(ctx, e, Options{Program: path, OnReady: func(p []int) { pids = p; close(begun) }}); !errors.Is(err, context.Canceled) {
-		t.Errorf("broken off: %v", err)
+	ready := make(chan bool)
+	go func() { <-ready; time.Sleep(300 * time.Millisecond); cancel() }()
+	if _, err := Run(ctx, e, Options{Program: path, OnReady: func(p []int) { pids = p; close(ready) }}); !errors.Is(err, context.Canceled) {
+		t.Errorf("interrupted run: %v", err)
 	}
 	if len(pids) != 20 {
 		t.Errorf("%d processes, want 20", len(pids))
 	}
-	gone(t, pids)
-	if left := dirs(); len(left) > 0 {
-		t.Errorf("folders %v", left)
+	waitExited(t, pids)
+	if left := runDirs(); len(left) > 0 {
+		t.Errorf("remaining directories: %v", left)
 	}
 
 	_, err = Run(context.Background(), e, Options{Program: "/bin/false"})
-	if err == nil || !strings.Contains(err.Error(), "i000: ended before it was ready") {
-		t.Errorf("a program that ends: %v", err)
+	if err == nil || !strings.Contains(err.Error(), "i000: exited before it was ready") {
+		t.Errorf("program that exits: %v", err)
 	}
-	if _, err = Run(context.Background(), e, Options{Program: file}); err == nil || !strings.Contains(err.Error(), "long.toml: not a program") {
-		t.Errorf("no program: %v", err)
+	if _, err = Run(context.Background(), e, Options{Program: file}); err == nil || !strings.Contains(err.Error(), "long.toml: not an executable file") {
+		t.Errorf("file that is not executable: %v", err)
 	}
-	if left := dirs(); len(left) > 0 {
-		t.Errorf("folders %v", left)
+	if left := runDirs(); len(left) > 0 {
+		t.Errorf("remaining directories: %v", left)
 	}
 
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := exec.Command(self, path)
-	rig.Env = append(os.Environ(), asRig+"="+file)
-	out, err := rig.StdoutPipe()
+	child := exec.Command(self, path)
+	child.Env = append(os.Environ(), testbedEnv+"="+file)
+	out, err := child.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := rig.Start(); err != nil {
+	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
@@ -400,28 +398,28 @@
 		fmt.Sscan(word, &pid)
 		pids = append(pids, pid)
 	}
-	time.Sleep(200 * time.Millisecond) // some are stopped now
-	rig.Process.Signal(syscall.SIGKILL)
-	rig.Wait()
+	time.Sleep(200 * time.Millisecond) // some instances are stopped by now
+	child.Process.Signal(syscall.SIGKILL)
+	child.Wait()
 	if len(pids) != 20 {
-		t.Fatalf("processes: %s", line)
+		t.Fatalf("process IDs: %s, want 20", line)
 	}
-	gone(t, pids)
-	// The folder of a rig that was killed goes with the next play.
-	if len(dirs()) != 1 {
-		t.Errorf("folders %v, want that of the rig that was killed", dirs())
+	waitExited(t, pids)
+	// The next run removes the directory of a killed one.
+	if len(runDirs()) != 1 {
+		t.Errorf("directories %v, want that of the killed testbed", runDirs())
 	}
-	dir, err := takeDir()
+	dir, err := makeRunDir()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if left := dirs(); len(left) != 1 || left[0] != dir {
-		t.Errorf("folders %v, want only %s", left, dir)
+	if left := runDirs(); len(left) != 1 || left[0] != dir {
+		t.Errorf("directories %v, want only %s", left, dir)
 	}
 }
 
-// Everything that is wrong with an experiment is told at once, with line and key.
-func TestExperimentFaults(t *testing.T) {
+// All errors in an experiment file are reported at once, with line and key.
+func TestExperimentReportsAllErrors(t *testing.T) {
 	_, err := Parse("bad.toml", []byte(`[instances]
 count = 0
 ports = ["front", "front"]
@@ -469,10 +467,10 @@
 	}
 	for _, w := range want {
 		if !slices.Contains(got, w) {
-			t.Errorf("%s is not told", w)
+			t.Errorf("%s is not reported", w)
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d faults, want %d:\n%v", len(got), len(want), err)
+		t.Errorf("%d errors, want %d:\n%v", len(got), len(want), err)
 	}
 }
--- a/internal/proving/role.go
+++ b/internal/proving/role.go
@@ -17,32 +17,33 @@
 	"gorselink/internal/hollow"
 )
 
-// role is a process that plays one part of a scale run and is asked over its input.
-type role struct {
-	name  string
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	ended chan struct{}
+// roleProcess is a child process with one role in a scale run. It gets its commands on its
+// standard input.
+type roleProcess struct {
+	name    string
+	command *exec.Cmd
+	input   io.WriteCloser
+	exited  chan struct{}
 
-	mu  sync.Mutex // one question at a time
-	out *json.Decoder
+	mu      sync.Mutex // serializes calls
+	answers *json.Decoder
 }
 
-// startRole starts a process of ourselves that plays a part.
-func startRole(n *nursery, self []string, part, name, dir string, procs int) (*role, error) {
+// startRoleProcess starts this program again with a role.
+func startRoleProcess(n *processSpawner, self []string, roleName, name, dir string, maxProcs int) (*roleProcess, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	cmd := exec.Command(self[0], append(append([]string(nil), self[1:]...), part)...)
+	cmd := exec.Command(self[0], append(append([]string(nil), self[1:]...), roleName)...)
 	cmd.Stderr = log
-	cmd.Env = append(os.Environ(), "TMPDIR="+dir, "GOMAXPROCS="+strconv.Itoa(procs))
-	r := &role{name: name, cmd: cmd, ended: make(chan struct{})}
-	if r.in, err = cmd.StdinPipe(); err != nil {
+	cmd.Env = append(os.Environ(), "TMPDIR="+dir, "GOMAXPROCS="+strconv.Itoa(maxProcs))
+	r := &roleProcess{name: name, command: cmd, exited: make(chan struct{})}
+	if r.input, err = cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	// Not StdoutPipe, which Wait closes while an answer may still be read.
+	// StdoutPipe isn't used, as Wait would close it while an answer may still be unread.
 	outRead, outWrite, err := os.Pipe()
 	if err != nil {
 		return nil, err
@@ -54,26 +55,26 @@
 		outRead.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	r.out = json.NewDecoder(bufio.NewReader(outRead))
+	r.answers = json.NewDecoder(bufio.NewReader(outRead))
 	go func() {
 		cmd.Wait()
 		outRead.Close()
-		close(r.ended)
+		close(r.exited)
 	}()
 	return r, nil
 }
 
-// ask has the role do something and waits for its answer.
-func (r *role) ask(c *hollow.Command) (*hollow.Answer, error) {
+// call sends a command to the role process and waits for its answer.
+func (r *roleProcess) call(c *hollow.Command) (*hollow.Answer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	text, err := json.Marshal(c)
 	if err == nil {
-		_, err = r.in.Write(append(text, '\n'))
+		_, err = r.input.Write(append(text, '\n'))
 	}
 	a := &hollow.Answer{}
 	if err == nil {
-		err = r.out.Decode(a)
+		err = r.answers.Decode(a)
 	}
 	if err == nil && a.Error != "" {
 		err = fmt.Errorf("%s", a.Error)
@@ -84,37 +85,37 @@
 	return a, nil
 }
 
-// end ends the process: by the end of its input, and by force where it does not heed it.
-func (r *role) end() {
-	r.in.Close()
+// close closes the input of the process, and kills the process if it doesn't exit in time.
+func (r *roleProcess) close() {
+	r.input.Close()
 	t := time.NewTimer(2 * time.Second)
 	defer t.Stop()
 	select {
-	case <-r.ended:
+	case <-r.exited:
 	case <-t.C:
-		syscall.Kill(r.cmd.Process.Pid, syscall.SIGKILL)
-		<-r.ended
+		syscall.Kill(r.command.Process.Pid, syscall.SIGKILL)
+		<-r.exited
 	}
 }
 
-// used is what a process has used of the machine, as the system counts it.
-type used struct {
+// usage is the CPU time and memory that a process has used.
+type usage struct {
 	cpu    time.Duration
 	memory int64 // resident bytes
 }
 
-// usedBy asks the system for what a process has used. Its threads' times are to the
-// nanosecond, where the process's own are to the hundredth of a second; a thread that has
-// ended takes its time along, but a program in Go ends next to none.
-func usedBy(pid int) (u used, err error) {
+// processUsage reads the usage of a process. It sums the CPU times of the threads, which have a
+// resolution of a nanosecond instead of a hundredth of a second. The times of threads that
+// exited are not included, but Go programs rarely end threads.
+func processUsage(pid int) (u usage, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(tasks) == 0 {
-		return u, fmt.Errorf("process %d: not there", pid)
+		return u, fmt.Errorf("process %d: not found", pid)
 	}
 	for _, path := range tasks {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has just ended
+			continue // the thread has exited
 		}
 		if f := strings.Fields(string(text)); len(f) > 0 {
 			ns, err := strconv.ParseInt(f[0], 10, 64)
@@ -130,20 +131,20 @@
 	}
 	f := strings.Fields(string(text))
 	if len(f) < 2 {
-		return u, fmt.Errorf("process %d: statm %q", pid, text)
+		return u, fmt.Errorf("process %d: unexpected content of statm: %q", pid, text)
 	}
 	pages, err := strconv.ParseInt(f[1], 10, 64)
 	u.memory = pages * int64(os.Getpagesize())
 	return u, err
 }
 
-// machine is what the whole machine has done and has.
-type machine struct {
-	busy, all int64 // ticks
-	memory    int64 // bytes there are
+// machineStats is the CPU time and the memory of the whole machine.
+type machineStats struct {
+	busyTicks, totalTicks int64
+	memory                int64 // total bytes
 }
 
-func theMachine() (m machine, err error) {
+func readMachineStats() (m machineStats, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return m, err
@@ -157,8 +158,8 @@
 		if err != nil {
 			return m, fmt.Errorf("/proc/stat: %w", err)
 		}
-		if m.all += n; i != 4 && i != 5 { // idle and waiting for disks
-			m.busy += n
+		if m.totalTicks += n; i != 4 && i != 5 { // idle and iowait
+			m.busyTicks += n
 		}
 	}
 	text, err = os.ReadFile("/proc/meminfo")
--- a/internal/proving/scale.go
+++ b/internal/proving/scale.go
@@ -15,83 +15,83 @@
 	"gorselink/internal/tomlfile"
 )
 
-// Scale is an experiment of its own kind: hundreds of hollow sidecars, and what their
-// control costs at several sizes and over a day that is played faster than life.
-type Scale struct {
-	Name    string
-	Seed    uint64
-	Base    Size
-	Each    int           // sidecars in a process
-	Settle  time.Duration // before a size is measured
-	Span    time.Duration // in which it is
-	Sweeps  []Sweep
-	Reals   []Size // single processes of the program, measured in the same way
-	Reloads []Size // of which one whole configuration is applied anew
-	Day     *Day
-	Chains  *Chains // what a sweep of depth plays
-	Beside  *Beside
+// ScaleExperiment measures the control traffic of hundreds of hollow sidecars, at several fleet
+// sizes and over a simulated day.
+type ScaleExperiment struct {
+	Name               string
+	Seed               uint64
+	Base               Size
+	SidecarsPerProcess int
+	SettleTime         time.Duration // wait before a measurement
+	Duration           time.Duration // of a measurement
+	Sweeps             []Sweep
+	RealSidecars       []Size // processes of the program, each measured alone
+	Reloads            []Size // sizes at which a configuration reload is measured
+	Day                *Day
+	Chains             *Chains // used by sweeps of depth
+	BackgroundChurn    *BackgroundChurn
 }
 
-// Size is a fleet to be measured.
+// Size is the size of a fleet.
 type Size struct {
 	Sidecars  int
 	Services  int
-	Endpoints int     // of a service
-	Changes   float64 // of lists, a minute
+	Endpoints int     // per service
+	Changes   float64 // of service lists, per minute
 }
 
-// Sweep measures one dimension at several sizes, in rising order; the others are the
-// base's.
+// Sweep measures one dimension at several sizes in rising order. The other dimensions are those
+// of the base size.
 type Sweep struct {
-	Of    string
-	Sizes []int
+	Dimension string
+	Sizes     []int
 }
 
-// dimensions are what a sweep can be of.
+// dimensions holds the dimensions of sweeps, with functions that set them.
 var dimensions = map[string]func(*Size, int){
 	"sidecars":  func(s *Size, n int) { s.Sidecars = n },
 	"services":  func(s *Size, n int) { s.Services = n },
 	"endpoints": func(s *Size, n int) { s.Endpoints = n },
 	"changes":   func(s *Size, n int) { s.Changes = float64(n) },
-	"depth":     func(*Size, int) {}, // of chains, which have no hollow sidecars
+	"depth":     func(*Size, int) {}, // of chains, which use no hollow sidecars
 }
 
-// Day is a day of the fleet, played within Span.
+// Day is a simulated day of the fleet, which takes Duration in real time.
 type Day struct {
-	Fleet    Size // its Changes are those of the day by the minute of life
-	Span     time.Duration
-	Changes  int // of the day
-	Restarts int
-	Machines int           // that fail, each for an hour of life
-	Machine  int           // sidecars of a machine
-	Regions  int           // zone z is of region z mod Regions
-	Zones    int           // sidecar i is of zone i mod Zones
-	Region   time.Duration // delay of the way from the other regions to the first one
-	Zone     time.Duration // and from the other zones of the first region
-	Events   []ScaleEvent
+	Fleet              Size // Fleet.Changes are per minute of simulated time
+	Duration           time.Duration
+	Changes            int // in the day
+	Restarts           int
+	MachineFailures    int // each lasts one simulated hour
+	SidecarsPerMachine int
+	Regions            int           // zone z is in region z mod Regions
+	Zones              int           // sidecar i is in zone i mod Zones
+	RegionDelay        time.Duration // delay from the other regions to the first one
+	ZoneDelay          time.Duration // delay from the other zones of the first region
+	Events             []ScaleEvent
 }
 
-// Faster is how much faster than life the day is played.
-func (d *Day) Faster() float64 { return (24 * time.Hour).Seconds() / d.Span.Seconds() }
+// Speedup returns the ratio of simulated time to real time.
+func (d *Day) Speedup() float64 { return (24 * time.Hour).Seconds() / d.Duration.Seconds() }
 
-// ScaleEvent is done to a place at an hour of the day.
+// ScaleEvent is an action on a location at an hour of the day.
 type ScaleEvent struct {
-	Hour  float64
-	Do    string // cut, heal and weather of the way to the registry; stop and start of sidecars
-	Place string // region-, zone-, rack- or machine- and a number
-	To    Weather
-	key   string
+	Hour       float64
+	Action     string // cut, heal or weather for the link to the registry; stop or start for sidecars
+	Location   string // region-, zone-, rack- or machine- followed by a number
+	Conditions Conditions
+	key        string
 }
 
 const (
-	mostPools     = 12000 // sidecars by services: each is a connection, and a process has some 20,000 descriptors
-	mostProcesses = 300
-	rackMachines  = 4
-	heapOf        = 20 // changes that come at one moment
+	maxConnections  = 12000 // sidecars times services, as each pair is a connection; a process has about 20,000 descriptors
+	maxProcesses    = 300
+	machinesPerRack = 4
+	changesPerBatch = 20 // changes that happen at once
 )
 
-// ReadAny reads an experiment of either kind; one of the two is nil.
-func ReadAny(path string) (*Experiment, *Scale, error) {
+// ReadAny reads an experiment file of either kind; the other result is nil.
+func ReadAny(path string) (*Experiment, *ScaleExperiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("experiment: %w", err)
@@ -108,49 +108,49 @@
 	return nil, s, err
 }
 
-// ParseScale reads the text of a scale run.
-func ParseScale(file string, text []byte) (*Scale, error) {
+// ParseScale parses the text of a scale experiment.
+func ParseScale(file string, text []byte) (*ScaleExperiment, error) {
 	top, err := tomlfile.Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
-	s := &Scale{}
+	s := &ScaleExperiment{}
 	top.OneOf("kind", "", "scale")
 	s.Name = top.Text("name", strings.TrimSuffix(filepath.Base(file), ".toml"))
 	s.Seed = uint64(top.Integer("seed", 1, 0, math.MaxInt64))
-	s.Settle = top.Duration("settle", 1500*time.Millisecond, 10*time.Millisecond)
-	s.Span = top.Duration("span", 4*time.Second, 100*time.Millisecond)
+	s.SettleTime = top.Duration("settle", 1500*time.Millisecond, 10*time.Millisecond)
+	s.Duration = top.Duration("span", 4*time.Second, 100*time.Millisecond)
 	fleet := top.Table("fleet")
-	s.Each = fleet.Integer("each", 100, 1, 1000)
-	s.Base = size(fleet, Size{Sidecars: 24, Services: 10, Endpoints: 10, Changes: 60})
+	s.SidecarsPerProcess = fleet.Integer("each", 100, 1, 1000)
+	s.Base = parseSize(fleet, Size{Sidecars: 24, Services: 10, Endpoints: 10, Changes: 60})
 	fleet.RejectUnknownKeys()
-	s.Chains = chains(top.Table("chains"))
+	s.Chains = parseChains(top.Table("chains"))
 	for _, t := range top.TableList("sweeps") {
-		s.sweep(t)
+		s.parseSweep(t)
 	}
-	one := s.Base
-	one.Sidecars = 1
+	single := s.Base
+	single.Sidecars = 1
 	for _, key := range []string{"reals", "reloads"} {
 		for _, t := range top.TableList(key) {
-			x := size(t, one)
+			x := parseSize(t, single)
 			if x.Sidecars != 1 {
-				t.AddError("sidecars", x.Sidecars, "one")
+				t.AddError("sidecars", x.Sidecars, "exactly 1")
 			}
 			t.RejectUnknownKeys()
 			if key == "reals" {
-				s.Reals = append(s.Reals, x)
+				s.RealSidecars = append(s.RealSidecars, x)
 			} else {
 				s.Reloads = append(s.Reloads, x)
 			}
 		}
 	}
 	if top.Has("beside") {
-		s.Beside = beside(top.Table("beside"), one)
+		s.BackgroundChurn = parseBackgroundChurn(top.Table("beside"), single)
 	}
 	if top.Has("day") {
-		s.day(top.Table("day"))
+		s.parseDay(top.Table("day"))
 	}
-	if len(s.Sweeps) == 0 && s.Day == nil && s.Beside == nil && len(s.Reals) == 0 && len(s.Reloads) == 0 {
+	if len(s.Sweeps) == 0 && s.Day == nil && s.BackgroundChurn == nil && len(s.RealSidecars) == 0 && len(s.Reloads) == 0 {
 		top.AddErrorAt("sweeps", "", "something to measure: [[sweeps]], [[reals]], [[reloads]], [beside] or [day]")
 	}
 	top.RejectUnknownKeys()
@@ -160,75 +160,75 @@
 	return s, nil
 }
 
-// NeedsProgram tells whether processes of the program are played besides hollow sidecars.
-func (s *Scale) NeedsProgram() bool {
-	return len(s.Reals) > 0 || s.Beside != nil || slices.ContainsFunc(s.Sweeps, func(w Sweep) bool { return w.Of == "depth" })
+// NeedsProgram reports whether the experiment starts processes of the program.
+func (s *ScaleExperiment) NeedsProgram() bool {
+	return len(s.RealSidecars) > 0 || s.BackgroundChurn != nil || slices.ContainsFunc(s.Sweeps, func(w Sweep) bool { return w.Dimension == "depth" })
 }
 
-// size reads what a fleet has; what is not there is as in without.
-func size(t *tomlfile.Table, without Size) Size {
+// parseSize reads a size; missing keys get their values from defaults.
+func parseSize(t *tomlfile.Table, defaults Size) Size {
 	s := Size{
-		Sidecars: t.Integer("sidecars", without.Sidecars, 1, 5000), Services: t.Integer("services", without.Services, 1, 1000),
-		Endpoints: t.Integer("endpoints", without.Endpoints, 1, 250), Changes: t.Number("changes", without.Changes, 0, 1e5),
+		Sidecars: t.Integer("sidecars", defaults.Sidecars, 1, 5000), Services: t.Integer("services", defaults.Services, 1, 1000),
+		Endpoints: t.Integer("endpoints", defaults.Endpoints, 1, 250), Changes: t.Number("changes", defaults.Changes, 0, 1e5),
 	}
-	if n := s.Sidecars * s.Services; n > mostPools {
-		t.AddError("sidecars", n, fmt.Sprintf("%d at most, times services: each is a connection", mostPools))
+	if n := s.Sidecars * s.Services; n > maxConnections {
+		t.AddError("sidecars", n, fmt.Sprintf("at most %d sidecars times services, each pair is a connection", maxConnections))
 	}
 	return s
 }
 
-func (s *Scale) sweep(t *tomlfile.Table) {
+func (s *ScaleExperiment) parseSweep(t *tomlfile.Table) {
 	names := make([]string, 0, len(dimensions))
 	for name := range dimensions {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	w := Sweep{Of: t.OneOf("of", "", names...)}
+	w := Sweep{Dimension: t.OneOf("of", "", names...)}
 	list, _ := t.Get("sizes")
 	all, _ := list.([]any)
 	for _, v := range all {
 		n, ok := v.(int64)
 		if !ok || n < 1 || len(w.Sizes) > 0 && int(n) <= w.Sizes[len(w.Sizes)-1] {
-			t.AddError("sizes", v, "whole numbers, each above the one before")
+			t.AddError("sizes", v, "whole numbers in rising order")
 			continue
 		}
 		w.Sizes = append(w.Sizes, int(n))
 	}
 	if len(w.Sizes) < 4 {
-		t.AddError("sizes", list, "four sizes at least")
-	} else if set := dimensions[w.Of]; set != nil {
+		t.AddError("sizes", list, "at least four sizes")
+	} else if set := dimensions[w.Dimension]; set != nil {
 		last := s.Base
 		set(&last, w.Sizes[len(w.Sizes)-1])
-		if w.Of == "depth" && w.Sizes[len(w.Sizes)-1] > mostDepth {
-			t.AddError("sizes", list, fmt.Sprintf("a depth of %d at most, each tier is a process", mostDepth))
+		if w.Dimension == "depth" && w.Sizes[len(w.Sizes)-1] > maxChainDepth {
+			t.AddError("sizes", list, fmt.Sprintf("a depth of at most %d, as each tier is a process", maxChainDepth))
 		}
-		if w.Of != "endpoints" && w.Of != "changes" && last.Sidecars*last.Services > mostPools || last.Endpoints > 250 || last.Changes > 1e5 {
-			t.AddError("sizes", list, fmt.Sprintf("sidecars times services of %d at most, 250 endpoints, 100,000 changes a minute", mostPools))
+		if w.Dimension != "endpoints" && w.Dimension != "changes" && last.Sidecars*last.Services > maxConnections || last.Endpoints > 250 || last.Changes > 1e5 {
+			t.AddError("sizes", list, fmt.Sprintf("at most %d sidecars times services, 250 endpoints and 100,000 changes a minute", maxConnections))
 		}
 	}
 	t.RejectUnknownKeys()
 	s.Sweeps = append(s.Sweeps, w)
 }
 
-func (s *Scale) day(t *tomlfile.Table) {
-	d := &Day{Fleet: size(t, s.Base)}
-	d.Span = t.Duration("span", time.Minute, time.Second)
+func (s *ScaleExperiment) parseDay(t *tomlfile.Table) {
+	d := &Day{Fleet: parseSize(t, s.Base)}
+	d.Duration = t.Duration("span", time.Minute, time.Second)
 	d.Changes = t.Integer("changes_a_day", 2700, 0, 1e6)
 	d.Restarts = t.Integer("restarts", 260, 0, 1e5)
-	d.Machines = t.Integer("machines_fail", 6, 0, 1000)
-	d.Machine = t.Integer("machine", 4, 1, 1000)
+	d.MachineFailures = t.Integer("machines_fail", 6, 0, 1000)
+	d.SidecarsPerMachine = t.Integer("machine", 4, 1, 1000)
 	d.Regions, d.Zones = t.Integer("regions", 3, 1, 50), t.Integer("zones", 7, 1, 100)
-	d.Region, d.Zone = t.Duration("region_delay", 0, 0), t.Duration("zone_delay", 0, 0)
+	d.RegionDelay, d.ZoneDelay = t.Duration("region_delay", 0, 0), t.Duration("zone_delay", 0, 0)
 	d.Fleet.Changes = float64(d.Changes) / (24 * 60)
 	for _, et := range t.TableList("events") {
-		e := ScaleEvent{Hour: et.Number("hour", 0, 0, 24), Do: et.OneOf("do", "", "cut", "heal", "weather", "stop", "start"), Place: et.Text("on", ""), key: et.KeyPath("do")}
-		if e.Do == "weather" {
-			e.To = weather(et)
+		e := ScaleEvent{Hour: et.Number("hour", 0, 0, 24), Action: et.OneOf("do", "", "cut", "heal", "weather", "stop", "start"), Location: et.Text("on", ""), key: et.KeyPath("do")}
+		if e.Action == "weather" {
+			e.Conditions = parseConditions(et)
 		}
-		if len(d.at(e.Place)) == 0 {
-			et.AddError("on", e.Place, "a place with sidecars: region-, zone-, rack- or machine- and a number from 0")
-		} else if kind, _, _ := strings.Cut(e.Place, "-"); (kind == "rack" || kind == "machine") && e.Do != "stop" && e.Do != "start" {
-			et.AddError("on", e.Place, "a region or a zone: "+e.Do+" is of its way to the registry")
+		if len(d.sidecarsAt(e.Location)) == 0 {
+			et.AddError("on", e.Location, "a location with sidecars: region-, zone-, rack- or machine- and a number from 0")
+		} else if kind, _, _ := strings.Cut(e.Location, "-"); (kind == "rack" || kind == "machine") && e.Action != "stop" && e.Action != "start" {
+			et.AddError("on", e.Location, "a region or a zone: "+e.Action+" applies to its link to the registry")
 		}
 		et.RejectUnknownKeys()
 		d.Events = append(d.Events, e)
@@ -237,77 +237,77 @@
 	s.Day = d
 }
 
-// zone and machine are where a sidecar is; a zone's sidecars fill its machines in turn.
-func (d *Day) zone(sidecar int) int { return sidecar % d.Zones }
+// zoneOf returns the zone of a sidecar.
+func (d *Day) zoneOf(sidecar int) int { return sidecar % d.Zones }
 
-func (d *Day) machine(sidecar int) int {
-	return d.zone(sidecar) + d.Zones*(sidecar/d.Zones/d.Machine)
+func (d *Day) machineOf(sidecar int) int {
+	return d.zoneOf(sidecar) + d.Zones*(sidecar/d.Zones/d.SidecarsPerMachine)
 }
 
-// rack is the rack of a machine: rackMachines of a zone.
-func (d *Day) rack(machine int) int {
-	return machine%d.Zones + d.Zones*(machine/d.Zones/rackMachines)
+// rackOf returns the rack of a machine. A rack holds machinesPerRack machines of one zone.
+func (d *Day) rackOf(machine int) int {
+	return machine%d.Zones + d.Zones*(machine/d.Zones/machinesPerRack)
 }
 
-// at are the sidecars of a place; none where there is no such place.
-func (d *Day) at(place string) (all []int) {
+// sidecarsAt returns the sidecars at a location, or none for an unknown location.
+func (d *Day) sidecarsAt(place string) (all []int) {
 	kind, number, _ := strings.Cut(place, "-")
 	k, err := strconv.Atoi(number)
 	if err != nil {
 		return nil
 	}
 	for i := range d.Fleet.Sidecars {
-		where, known := map[string]int{
-			"region": d.zone(i) % d.Regions, "zone": d.zone(i), "rack": d.rack(d.machine(i)), "machine": d.machine(i),
+		index, known := map[string]int{
+			"region": d.zoneOf(i) % d.Regions, "zone": d.zoneOf(i), "rack": d.rackOf(d.machineOf(i)), "machine": d.machineOf(i),
 		}[kind]
-		if known && where == k {
+		if known && index == k {
 			all = append(all, i)
 		}
 	}
 	return all
 }
 
-// dayDeed is one thing that happens in a day.
-type dayDeed struct {
-	hour     float64
-	do       string // edit, restart, and what a ScaleEvent does
-	count    int    // of edits
-	place    string
-	sidecars []int
-	to       Weather
+// dayAction is an action in a simulated day.
+type dayAction struct {
+	hour       float64
+	action     string // edit, restart or the action of a ScaleEvent
+	editCount  int    // number of changes of an edit
+	location   string
+	sidecars   []int
+	conditions Conditions
 }
 
-// deeds is all that happens in a day, in order: the same seed gives the same day. Of the
-// changes six in ten come between nine and one o'clock, two in ten in heaps, as a release
-// does, and the rest at any hour.
-func (d *Day) deeds(seed uint64) (all []dayDeed) {
+// actionsInOrder returns all actions of a day by time; they depend only on the seed. Six tenths
+// of the changes are between 9:00 and 13:00, two tenths are in batches, as in releases, and the
+// rest are at any hour.
+func (d *Day) actionsInOrder(seed uint64) (all []dayAction) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
-	heaps := d.Changes / 5 / heapOf
-	for range heaps {
-		all = append(all, dayDeed{hour: 24 * rng.Float64(), do: "edit", count: heapOf})
+	batches := d.Changes / 5 / changesPerBatch
+	for range batches {
+		all = append(all, dayAction{hour: 24 * rng.Float64(), action: "edit", editCount: changesPerBatch})
 	}
-	for i := range d.Changes - heaps*heapOf {
+	for i := range d.Changes - batches*changesPerBatch {
 		hour := 24 * rng.Float64()
 		if i < d.Changes*6/10 {
 			hour = 9 + 4*rng.Float64()
 		}
-		all = append(all, dayDeed{hour: hour, do: "edit", count: 1})
+		all = append(all, dayAction{hour: hour, action: "edit", editCount: 1})
 	}
 	for range d.Restarts {
-		all = append(all, dayDeed{hour: 24 * rng.Float64(), do: "restart", sidecars: []int{rng.IntN(d.Fleet.Sidecars)}})
+		all = append(all, dayAction{hour: 24 * rng.Float64(), action: "restart", sidecars: []int{rng.IntN(d.Fleet.Sidecars)}})
 	}
-	for range d.Machines {
-		place := fmt.Sprintf("machine-%d", d.machine(rng.IntN(d.Fleet.Sidecars)))
+	for range d.MachineFailures {
+		place := fmt.Sprintf("machine-%d", d.machineOf(rng.IntN(d.Fleet.Sidecars)))
 		hour := 22 * rng.Float64()
-		all = append(all, dayDeed{hour: hour, do: "stop", place: place, sidecars: d.at(place)}, dayDeed{hour: hour + 1, do: "start", place: place, sidecars: d.at(place)})
+		all = append(all, dayAction{hour: hour, action: "stop", location: place, sidecars: d.sidecarsAt(place)}, dayAction{hour: hour + 1, action: "start", location: place, sidecars: d.sidecarsAt(place)})
 	}
 	for _, e := range d.Events {
-		x := dayDeed{hour: e.Hour, do: e.Do, place: e.Place, to: e.To}
-		if x.do == "stop" || x.do == "start" {
-			x.sidecars = d.at(e.Place)
+		x := dayAction{hour: e.Hour, action: e.Action, location: e.Location, conditions: e.Conditions}
+		if x.action == "stop" || x.action == "start" {
+			x.sidecars = d.sidecarsAt(e.Location)
 		}
 		all = append(all, x)
 	}
-	slices.SortStableFunc(all, func(a, b dayDeed) int { return cmp.Compare(a.hour, b.hour) })
+	slices.SortStableFunc(all, func(a, b dayAction) int { return cmp.Compare(a.hour, b.hour) })
 	return all
 }
--- a/internal/proving/scale_result.go
+++ b/internal/proving/scale_result.go
@@ -21,116 +21,115 @@
 	"gorselink/internal/capacity"
 )
 
-// ScaleResult is a scale run as it is kept in a file.
+// ScaleResult is the result of a scale run, written as JSON.
 type ScaleResult struct {
-	Experiment string        `json:"experiment"`
-	Seed       uint64        `json:"seed"`
-	At         time.Time     `json:"at"`
-	Cores      int           `json:"cores"`
-	Faster     float64       `json:"faster,omitempty"` // than life, of the day
-	Sweeps     []SweepResult `json:"sweeps,omitempty"`
-	Reals      []Measured    `json:"reals,omitempty"`
-	Reloads    []Measured    `json:"reloads,omitempty"`
-	Beside     *Measured     `json:"beside,omitempty"`
-	Day        *Measured     `json:"day,omitempty"`
+	Experiment      string        `json:"experiment"`
+	Seed            uint64        `json:"seed"`
+	At              time.Time     `json:"at"`
+	Cores           int           `json:"cores"`
+	Speedup         float64       `json:"faster,omitempty"` // of the simulated day
+	Sweeps          []SweepResult `json:"sweeps,omitempty"`
+	RealSidecars    []Measured    `json:"reals,omitempty"`
+	Reloads         []Measured    `json:"reloads,omitempty"`
+	BackgroundChurn *Measured     `json:"beside,omitempty"`
+	Day             *Measured     `json:"day,omitempty"`
 }
 
-// Measured is what one size cost. Where the machine was the bottleneck there are no
-// costs; what is wanted of every run is told all the same.
+// Measured is the measurement of one size. A void measurement has no costs, but its other
+// fields are set.
 type Measured struct {
-	At        int                `json:"at,omitempty"` // of a sweep
+	At        int                `json:"at,omitempty"` // the size within its sweep
 	Size      Size               `json:"size"`
 	Costs     map[string]float64 `json:"costs,omitempty"`
 	Void      []string           `json:"void,omitempty"`
 	Changes   int                `json:"changes"`
-	Unreached int                `json:"unreached"` // subscribers that are there and lack a change at the end, over all changes
-	Apart     int                `json:"apart"`     // sidecars that do not have the registry's lists at the end
+	Unreached int                `json:"unreached"` // connected subscribers that lack a change at the end, summed over all changes
+	OutOfSync int                `json:"apart"`     // sidecars whose lists differ from the registry's at the end
 	Crashed   int                `json:"crashed,omitempty"`
 }
 
-// SweepResult is one dimension at all its sizes.
+// SweepResult is the result of a sweep.
 type SweepResult struct {
-	Of    string       `json:"of"`
-	Sizes []Measured   `json:"sizes"`
-	Lines []LineResult `json:"lines"`
+	Dimension string       `json:"of"`
+	Sizes     []Measured   `json:"sizes"`
+	Lines     []LineResult `json:"lines"`
 }
 
-// LineResult is how a cost grows with a dimension. Slope, its interval and the residuals
-// are of all sizes; the prediction of the largest one was made from the smaller half
-// before it was run.
+// LineResult is a linear fit of a cost over a dimension. Slope, its interval and the residuals
+// use all sizes. The prediction of the largest size uses the smaller half, and is made before
+// the largest size is measured.
 type LineResult struct {
-	Cost      string    `json:"cost"`
-	At0       float64   `json:"at0"`
-	Slope     float64   `json:"slope"`
-	Low       *float64  `json:"low"`
-	High      *float64  `json:"high"`
-	Residuals []float64 `json:"residuals"`
-	Predicted *float64  `json:"predicted"` // of the largest size; null where the smaller ones are void
-	PredLow   *float64  `json:"predicted_low"`
-	PredHigh  *float64  `json:"predicted_high"`
-	Measured  *float64  `json:"measured"` // null where the largest size is void
-	Used      bool      `json:"used"`     // the prediction was at most a fifth off
+	Cost          string    `json:"cost"`
+	Intercept     float64   `json:"at0"`
+	Slope         float64   `json:"slope"`
+	Low           *float64  `json:"low"`
+	High          *float64  `json:"high"`
+	Residuals     []float64 `json:"residuals"`
+	Predicted     *float64  `json:"predicted"` // cost at the largest size; null if the smaller sizes are void
+	PredictedLow  *float64  `json:"predicted_low"`
+	PredictedHigh *float64  `json:"predicted_high"`
+	Measured      *float64  `json:"measured"` // null if the largest size is void
+	Used          bool      `json:"used"`     // the prediction missed by at most a fifth
 }
 
-// scaleCosts are the costs that lines are put through, with units, in the order of the
-// tables. Those of start and reload are only told.
-var scaleCosts = []struct{ name, unit string }{
-	{"calls", "calls a second at the registry"},
-	{"bytes", "bytes a second, both ways"},
-	{"peak", "calls in the fullest 100 ms"},
+// fittedCosts are the costs that get a linear fit, with their units, in the order of the tables.
+var fittedCosts = []struct{ name, unit string }{
+	{"calls", "calls per second at the registry"},
+	{"bytes", "bytes per second, both directions"},
+	{"peak", "calls in the busiest 100 ms"},
 	{"sidecar_cpu", "thousandths of a core, all sidecars"},
 	{"sidecar_memory", "MiB resident, all sidecars"},
 	{"registry_cpu", "thousandths of a core, the stand-in registry"},
 	{"registry_memory", "MiB resident, the stand-in registry"},
-	{"force50", "ms until a change is in force at 50 of 100, median of the changes"},
-	{"force99", "ms, at 99 of 100"},
-	{"force100", "ms, at all"},
-	{"calm_p50", "ms through the whole chain, in calm, half of the requests"},
-	{"calm_p99", "ms, 99 of 100"},
+	{"force50", "ms until a change reaches 50% of the sidecars, median over changes"},
+	{"force99", "ms, 99% of the sidecars"},
+	{"force100", "ms, all sidecars"},
+	{"calm_p50", "ms through the whole chain without overload, median"},
+	{"calm_p99", "ms, 99th percentile"},
 }
 
-var toldCosts = []struct{ name, unit string }{
-	{"force50_slowest", "ms, at 50 of 100, slowest change"},
-	{"force99_slowest", "ms, at 99 of 100, slowest change"},
-	{"force100_slowest", "ms, at all, slowest change"},
-	{"calm_last", "attempts at the last tier for each request at the first, in calm"},
-	{"calm_most", "attempts at the tier that had most, in calm"},
-	{"calm_failed", "share that failed, in calm"},
-	{"trouble_last", "attempts at the last tier, in trouble"},
-	{"trouble_most", "attempts at the tier that had most, in trouble"},
-	{"trouble_failed", "share that failed, in trouble"},
-	{"after_last", "attempts at the last tier, after it"},
-	{"after_most", "attempts at the tier that had most, after it"},
-	{"after_failed", "share that failed, after it"},
-	{"load_calm_p50", "ms of a request, half of them, in calm"},
-	{"load_storm_p50", "ms, in the storm"},
-	{"load_diff_p50", "ms, median difference of pairs"},
-	{"load_low_p50", "ms, its interval from"},
-	{"load_high_p50", "ms, to"},
-	{"load_calm_p99", "ms of a request, 99 of 100, in calm"},
-	{"load_storm_p99", "ms, in the storm"},
-	{"load_diff_p99", "ms, median difference of pairs"},
-	{"load_low_p99", "ms, its interval from"},
-	{"load_high_p99", "ms, to"},
-	{"load_sure", "per cent that the intervals hold with"},
+var unfittedCosts = []struct{ name, unit string }{
+	{"force50_slowest", "ms until the slowest change reaches 50% of the sidecars"},
+	{"force99_slowest", "ms, 99% of the sidecars, slowest change"},
+	{"force100_slowest", "ms, all sidecars, slowest change"},
+	{"calm_last", "attempts at the last tier per request at the first, without overload"},
+	{"calm_most", "attempts at the tier with the most, without overload"},
+	{"calm_failed", "share of failed requests, without overload"},
+	{"trouble_last", "attempts at the last tier, during overload"},
+	{"trouble_most", "attempts at the tier with the most, during overload"},
+	{"trouble_failed", "share of failed requests, during overload"},
+	{"after_last", "attempts at the last tier, after recovery"},
+	{"after_most", "attempts at the tier with the most, after recovery"},
+	{"after_failed", "share of failed requests, after recovery"},
+	{"load_calm_p50", "median latency in ms, calm windows"},
+	{"load_storm_p50", "ms, windows with changes"},
+	{"load_diff_p50", "ms, median difference within pairs"},
+	{"load_low_p50", "ms, lower bound of the interval"},
+	{"load_high_p50", "ms, upper bound"},
+	{"load_calm_p99", "99th percentile of latency in ms, calm windows"},
+	{"load_storm_p99", "ms, windows with changes"},
+	{"load_diff_p99", "ms, median difference within pairs"},
+	{"load_low_p99", "ms, lower bound of the interval"},
+	{"load_high_p99", "ms, upper bound"},
+	{"load_sure", "confidence of the intervals in per cent"},
 	{"load_failed", "requests that failed"},
-	{"start_calls", "calls of the start and of the time before measuring"},
-	{"start_bytes", "their bytes"},
-	{"busy", "per cent of the whole machine, by whoever"},
-	{"reload_ms", "ms a reload"},
-	{"reload_cpu_ms", "ms of a core a reload"},
+	{"start_calls", "calls during the start and the settle time"},
+	{"start_bytes", "bytes of these calls"},
+	{"busy", "per cent of the machine's CPU time, by all programs"},
+	{"reload_ms", "ms per reload"},
+	{"reload_cpu_ms", "CPU ms per reload"},
 }
 
-func newScaleResult(s *Scale, now time.Time) *ScaleResult {
+func newScaleResult(s *ScaleExperiment, now time.Time) *ScaleResult {
 	r := &ScaleResult{Experiment: s.Name, Seed: s.Seed, At: now.UTC(), Cores: runtime.NumCPU()}
 	if s.Day != nil {
-		r.Faster = s.Day.Faster()
+		r.Speedup = s.Day.Speedup()
 	}
 	return r
 }
 
-// voided takes the costs away where the machine was the bottleneck.
-func (m *Measured) voided() *Measured {
+// withoutVoidCosts removes the costs of a void measurement.
+func (m *Measured) withoutVoidCosts() *Measured {
 	if len(m.Void) > 0 {
 		m.Costs = nil
 	}
@@ -142,16 +141,16 @@
 		return "void: " + strings.Join(m.Void, "; ")
 	}
 	var parts []string
-	for _, c := range append(slices.Clone(scaleCosts), toldCosts...) {
+	for _, c := range append(slices.Clone(fittedCosts), unfittedCosts...) {
 		if x, ok := m.Costs[c.name]; ok {
 			parts = append(parts, fmt.Sprintf("%s %.4g", c.name, x))
 		}
 	}
-	return strings.Join(parts, ", ") + fmt.Sprintf("; %d changes, %d unreached, %d apart", m.Changes, m.Unreached, m.Apart)
+	return strings.Join(parts, ", ") + fmt.Sprintf("; %d changes, %d unreached, %d apart", m.Changes, m.Unreached, m.OutOfSync)
 }
 
-// points are a cost at all sizes that are not void.
-func (r *SweepResult) points(sizes []Measured, cost string) (all []capacity.Point) {
+// costPoints returns the values of a cost at the sizes that are not void.
+func (r *SweepResult) costPoints(sizes []Measured, cost string) (all []capacity.Point) {
 	for i := range sizes {
 		if y, ok := sizes[i].Costs[cost]; ok {
 			all = append(all, capacity.Point{X: float64(sizes[i].At), Y: y})
@@ -160,28 +159,28 @@
 	return all
 }
 
-// predict tells the costs of the largest size from the smaller half of all sizes. It is
-// called before the largest one is run.
+// predict predicts the costs of the largest size from the smaller half of the sizes, before the
+// largest one is measured.
 func (r *SweepResult) predict(size int) {
 	half := r.Sizes[:capacity.Half(len(r.Sizes)+1)]
-	for _, c := range scaleCosts {
+	for _, c := range fittedCosts {
 		line := LineResult{Cost: c.name}
-		if l, err := capacity.Fit(r.points(half, c.name)); err == nil {
+		if l, err := capacity.Fit(r.costPoints(half, c.name)); err == nil {
 			low, high := l.Interval(float64(size))
-			line.Predicted, line.PredLow, line.PredHigh = finite(l.At(float64(size))), finite(low), finite(high)
+			line.Predicted, line.PredictedLow, line.PredictedHigh = finiteOrNil(l.At(float64(size))), finiteOrNil(low), finiteOrNil(high)
 		}
 		r.Lines = append(r.Lines, line)
 	}
 }
 
-// conclude puts the lines through all sizes and the predictions to the test.
-func (r *SweepResult) conclude() {
+// fitLines fits the lines to all sizes and compares the predictions with the measurements.
+func (r *SweepResult) fitLines() {
 	last := &r.Sizes[len(r.Sizes)-1]
-	r.Lines = slices.DeleteFunc(r.Lines, func(l LineResult) bool { return len(r.points(r.Sizes, l.Cost)) < 2 })
+	r.Lines = slices.DeleteFunc(r.Lines, func(l LineResult) bool { return len(r.costPoints(r.Sizes, l.Cost)) < 2 })
 	for i := range r.Lines {
 		line := &r.Lines[i]
-		if l, err := capacity.Fit(r.points(r.Sizes, line.Cost)); err == nil {
-			line.At0, line.Slope, line.Low, line.High, line.Residuals = l.At0, l.Slope, finite(l.SlopeLow), finite(l.SlopeHigh), l.Residuals
+		if l, err := capacity.Fit(r.costPoints(r.Sizes, line.Cost)); err == nil {
+			line.Intercept, line.Slope, line.Low, line.High, line.Residuals = l.At0, l.Slope, finiteOrNil(l.SlopeLow), finiteOrNil(l.SlopeHigh), l.Residuals
 		}
 		if y, ok := last.Costs[line.Cost]; ok && line.Predicted != nil {
 			line.Measured = &y
@@ -190,47 +189,47 @@
 	}
 }
 
-// all are all measurements, with what they are of.
-func (r *ScaleResult) all(do func(what string, m *Measured)) {
+// forEach calls do with each measurement and its name.
+func (r *ScaleResult) forEach(do func(what string, m *Measured)) {
 	for i := range r.Sweeps {
 		for k := range r.Sweeps[i].Sizes {
 			m := &r.Sweeps[i].Sizes[k]
-			do(fmt.Sprintf("%s, %d", r.Sweeps[i].Of, m.At), m)
+			do(fmt.Sprintf("%s, %d", r.Sweeps[i].Dimension, m.At), m)
 		}
 	}
-	for i := range r.Reals {
-		do(fmt.Sprintf("real, %d services", r.Reals[i].Size.Services), &r.Reals[i])
+	for i := range r.RealSidecars {
+		do(fmt.Sprintf("real, %d services", r.RealSidecars[i].Size.Services), &r.RealSidecars[i])
 	}
 	for i := range r.Reloads {
 		do(fmt.Sprintf("reload, %d services of %d endpoints", r.Reloads[i].Size.Services, r.Reloads[i].Size.Endpoints), &r.Reloads[i])
 	}
-	if r.Beside != nil {
-		do("beside load", r.Beside)
+	if r.BackgroundChurn != nil {
+		do("background churn", r.BackgroundChurn)
 	}
 	if r.Day != nil {
 		do("day", r.Day)
 	}
 }
 
-// Broken is what is not as it must be in every run, whatever the machine did.
-func (r *ScaleResult) Broken() (lines []string) {
-	r.all(func(what string, m *Measured) {
-		if m.Apart > 0 {
-			lines = append(lines, fmt.Sprintf("%s: %d sidecars do not have the lists at the end", what, m.Apart))
+// Violations lists the requirements of every scale run that are not met.
+func (r *ScaleResult) Violations() (lines []string) {
+	r.forEach(func(what string, m *Measured) {
+		if m.OutOfSync > 0 {
+			lines = append(lines, fmt.Sprintf("%s: %d sidecars do not have the registry's lists at the end", what, m.OutOfSync))
 		}
 		if m.Crashed > 0 {
-			lines = append(lines, fmt.Sprintf("%s: %d processes ended by themselves", what, m.Crashed))
+			lines = append(lines, fmt.Sprintf("%s: %d processes exited unexpectedly", what, m.Crashed))
 		}
 		if m.Unreached > 0 {
-			lines = append(lines, fmt.Sprintf("%s: changes have not reached %d subscribers", what, m.Unreached))
+			lines = append(lines, fmt.Sprintf("%s: %d deliveries of changes to subscribers are missing", what, m.Unreached))
 		}
 	})
 	return lines
 }
 
-// Void is where the machine was the bottleneck.
+// Void lists the measurements for which the machine was the bottleneck.
 func (r *ScaleResult) Void() (lines []string) {
-	r.all(func(what string, m *Measured) {
+	r.forEach(func(what string, m *Measured) {
 		for _, v := range m.Void {
 			lines = append(lines, what+": "+v)
 		}
@@ -238,7 +237,7 @@
 	return lines
 }
 
-// WriteFile keeps the result as JSON.
+// WriteFile writes the result as JSON.
 func (r *ScaleResult) WriteFile(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -247,20 +246,20 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-func orDash(x *float64) string {
+func formatOptional(x *float64) string {
 	if x == nil {
 		return "-"
 	}
-	return number(*x)
+	return formatNumber(*x)
 }
 
-// WriteTable writes all that was measured as text.
+// WriteTable writes all measurements as a text table.
 func (r *ScaleResult) WriteTable(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tw, "%s, seed %d, %d cores\n", r.Experiment, r.Seed, r.Cores)
 	for i := range r.Sweeps {
 		s := &r.Sweeps[i]
-		fmt.Fprintf(tw, "\nby %s", s.Of)
+		fmt.Fprintf(tw, "\nby %s", s.Dimension)
 		for k := range s.Sizes {
 			fmt.Fprintf(tw, "\t%d", s.Sizes[k].At)
 		}
@@ -270,7 +269,7 @@
 			if !ok {
 				x = math.NaN()
 			}
-			fmt.Fprintf(tw, "\t%s", number(x))
+			fmt.Fprintf(tw, "\t%s", formatNumber(x))
 		}
 		fmt.Fprintf(tw, "\tslope\tinterval\tpredicted\tinterval\tmeasured\tmiss\n")
 		for k := range s.Lines {
@@ -281,13 +280,13 @@
 				if !ok {
 					x = math.NaN()
 				}
-				fmt.Fprintf(tw, "\t%s", number(x))
+				fmt.Fprintf(tw, "\t%s", formatNumber(x))
 			}
-			fmt.Fprintf(tw, "\t%s\t%s to %s\t%s\t%s to %s\t%s\t%s\n", number(l.Slope), orDash(l.Low), orDash(l.High), orDash(l.Predicted), orDash(l.PredLow), orDash(l.PredHigh), orDash(l.Measured), l.miss())
+			fmt.Fprintf(tw, "\t%s\t%s to %s\t%s\t%s to %s\t%s\t%s\n", formatNumber(l.Slope), formatOptional(l.Low), formatOptional(l.High), formatOptional(l.Predicted), formatOptional(l.PredictedLow), formatOptional(l.PredictedHigh), formatOptional(l.Measured), l.missText())
 		}
 	}
 	for i := range r.Sweeps {
-		if s := &r.Sweeps[i]; s.Of == "depth" {
+		if s := &r.Sweeps[i]; s.Dimension == "depth" {
 			for k := range s.Sizes {
 				fmt.Fprintf(tw, "\ndepth %d: %s", s.Sizes[k].At, &s.Sizes[k])
 			}
@@ -295,9 +294,9 @@
 	}
 	fmt.Fprintln(tw)
 	if r.Day != nil {
-		fmt.Fprintf(tw, "the day was played %.0f times faster than life\n", r.Faster)
+		fmt.Fprintf(tw, "simulated day: %.0f times real time\n", r.Speedup)
 	}
-	r.all(func(what string, m *Measured) {
+	r.forEach(func(what string, m *Measured) {
 		if m.At == 0 {
 			fmt.Fprintf(tw, "%s: %s\n", what, m)
 		}
@@ -305,9 +304,9 @@
 	return tw.Flush()
 }
 
-func (l *LineResult) miss() string {
+func (l *LineResult) missText() string {
 	if l.Predicted == nil || l.Measured == nil {
-		return "not put to the test"
+		return "not tested"
 	}
 	p := capacity.Prediction{Predicted: *l.Predicted, Measured: *l.Measured}
 	s := fmt.Sprintf("%.0f%%", 100*p.Miss())
@@ -317,54 +316,54 @@
 	return s
 }
 
-// WritePage writes the result as a page that needs nothing else: a chart for each cost of
-// each sweep, with the line and the prediction of the largest size.
+// WritePage writes the result as a self-contained HTML page, with a chart for each cost of each
+// sweep.
 func (r *ScaleResult) WritePage(w io.Writer) error {
 	var table strings.Builder
 	if err := r.WriteTable(&table); err != nil {
 		return err
 	}
-	type drawing struct {
+	type chart struct {
 		Title string
 		SVG   template.HTML
 	}
 	data := struct {
-		Name         string
-		Table        string
-		Broken, Void []string
-		Drawings     []drawing
-	}{Name: r.Experiment, Table: table.String(), Broken: r.Broken(), Void: r.Void()}
+		Name             string
+		Table            string
+		Violations, Void []string
+		Charts           []chart
+	}{Name: r.Experiment, Table: table.String(), Violations: r.Violations(), Void: r.Void()}
 	for i := range r.Sweeps {
 		for k := range r.Sweeps[i].Lines {
 			l := &r.Sweeps[i].Lines[k]
-			svg, err := drawLine(&r.Sweeps[i], l)
+			svg, err := drawFit(&r.Sweeps[i], l)
 			if err != nil {
 				return err
 			}
-			data.Drawings = append(data.Drawings, drawing{l.Cost + " by " + r.Sweeps[i].Of, template.HTML(svg)})
+			data.Charts = append(data.Charts, chart{l.Cost + " by " + r.Sweeps[i].Dimension, template.HTML(svg)})
 		}
 	}
 	return scalePage.Execute(w, data)
 }
 
-func drawLine(s *SweepResult, l *LineResult) (string, error) {
+func drawFit(s *SweepResult, l *LineResult) (string, error) {
 	p := plot.New()
-	p.X.Label.Text = s.Of
+	p.X.Label.Text = s.Dimension
 	p.Legend.Top, p.Legend.Left = true, true
-	for _, c := range scaleCosts {
+	for _, c := range fittedCosts {
 		if c.name == l.Cost {
 			p.Y.Label.Text, _, _ = strings.Cut(c.unit, ",")
 		}
 	}
 	var points plotter.XYs
-	for _, x := range s.points(s.Sizes, l.Cost) {
+	for _, x := range s.costPoints(s.Sizes, l.Cost) {
 		points = append(points, plotter.XY(x))
 	}
 	dots, err := plotter.NewScatter(points)
 	if err != nil {
 		return "", err
 	}
-	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: l.At0}, {X: points[len(points)-1].X, Y: l.At0 + l.Slope*points[len(points)-1].X}})
+	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: l.Intercept}, {X: points[len(points)-1].X, Y: l.Intercept + l.Slope*points[len(points)-1].X}})
 	if err != nil {
 		return "", err
 	}
@@ -381,7 +380,7 @@
 		p.Legend.Add("predicted", at)
 	}
 	p.X.Min, p.Y.Min = 0, min(0, p.Y.Min)
-	return drawn(p, 14*vg.Centimeter)
+	return renderSVG(p, 14*vg.Centimeter)
 }
 
 var scalePage = template.Must(template.New("").Parse(`<!DOCTYPE html>
@@ -389,7 +388,7 @@
 <style>body{font:15px/1.4 sans-serif;max-width:70em;margin:2em auto;padding:0 1em}pre{overflow-x:auto;background:#f4f4f4;padding:1em}h2{font-size:1.1em}</style></head>
 <body><h1>{{.Name}}</h1>
 <pre>{{.Table}}</pre>
-{{range .Void}}<p>Void: {{.}}</p>{{end}}{{range .Broken}}<p>Not kept: {{.}}</p>{{end}}
-{{range .Drawings}}<h2>{{.Title}}</h2>{{.SVG}}
+{{range .Void}}<p>Void: {{.}}</p>{{end}}{{range .Violations}}<p>Not met: {{.}}</p>{{end}}
+{{range .Charts}}<h2>{{.Title}}</h2>{{.SVG}}
 {{end}}</body></html>
 `))
--- a/internal/proving/scale_rig.go
+++ b/internal/proving/scale_rig.go
@@ -18,160 +18,158 @@
 	"gorselink/internal/standin"
 )
 
-// ScaleOptions are what a scale run takes from its caller.
+// ScaleOptions configures a scale run.
 type ScaleOptions struct {
-	Self    []string // the command that plays a role, which is put behind it
-	Program string   // the program, for real sidecars
-	Tell    func(line string)
+	RoleCommand []string // command that starts a role process; the role's name is appended
+	Program     string   // for real sidecars and chains
+	Log         func(line string)
 
-	repeats int // of sizes that the machine spoilt
+	repetitions int // of void measurements
 }
 
-// mostRepeats bounds how often sizes that the machine spoilt are measured once more, over
-// the whole run, which is to end in time.
-const mostRepeats = 6
+// maxRepetitions bounds how often void measurements are repeated in a run, to bound its
+// duration.
+const maxRepetitions = 6
 
-// again measures, and once more where the machine was the bottleneck. What was spoilt is
-// told; its figures are gone.
-func (o *ScaleOptions) again(measure func() (*Measured, error)) (*Measured, error) {
+// repeatIfVoid measures, and measures again while the machine was the bottleneck.
+func (o *ScaleOptions) repeatIfVoid(measure func() (*Measured, error)) (*Measured, error) {
 	for {
 		m, err := measure()
-		if err != nil || len(m.Void) == 0 || o.repeats >= mostRepeats {
+		if err != nil || len(m.Void) == 0 || o.repetitions >= maxRepetitions {
 			return m, err
 		}
-		o.repeats++
-		o.tell("once more: %s", m)
+		o.repetitions++
+		o.logf("repeating a measurement: %s", m)
 	}
 }
 
-func (o *ScaleOptions) tell(format string, args ...any) {
-	if o.Tell != nil {
-		o.Tell(fmt.Sprintf(format, args...))
+func (o *ScaleOptions) logf(format string, args ...any) {
+	if o.Log != nil {
+		o.Log(fmt.Sprintf(format, args...))
 	}
 }
 
-// PlayScale plays a scale run. Every process, socket and file that it made is gone when
-// it returns; where ctx ends it breaks off with an error.
-func PlayScale(ctx context.Context, s *Scale, o ScaleOptions) (*ScaleResult, error) {
+// RunScale runs a scale experiment. All its processes, sockets and files are gone when it
+// returns. If ctx ends, it stops with an error.
+func RunScale(ctx context.Context, s *ScaleExperiment, o ScaleOptions) (*ScaleResult, error) {
 	res := newScaleResult(s, time.Now())
 	for _, w := range s.Sweeps {
-		sr, err := playSweep(ctx, s, w, &o)
+		sr, err := runSweep(ctx, s, w, &o)
 		if err != nil {
-			return nil, fmt.Errorf("sweep of %s: %w", w.Of, err)
+			return nil, fmt.Errorf("sweep over %s: %w", w.Dimension, err)
 		}
 		res.Sweeps = append(res.Sweeps, *sr)
 	}
-	for _, size := range s.Reals {
-		m, err := o.again(func() (*Measured, error) { return measureSize(ctx, s, size, &o, true) })
+	for _, size := range s.RealSidecars {
+		m, err := o.repeatIfVoid(func() (*Measured, error) { return measureSize(ctx, s, size, &o, true) })
 		if err != nil {
-			return nil, fmt.Errorf("a real sidecar with %d services: %w", size.Services, err)
+			return nil, fmt.Errorf("real sidecar with %d services: %w", size.Services, err)
 		}
-		o.tell("real, %d services: %s", size.Services, m)
-		res.Reals = append(res.Reals, *m)
+		o.logf("real sidecar with %d services: %s", size.Services, m)
+		res.RealSidecars = append(res.RealSidecars, *m)
 	}
 	for _, size := range s.Reloads {
-		m, err := o.again(func() (*Measured, error) { return measureReload(ctx, s, size, &o) })
+		m, err := o.repeatIfVoid(func() (*Measured, error) { return measureReload(ctx, s, size, &o) })
 		if err != nil {
 			return nil, fmt.Errorf("reload of %d services: %w", size.Services, err)
 		}
-		o.tell("reload, %d services of %d endpoints: %s", size.Services, size.Endpoints, m)
+		o.logf("reload of %d services with %d endpoints each: %s", size.Services, size.Endpoints, m)
 		res.Reloads = append(res.Reloads, *m)
 	}
-	if s.Beside != nil {
-		m, err := playBeside(ctx, s, &o)
+	if s.BackgroundChurn != nil {
+		m, err := runBackgroundChurn(ctx, s, &o)
 		if err != nil {
-			return nil, fmt.Errorf("beside load: %w", err)
+			return nil, fmt.Errorf("background churn: %w", err)
 		}
-		o.tell("beside load: %s", m)
-		res.Beside = m
+		o.logf("background churn: %s", m)
+		res.BackgroundChurn = m
 	}
 	if s.Day != nil {
-		m, err := playDay(ctx, s, &o)
+		m, err := runDay(ctx, s, &o)
 		if err != nil {
 			return nil, fmt.Errorf("day: %w", err)
 		}
-		o.tell("day: %s", m)
+		o.logf("day: %s", m)
 		res.Day = m
 	}
 	return res, nil
 }
 
-// scene is a fleet at work.
-type scene struct {
-	s        *Scale
-	o        *ScaleOptions
-	size     Size
-	dir      string
-	nurse    *nursery
-	registry *role
-	hosts    []*role // of sidecars
-	real     *instance
-	fwd      []*forwarder
-	wires    []*wire // by zone; none without a day
-	rng      *rand.Rand
-	paths    []string // of the sidecars' files
-	down     map[int]bool
-	day      *Day      // nil without one
-	dawn     time.Time // when it began
-}
-
-// newScene makes a registry and all sidecars, which have been told a list when it
-// returns. end must be called, also after an error.
-func newScene(s *Scale, size Size, day *Day, o *ScaleOptions) (c *scene, err error) {
-	c = &scene{s: s, o: o, size: size, rng: rand.New(rand.NewPCG(s.Seed, uint64(size.Sidecars)<<32|uint64(size.Services)<<16|uint64(size.Endpoints))), down: map[int]bool{}}
-	if n := 1 + (size.Sidecars+s.Each-1)/s.Each; n > mostProcesses {
-		return c, fmt.Errorf("%d processes, want %d at most: more sidecars in each", n, mostProcesses)
-	}
-	if c.dir, err = takeDir(); err != nil {
+// fleetRun is a running fleet with its registry.
+type fleetRun struct {
+	experiment   *ScaleExperiment
+	options      *ScaleOptions
+	size         Size
+	dir          string
+	spawner      *processSpawner
+	registry     *roleProcess
+	sidecarHosts []*roleProcess
+	realSidecar  *instance
+	forwarders   []*forwarder
+	zonePaths    []*netPath // by zone; empty without a day
+	rng          *rand.Rand
+	configPaths  []string // of the sidecars
+	stopped      map[int]bool
+	day          *Day // nil without a simulated day
+	dayStart     time.Time
+}
+
+// newFleetRun starts a registry and writes the configurations of the sidecars. The caller must
+// close the run, also after an error.
+func newFleetRun(s *ScaleExperiment, size Size, day *Day, o *ScaleOptions) (c *fleetRun, err error) {
+	c = &fleetRun{experiment: s, options: o, size: size, rng: rand.New(rand.NewPCG(s.Seed, uint64(size.Sidecars)<<32|uint64(size.Services)<<16|uint64(size.Endpoints))), stopped: map[int]bool{}}
+	if n := 1 + (size.Sidecars+s.SidecarsPerProcess-1)/s.SidecarsPerProcess; n > maxProcesses {
+		return c, fmt.Errorf("%d processes, want %d at most: put more sidecars in each process", n, maxProcesses)
+	}
+	if c.dir, err = makeRunDir(); err != nil {
 		return c, err
 	}
-	c.nurse = newNursery()
-	if c.registry, err = startRole(c.nurse, o.Self, hollow.RoleRegistry, "registry", c.dir, roleProcs); err != nil {
+	c.spawner = newProcessSpawner()
+	if c.registry, err = startRoleProcess(c.spawner, o.RoleCommand, hollow.RoleRegistry, "registry", c.dir, roleMaxProcs); err != nil {
 		return c, err
 	}
-	a, err := c.registry.ask(&hollow.Command{Do: "serve", Host: "127.0.0.1", Services: size.Services, Endpoints: size.Endpoints})
+	a, err := c.registry.call(&hollow.Command{Do: "serve", Host: "127.0.0.1", Services: size.Services, Endpoints: size.Endpoints})
 	if err != nil {
 		return c, err
 	}
-	at := func(zone int) []string { return a.Addrs }
+	registryAddrs := func(zone int) []string { return a.Addrs }
 	if day != nil {
-		byZone, err := c.link(day, a.Addrs)
+		byZone, err := c.linkZones(day, a.Addrs)
 		if err != nil {
 			return c, err
 		}
-		at = func(zone int) []string { return byZone[zone] }
+		registryAddrs = func(zone int) []string { return byZone[zone] }
 	}
 	for i := range size.Sidecars {
 		zone := 0
 		if day != nil {
-			zone = day.zone(i)
+			zone = day.zoneOf(i)
 		}
 		path := filepath.Join(c.dir, fmt.Sprintf("sidecar-%04d.toml", i))
-		if err := os.WriteFile(path, []byte(sidecarFile(s.Seed, i, size.Sidecars, zone, "127.0.0.1:0", at(zone))), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(sidecarConfig(s.Seed, i, size.Sidecars, zone, "127.0.0.1:0", registryAddrs(zone))), 0o600); err != nil {
 			return c, err
 		}
-		c.paths = append(c.paths, path)
+		c.configPaths = append(c.configPaths, path)
 	}
 	return c, nil
 }
 
-// roleProcs bounds the threads of a role that run at once, so that the roles of a large
-// fleet take turns on the machine as on one of a few cores.
-const roleProcs = 2
+// roleMaxProcs is the GOMAXPROCS of a role process, as if it ran on a small machine.
+const roleMaxProcs = 2
 
-// link puts a wire between each zone and the registry.
-func (c *scene) link(d *Day, addrs []string) (byZone [][]string, err error) {
+// linkZones creates a network path between each zone and the registry.
+func (c *fleetRun) linkZones(d *Day, addrs []string) (byZone [][]string, err error) {
 	for z := range d.Zones {
-		w := newWire(c.s.Seed, uint64(z))
-		w.set(Both, func(x *Weather) { *x = d.calm(z) })
-		c.wires = append(c.wires, w)
+		w := newNetPath(c.experiment.Seed, uint64(z))
+		w.setConditions(DirectionBoth, func(x *Conditions) { *x = d.baseConditions(z) })
+		c.zonePaths = append(c.zonePaths, w)
 		var seen []string
 		for _, target := range addrs {
-			f, err := forward("127.0.0.1:0", target, false, func(netip.Addr) *wire { return w })
+			f, err := startForwarder("127.0.0.1:0", target, false, func(netip.Addr) *netPath { return w })
 			if err != nil {
 				return nil, fmt.Errorf("link of zone %d: %w", z, err)
 			}
-			c.fwd = append(c.fwd, f)
+			c.forwarders = append(c.forwarders, f)
 			seen = append(seen, f.tcp.Addr().String())
 		}
 		byZone = append(byZone, seen)
@@ -179,23 +177,22 @@
 	return byZone, nil
 }
 
-// calm is the way of a zone on a day without trouble.
-func (d *Day) calm(zone int) Weather {
+// baseConditions returns the conditions of a zone's path without events.
+func (d *Day) baseConditions(zone int) Conditions {
 	switch {
 	case zone%d.Regions != 0:
-		return Weather{Delay: d.Region}
+		return Conditions{Delay: d.RegionDelay}
 	case zone != 0:
-		return Weather{Delay: d.Zone}
+		return Conditions{Delay: d.ZoneDelay}
 	}
-	return Weather{}
+	return Conditions{}
 }
 
-// sidecarFile is the configuration of a sidecar: its own seed and place, and a discovery
-// for each service.
-func sidecarFile(seed uint64, number, of, zone int, listen string, addrs []string) string {
+// sidecarConfig returns the configuration of a sidecar, with a discovery pool for each service.
+func sidecarConfig(seed uint64, number, count, zone int, listen string, addrs []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[process]\nname = \"h%04d\"\nseed = \"%x\"\nmemory = \"256 MiB\"\ndescriptors = 4096\ninstance = %d\ninstances = %d\n[listeners.in]\naddress = %q\n",
-		number, (seed+1)*0x9e3779b97f4a7c15^uint64(number+1), number, of, listen)
+		number, (seed+1)*0x9e3779b97f4a7c15^uint64(number+1), number, count, listen)
 	for i, addr := range addrs {
 		name := hollow.PoolName(i)
 		fmt.Fprintf(&b, "[pools.%s]\ndiscovery = %q\nzone = \"zone-%d\"\nprefer_own_zone = true\n", name, addr, zone)
@@ -204,98 +201,97 @@
 	return b.String()
 }
 
-// startSpread is what the starts of sidecars are spread over: the wait of a watch. Those
-// of a fleet have begun at any time, and their calls come evenly; started all at once they
-// would go on asking in step.
+// startSpread is the time over which the starts of sidecars are spread, which is the wait of a
+// watch. Sidecars that start at once would keep polling in step.
 const startSpread = 500 * time.Millisecond
 
-// startHollow starts all sidecars.
-func (c *scene) startHollow() error {
-	jobs := make([][]hollow.Job, (c.size.Sidecars+c.s.Each-1)/c.s.Each)
-	for i, path := range c.paths {
-		jobs[i/c.s.Each] = append(jobs[i/c.s.Each], hollow.Job{Number: i, Path: path})
+// startHollow starts all hollow sidecars.
+func (c *fleetRun) startHollow() error {
+	jobs := make([][]hollow.Job, (c.size.Sidecars+c.experiment.SidecarsPerProcess-1)/c.experiment.SidecarsPerProcess)
+	for i, path := range c.configPaths {
+		jobs[i/c.experiment.SidecarsPerProcess] = append(jobs[i/c.experiment.SidecarsPerProcess], hollow.Job{Number: i, Path: path})
 	}
 	for k := range jobs {
-		h, err := startRole(c.nurse, c.o.Self, hollow.RoleSidecars, fmt.Sprintf("sidecars-%d", k), c.dir, roleProcs)
+		h, err := startRoleProcess(c.spawner, c.options.RoleCommand, hollow.RoleSidecars, fmt.Sprintf("sidecars-%d", k), c.dir, roleMaxProcs)
 		if err != nil {
 			return err
 		}
-		c.hosts = append(c.hosts, h)
+		c.sidecarHosts = append(c.sidecarHosts, h)
 	}
 	var all sync.WaitGroup
 	errs := make([]error, len(jobs))
-	for k, h := range c.hosts {
+	for k, h := range c.sidecarHosts {
 		all.Go(func() {
-			_, errs[k] = h.ask(&hollow.Command{Do: "start", Sidecars: jobs[k], ApartNs: int64(startSpread) / int64(len(jobs[k]))})
+			_, errs[k] = h.call(&hollow.Command{Do: "start", Sidecars: jobs[k], ApartNs: int64(startSpread) / int64(len(jobs[k]))})
 		})
 	}
 	all.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	for _, h := range c.hosts {
-		if _, err := h.ask(&hollow.Command{Do: "listed"}); err != nil {
+	for _, h := range c.sidecarHosts {
+		if _, err := h.call(&hollow.Command{Do: "listed"}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startReal starts one process of the program in place of all hollow ones.
-func (c *scene) startReal(ctx context.Context) error {
-	if c.o.Program == "" {
-		return errors.New("no program: --build NAME=PROGRAM")
+// startReal starts one process of the program instead of hollow sidecars.
+func (c *fleetRun) startReal(ctx context.Context) error {
+	if c.options.Program == "" {
+		return errors.New("no program given: want --build NAME=PROGRAM")
 	}
-	program, err := filepath.Abs(c.o.Program)
+	program, err := filepath.Abs(c.options.Program)
 	if err != nil {
 		return err
 	}
-	text, err := os.ReadFile(c.paths[0])
+	text, err := os.ReadFile(c.configPaths[0])
 	if err != nil {
 		return err
 	}
-	c.real = &instance{
-		place: &Place{Name: "real", Dir: c.dir, Config: c.paths[0]}, program: program, args: []string{"serve", "--config", c.paths[0]},
-		config: string(text), nursery: c.nurse, within: 20 * time.Second, drain: time.Second, crashed: func(line string) { c.o.tell("%s", line) },
+	c.realSidecar = &instance{
+		info: &InstanceInfo{Name: "real", Dir: c.dir, Config: c.configPaths[0]}, program: program, args: []string{"serve", "--config", c.configPaths[0]},
+		config: string(text), spawner: c.spawner, readyTimeout: 20 * time.Second, drainTimeout: time.Second, onCrash: func(line string) { c.options.logf("%s", line) },
 	}
-	if err := c.real.start(); err != nil {
+	if err := c.realSidecar.start(); err != nil {
 		return err
 	}
-	// It is there once every list has a subscriber.
-	for end := time.Now().Add(c.real.within); pause(ctx, 20*time.Millisecond); {
-		a, err := c.registry.ask(&hollow.Command{Do: "so far"})
+	// The process is ready once it watches every list.
+	for end := time.Now().Add(c.realSidecar.readyTimeout); sleep(ctx, 20*time.Millisecond); {
+		a, err := c.registry.call(&hollow.Command{Do: "so far"})
 		if err != nil {
 			return err
 		}
 		if a.Counts.Sockets >= c.size.Services {
 			return nil
 		}
-		if time.Now().After(end) || c.real.life.gone() {
-			return fmt.Errorf("asks for %d of %d lists%s", a.Counts.Sockets, c.size.Services, c.real.lastWords())
+		if time.Now().After(end) || c.realSidecar.process.hasExited() {
+			return fmt.Errorf("real sidecar watches %d of %d lists%s", a.Counts.Sockets, c.size.Services, c.realSidecar.logTail())
 		}
 	}
 	return ctx.Err()
 }
 
-// edit changes some endpoints, drawn.
-func (c *scene) edit(n int) error {
+// changeEndpoints changes n random endpoints.
+func (c *fleetRun) changeEndpoints(n int) error {
 	var edits []hollow.Edit
 	for range n {
 		edits = append(edits, hollow.Edit{Service: c.rng.IntN(c.size.Services), Endpoint: c.rng.IntN(c.size.Endpoints)})
 	}
-	_, err := c.registry.ask(&hollow.Command{Do: "edit", Edits: edits})
+	_, err := c.registry.call(&hollow.Command{Do: "edit", Edits: edits})
 	return err
 }
 
-// apart is how many sidecars do not have the registry's lists.
-func (c *scene) apart() (n int, err error) {
-	a, err := c.registry.ask(&hollow.Command{Do: "digest"})
+// countOutOfSync returns the number of sidecars whose lists differ from the registry's.
+func (c *fleetRun) countOutOfSync() (n int, err error) {
+	a, err := c.registry.call(&hollow.Command{Do: "digest"})
 	if err != nil {
 		return 0, err
 	}
 	seen := 0
-	for _, h := range c.hosts {
-		b, err := h.ask(&hollow.Command{Do: "digests"})
+	for _, h := range c.sidecarHosts {
+		b, err := h.call(&hollow.Command{Do: "digests"})
 		if err != nil {
 			return 0, err
 		}
@@ -308,163 +304,163 @@
 	return n + c.size.Sidecars - seen, nil
 }
 
-// settled waits until all have the registry's lists, and tells how many do not.
-func (c *scene) settled(ctx context.Context, within time.Duration) (apart int, err error) {
-	for end := time.Now().Add(within); ; {
-		if apart, err = c.apart(); err != nil || apart == 0 || time.Now().After(end) {
-			return apart, err
+// awaitSync waits until all sidecars have the registry's lists, and returns how many don't.
+func (c *fleetRun) awaitSync(ctx context.Context, timeout time.Duration) (outOfSync int, err error) {
+	for end := time.Now().Add(timeout); ; {
+		if outOfSync, err = c.countOutOfSync(); err != nil || outOfSync == 0 || time.Now().After(end) {
+			return outOfSync, err
 		}
-		if !pause(ctx, 100*time.Millisecond) {
-			return 0, fmt.Errorf("broken off: %w", ctx.Err())
+		if !sleep(ctx, 100*time.Millisecond) {
+			return 0, fmt.Errorf("interrupted: %w", ctx.Err())
 		}
 	}
 }
 
-// end leaves nothing behind.
-func (c *scene) end() {
-	for _, w := range c.wires {
-		w.end()
+// close ends all processes and removes all resources of the run.
+func (c *fleetRun) close() {
+	for _, w := range c.zonePaths {
+		w.close()
 	}
-	for _, f := range c.fwd {
+	for _, f := range c.forwarders {
 		f.close()
 	}
-	for _, h := range c.hosts {
-		h.end()
+	for _, h := range c.sidecarHosts {
+		h.close()
 	}
-	if c.real != nil {
-		c.real.kill()
+	if c.realSidecar != nil {
+		c.realSidecar.kill()
 	}
 	if c.registry != nil {
-		c.registry.end()
+		c.registry.close()
 	}
-	if c.nurse != nil {
-		c.nurse.close()
+	if c.spawner != nil {
+		c.spawner.close()
 	}
 	if c.dir != "" {
 		os.RemoveAll(c.dir)
 	}
 }
 
-// meter is what the roles and the machine had used when a measurement began.
-type meter struct {
-	c        *scene
-	sidecars []used
-	registry used
-	machine  machine
-	begin    time.Time
-	stop     context.CancelFunc
-	late     chan []time.Duration
-	over     chan error
+// usageMeter holds the resource usage at the start of a measurement.
+type usageMeter struct {
+	run            *fleetRun
+	sidecars       []usage
+	registry       usage
+	machine        machineStats
+	startedAt      time.Time
+	stop           context.CancelFunc
+	timerDelays    chan []time.Duration
+	memoryExceeded chan error
 }
 
-func (c *scene) pids() (all []int) {
-	for _, h := range c.hosts {
-		all = append(all, h.cmd.Process.Pid)
+func (c *fleetRun) pids() (all []int) {
+	for _, h := range c.sidecarHosts {
+		all = append(all, h.command.Process.Pid)
 	}
-	if c.real != nil {
-		all = append(all, c.real.life.cmd.Process.Pid)
+	if c.realSidecar != nil {
+		all = append(all, c.realSidecar.process.cmd.Process.Pid)
 	}
 	return all
 }
 
-// Who measures is late itself where the machine is the bottleneck.
+// Limits beyond which a measurement is void or fails.
 const (
-	lateStep  = 10 * time.Millisecond
-	mostLate  = 25 * time.Millisecond // of 99 in 100 of its own timers
-	mostBusy  = 0.95                  // of the whole machine, whoever uses it
-	mostBytes = 24 << 30              // of all roles together; half of the machine where that is less
+	timerInterval  = 10 * time.Millisecond
+	maxTimerDelay  = 25 * time.Millisecond // 99th percentile
+	maxMachineBusy = 0.95                  // share of the machine's CPU time, including other programs
+	maxRoleMemory  = 24 << 30              // bytes resident in all role processes; at most half of the machine's memory
 )
 
-// begin begins to measure: what was counted before is forgotten.
-func (c *scene) begin() (*meter, error) {
-	m := &meter{c: c, late: make(chan []time.Duration, 1), over: make(chan error, 1)}
-	if _, err := c.registry.ask(&hollow.Command{Do: "count"}); err != nil {
+// startMeter starts a measurement and resets the counters.
+func (c *fleetRun) startMeter() (*usageMeter, error) {
+	m := &usageMeter{run: c, timerDelays: make(chan []time.Duration, 1), memoryExceeded: make(chan error, 1)}
+	if _, err := c.registry.call(&hollow.Command{Do: "count"}); err != nil {
 		return nil, err
 	}
-	if _, err := c.registry.ask(&hollow.Command{Do: "changes"}); err != nil {
+	if _, err := c.registry.call(&hollow.Command{Do: "changes"}); err != nil {
 		return nil, err
 	}
 	var err error
-	if m.machine, err = theMachine(); err != nil {
+	if m.machine, err = readMachineStats(); err != nil {
 		return nil, err
 	}
-	if m.registry, err = usedBy(c.registry.cmd.Process.Pid); err != nil {
+	if m.registry, err = processUsage(c.registry.command.Process.Pid); err != nil {
 		return nil, err
 	}
 	for _, pid := range c.pids() {
-		u, err := usedBy(pid)
+		u, err := processUsage(pid)
 		if err != nil {
 			return nil, err
 		}
 		m.sidecars = append(m.sidecars, u)
 	}
-	m.begin = time.Now()
+	m.startedAt = time.Now()
 	var ctx context.Context
 	ctx, m.stop = context.WithCancel(context.Background())
-	go m.watch(ctx)
+	go m.sampleUntilStopped(ctx)
 	return m, nil
 }
 
-// watch notes how late its own timer is, and whether the roles have more memory than they
-// may.
-func (m *meter) watch(ctx context.Context) {
-	var late []time.Duration
-	most := min(int64(mostBytes), m.machine.memory/2)
+// sampleUntilStopped records the delays of its own timer, and reports if the role processes use
+// too much memory.
+func (m *usageMeter) sampleUntilStopped(ctx context.Context) {
+	var delays []time.Duration
+	maxMemory := min(int64(maxRoleMemory), m.machine.memory/2)
 	for n := 1; ; n++ {
-		due := time.Now().Add(lateStep)
-		if !pause(ctx, lateStep) {
+		due := time.Now().Add(timerInterval)
+		if !sleep(ctx, timerInterval) {
 			break
 		}
-		late = append(late, time.Since(due))
+		delays = append(delays, time.Since(due))
 		if n%100 != 0 {
 			continue
 		}
 		var all int64
-		for _, pid := range append(m.c.pids(), m.c.registry.cmd.Process.Pid) {
-			if u, err := usedBy(pid); err == nil {
+		for _, pid := range append(m.run.pids(), m.run.registry.command.Process.Pid) {
+			if u, err := processUsage(pid); err == nil {
 				all += u.memory
 			}
 		}
-		if all > most {
+		if all > maxMemory {
 			select {
-			case m.over <- fmt.Errorf("%d MiB resident in all roles, want %d at most", all>>20, most>>20):
+			case m.memoryExceeded <- fmt.Errorf("role processes use %d MiB, want %d MiB at most", all>>20, maxMemory>>20):
 			default:
 			}
 		}
 	}
-	m.late <- late
+	m.timerDelays <- delays
 }
 
-// end tells what has been used since begin.
-func (m *meter) end() (*Measured, error) {
-	span := time.Since(m.begin).Seconds()
+// finish returns the usage since the start of the measurement.
+func (m *usageMeter) finish() (*Measured, error) {
+	span := time.Since(m.startedAt).Seconds()
 	m.stop()
-	late := <-m.late
+	delays := <-m.timerDelays
 	select {
-	case err := <-m.over:
+	case err := <-m.memoryExceeded:
 		return nil, err
 	default:
 	}
-	res := &Measured{Size: m.c.size, Costs: map[string]float64{}}
+	res := &Measured{Size: m.run.size, Costs: map[string]float64{}}
 	var memory int64
 	var cpu time.Duration
-	for i, pid := range m.c.pids() {
-		u, err := usedBy(pid)
+	for i, pid := range m.run.pids() {
+		u, err := processUsage(pid)
 		if err != nil {
 			return nil, err
 		}
 		cpu += u.cpu - m.sidecars[i].cpu
 		memory += u.memory
 	}
-	u, err := usedBy(m.c.registry.cmd.Process.Pid)
+	u, err := processUsage(m.run.registry.command.Process.Pid)
 	if err != nil {
 		return nil, err
 	}
-	a, err := m.c.registry.ask(&hollow.Command{Do: "count"})
+	a, err := m.run.registry.call(&hollow.Command{Do: "count"})
 	if err != nil {
 		return nil, err
 	}
-	now, err := theMachine()
+	now, err := readMachineStats()
 	if err != nil {
 		return nil, err
 	}
@@ -476,26 +472,26 @@
 	} {
 		res.Costs[name] = x
 	}
-	if all := now.all - m.machine.all; all > 0 {
-		busy := float64(now.busy-m.machine.busy) / float64(all)
+	if ticks := now.totalTicks - m.machine.totalTicks; ticks > 0 {
+		busy := float64(now.busyTicks-m.machine.busyTicks) / float64(ticks)
 		res.Costs["busy"] = 100 * busy
-		if busy > mostBusy {
-			res.Void = append(res.Void, fmt.Sprintf("the machine was busy for %.0f%% of the time, want %.0f%% at most", 100*busy, 100*mostBusy))
+		if busy > maxMachineBusy {
+			res.Void = append(res.Void, fmt.Sprintf("the machine was busy for %.0f%% of the time, want %.0f%% at most", 100*busy, 100*maxMachineBusy))
 		}
 	}
-	slices.Sort(late)
-	if n := len(late); n > 0 {
-		if p := late[n*99/100]; p > mostLate {
-			res.Void = append(res.Void, fmt.Sprintf("a timer of the rig was %v late in one of a hundred cases, want %v at most", p.Round(time.Millisecond), mostLate))
+	slices.Sort(delays)
+	if n := len(delays); n > 0 {
+		if p := delays[n*99/100]; p > maxTimerDelay {
+			res.Void = append(res.Void, fmt.Sprintf("the 99th percentile of timer delays was %v, want %v at most", p.Round(time.Millisecond), maxTimerDelay))
 		}
 	}
 	return res, nil
 }
 
-// measureSize measures one size: a registry, all sidecars, changes at their pace.
-func measureSize(ctx context.Context, s *Scale, size Size, o *ScaleOptions, real bool) (*Measured, error) {
-	c, err := newScene(s, size, nil, o)
-	defer c.end()
+// measureSize measures one fleet size with changes at its rate.
+func measureSize(ctx context.Context, s *ScaleExperiment, size Size, o *ScaleOptions, real bool) (*Measured, error) {
+	c, err := newFleetRun(s, size, nil, o)
+	defer c.close()
 	if err != nil {
 		return nil, err
 	}
@@ -506,92 +502,92 @@
 	if err := start(); err != nil {
 		return nil, err
 	}
-	if !pause(ctx, s.Settle) {
-		return nil, fmt.Errorf("broken off: %w", ctx.Err())
+	if !sleep(ctx, s.SettleTime) {
+		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	at, err := c.registry.ask(&hollow.Command{Do: "so far"})
+	at, err := c.registry.call(&hollow.Command{Do: "so far"})
 	if err != nil {
 		return nil, err
 	}
-	m, err := c.begin()
+	m, err := c.startMeter()
 	if err != nil {
 		return nil, err
 	}
-	// Changes are evenly apart, the first one after half of their distance.
+	// Changes are evenly spaced; the first one comes after half an interval.
 	if size.Changes > 0 {
 		every := time.Duration(float64(time.Minute) / size.Changes)
-		for due := every / 2; due < s.Span; due += every {
-			if !pause(ctx, time.Until(m.begin.Add(due))) {
+		for due := every / 2; due < s.Duration; due += every {
+			if !sleep(ctx, time.Until(m.startedAt.Add(due))) {
 				break
 			}
-			if err := c.edit(1); err != nil {
+			if err := c.changeEndpoints(1); err != nil {
 				return nil, err
 			}
 		}
 	}
-	if !pause(ctx, time.Until(m.begin.Add(s.Span))) {
-		return nil, fmt.Errorf("broken off: %w", ctx.Err())
+	if !sleep(ctx, time.Until(m.startedAt.Add(s.Duration))) {
+		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	res, err := m.end()
+	res, err := m.finish()
 	if err != nil {
 		return nil, err
 	}
 	res.Costs["start_calls"], res.Costs["start_bytes"] = float64(at.Counts.Calls), float64(at.Counts.In+at.Counts.Out)
 	if !real {
-		if res.Apart, err = c.settled(ctx, settledWithin); err != nil {
+		if res.OutOfSync, err = c.awaitSync(ctx, syncTimeout); err != nil {
 			return nil, err
 		}
 	}
-	return res, c.inForce(res)
+	return res, c.recordPropagation(res)
 }
 
-// settledWithin is how long after the last change all must have it.
-const settledWithin = 10 * time.Second
+// syncTimeout is the time in which sidecars must have the last change.
+const syncTimeout = 10 * time.Second
 
-// inForce notes how long the changes took to be in force.
-func (c *scene) inForce(res *Measured) error {
-	a, err := c.registry.ask(&hollow.Command{Do: "changes"})
+// recordPropagation stores how long the changes took to be applied.
+func (c *fleetRun) recordPropagation(res *Measured) error {
+	a, err := c.registry.call(&hollow.Command{Do: "changes"})
 	if err != nil {
 		return err
 	}
-	res.force(a.Changes)
+	res.recordChangeTimes(a.Changes)
 	if c.day != nil {
-		c.day.byTrouble(res, a.Changes, c.dawn)
+		c.day.recordPerEvent(res, a.Changes, c.dayStart)
 	}
-	res.voided()
+	res.withoutVoidCosts()
 	return nil
 }
 
-// byTrouble books for each trouble of the file how long the slowest change took that was
-// made in it: which of them a slow one is to be put down to, and whose recovery it was.
-func (d *Day) byTrouble(m *Measured, changes []standin.Change, dawn time.Time) {
+// recordPerEvent stores, for each disruptive event, the propagation times of the changes made
+// while it lasted.
+func (d *Day) recordPerEvent(m *Measured, changes []standin.Change, dayStart time.Time) {
 	for i, e := range d.Events {
-		if e.Do == "heal" || e.Do == "start" {
+		if e.Action == "heal" || e.Action == "start" {
 			continue
 		}
 		to := 24.0
-		for _, over := range d.Events {
-			if over.Place == e.Place && over.Hour > e.Hour && (over.Do == "heal" || over.Do == "start") {
-				to = min(to, over.Hour)
+		for _, end := range d.Events {
+			if end.Location == e.Location && end.Hour > e.Hour && (end.Action == "heal" || end.Action == "start") {
+				to = min(to, end.Hour)
 			}
 		}
 		part := Measured{Costs: map[string]float64{}}
 		var in []standin.Change
 		for k := range changes {
-			if hour := 24 * changes[k].At.Sub(dawn).Seconds() / d.Span.Seconds(); hour >= d.Events[i].Hour && hour < to {
+			if hour := 24 * changes[k].At.Sub(dayStart).Seconds() / d.Duration.Seconds(); hour >= d.Events[i].Hour && hour < to {
 				in = append(in, changes[k])
 			}
 		}
-		part.force(in)
+		part.recordChangeTimes(in)
 		for name, x := range part.Costs {
-			m.Costs[e.Do+"-"+e.Place+"_"+name] = x
+			m.Costs[e.Action+"-"+e.Location+"_"+name] = x
 		}
 	}
 }
 
-// force books how long changes took to be in force at 50, 99 and 100 of 100 subscribers:
-// the median over all changes, and the slowest one.
-func (m *Measured) force(changes []standin.Change) {
+// recordChangeTimes stores how long changes took to reach 50, 99 and 100 per cent of the
+// subscribers: the median over all changes, and the maximum.
+func (m *Measured) recordChangeTimes(changes []standin.Change) {
 	shares := map[string]float64{"force50": 0.5, "force99": 0.99, "force100": 1}
 	times := map[string][]float64{}
 	for i := range changes {
@@ -612,42 +608,41 @@
 	}
 }
 
-func playSweep(ctx context.Context, s *Scale, w Sweep, o *ScaleOptions) (*SweepResult, error) {
-	res := &SweepResult{Of: w.Of}
+func runSweep(ctx context.Context, s *ScaleExperiment, w Sweep, o *ScaleOptions) (*SweepResult, error) {
+	res := &SweepResult{Dimension: w.Dimension}
 	for i, n := range w.Sizes {
 		if i == len(w.Sizes)-1 {
-			res.predict(n) // before it is run
+			res.predict(n)
 		}
 		size := s.Base
-		dimensions[w.Of](&size, n)
+		dimensions[w.Dimension](&size, n)
 		measure := func() (*Measured, error) { return measureSize(ctx, s, size, o, false) }
-		if w.Of == "depth" {
+		if w.Dimension == "depth" {
 			measure = func() (*Measured, error) {
-				m, err := playChain(ctx, s, n, o)
+				m, err := runChain(ctx, s, n, o)
 				if err != nil {
 					return nil, err
 				}
-				return m.voided(), nil
+				return m.withoutVoidCosts(), nil
 			}
 		}
-		m, err := o.again(measure)
+		m, err := o.repeatIfVoid(measure)
 		if err != nil {
 			return nil, fmt.Errorf("size %d: %w", n, err)
 		}
 		m.At = n
-		o.tell("%s, %d: %s", w.Of, n, m)
+		o.logf("%s, %d: %s", w.Dimension, n, m)
 		res.Sizes = append(res.Sizes, *m)
 	}
-	res.conclude()
+	res.fitLines()
 	return res, nil
 }
 
-// measureReload measures what it costs to apply a configuration of which one endpoint of
-// one pool has changed. Lists are in the file, as this is the way that a configuration has
-// today.
-func measureReload(ctx context.Context, s *Scale, size Size, o *ScaleOptions) (*Measured, error) {
-	c, err := newScene(s, size, nil, o)
-	defer c.end()
+// measureReload measures the cost of a reload in which one endpoint of one pool changes. The
+// endpoints are in the configuration file.
+func measureReload(ctx context.Context, s *ScaleExperiment, size Size, o *ScaleOptions) (*Measured, error) {
+	c, err := newFleetRun(s, size, nil, o)
+	defer c.close()
 	if err != nil {
 		return nil, err
 	}
@@ -665,7 +660,7 @@
 			}
 			fmt.Fprintf(&b, "]\n[[routes]]\nhost = \"%s.internal\"\npool = %q\n", hollow.PoolName(p), hollow.PoolName(p))
 		}
-		return os.WriteFile(c.paths[0], []byte(b.String()), 0o600)
+		return os.WriteFile(c.configPaths[0], []byte(b.String()), 0o600)
 	}
 	if err := write(0); err != nil {
 		return nil, err
@@ -673,26 +668,26 @@
 	if err := c.startHollow(); err != nil {
 		return nil, err
 	}
-	if !pause(ctx, s.Settle) {
-		return nil, fmt.Errorf("broken off: %w", ctx.Err())
+	if !sleep(ctx, s.SettleTime) {
+		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	m, err := c.begin()
+	m, err := c.startMeter()
 	if err != nil {
 		return nil, err
 	}
 	turns, took := 0, time.Duration(0)
-	for turns = 1; turns <= 20 && time.Since(m.begin) < s.Span; turns++ {
+	for turns = 1; turns <= 20 && time.Since(m.startedAt) < s.Duration; turns++ {
 		if err := write(turns); err != nil {
 			return nil, err
 		}
-		a, err := c.hosts[0].ask(&hollow.Command{Do: "reload", Sidecars: []hollow.Job{{Number: 0}}})
+		a, err := c.sidecarHosts[0].call(&hollow.Command{Do: "reload", Sidecars: []hollow.Job{{Number: 0}}})
 		if err != nil {
 			return nil, err
 		}
 		took += time.Duration(a.TookNs)
 	}
-	span := time.Since(m.begin).Seconds()
-	res, err := m.end()
+	span := time.Since(m.startedAt).Seconds()
+	res, err := m.finish()
 	if err != nil {
 		return nil, err
 	}
@@ -700,88 +695,88 @@
 		"reload_ms": took.Seconds() * 1000 / float64(turns-1), "reload_cpu_ms": res.Costs["sidecar_cpu"] * span / float64(turns-1),
 		"sidecar_memory": res.Costs["sidecar_memory"],
 	}
-	return res.voided(), nil
+	return res.withoutVoidCosts(), nil
 }
 
-// playDay plays a day, and waits until all is as it should be after it.
-func playDay(ctx context.Context, s *Scale, o *ScaleOptions) (*Measured, error) {
+// runDay runs a simulated day and waits until all sidecars are in sync.
+func runDay(ctx context.Context, s *ScaleExperiment, o *ScaleOptions) (*Measured, error) {
 	d := s.Day
-	c, err := newScene(s, d.Fleet, d, o)
-	defer c.end()
+	c, err := newFleetRun(s, d.Fleet, d, o)
+	defer c.close()
 	if err != nil {
 		return nil, err
 	}
 	if err := c.startHollow(); err != nil {
 		return nil, err
 	}
-	if !pause(ctx, s.Settle) {
-		return nil, fmt.Errorf("broken off: %w", ctx.Err())
+	if !sleep(ctx, s.SettleTime) {
+		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	m, err := c.begin()
+	m, err := c.startMeter()
 	if err != nil {
 		return nil, err
 	}
-	c.day, c.dawn = d, m.begin
-	work := newWorkers(c)
-	err = c.live(ctx, d, m.begin, work)
-	if err == nil && !pause(ctx, time.Until(m.begin.Add(d.Span))) {
-		err = fmt.Errorf("broken off: %w", ctx.Err())
+	c.day, c.dayStart = d, m.startedAt
+	queues := newHostQueues(c)
+	err = c.runDayActions(ctx, d, m.startedAt, queues)
+	if err == nil && !sleep(ctx, time.Until(m.startedAt.Add(d.Duration))) {
+		err = fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	// What the file leaves broken or away comes back, so that the end can be judged.
-	for z, w := range c.wires {
-		w.set(Both, func(x *Weather) { *x = d.calm(z) })
+	// Restore all links and sidecars, so that the final lists can be compared.
+	for z, w := range c.zonePaths {
+		w.setConditions(DirectionBoth, func(x *Conditions) { *x = d.baseConditions(z) })
 	}
-	var away []int
-	for i := range c.down {
-		away = append(away, i)
+	var stopped []int
+	for i := range c.stopped {
+		stopped = append(stopped, i)
 	}
-	slices.Sort(away)
-	c.turn(work, "start", away)
-	if failed := work.wait(); err == nil {
+	slices.Sort(stopped)
+	c.controlSidecars(queues, "start", stopped)
+	if failed := queues.wait(); err == nil {
 		err = failed
 	}
 	if err != nil {
 		return nil, err
 	}
-	res, err := m.end()
+	res, err := m.finish()
 	if err != nil {
 		return nil, err
 	}
-	if res.Apart, err = c.settled(ctx, settledWithin); err != nil {
+	if res.OutOfSync, err = c.awaitSync(ctx, syncTimeout); err != nil {
 		return nil, err
 	}
-	return res, c.inForce(res)
+	return res, c.recordPropagation(res)
 }
 
-// live does what happens in a day, each at its time.
-func (c *scene) live(ctx context.Context, d *Day, begin time.Time, work *workers) error {
-	for _, x := range d.deeds(c.s.Seed) {
-		at := time.Duration(x.hour / 24 * float64(d.Span))
-		if !pause(ctx, time.Until(begin.Add(at))) {
-			return fmt.Errorf("broken off: %w", ctx.Err())
+// runDayActions performs each action of a day at its time.
+func (c *fleetRun) runDayActions(ctx context.Context, d *Day, begin time.Time, queues *hostQueues) error {
+	for _, x := range d.actionsInOrder(c.experiment.Seed) {
+		at := time.Duration(x.hour / 24 * float64(d.Duration))
+		if !sleep(ctx, time.Until(begin.Add(at))) {
+			return fmt.Errorf("interrupted: %w", ctx.Err())
 		}
-		switch x.do {
+		switch x.action {
 		case "edit":
-			if err := c.edit(x.count); err != nil {
+			if err := c.changeEndpoints(x.editCount); err != nil {
 				return err
 			}
 		case "stop", "start", "restart":
-			if x.do != "restart" {
-				c.o.tell("hour %.1f: %s of %s, %d sidecars", x.hour, x.do, x.place, len(x.sidecars))
+			if x.action != "restart" {
+				c.options.logf("hour %.1f: %s of %s, %d sidecars", x.hour, x.action, x.location, len(x.sidecars))
 			}
-			c.turn(work, x.do, x.sidecars)
+			c.controlSidecars(queues, x.action, x.sidecars)
 		default:
-			c.o.tell("hour %.1f: %s of %s", x.hour, x.do, x.place)
-			for z, w := range c.wires {
-				if x.place == fmt.Sprintf("zone-%d", z) || x.place == fmt.Sprintf("region-%d", z%d.Regions) {
-					w.set(Both, func(y *Weather) {
-						switch x.do {
+			c.options.logf("hour %.1f: %s of %s", x.hour, x.action, x.location)
+			for z, w := range c.zonePaths {
+				if x.location == fmt.Sprintf("zone-%d", z) || x.location == fmt.Sprintf("region-%d", z%d.Regions) {
+					w.setConditions(DirectionBoth, func(y *Conditions) {
+						switch x.action {
 						case "cut":
 							y.Cut = true
 						case "heal":
-							*y = d.calm(z)
+							*y = d.baseConditions(z)
 						case "weather":
-							*y = x.to
+							*y = x.conditions
 						}
 					})
 				}
@@ -791,42 +786,42 @@
 	return nil
 }
 
-// turn stops, starts or restarts those sidecars for which that is something.
-func (c *scene) turn(work *workers, do string, sidecars []int) {
-	byHost := make([][]hollow.Job, len(c.hosts))
+// controlSidecars stops, starts or restarts sidecars. It skips those already in that state.
+func (c *fleetRun) controlSidecars(queues *hostQueues, command string, sidecars []int) {
+	byHost := make([][]hollow.Job, len(c.sidecarHosts))
 	for _, i := range sidecars {
-		if c.down[i] != (do == "start") {
+		if c.stopped[i] != (command == "start") {
 			continue
 		}
-		if delete(c.down, i); do == "stop" {
-			c.down[i] = true
+		if delete(c.stopped, i); command == "stop" {
+			c.stopped[i] = true
 		}
-		byHost[i/c.s.Each] = append(byHost[i/c.s.Each], hollow.Job{Number: i, Path: c.paths[i]})
+		byHost[i/c.experiment.SidecarsPerProcess] = append(byHost[i/c.experiment.SidecarsPerProcess], hollow.Job{Number: i, Path: c.configPaths[i]})
 	}
 	for k, jobs := range byHost {
 		if len(jobs) > 0 {
-			work.queues[k] <- &hollow.Command{Do: do, Sidecars: jobs}
+			queues.queues[k] <- &hollow.Command{Do: command, Sidecars: jobs}
 		}
 	}
 }
 
-// workers ask the hosts of sidecars, each for one thing after the other and none holding
-// up the rest of the day.
-type workers struct {
-	queues []chan *hollow.Command
-	all    sync.WaitGroup
-	mu     sync.Mutex
-	err    error
+// hostQueues sends commands to the processes that host sidecars. Each process handles one
+// command at a time, without delaying the others.
+type hostQueues struct {
+	queues  []chan *hollow.Command
+	running sync.WaitGroup
+	mu      sync.Mutex
+	err     error
 }
 
-func newWorkers(c *scene) *workers {
-	w := &workers{}
-	for _, h := range c.hosts {
+func newHostQueues(c *fleetRun) *hostQueues {
+	w := &hostQueues{}
+	for _, h := range c.sidecarHosts {
 		q := make(chan *hollow.Command, 4096)
 		w.queues = append(w.queues, q)
-		w.all.Go(func() {
+		w.running.Go(func() {
 			for x := range q {
-				if _, err := h.ask(x); err != nil {
+				if _, err := h.call(x); err != nil {
 					w.mu.Lock()
 					if w.err == nil {
 						w.err = err
@@ -839,11 +834,11 @@
 	return w
 }
 
-// wait waits until all that was asked for is done, and tells what first went wrong.
-func (w *workers) wait() error {
+// wait waits until all commands are done, and returns the first error.
+func (w *hostQueues) wait() error {
 	for _, q := range w.queues {
 		close(q)
 	}
-	w.all.Wait()
+	w.running.Wait()
 	return w.err
 }
