--- a/internal/proving/scale_test.go
+++ b/internal/proving/scale_test.go
@@ -22,11 +22,11 @@
 	"gorselink/internal/tomlfile"
 )
 
-const asRole = "be-a-role"
+const roleArg = "run-role"
 
-// Hollow sidecars of several processes have the registry's lists after a day with all its
-// trouble, at every size: the same verdict every time, whatever the machine does besides.
-func TestScaleRunSmall(t *testing.T) {
+// All hollow sidecars have the registry's lists after a simulated day with disruptions and at
+// every fleet size.
+func TestSmallScaleRun(t *testing.T) {
 	t.Parallel()
 	_, s, err := ReadAny(filepath.Join("testdata", "scale.toml"))
 	if err != nil {
@@ -34,15 +34,15 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	res, err := PlayScale(ctx, s, ScaleOptions{Self: []string{os.Args[0], asRole}, Tell: func(line string) { t.Log(line) }})
+	res, err := RunScale(ctx, s, ScaleOptions{RoleCommand: []string{os.Args[0], roleArg}, Log: func(line string) { t.Log(line) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, line := range res.Broken() {
+	for _, line := range res.Violations() {
 		t.Error(line)
 	}
 	if res.Day == nil || res.Day.Changes != s.Day.Changes || len(res.Reloads) != 1 {
-		t.Errorf("the day: %+v; reloads: %+v", res.Day, res.Reloads)
+		t.Errorf("day: %+v; reloads: %+v", res.Day, res.Reloads)
 	}
 	if sizes := res.Sweeps[0].Sizes; len(sizes) != 4 || sizes[3].Size.Sidecars != 24 || sizes[3].Changes == 0 {
 		t.Errorf("sizes: %+v", sizes)
@@ -54,27 +54,27 @@
 	if left, _ := filepath.Glob("/proc/[0-9]*/cmdline"); len(left) > 0 {
 		for _, path := range left {
 			text, _ := os.ReadFile(path)
-			if strings.HasPrefix(string(text), os.Args[0]+"\x00"+asRole) {
-				t.Errorf("a role is left: %s", path)
+			if strings.HasPrefix(string(text), os.Args[0]+"\x00"+roleArg) {
+				t.Errorf("role process still runs: %s", path)
 			}
 		}
 	}
 }
 
-// twin is a real or a hollow sidecar, given the same news as the other one.
-type twin struct {
-	r     *standin.Registry
-	path  string
-	addrs *strings.Replacer // its registry's addresses to what both have in common
+// testSidecar is a real or a hollow sidecar with its own registry.
+type testSidecar struct {
+	registry *standin.Registry
+	path     string
+	addrs    *strings.Replacer // replaces the registry's addresses with names that both sidecars share
 }
 
-func newTwin(t *testing.T, name string, lists [][]standin.Entry) *twin {
+func newTestSidecar(t *testing.T, name string, lists [][]standin.Entry) *testSidecar {
 	r, err := standin.StartRegistry("127.0.0.1", lists)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	w := &twin{r: r, path: filepath.Join(t.TempDir(), name+".toml")}
+	w := &testSidecar{registry: r, path: filepath.Join(t.TempDir(), name+".toml")}
 	var pairs []string
 	for i, addr := range r.Addrs() {
 		r.Keep(i)
@@ -84,45 +84,45 @@
 	return w
 }
 
-// write writes its file: the first of the lists, and more.
-func (w *twin) write(t *testing.T, front string, services int, more string) {
-	text := sidecarFile(1, 0, 1, 0, front, w.r.Addrs()[:services]) + more
+// write writes the configuration with the first lists and additional text.
+func (w *testSidecar) write(t *testing.T, front string, services int, extra string) {
+	text := sidecarConfig(1, 0, 1, 0, front, w.registry.Addrs()[:services]) + extra
 	if err := os.WriteFile(w.path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// asked is what was asked of a list, a call that brought nothing and those repeated
-// without a wait left out, as they are a matter of time.
-func (w *twin) asked(list int) (news []string, calls int) {
-	for _, q := range w.r.Asked(list) {
-		if q = strings.TrimSuffix(q, "&wait_ms=0"); len(news) == 0 || news[len(news)-1] != strings.TrimSuffix(q, "&wait_ms=500") {
-			news = append(news, strings.TrimSuffix(q, "&wait_ms=500"))
+// queries returns the queries for a list and their number. Repeated queries and wait times are
+// left out, as they depend on timing.
+func (w *testSidecar) queries(list int) (distinct []string, calls int) {
+	for _, q := range w.registry.Asked(list) {
+		if q = strings.TrimSuffix(q, "&wait_ms=0"); len(distinct) == 0 || distinct[len(distinct)-1] != strings.TrimSuffix(q, "&wait_ms=500") {
+			distinct = append(distinct, strings.TrimSuffix(q, "&wait_ms=500"))
 		}
 		calls++
 	}
-	return news, calls
+	return distinct, calls
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within half a minute", what)
+			t.Fatalf("%s: not within 30 s", what)
 		}
 	}
 }
 
 var reloadLine = regexp.MustCompile(`INFO reload change=(.*)`)
 
-// A hollow sidecar and a process of `gorselink serve`, given the same news, come to the
-// same list and the same configuration by the same messages. Neither opens a socket to an
-// endpoint that nobody calls.
-func TestHollowIsTheRealThing(t *testing.T) {
+// A hollow sidecar and a process of `gorselink serve` that get the same changes send the same
+// queries and end with the same lists and configuration. Neither opens a socket to an endpoint
+// before the first request.
+func TestHollowSidecarMatchesRealSidecar(t *testing.T) {
 	t.Parallel()
 	const services = 3
-	path := program(t)
-	var ends [services][]*standin.Node
+	path := buildProgram(t)
+	var endpoints [services][]*standin.Node
 	lists := make([][]standin.Entry, services)
 	for s := range services {
 		for e := range 4 {
@@ -131,62 +131,62 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(n.Close)
-			ends[s] = append(ends[s], n)
+			endpoints[s] = append(endpoints[s], n)
 			if e < 3 {
 				lists[s] = append(lists[s], standin.EntryOf(n, "in_service"))
 			}
 		}
 	}
-	real, hollowOne := newTwin(t, "real", lists), newTwin(t, "hollow", lists)
-	twins := []*twin{real, hollowOne}
-	block, lock, err := takeBlock()
+	realSidecar, hollowSidecar := newTestSidecar(t, "real", lists), newTestSidecar(t, "hollow", lists)
+	sidecars := []*testSidecar{realSidecar, hollowSidecar}
+	block, lock, err := acquireAddressBlock()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { lock.Close() })
-	front := fmt.Sprintf("%s:%d", hostOf(block, 0), portBase)
-	real.write(t, front, 2, "")
-	hollowOne.write(t, "127.0.0.1:0", 2, "")
+	front := fmt.Sprintf("%s:%d", instanceHost(block, 0), portBase)
+	realSidecar.write(t, front, 2, "")
+	hollowSidecar.write(t, "127.0.0.1:0", 2, "")
 
-	nurse := newNursery()
-	t.Cleanup(nurse.close)
-	dir := filepath.Dir(real.path)
-	text, err := os.ReadFile(real.path)
+	spawner := newProcessSpawner()
+	t.Cleanup(spawner.close)
+	dir := filepath.Dir(realSidecar.path)
+	text, err := os.ReadFile(realSidecar.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &instance{place: &Place{Name: "real", Dir: dir, Config: real.path}, program: path, args: []string{"serve", "--config", real.path}, config: string(text),
-		nursery: nurse, within: 20 * time.Second, drain: 20 * time.Second, crashed: func(line string) { t.Error(line) }}
+	p := &instance{info: &InstanceInfo{Name: "real", Dir: dir, Config: realSidecar.path}, program: path, args: []string{"serve", "--config", realSidecar.path}, config: string(text),
+		spawner: spawner, readyTimeout: 20 * time.Second, drainTimeout: 20 * time.Second, onCrash: func(line string) { t.Error(line) }}
 	if err := p.start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.kill)
 	var fleet hollow.Fleet
 	t.Cleanup(fleet.Close)
-	if err := fleet.Start(0, hollowOne.path); err != nil {
+	if err := fleet.Start(0, hollowSidecar.path); err != nil {
 		t.Fatal(err)
 	}
-	have := func(list, index int) {
+	waitForIndex := func(list, index int) {
 		t.Helper()
-		for _, w := range twins {
-			eventually(t, fmt.Sprintf("change %d of list %d", index, list), func() bool {
-				news, _ := w.asked(list)
+		for _, w := range sidecars {
+			waitFor(t, fmt.Sprintf("change %d of list %d", index, list), func() bool {
+				news, _ := w.queries(list)
 				return len(news) > 0 && news[len(news)-1] == fmt.Sprintf("after=%d", index)
 			})
 		}
 	}
-	have(0, 1)
-	have(1, 1)
+	waitForIndex(0, 1)
+	waitForIndex(1, 1)
 	change := func(list, node int, status string) {
 		t.Helper()
 		index := 0
-		for _, w := range twins {
+		for _, w := range sidecars {
 			var err error
-			if index, err = w.r.Change(list, standin.EntryOf(ends[list][node], status)); err != nil {
+			if index, err = w.registry.Change(list, standin.EntryOf(endpoints[list][node], status)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		have(list, index)
+		waitForIndex(list, index)
 	}
 	change(0, 1, "terminating")
 	change(1, 3, "in_service")
@@ -194,10 +194,10 @@
 	change(0, 3, "in_service")
 	change(1, 0, "terminating")
 
-	// One more pool, a class and another bound, taken up by reading the file again.
+	// A reload adds a pool, a class and a route.
 	more := "[classes.pay]\nworth = 5\n[[routes]]\nhost = \"pay.internal\"\npool = \"s000\"\nclass = \"pay\"\n"
-	real.write(t, front, 3, more)
-	hollowOne.write(t, "127.0.0.1:0", 3, more)
+	realSidecar.write(t, front, 3, more)
+	hollowSidecar.write(t, "127.0.0.1:0", 3, more)
 	if _, err := p.signal(syscall.SIGHUP, false); err != nil {
 		t.Fatal(err)
 	}
@@ -205,86 +205,86 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	have(2, 1)
+	waitForIndex(2, 1)
 	change(2, 2, "terminated")
-	var told []string
-	eventually(t, "the real one's changes", func() bool {
+	var logged []string
+	waitFor(t, "configuration changes of the real sidecar", func() bool {
 		log, _ := os.ReadFile(filepath.Join(dir, "log"))
-		told = nil
+		logged = nil
 		for _, m := range reloadLine.FindAllStringSubmatch(string(log), -1) {
-			told = append(told, unquoted(m[1]))
+			logged = append(logged, unquote(m[1]))
 		}
-		return len(told) >= len(changes)
+		return len(logged) >= len(changes)
 	})
 	for i := range changes {
-		changes[i] = hollowOne.addrs.Replace(changes[i])
+		changes[i] = hollowSidecar.addrs.Replace(changes[i])
 	}
-	if all := real.addrs.Replace(strings.Join(told, "\n")); all != strings.Join(changes, "\n") || len(changes) < 2 {
-		t.Errorf("the real one's configuration has changed by\n%s\nthe hollow one's by\n%s", all, strings.Join(changes, "\n"))
+	if all := realSidecar.addrs.Replace(strings.Join(logged, "\n")); all != strings.Join(changes, "\n") || len(changes) < 2 {
+		t.Errorf("configuration changes of the real sidecar:\n%s\nof the hollow sidecar:\n%s", all, strings.Join(changes, "\n"))
 	}
 
-	// What each asked for to come there, and how often it asks when there is nothing new.
-	quiet := [2][services]int{}
-	for i, w := range twins {
+	// Compare the queries so far, and the rate of polls without changes.
+	callsBefore := [2][services]int{}
+	for i, w := range sidecars {
 		for l := range services {
-			_, quiet[i][l] = w.asked(l)
+			_, callsBefore[i][l] = w.queries(l)
 		}
 	}
-	for i, w := range twins {
+	for i, w := range sidecars {
 		for l := range services {
-			eventually(t, "calls that bring nothing", func() bool { _, calls := w.asked(l); return calls >= quiet[i][l]+4 })
+			waitFor(t, "polls without changes", func() bool { _, calls := w.queries(l); return calls >= callsBefore[i][l]+4 })
 		}
 	}
 	for l := range services {
-		a, calls := real.asked(l)
-		b, calls2 := hollowOne.asked(l)
-		if !slices.Equal(a, b) { // with a wait of another length too
-			t.Errorf("list %d: the real one asked for %q, the hollow one for %q", l, a, b)
+		a, realCalls := realSidecar.queries(l)
+		b, hollowCalls := hollowSidecar.queries(l)
+		if !slices.Equal(a, b) { // also with different wait times
+			t.Errorf("list %d: the real sidecar queried %q, the hollow one %q", l, a, b)
 		}
-		// As many in the same time; a machine that stops for seconds stops neither alike.
-		idle, idle2 := calls-quiet[0][l], calls2-quiet[1][l]
-		if least := min(idle, idle2); max(idle, idle2) > 2+least+least/2 {
-			t.Errorf("list %d: %d calls of the real one that bring nothing, %d of the hollow one", l, idle, idle2)
+		// The rates are compared with a tolerance, as the machine may stall either sidecar.
+		realIdle, hollowIdle := realCalls-callsBefore[0][l], hollowCalls-callsBefore[1][l]
+		if fewest := min(realIdle, hollowIdle); max(realIdle, hollowIdle) > 2+fewest+fewest/2 {
+			t.Errorf("list %d: %d polls without changes by the real sidecar, %d by the hollow one", l, realIdle, hollowIdle)
 		}
 	}
 	opened := 0
 	for s := range services {
-		for _, n := range ends[s] {
+		for _, n := range endpoints[s] {
 			opened += n.Opened()
 		}
 	}
 	if opened > 0 {
-		t.Errorf("%d sockets to endpoints before anybody called", opened)
+		t.Errorf("%d sockets to endpoints before the first request", opened)
 	}
 
-	// The real one's list is where its requests go; the hollow one tells its own.
+	// The real sidecar's list shows in where its requests go.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	lists2 := fleet.Lists(0)
+	hollowLists := fleet.Lists(0)
 	for s := range services {
 		var known []string
-		for _, e := range lists2[hollow.PoolName(s)].Endpoints {
+		for _, e := range hollowLists[hollow.PoolName(s)].Endpoints {
 			if e.Status == nodes.InService {
 				known = append(known, e.Name)
 			}
 		}
 		reached := func() (names []string) {
-			for _, n := range ends[s] {
+			for _, n := range endpoints[s] {
 				if n.Total() > 0 {
 					names = append(names, n.Name())
 				}
 			}
 			return names
 		}
-		// One that has joined meanwhile is warming up, and not owed a share of the first 60.
+		// An endpoint that joined is warming up and may get none of the first 60 requests.
 		good := 0
-		eventually(t, "60 requests of the real one, and one at each endpoint", func() bool {
+		waitFor(t, "60 requests through the real sidecar, at least one at each endpoint", func() bool {
 			req, err := http.NewRequest(http.MethodGet, "http://"+front+"/", nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			req.Host = hollow.PoolName(s) + ".internal"
-			// A front lets go of a caller that stops for two seconds, as all do on a
-			// machine that is too busy: where it went is what counts.
+			// The sidecar drops a connection that stalls for two seconds, which may happen on a busy
+			// machine. Failed requests are repeated.
 			resp, err := client.Do(req)
 			if err != nil {
 				return false
@@ -298,54 +298,54 @@
 		})
 		served := reached()
 		if !slices.Equal(served, known) || len(known) < 2 {
-			t.Errorf("service %d: the real one knows %q, the hollow one %q", s, served, known)
+			t.Errorf("service %d: the real sidecar has endpoints %q, the hollow one %q", s, served, known)
 		}
 	}
 }
 
-func unquoted(s string) string {
+func unquote(s string) string {
 	if strings.HasPrefix(s, `"`) {
 		return strings.ReplaceAll(strings.Trim(s, `"`), `\"`, `"`)
 	}
 	return s
 }
 
-// The same seed gives the same day: all its changes, most of them in four hours, and each
-// machine that goes comes back.
-func TestDayOfAFleet(t *testing.T) {
-	d := &Day{Fleet: Size{Sidecars: 84}, Changes: 2700, Restarts: 260, Machines: 6, Machine: 4, Regions: 3, Zones: 7}
-	all, again := d.deeds(1), d.deeds(1)
-	counts, noon := map[string]int{}, 0
+// A day depends only on its seed. It has all its changes, most of them within four hours, and
+// each failed machine returns.
+func TestDayActions(t *testing.T) {
+	d := &Day{Fleet: Size{Sidecars: 84}, Changes: 2700, Restarts: 260, MachineFailures: 6, SidecarsPerMachine: 4, Regions: 3, Zones: 7}
+	all, again := d.actionsInOrder(1), d.actionsInOrder(1)
+	counts, morningChanges := map[string]int{}, 0
 	for i, x := range all {
-		if again[i].do != x.do || again[i].hour != x.hour || i > 0 && x.hour < all[i-1].hour {
-			t.Fatalf("deed %d: %+v and %+v", i, x, again[i])
+		if again[i].action != x.action || again[i].hour != x.hour || i > 0 && x.hour < all[i-1].hour {
+			t.Fatalf("action %d: %+v and %+v", i, x, again[i])
 		}
-		if counts[x.do] += max(1, x.count); x.do == "edit" && x.hour >= 9 && x.hour < 13 {
-			noon += x.count
+		if counts[x.action] += max(1, x.editCount); x.action == "edit" && x.hour >= 9 && x.hour < 13 {
+			morningChanges += x.editCount
 		}
-		if x.place != "" && len(x.sidecars) != 4 {
-			t.Errorf("%s has sidecars %v, want 4", x.place, x.sidecars)
+		if x.location != "" && len(x.sidecars) != 4 {
+			t.Errorf("%s has sidecars %v, want 4", x.location, x.sidecars)
 		}
 	}
-	if counts["edit"] != 2700 || counts["restart"] != 260 || counts["stop"] != 6 || counts["start"] != 6 || noon < 1620 {
-		t.Errorf("%v, %d changes from nine to one", counts, noon)
+	if counts["edit"] != 2700 || counts["restart"] != 260 || counts["stop"] != 6 || counts["start"] != 6 || morningChanges < 1620 {
+		t.Errorf("%v, %d changes between 9:00 and 13:00", counts, morningChanges)
 	}
 	seen := map[string]int{}
 	for i := range d.Fleet.Sidecars {
-		for _, place := range []string{fmt.Sprintf("zone-%d", d.zone(i)), fmt.Sprintf("region-%d", d.zone(i)%3), fmt.Sprintf("machine-%d", d.machine(i)), fmt.Sprintf("rack-%d", d.rack(d.machine(i)))} {
+		for _, place := range []string{fmt.Sprintf("zone-%d", d.zoneOf(i)), fmt.Sprintf("region-%d", d.zoneOf(i)%3), fmt.Sprintf("machine-%d", d.machineOf(i)), fmt.Sprintf("rack-%d", d.rackOf(d.machineOf(i)))} {
 			seen[place]++
-			if !slices.Contains(d.at(place), i) {
-				t.Errorf("sidecar %d is not of %s", i, place)
+			if !slices.Contains(d.sidecarsAt(place), i) {
+				t.Errorf("sidecar %d is not in %s", i, place)
 			}
 		}
 	}
-	if len(seen) != 7+3+21+7 || len(d.at("zone-7")) > 0 || len(d.at("moon-1")) > 0 || len(d.at("zone")) > 0 {
-		t.Errorf("places: %v", seen)
+	if len(seen) != 7+3+21+7 || len(d.sidecarsAt("zone-7")) > 0 || len(d.sidecarsAt("moon-1")) > 0 || len(d.sidecarsAt("zone")) > 0 {
+		t.Errorf("locations: %v", seen)
 	}
 }
 
-// Everything that is wrong with a file is told at once, with line and key.
-func TestScaleFaults(t *testing.T) {
+// All errors in a scale experiment are reported at once, with line and key.
+func TestScaleReportsAllErrors(t *testing.T) {
 	_, err := ParseScale("x.toml", []byte("kind = \"scale\"\nspan = \"1\"\n[fleet]\nsidecars = 5000\nservices = 900\n[[sweeps]]\nof = \"moons\"\nsizes = [3, 4, 5]\n[[sweeps]]\nof = \"endpoints\"\nsizes = [4, 3, 5, 6, 7]\n[[reals]]\nsidecars = 2\n[day]\nnight = 1\n[[day.events]]\non = \"zone-9\"\ndo = \"cut\"\n"))
 	var faults tomlfile.Errors
 	if !errors.As(err, &faults) {
@@ -353,22 +353,22 @@
 	}
 	for _, want := range []string{"x.toml:2: span", "x.toml:4: fleet.sidecars", "x.toml:7: sweeps[0].of", "x.toml:8: sweeps[0].sizes", "x.toml:11: sweeps[1].sizes", "x.toml:13: reals[0].sidecars", "x.toml:15: day.night", "x.toml:17: day.events[0].on"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("not told: %s; told:\n%v", want, err)
+			t.Errorf("not reported: %s; reported:\n%v", want, err)
 		}
 	}
 }
 
-// Where the machine was the bottleneck there is no figure, and no line hangs on it; a
-// prediction is told from the smaller half alone.
-func TestVoidSizesGiveNoFigure(t *testing.T) {
+// Void measurements have no costs and are left out of the fit. Predictions use only the smaller
+// half of the sizes.
+func TestVoidSizesHaveNoCosts(t *testing.T) {
 	sized := func(at int, calls float64, void ...string) Measured {
 		m := Measured{At: at, Costs: map[string]float64{"calls": calls}, Void: void}
-		return *m.voided()
+		return *m.withoutVoidCosts()
 	}
-	r := SweepResult{Of: "sidecars", Sizes: []Measured{sized(1, 10), sized(2, 20), sized(3, 999, "busy")}}
+	r := SweepResult{Dimension: "sidecars", Sizes: []Measured{sized(1, 10), sized(2, 20), sized(3, 999, "busy")}}
 	r.predict(4)
 	r.Sizes = append(r.Sizes, sized(4, 44))
-	r.conclude()
+	r.fitLines()
 	if len(r.Lines) != 1 {
 		t.Fatalf("%+v", r.Lines)
 	}
@@ -379,35 +379,35 @@
 	far := SweepResult{Sizes: []Measured{sized(1, 10), sized(2, 20), sized(3, 30)}}
 	far.predict(4)
 	far.Sizes = append(far.Sizes, sized(4, 80))
-	if far.conclude(); far.Lines[0].Used {
-		t.Error("a slope that missed by half is used")
+	if far.fitLines(); far.Lines[0].Used {
+		t.Error("a slope whose prediction missed by half is used")
 	}
 }
 
-// What the machine spoilt is measured once more, so often at most over a whole run.
-func TestSpoiltSizesAreMeasuredAgain(t *testing.T) {
+// Void measurements are repeated, up to a limit per run.
+func TestVoidSizesAreMeasuredAgain(t *testing.T) {
 	calls := 0
-	measure := func(spoilt int) func() (*Measured, error) {
+	measure := func(voidCount int) func() (*Measured, error) {
 		calls = 0
 		return func() (*Measured, error) {
-			if calls++; calls <= spoilt {
+			if calls++; calls <= voidCount {
 				return &Measured{Void: []string{"busy"}}, nil
 			}
 			return &Measured{}, nil
 		}
 	}
 	var o ScaleOptions
-	if m, err := o.again(measure(2)); err != nil || len(m.Void) > 0 || calls != 3 {
+	if m, err := o.repeatIfVoid(measure(2)); err != nil || len(m.Void) > 0 || calls != 3 {
 		t.Errorf("%+v, %v after %d calls", m, err, calls)
 	}
-	if m, err := o.again(measure(99)); err != nil || len(m.Void) == 0 || calls != 1+mostRepeats-2 {
+	if m, err := o.repeatIfVoid(measure(99)); err != nil || len(m.Void) == 0 || calls != 1+maxRepetitions-2 {
 		t.Errorf("%+v, %v after %d calls", m, err, calls)
 	}
 }
 
-// The page reads what a run has written, with nothing where the machine was the bottleneck.
+// The capacity page can read the written slopes; void measurements have no figures.
 func TestSlopesAreReadBack(t *testing.T) {
-	s := SweepResult{Of: "sidecars"}
+	s := SweepResult{Dimension: "sidecars"}
 	for i, calls := range []float64{200, 410, 590, 805} {
 		s.Sizes = append(s.Sizes, Measured{At: 10 * (i + 1), Size: Size{Sidecars: 10 * (i + 1), Services: 10}, Costs: map[string]float64{"calls": calls, "busy": 20 + float64(i)}})
 	}
@@ -415,8 +415,8 @@
 	s.Sizes = s.Sizes[:3]
 	s.predict(40)
 	s.Sizes = append(s.Sizes, last)
-	s.conclude()
-	r := ScaleResult{Experiment: "x", Seed: 7, Cores: 8, Faster: 1800, Sweeps: []SweepResult{s}, Reals: []Measured{{Size: Size{Services: 20}, Void: []string{"busy"}}}, Day: &Measured{Costs: map[string]float64{"calls": 12.5}, Changes: 3}}
+	s.fitLines()
+	r := ScaleResult{Experiment: "x", Seed: 7, Cores: 8, Speedup: 1800, Sweeps: []SweepResult{s}, RealSidecars: []Measured{{Size: Size{Services: 20}, Void: []string{"busy"}}}, Day: &Measured{Costs: map[string]float64{"calls": 12.5}, Changes: 3}}
 	var b strings.Builder
 	if err := r.WriteSlopes(&b, "prove x"); err != nil {
 		t.Fatal(err)
@@ -440,19 +440,19 @@
 	}
 }
 
-// A slow change is put down to the trouble that it was made in, and to no other.
-func TestTroublesOfADay(t *testing.T) {
-	d := &Day{Span: 24 * time.Second, Events: []ScaleEvent{
-		{Hour: 2, Do: "cut", Place: "region-1"}, {Hour: 4, Do: "heal", Place: "region-1"}, {Hour: 5, Do: "heal", Place: "region-1"},
-		{Hour: 3, Do: "stop", Place: "zone-1"}, {Hour: 6, Do: "start", Place: "zone-1"}, {Hour: 20, Do: "weather", Place: "zone-2"},
+// A change counts for the event that was in effect when it was made, and for no other.
+func TestChangeTimesPerDayEvent(t *testing.T) {
+	d := &Day{Duration: 24 * time.Second, Events: []ScaleEvent{
+		{Hour: 2, Action: "cut", Location: "region-1"}, {Hour: 4, Action: "heal", Location: "region-1"}, {Hour: 5, Action: "heal", Location: "region-1"},
+		{Hour: 3, Action: "stop", Location: "zone-1"}, {Hour: 6, Action: "start", Location: "zone-1"}, {Hour: 20, Action: "weather", Location: "zone-2"},
 	}}
-	dawn := time.Unix(1000, 0)
+	dayStart := time.Unix(1000, 0)
 	var changes []standin.Change
 	for hour, ms := range map[int]int{1: 900, 2: 20, 3: 30, 4: 40, 5: 50, 6: 800, 23: 7} {
-		changes = append(changes, standin.Change{At: dawn.Add(time.Duration(hour) * time.Second), Took: []time.Duration{time.Millisecond, time.Duration(ms) * time.Millisecond}})
+		changes = append(changes, standin.Change{At: dayStart.Add(time.Duration(hour) * time.Second), Took: []time.Duration{time.Millisecond, time.Duration(ms) * time.Millisecond}})
 	}
 	m := &Measured{Costs: map[string]float64{}}
-	d.byTrouble(m, changes, dawn)
+	d.recordPerEvent(m, changes, dayStart)
 	for name, want := range map[string]float64{"cut-region-1": 30, "stop-zone-1": 50, "weather-zone-2": 7} {
 		if got := m.Costs[name+"_force100_slowest"]; got != want || m.Costs[name+"_force50_slowest"] != 1 {
 			t.Errorf("%s: %v, want %v; all: %v", name, got, want, m.Costs)
--- a/internal/proving/wire.go
+++ b/internal/proving/wire.go
@@ -13,72 +13,72 @@
 	"gorselink/internal/acceptloop"
 )
 
-// Weather is how a way treats what goes over it, in one direction.
-type Weather struct {
-	Delay  time.Duration // of everything
-	Jitter time.Duration // on top of Delay, drawn evenly from 0 to this
-	Loss   float64       // share of what is lost: a datagram for good, a piece of a stream for as long as a retransmission takes
-	Rate   int64         // bytes a second; 0 for no bound
-	Cut    bool          // nothing comes through, and nobody is told
+// Conditions describes how a network path treats the data in one direction.
+type Conditions struct {
+	Delay  time.Duration
+	Jitter time.Duration // added to Delay, drawn evenly from 0 to Jitter
+	Loss   float64       // probability that a datagram is dropped, or that a chunk of a stream is retransmitted
+	Rate   int64         // bytes per second; 0 for no limit
+	Cut    bool          // nothing passes, and neither side is notified
 }
 
-// Way is a direction of a link: Out is from the one that opens connections.
-type Way string
+// Direction is a direction of a link. DirectionOut is from the side that opens connections.
+type Direction string
 
 const (
-	Both Way = "both"
-	Out  Way = "out"
-	Back Way = "back"
+	DirectionBoth Direction = "both"
+	DirectionOut  Direction = "out"
+	DirectionBack Direction = "back"
 )
 
-func (w Way) has(dir int) bool {
-	return w == Both || dir == out && w == Out || dir == back && w == Back
+func (w Direction) includes(dir int) bool {
+	return w == DirectionBoth || dir == dirOut && w == DirectionOut || dir == dirBack && w == DirectionBack
 }
 
 const (
-	out = iota
-	back
-	ways
+	dirOut = iota
+	dirBack
+	dirCount
 )
 
-// retransmit is what the loss of a piece of a stream costs: the least time after
-// which TCP sends again (RFC 6298 has a second, the common systems 200 ms).
-const retransmit = 200 * time.Millisecond
-
-// wire is one way between two parties, both directions of it. All the connections and
-// datagrams between them go over it.
-type wire struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	weather [ways]Weather
-	free    [ways]time.Time // when the bytes before have gone, with a Rate
-	changed chan struct{}   // closed when the weather changes
-	conns   map[*passage]bool
-	ended   bool
+// retransmitTimeout is the delay of a lost chunk of a stream. It is the minimum retransmission
+// timeout of common systems; RFC 6298 has one second.
+const retransmitTimeout = 200 * time.Millisecond
+
+// netPath emulates the network between two parties, in both directions, for all their
+// connections and datagrams.
+type netPath struct {
+	mu          sync.Mutex
+	rng         *rand.Rand
+	conditions  [dirCount]Conditions
+	freeAt      [dirCount]time.Time // when the previous bytes have been sent, if Rate is set
+	changed     chan struct{}       // closed when the conditions change
+	connections map[*pathConnection]bool
+	closed      bool
 }
 
-func newWire(seed, number uint64) *wire {
-	return &wire{rng: rand.New(rand.NewPCG(seed, number)), changed: make(chan struct{}), conns: map[*passage]bool{}}
+func newNetPath(seed, number uint64) *netPath {
+	return &netPath{rng: rand.New(rand.NewPCG(seed, number)), changed: make(chan struct{}), connections: map[*pathConnection]bool{}}
 }
 
-// set changes the weather of a way.
-func (w *wire) set(way Way, change func(*Weather)) {
+// setConditions changes the conditions of one or both directions.
+func (w *netPath) setConditions(way Direction, change func(*Conditions)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for dir := range ways {
-		if way.has(dir) {
-			change(&w.weather[dir])
+	for dir := range dirCount {
+		if way.includes(dir) {
+			change(&w.conditions[dir])
 		}
 	}
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// reset breaks all connections; both sides see it.
-func (w *wire) reset() {
+// resetConnections resets all connections, on both sides.
+func (w *netPath) resetConnections() {
 	w.mu.Lock()
-	all := make([]*passage, 0, len(w.conns))
-	for p := range w.conns {
+	all := make([]*pathConnection, 0, len(w.connections))
+	for p := range w.connections {
 		all = append(all, p)
 	}
 	w.mu.Unlock()
@@ -87,28 +87,28 @@
 	}
 }
 
-// end breaks all connections and takes no more.
-func (w *wire) end() {
+// close resets all connections and refuses new ones.
+func (w *netPath) close() {
 	w.mu.Lock()
-	w.ended = true
+	w.closed = true
 	w.mu.Unlock()
-	w.set(Both, func(x *Weather) { x.Cut = false })
-	w.reset()
+	w.setConditions(DirectionBoth, func(x *Conditions) { x.Cut = false })
+	w.resetConnections()
 }
 
-// fate is when n bytes that come now are through, and whether they are lost. Those
-// of a stream are not lost, they come later.
-func (w *wire) fate(dir, n int, stream bool) (at time.Time, lost bool) {
+// schedule returns when n bytes that arrive now are delivered, and whether they are lost. Bytes
+// of a stream are delayed instead of lost.
+func (w *netPath) schedule(dir, n int, stream bool) (at time.Time, lost bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x := &w.weather[dir]
+	x := &w.conditions[dir]
 	at = time.Now()
 	if x.Rate > 0 {
-		if w.free[dir].After(at) {
-			at = w.free[dir]
+		if w.freeAt[dir].After(at) {
+			at = w.freeAt[dir]
 		}
 		at = at.Add(time.Duration(float64(n) / float64(x.Rate) * float64(time.Second)))
-		w.free[dir] = at
+		w.freeAt[dir] = at
 	}
 	at = at.Add(x.Delay)
 	if x.Jitter > 0 {
@@ -118,18 +118,18 @@
 		if !stream {
 			return at, x.Cut || w.rng.Float64() < x.Loss
 		}
-		for wait := retransmit; w.rng.Float64() < x.Loss && wait < time.Minute; wait *= 2 {
+		for wait := retransmitTimeout; w.rng.Float64() < x.Loss && wait < time.Minute; wait *= 2 {
 			at = at.Add(wait)
 		}
 	}
 	return at, x.Cut && !stream
 }
 
-// open waits until a direction is not cut. It is false where ctx ends before.
-func (w *wire) open(ctx context.Context, dir int) bool {
+// waitUncut waits until a direction is not cut. It returns false if ctx ends first.
+func (w *netPath) waitUncut(ctx context.Context, dir int) bool {
 	for {
 		w.mu.Lock()
-		cut, changed := w.weather[dir].Cut, w.changed
+		cut, changed := w.conditions[dir].Cut, w.changed
 		w.mu.Unlock()
 		if !cut {
 			return ctx.Err() == nil
@@ -142,105 +142,104 @@
 	}
 }
 
-// passage is one connection over a wire.
-type passage struct {
-	w      *wire
-	ends   [ways]*net.TCPConn // ends[out] is the one that was opened to us
-	ctx    context.Context
-	cancel context.CancelFunc
-	once   sync.Once
+// pathConnection is one connection over a path.
+type pathConnection struct {
+	path    *netPath
+	sockets [dirCount]*net.TCPConn // sockets[dirOut] is the accepted one
+	ctx     context.Context
+	cancel  context.CancelFunc
+	once    sync.Once
 }
 
-// abort breaks both sides, so that they see a reset.
-func (p *passage) abort() {
+// abort closes both sockets with a reset.
+func (p *pathConnection) abort() {
 	p.once.Do(func() {
 		p.cancel()
-		p.w.mu.Lock()
-		ends := p.ends
-		p.w.mu.Unlock()
+		p.path.mu.Lock()
+		ends := p.sockets
+		p.path.mu.Unlock()
 		for _, c := range ends {
 			if c != nil {
 				c.SetLinger(0)
 				c.Close()
 			}
 		}
-		p.w.mu.Lock()
-		delete(p.w.conns, p)
-		p.w.mu.Unlock()
+		p.path.mu.Lock()
+		delete(p.path.connections, p)
+		p.path.mu.Unlock()
 	})
 }
 
-// piece is what came at once.
-type piece struct {
+// chunk is the data of one read.
+type chunk struct {
 	at   time.Time
 	data []byte // nil for the end of the stream
 }
 
 const (
-	pieceSize = 16 << 10
-	mostHeld  = 64 // pieces on the way in a direction; then the sender is held, as by a full window
+	maxChunkSize      = 16 << 10
+	maxChunksInFlight = 64 // per direction; the sender is blocked beyond it, as by a full TCP window
 )
 
-// carry takes a new connection over the wire to a target. It returns when both
+// relay relays an accepted connection over the path to a target. It returns when both
 // directions have ended.
 //
-// The system opens the near side before we are asked, so that a connection through a
-// cut wire is made and then hears nothing, where in truth the opening would hang. To
-// whoever bounds both times alike it is the same. A round trip of the weather is
-// added before the first byte, as the opening takes one.
-func (w *wire) carry(ctx context.Context, near *net.TCPConn, dialer *net.Dialer, target string) {
-	p := &passage{w: w}
+// The system accepts the connection first, so a connection over a cut path opens and then gets
+// no data, where a real one would hang while connecting. The first byte is delayed by one
+// round trip, which stands for the handshake.
+func (w *netPath) relay(ctx context.Context, near *net.TCPConn, dialer *net.Dialer, target string) {
+	p := &pathConnection{path: w}
 	p.ctx, p.cancel = context.WithCancel(ctx)
 	defer p.abort()
 	defer context.AfterFunc(p.ctx, p.abort)()
 	w.mu.Lock()
-	p.ends[out] = near
-	ended := w.ended
-	w.conns[p] = true
+	p.sockets[dirOut] = near
+	ended := w.closed
+	w.connections[p] = true
 	w.mu.Unlock()
-	if ended || !w.open(p.ctx, out) || !w.open(p.ctx, back) {
+	if ended || !w.waitUncut(p.ctx, dirOut) || !w.waitUncut(p.ctx, dirBack) {
 		return
 	}
 	far, err := dialer.DialContext(p.ctx, "tcp", target)
 	if err != nil {
-		return // a refused opening is seen as a reset
+		return // a refused connection appears as a reset
 	}
 	w.mu.Lock()
-	p.ends[back] = far.(*net.TCPConn)
-	gone := p.ctx.Err() != nil
-	first := time.Now().Add(w.weather[out].Delay + w.weather[back].Delay)
+	p.sockets[dirBack] = far.(*net.TCPConn)
+	aborted := p.ctx.Err() != nil
+	first := time.Now().Add(w.conditions[dirOut].Delay + w.conditions[dirBack].Delay)
 	w.mu.Unlock()
-	if gone {
+	if aborted {
 		far.Close()
 		return
 	}
 	var both sync.WaitGroup
-	for dir := range ways {
-		pieces := make(chan piece, mostHeld)
-		both.Go(func() { p.take(dir, pieces) })
-		both.Go(func() { p.give(dir, first, pieces) })
+	for dir := range dirCount {
+		pieces := make(chan chunk, maxChunksInFlight)
+		both.Go(func() { p.receive(dir, pieces) })
+		both.Go(func() { p.deliver(dir, first, pieces) })
 	}
 	both.Wait()
 }
 
-// take reads what comes in one direction.
-func (p *passage) take(dir int, pieces chan<- piece) {
+// receive reads the data of one direction.
+func (p *pathConnection) receive(dir int, pieces chan<- chunk) {
 	defer close(pieces)
-	buf := make([]byte, pieceSize)
+	buf := make([]byte, maxChunkSize)
 	for {
-		n, err := p.ends[dir].Read(buf)
+		n, err := p.sockets[dir].Read(buf)
 		if n > 0 {
-			at, _ := p.w.fate(dir, n, true)
+			at, _ := p.path.schedule(dir, n, true)
 			select {
-			case pieces <- piece{at, append([]byte(nil), buf[:n]...)}:
+			case pieces <- chunk{at, append([]byte(nil), buf[:n]...)}:
 			case <-p.ctx.Done():
 				return
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			at, _ := p.w.fate(dir, 0, true)
+			at, _ := p.path.schedule(dir, 0, true)
 			select {
-			case pieces <- piece{at: at}:
+			case pieces <- chunk{at: at}:
 			case <-p.ctx.Done():
 			}
 			return
@@ -252,15 +251,15 @@
 	}
 }
 
-// give writes it when its time has come, in order.
-func (p *passage) give(dir int, first time.Time, pieces <-chan piece) {
-	to := p.ends[1-dir]
+// deliver writes the chunks in order, each at its time.
+func (p *pathConnection) deliver(dir int, first time.Time, pieces <-chan chunk) {
+	to := p.sockets[1-dir]
 	for x := range pieces {
 		at := x.at
 		if at.Before(first) {
 			at = first
 		}
-		if !pause(p.ctx, time.Until(at)) || !p.w.open(p.ctx, dir) {
+		if !sleep(p.ctx, time.Until(at)) || !p.path.waitUncut(p.ctx, dir) {
 			return
 		}
 		if x.data == nil {
@@ -274,8 +273,8 @@
 	}
 }
 
-// pause is false where ctx ends before.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -289,27 +288,26 @@
 	}
 }
 
-// forwarder listens in the place of a party, for TCP and where it is asked for also
-// for UDP on the same port.
+// forwarder listens in place of a party, on TCP and optionally on the same UDP port.
 type forwarder struct {
-	target string
-	over   func(from netip.Addr) *wire // the way of whoever comes from an address; nil to turn it away
+	target  string
+	pathFor func(from netip.Addr) *netPath // path for a sender's address; nil to refuse it
 
-	ctx  context.Context // of all it carries
-	stop context.CancelFunc
-	tcp  *net.TCPListener
-	udp  *net.UDPConn
-	work sync.WaitGroup
+	ctx     context.Context // of all relayed connections
+	cancel  context.CancelFunc
+	tcp     *net.TCPListener
+	udp     *net.UDPConn
+	running sync.WaitGroup
 
 	mu       sync.Mutex
 	sessions map[netip.AddrPort]*net.UDPConn
-	ended    bool
+	closed   bool
 }
 
-// forward starts a forwarder at an address.
-func forward(at, target string, datagrams bool, over func(from netip.Addr) *wire) (*forwarder, error) {
-	f := &forwarder{target: target, over: over, sessions: map[netip.AddrPort]*net.UDPConn{}}
-	f.ctx, f.stop = context.WithCancel(context.Background())
+// startForwarder starts a forwarder on an address.
+func startForwarder(at, target string, datagrams bool, pathFor func(from netip.Addr) *netPath) (*forwarder, error) {
+	f := &forwarder{target: target, pathFor: pathFor, sessions: map[netip.AddrPort]*net.UDPConn{}}
+	f.ctx, f.cancel = context.WithCancel(context.Background())
 	l, err := net.Listen("tcp", at)
 	if err != nil {
 		return nil, err
@@ -324,66 +322,66 @@
 			l.Close()
 			return nil, err
 		}
-		f.work.Go(f.datagrams)
+		f.running.Go(f.relayDatagrams)
 	}
-	f.work.Go(f.streams)
+	f.running.Go(f.relayStreams)
 	return f, nil
 }
 
 func (f *forwarder) close() {
 	f.mu.Lock()
-	f.ended = true
+	f.closed = true
 	for _, s := range f.sessions {
 		s.Close()
 	}
 	f.mu.Unlock()
-	f.stop()
+	f.cancel()
 	f.tcp.Close()
 	if f.udp != nil {
 		f.udp.Close()
 	}
-	f.work.Wait()
+	f.running.Wait()
 }
 
-func (f *forwarder) streams() {
+func (f *forwarder) relayStreams() {
 	acceptloop.Serve(f.tcp, func(conn net.Conn) {
 		c := conn.(*net.TCPConn)
 		from := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
-		w := f.over(from)
+		w := f.pathFor(from)
 		if w == nil {
 			c.SetLinger(0)
 			c.Close()
 			return
 		}
-		// The far side sees who it is from.
-		d := &net.Dialer{Timeout: dialTime, KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: from.AsSlice()}}
-		f.work.Go(func() { w.carry(f.ctx, c, d, f.target) })
+		// The target sees the sender's address.
+		d := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: from.AsSlice()}}
+		f.running.Go(func() { w.relay(f.ctx, c, d, f.target) })
 	})
 }
 
 const (
-	dialTime     = 10 * time.Second
-	mostSessions = 1024
-	datagramSize = 64 << 10
+	dialTimeout     = 10 * time.Second
+	maxSessions     = 1024
+	maxDatagramSize = 64 << 10
 )
 
-// datagrams carries those that come to us on to the target, from a socket for each
-// sender, and the answers back.
-func (f *forwarder) datagrams() {
-	buf := make([]byte, datagramSize)
+// relayDatagrams relays datagrams to the target, with a socket for each sender, and the answers
+// back.
+func (f *forwarder) relayDatagrams() {
+	buf := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := f.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			f.mu.Lock()
-			ended := f.ended
+			ended := f.closed
 			f.mu.Unlock()
 			if ended {
 				return
 			}
-			continue // an ICMP error of an earlier datagram
+			continue // ICMP error of an earlier datagram
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		w := f.over(from.Addr())
+		w := f.pathFor(from.Addr())
 		if w == nil {
 			continue
 		}
@@ -392,16 +390,16 @@
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
-		if at, lost := w.fate(out, n, false); !lost {
+		if at, lost := w.schedule(dirOut, n, false); !lost {
 			time.AfterFunc(time.Until(at), func() { s.Write(data) })
 		}
 	}
 }
 
-func (f *forwarder) session(from netip.AddrPort, w *wire) *net.UDPConn {
+func (f *forwarder) session(from netip.AddrPort, w *netPath) *net.UDPConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s := f.sessions[from]; s != nil || f.ended || len(f.sessions) >= mostSessions {
+	if s := f.sessions[from]; s != nil || f.closed || len(f.sessions) >= maxSessions {
 		return s
 	}
 	to, err := net.ResolveUDPAddr("udp", f.target)
@@ -413,18 +411,18 @@
 		return nil
 	}
 	f.sessions[from] = s
-	f.work.Go(func() {
-		buf := make([]byte, datagramSize)
+	f.running.Go(func() {
+		buf := make([]byte, maxDatagramSize)
 		for {
 			n, err := s.Read(buf)
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			if err != nil {
-				continue // refused: nobody listens at present
+				continue // connection refused: the target is not listening
 			}
 			data := append([]byte(nil), buf[:n]...)
-			if at, lost := w.fate(back, n, false); !lost {
+			if at, lost := w.schedule(dirBack, n, false); !lost {
 				time.AfterFunc(time.Until(at), func() { f.udp.WriteToUDPAddrPort(data, from) })
 			}
 		}
--- a/internal/proving/wire_test.go
+++ b/internal/proving/wire_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// echo answers what it is sent, over TCP and UDP on one port, and tells who each
-// connection is from.
-func echo(t *testing.T) (addr string, from chan netip.Addr) {
+// startEcho starts a TCP and UDP echo server on one port, and reports the address of each TCP
+// client.
+func startEcho(t *testing.T) (addr string, from chan netip.Addr) {
 	t.Helper()
 	var l net.Listener
 	var u net.PacketConn
-	for u == nil { // until a port is free for both
+	for u == nil { // until a port is free for both protocols
 		var err error
 		if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
@@ -56,12 +56,12 @@
 	return l.Addr().String(), from
 }
 
-// before puts a forwarder before a target.
-func before(t *testing.T, target string, over func(netip.Addr) *wire) string {
+// startTestForwarder starts a forwarder to a target.
+func startTestForwarder(t *testing.T, target string, over func(netip.Addr) *netPath) string {
 	t.Helper()
 	for port := 30000; ; port++ {
 		at := netip.AddrPortFrom(netip.MustParseAddr("127.250.0.1"), uint16(port)).String()
-		f, err := forward(at, target, true, over)
+		f, err := startForwarder(at, target, true, over)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
 		}
@@ -75,7 +75,7 @@
 
 func dial(t *testing.T, network, at string, from netip.Addr) net.Conn {
 	t.Helper()
-	d := net.Dialer{Timeout: patience}
+	d := net.Dialer{Timeout: waitTimeout}
 	if from.IsValid() && network == "tcp" {
 		d.LocalAddr = &net.TCPAddr{IP: from.AsSlice()}
 	} else if from.IsValid() {
@@ -89,8 +89,8 @@
 	return c
 }
 
-// there sends a word and tells how long its echo took; it is not there within wait.
-func there(t *testing.T, c net.Conn, wait time.Duration) (time.Duration, bool) {
+// echoTime sends a word and returns the time until its echo, and whether it came within wait.
+func echoTime(t *testing.T, c net.Conn, wait time.Duration) (time.Duration, bool) {
 	t.Helper()
 	begin := time.Now()
 	if _, err := io.WriteString(c, "word"); err != nil {
@@ -102,73 +102,73 @@
 	return time.Since(begin), err == nil && string(got) == "word"
 }
 
-// What a link does to a stream and to datagrams. Times have lower bounds only: a busy
-// machine is later, never sooner.
-func TestWeather(t *testing.T) {
+// Conditions affect streams and datagrams. Times are checked only for lower bounds, as a busy
+// machine adds delay.
+func TestConditions(t *testing.T) {
 	t.Parallel()
-	addr, _ := echo(t)
-	w := newWire(1, 1)
-	t.Cleanup(w.end)
-	at := before(t, addr, func(netip.Addr) *wire { return w })
+	addr, _ := startEcho(t)
+	w := newNetPath(1, 1)
+	t.Cleanup(w.close)
+	at := startTestForwarder(t, addr, func(netip.Addr) *netPath { return w })
 	tcp, udp := dial(t, "tcp", at, netip.Addr{}), dial(t, "udp", at, netip.Addr{})
 	both := map[string]net.Conn{"tcp": tcp, "udp": udp}
 	for name, c := range both {
-		if _, ok := there(t, c, patience); !ok {
-			t.Fatalf("%s: nothing in fair weather", name)
+		if _, ok := echoTime(t, c, waitTimeout); !ok {
+			t.Fatalf("%s: no echo without any conditions set", name)
 		}
 	}
-	w.set(Both, func(x *Weather) { x.Delay = 100 * time.Millisecond })
+	w.setConditions(DirectionBoth, func(x *Conditions) { x.Delay = 100 * time.Millisecond })
 	for name, c := range both {
-		if took, ok := there(t, c, patience); !ok || took < 200*time.Millisecond {
-			t.Errorf("%s: there and back in %v, want twice 100ms", name, took)
+		if took, ok := echoTime(t, c, waitTimeout); !ok || took < 200*time.Millisecond {
+			t.Errorf("%s: round trip in %v, want at least 200ms", name, took)
 		}
 	}
-	w.set(Back, func(x *Weather) { *x = Weather{} })
-	if took, ok := there(t, tcp, patience); !ok || took < 100*time.Millisecond {
-		t.Errorf("%v with a delay one way", took)
+	w.setConditions(DirectionBack, func(x *Conditions) { *x = Conditions{} })
+	if took, ok := echoTime(t, tcp, waitTimeout); !ok || took < 100*time.Millisecond {
+		t.Errorf("round trip in %v with a delay of 100ms in one direction", took)
 	}
-	// A piece of a stream that is lost comes later, a datagram does not.
-	w.set(Both, func(x *Weather) { *x = Weather{} })
-	w.set(Out, func(x *Weather) { *x = Weather{Loss: 1} })
-	if _, ok := there(t, udp, 200*time.Millisecond); ok {
-		t.Error("a datagram came although all are lost")
+	// A lost chunk of a stream is delayed, a lost datagram is dropped.
+	w.setConditions(DirectionBoth, func(x *Conditions) { *x = Conditions{} })
+	w.setConditions(DirectionOut, func(x *Conditions) { *x = Conditions{Loss: 1} })
+	if _, ok := echoTime(t, udp, 200*time.Millisecond); ok {
+		t.Error("a datagram arrived with a loss of 1")
 	}
-	w.set(Out, func(x *Weather) { *x = Weather{Loss: 0.5} })
+	w.setConditions(DirectionOut, func(x *Conditions) { *x = Conditions{Loss: 0.5} })
 	late := 0
-	for range 12 { // all in time: one of 4,000 seeds, and this one is drawn
-		if took, ok := there(t, tcp, patience); !ok {
+	for range 12 { // with this seed some of them are late
+		if took, ok := echoTime(t, tcp, waitTimeout); !ok {
 			t.Error("a stream lost bytes")
-		} else if took >= retransmit {
+		} else if took >= retransmitTimeout {
 			late++
 		}
 	}
 	if late == 0 {
-		t.Error("loss cost a stream no time")
+		t.Error("loss did not delay the stream")
 	}
-	w.set(Out, func(x *Weather) { *x = Weather{Rate: 20} }) // a word takes a fifth of a second
-	if took, ok := there(t, tcp, patience); !ok || took < 200*time.Millisecond {
-		t.Errorf("4 bytes at 20 a second in %v", took)
+	w.setConditions(DirectionOut, func(x *Conditions) { *x = Conditions{Rate: 20} }) // 4 bytes take 200 ms
+	if took, ok := echoTime(t, tcp, waitTimeout); !ok || took < 200*time.Millisecond {
+		t.Errorf("4 bytes at 20 bytes per second in %v, want at least 200ms", took)
 	}
 }
 
-// A cut is silent: what was sent into it comes through a stream once it is healed, a
-// datagram never does. Cut one way, the other way goes on.
+// A cut drops datagrams and holds the data of streams until it heals. A cut in one direction
+// leaves the other one open.
 func TestCutIsSilent(t *testing.T) {
 	t.Parallel()
-	addr, from := echo(t)
-	w := newWire(1, 1)
-	t.Cleanup(w.end)
-	at := before(t, addr, func(netip.Addr) *wire { return w })
+	addr, from := startEcho(t)
+	w := newNetPath(1, 1)
+	t.Cleanup(w.close)
+	at := startTestForwarder(t, addr, func(netip.Addr) *netPath { return w })
 	tcp, udp := dial(t, "tcp", at, netip.Addr{}), dial(t, "udp", at, netip.Addr{})
-	if _, ok := there(t, tcp, patience); !ok {
-		t.Fatal("nothing in fair weather")
+	if _, ok := echoTime(t, tcp, waitTimeout); !ok {
+		t.Fatal("no echo without any conditions set")
 	}
 	<-from
-	for _, way := range []Way{Out, Back} {
-		w.set(way, func(x *Weather) { x.Cut = true })
+	for _, way := range []Direction{DirectionOut, DirectionBack} {
+		w.setConditions(way, func(x *Conditions) { x.Cut = true })
 		for _, c := range []net.Conn{tcp, udp} {
-			if took, ok := there(t, c, 200*time.Millisecond); ok || took < 150*time.Millisecond {
-				t.Errorf("cut %s: %v, %v, want silence", way, took, ok)
+			if took, ok := echoTime(t, c, 200*time.Millisecond); ok || took < 150*time.Millisecond {
+				t.Errorf("cut %s: echo after %v (%v), want none", way, took, ok)
 			}
 		}
 		fresh := dial(t, "tcp", at, netip.Addr{})
@@ -177,55 +177,54 @@
 			t.Errorf("cut %s: a connection went through", way)
 		case <-time.After(100 * time.Millisecond):
 		}
-		w.set(Both, func(x *Weather) { x.Cut = false })
+		w.setConditions(DirectionBoth, func(x *Conditions) { x.Cut = false })
 		got := make([]byte, 4)
-		tcp.SetReadDeadline(time.Now().Add(patience))
+		tcp.SetReadDeadline(time.Now().Add(waitTimeout))
 		if _, err := io.ReadFull(tcp, got); err != nil {
-			t.Errorf("healed %s: what was held did not come: %v", way, err)
+			t.Errorf("healed %s: held data did not arrive: %v", way, err)
 		}
-		if _, ok := there(t, fresh, patience); !ok {
-			t.Errorf("healed %s: a connection opened meanwhile is dead", way)
+		if _, ok := echoTime(t, fresh, waitTimeout); !ok {
+			t.Errorf("healed %s: no echo on a connection opened during the cut", way)
 		}
 		<-from
-		if _, ok := there(t, udp, patience); !ok {
-			t.Errorf("healed %s: no datagrams", way)
+		if _, ok := echoTime(t, udp, waitTimeout); !ok {
+			t.Errorf("healed %s: no echo of a datagram", way)
 		}
 	}
-	w.reset()
-	tcp.SetReadDeadline(time.Now().Add(patience))
+	w.resetConnections()
+	tcp.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := tcp.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("after a reset: %v", err)
 	}
 }
 
-// An address that is told to all serves each sender over its own link, and the far side
-// sees who it is.
-func TestLinkByTheSendersAddress(t *testing.T) {
+// A forwarder uses the path of each sender's address, and the target sees that address.
+func TestPathBySenderAddress(t *testing.T) {
 	t.Parallel()
-	addr, from := echo(t)
+	addr, from := startEcho(t)
 	one, other := netip.MustParseAddr("127.250.1.1"), netip.MustParseAddr("127.250.1.2")
-	wires := map[netip.Addr]*wire{one: newWire(1, 1), other: newWire(1, 2)}
+	wires := map[netip.Addr]*netPath{one: newNetPath(1, 1), other: newNetPath(1, 2)}
 	for _, w := range wires {
-		t.Cleanup(w.end)
+		t.Cleanup(w.close)
 	}
-	at := before(t, addr, func(a netip.Addr) *wire { return wires[a] })
-	wires[one].set(Both, func(x *Weather) { x.Cut = true })
+	at := startTestForwarder(t, addr, func(a netip.Addr) *netPath { return wires[a] })
+	wires[one].setConditions(DirectionBoth, func(x *Conditions) { x.Cut = true })
 	for _, network := range []string{"tcp", "udp"} {
-		if _, ok := there(t, dial(t, network, at, one), 200*time.Millisecond); ok {
-			t.Errorf("%s: came through a cut", network)
+		if _, ok := echoTime(t, dial(t, network, at, one), 200*time.Millisecond); ok {
+			t.Errorf("%s: echo through a cut", network)
 		}
-		if _, ok := there(t, dial(t, network, at, other), patience); !ok {
-			t.Errorf("%s: the other's link is cut too", network)
+		if _, ok := echoTime(t, dial(t, network, at, other), waitTimeout); !ok {
+			t.Errorf("%s: no echo over the path that is not cut", network)
 		}
 	}
 	if a := <-from; a != other {
-		t.Errorf("the far side sees %v, want %v", a, other)
+		t.Errorf("the target sees %v, want %v", a, other)
 	}
-	d := net.Dialer{Timeout: patience, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 250, 1, 3)}}
-	if c, err := d.Dial("tcp", at); err == nil { // the reset may come while it still connects
+	d := net.Dialer{Timeout: waitTimeout, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 250, 1, 3)}}
+	if c, err := d.Dial("tcp", at); err == nil { // the reset may arrive during or after the connect
 		defer c.Close()
-		if _, ok := there(t, c, patience); ok {
-			t.Error("a stranger came through")
+		if _, ok := echoTime(t, c, waitTimeout); ok {
+			t.Error("a sender without a path got an echo")
 		}
 	}
 }
