--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -132,7 +132,7 @@
 		if h.record, err = newRecording(captureDir, e.Instance, number); err != nil {
 			return err
 		}
-		h.balancer, err = capture.NewTap(config, e.Seed, h, h.record.write)
+		h.balancer, err = capture.NewRecorder(config, e.Seed, h, h.record.write)
 	} else if err == nil {
 		h.balancer, err = balance.New(config, e.Seed, h)
 	}
--- a/cmd/gorselink/commands_test.go
+++ b/cmd/gorselink/commands_test.go
@@ -252,10 +252,10 @@
 		w := capture.NewWriter(f)
 		events := []capture.Event{
 			{Kind: capture.Start, Config: &cfg},
-			{Kind: capture.Members, List: balance.Full, Entries: []balance.Endpoint{{Addr: "s-1", State: balance.Ready}}},
-			{Kind: capture.Request, At: time.Second, ID: 7, Span: time.Second},
-			{Kind: capture.After, At: time.Second, ID: 7 << 3, Span: time.Second},
-			{Kind: capture.Send, At: time.Second, ID: 7, Addr: "s-1", Span: time.Second},
+			{Kind: capture.Members, ListKind: balance.Full, Endpoints: []balance.Endpoint{{Addr: "s-1", State: balance.Ready}}},
+			{Kind: capture.Request, At: time.Second, ID: 7, Duration: time.Second},
+			{Kind: capture.After, At: time.Second, ID: 7 << 3, Duration: time.Second},
+			{Kind: capture.Send, At: time.Second, ID: 7, Addr: "s-1", Duration: time.Second},
 		}
 		if path == other {
 			events[4].Addr = "s-2"
--- a/cmd/gorselink/demo.go
+++ b/cmd/gorselink/demo.go
@@ -169,7 +169,7 @@
 
 // setMode sets the mode of all nodes of a service.
 func (d *demo) setMode(service, mode string) error {
-	m, ok := standin.Modes[mode]
+	m, ok := standin.ModesByName[mode]
 	if !ok && mode != "vanish" {
 		return fmt.Errorf("unknown mode %q: must be serve, freeze, mute, error, spoil, reset, refuse or vanish", mode)
 	}
@@ -178,13 +178,13 @@
 	}
 	for _, n := range d.nodes[service] {
 		if mode == "vanish" {
-			n.Vanish()
+			n.Crash()
 			continue
 		}
-		if err := n.Return(); err != nil {
+		if err := n.Restart(); err != nil {
 			return err
 		}
-		n.Set(m)
+		n.SetMode(m)
 	}
 	d.mu.Lock()
 	d.modes[service] = mode
--- a/cmd/gorselink/freeze_test.go
+++ b/cmd/gorselink/freeze_test.go
@@ -48,9 +48,9 @@
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { cmd.Process.Kill() })
-	for begin := time.Now(); n.Total() < 50; time.Sleep(time.Millisecond) {
+	for begin := time.Now(); n.TotalRuns() < 50; time.Sleep(time.Millisecond) {
 		if time.Since(begin) > testTimeout {
-			t.Fatalf("%d requests after %v, want 50", n.Total(), testTimeout)
+			t.Fatalf("%d requests after %v, want 50", n.TotalRuns(), testTimeout)
 		}
 	}
 	cmd.Process.Signal(syscall.SIGSTOP)
@@ -74,8 +74,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rep.Requests != 3300 || n.Total() != 3300 {
-		t.Errorf("%d requests reported, %d received; want 3300", rep.Requests, n.Total())
+	if rep.Requests != 3300 || n.TotalRuns() != 3300 {
+		t.Errorf("%d requests reported, %d received; want 3300", rep.Requests, n.TotalRuns())
 	}
 	// 3,000 of the 3,300 requests were due during the stop, so half of all requests waited for
 	// at least 13 s and a tenth for at least 26 s.
--- a/cmd/gorselink/load_test.go
+++ b/cmd/gorselink/load_test.go
@@ -45,8 +45,8 @@
 	if !strings.Contains(out.String(), "100 requests") || !strings.Contains(out.String(), "requests: ok 100") {
 		t.Errorf("output:\n%s", out.String())
 	}
-	if n.Total() != 100 || last.Host != "donate.example.org" || last.Header.Get("X-Tenant") != "acme" || last.Header.Get("X-Class") != "pay" || last.Header.Get("Idempotency-Key") == "" {
-		t.Errorf("%d runs, the last request was %+v", n.Total(), last)
+	if n.TotalRuns() != 100 || last.Host != "donate.example.org" || last.Header.Get("X-Tenant") != "acme" || last.Header.Get("X-Class") != "pay" || last.Header.Get("Idempotency-Key") == "" {
+		t.Errorf("%d runs, the last request was %+v", n.TotalRuns(), last)
 	}
 	f, err := os.Open(json)
 	if err != nil {
--- a/cmd/gorselink/replay.go
+++ b/cmd/gorselink/replay.go
@@ -27,8 +27,8 @@
 		switch {
 		case errors.As(err, &d):
 			differing++
-			fmt.Fprintf(env.stdout, "%s: event %d, at %v\n  input     %v\n  captured  %v\n  replayed  %v\n", path, d.Event, d.Told.At, &d.Told, d.Captured, d.Replayed)
-		case errors.Is(err, capture.ErrCut):
+			fmt.Fprintf(env.stdout, "%s: event %d, at %v\n  input     %v\n  captured  %v\n  replayed  %v\n", path, d.Index, d.Input.At, &d.Input, d.Captured, d.Replayed)
+		case errors.Is(err, capture.ErrTruncated):
 			fmt.Fprintf(env.stdout, "%s: %d events, all decisions the same; the file is truncated after them\n", path, events)
 		case err != nil:
 			return fmt.Errorf("gorselink: replay: %s: event %d: %w", path, events, err)
--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -29,8 +29,8 @@
 // A connection is accepted after any transient error, and only closing the listener ends
 // the loop.
 func TestAcceptContinuesAfterTransientErrors(t *testing.T) {
-	for _, errno := range standin.AcceptErrors {
-		l := standin.Fail(listen(t), errno, errno)
+	for _, errno := range standin.TransientAcceptErrors {
+		l := standin.NewFailingListener(listen(t), errno, errno)
 		accepted, ended := make(chan net.Conn, 1), make(chan error, 1)
 		go func() { ended <- acceptloop.Serve(l, func(c net.Conn) { accepted <- c }) }()
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -45,8 +45,8 @@
 			t.Fatalf("%v ends Serve: %v", errno, err)
 		}
 		l.Close()
-		if err := <-ended; !errors.Is(err, net.ErrClosed) || l.Failed() != 2 {
-			t.Errorf("%v: Serve returned %v after %d failed accepts, want net.ErrClosed after 2", errno, err, l.Failed())
+		if err := <-ended; !errors.Is(err, net.ErrClosed) || l.FailedAccepts() != 2 {
+			t.Errorf("%v: Serve returned %v after %d failed accepts, want net.ErrClosed after 2", errno, err, l.FailedAccepts())
 		}
 	}
 }
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -24,10 +24,10 @@
 
 type due struct {
 	at time.Duration
-	do func(t *Tap, now time.Duration)
+	do func(t *Recorder, now time.Duration)
 }
 
-func (w *world) after(d time.Duration, do func(t *Tap, now time.Duration)) {
+func (w *world) after(d time.Duration, do func(t *Recorder, now time.Duration)) {
 	w.due = append(w.due, due{w.now + d, do})
 }
 
@@ -39,13 +39,13 @@
 		result = balance.OK
 	}
 	took := time.Duration(w.rng.IntN(120)) * ms
-	w.after(took, func(t *Tap, now time.Duration) { t.Outcome(now, id, n, result, took, result == balance.OK) })
+	w.after(took, func(t *Recorder, now time.Duration) { t.Outcome(now, id, n, result, took, result == balance.OK) })
 }
 func (w *world) Refuse(balance.RequestID, time.Duration) {}
 func (w *world) Fail(balance.RequestID)                  {}
 func (w *world) Watch()                                  {}
 func (w *world) After(d time.Duration, token uint64) {
-	w.after(d, func(t *Tap, now time.Duration) { t.Timer(now, token) })
+	w.after(d, func(t *Recorder, now time.Duration) { t.Timer(now, token) })
 }
 
 func config() balance.Config {
@@ -66,7 +66,7 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	world := &world{rng: rand.New(rand.NewPCG(seed, 1)), try: map[balance.RequestID]int{}}
-	tap, err := NewTap(config(), seed, world, func(e *Event) {
+	tap, err := NewRecorder(config(), seed, world, func(e *Event) {
 		events++
 		if err := w.Write(e); err != nil {
 			t.Fatal(err)
@@ -148,14 +148,14 @@
 		for ; r.Next(&e) == nil; n++ {
 			if n > 800 && changed < 0 && e.Kind == kind {
 				changed = n
-				e.Span++
+				e.Duration++
 			}
 			w.Write(&e)
 		}
 		w.Flush()
 		_, err := Replay(NewReader(&out))
 		var d *Difference
-		if !errors.As(err, &d) || d.Event != changed || d.Captured == nil || d.Replayed == nil || d.Captured.Span != d.Replayed.Span+1 {
+		if !errors.As(err, &d) || d.Index != changed || d.Captured == nil || d.Replayed == nil || d.Captured.Duration != d.Replayed.Duration+1 {
 			t.Errorf("kind %d changed at event %d: %v", kind, changed, err)
 		}
 	}
@@ -189,7 +189,7 @@
 			got++
 		}
 		_, atEnd := ends[n]
-		want := ErrCut
+		want := ErrTruncated
 		switch {
 		case atEnd || n == len(magic):
 			want = io.EOF
@@ -251,7 +251,7 @@
 
 func BenchmarkWrite(b *testing.B) {
 	w := NewWriter(io.Discard)
-	e := Event{Kind: Outcome, Number: 1, Span: 31415926}
+	e := Event{Kind: Outcome, Number: 1, Duration: 31415926}
 	b.ReportAllocs()
 	for b.Loop() {
 		e.ID++
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -41,21 +41,21 @@
 // Event is one thing that a Balancer was told or decided. Which fields are set hangs
 // on Kind.
 type Event struct {
-	Kind    Kind
-	At      time.Duration // the Balancer's time; that of what it was told, for a decision
-	ID      uint64        // of the request; the token of Timer and After
-	Class   int
-	Tenant  int
-	Number  int // of the attempt
-	Result  balance.Result
-	Over    bool
-	Span    time.Duration // budget, elapsed, time-out, retry-after or delay
-	Addr    string        // of Send
-	List    balance.ListKind
-	Entries []balance.Endpoint
-	Seed    uint64
-	Config  *balance.Config // of Start and Retune
-	Added   *balance.Class  // of AddClass
+	Kind      Kind
+	At        time.Duration // the Balancer's time; that of what it was told, for a decision
+	ID        uint64        // of the request; the token of Timer and After
+	Class     int
+	Tenant    int
+	Number    int // of the attempt
+	Result    balance.Result
+	Over      bool
+	Duration  time.Duration // budget, elapsed, time-out, retry-after or delay
+	Addr      string        // of Send
+	ListKind  balance.ListKind
+	Endpoints []balance.Endpoint
+	Seed      uint64
+	Config    *balance.Config // of Start and Retune
+	Added     *balance.Class  // of AddClass
 }
 
 var words = [kinds]string{Start: "start", Retune: "retune", AddClass: "add class", Members: "members", Request: "request", Outcome: "outcome",
@@ -69,17 +69,17 @@
 	s := words[e.Kind]
 	switch e.Kind {
 	case Members:
-		return fmt.Sprintf("%s, kind %d, %d entries", s, e.List, len(e.Entries))
+		return fmt.Sprintf("%s, kind %d, %d entries", s, e.ListKind, len(e.Endpoints))
 	case Request:
-		return fmt.Sprintf("%s %d of class %d with %v", s, e.ID, e.Class, e.Span)
+		return fmt.Sprintf("%s %d of class %d with %v", s, e.ID, e.Class, e.Duration)
 	case Outcome:
-		return fmt.Sprintf("%s of attempt %d of %d: %d after %v", s, e.Number, e.ID, e.Result, e.Span)
+		return fmt.Sprintf("%s of attempt %d of %d: %d after %v", s, e.Number, e.ID, e.Result, e.Duration)
 	case Send:
-		return fmt.Sprintf("%s %d to %s for %v", s, e.ID, e.Addr, e.Span)
+		return fmt.Sprintf("%s %d to %s for %v", s, e.ID, e.Addr, e.Duration)
 	case Refuse:
-		return fmt.Sprintf("%s %d, come back in %v", s, e.ID, e.Span)
+		return fmt.Sprintf("%s %d, come back in %v", s, e.ID, e.Duration)
 	case After:
-		return fmt.Sprintf("timer %d wanted in %v", e.ID, e.Span)
+		return fmt.Sprintf("timer %d wanted in %v", e.ID, e.Duration)
 	case Withdrawn, Timer, Fail:
 		return fmt.Sprintf("%s %d", s, e.ID)
 	}
@@ -118,7 +118,7 @@
 		b = binary.AppendVarint(b, int64(e.ID-c.id))
 		c.id = e.ID
 	}
-	span := func() { b = binary.AppendVarint(b, int64(e.Span)) }
+	span := func() { b = binary.AppendVarint(b, int64(e.Duration)) }
 	switch e.Kind {
 	case Start, Retune, AddClass:
 		if e.Kind == Start {
@@ -135,9 +135,9 @@
 		b = binary.AppendUvarint(b, uint64(len(text)))
 		b = append(b, text...)
 	case Members:
-		b = binary.AppendUvarint(append(b, byte(e.List)), uint64(len(e.Entries)))
-		for i := range e.Entries {
-			n := &e.Entries[i]
+		b = binary.AppendUvarint(append(b, byte(e.ListKind)), uint64(len(e.Endpoints)))
+		for i := range e.Endpoints {
+			n := &e.Endpoints[i]
 			b = append(c.addr(b, n.Addr), byte(n.State))
 			b = binary.AppendVarint(b, int64(n.Zone))
 			b = binary.AppendVarint(b, int64(n.Cell))
@@ -244,7 +244,7 @@
 		c.id += uint64(p.int())
 		e.ID = c.id
 	}
-	span := func() { e.Span = time.Duration(p.int()) }
+	span := func() { e.Duration = time.Duration(p.int()) }
 	switch e.Kind {
 	case Start, Retune, AddClass:
 		if e.Kind == Start {
@@ -265,7 +265,7 @@
 			return errors.New("capture: settings: none")
 		}
 	case Members:
-		e.List = balance.ListKind(p.byte())
+		e.ListKind = balance.ListKind(p.byte())
 		if n := p.uint(); n > uint64(len(p.b)) {
 			p.err = errShort
 		} else {
@@ -278,7 +278,7 @@
 				if n.Zone < 0 || n.Zone > mostZone {
 					return fmt.Errorf("capture: zone %d, want 0 to %d", n.Zone, mostZone)
 				}
-				e.Entries = append(e.Entries, n)
+				e.Endpoints = append(e.Endpoints, n)
 			}
 		}
 	case Request:
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -25,7 +25,7 @@
 	// ErrVersion is that of a file of another kind or version.
 	ErrVersion = errors.New("capture: not a capture, or of another version")
 	// ErrCut is that of a file which ends inside a block. All before it was read.
-	ErrCut = errors.New("capture: the file ends inside a block")
+	ErrTruncated = errors.New("capture: the file ends inside a block")
 	// ErrDamaged is that of a block whose sum is wrong.
 	ErrDamaged = errors.New("capture: a block is damaged")
 )
@@ -120,7 +120,7 @@
 		at := len(r.block)
 		r.block = append(r.block, make([]byte, step)...)
 		if _, err := io.ReadFull(r.in, r.block[at:]); err != nil {
-			return ErrCut
+			return ErrTruncated
 		}
 		left -= step
 	}
@@ -133,7 +133,7 @@
 
 func cut(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
-		return ErrCut
+		return ErrTruncated
 	}
 	return err
 }
--- a/internal/daemon/accept_test.go
+++ b/internal/daemon/accept_test.go
@@ -21,12 +21,12 @@
 			}
 		}
 	}
-	for _, errno := range standin.AcceptErrors {
+	for _, errno := range standin.TransientAcceptErrors {
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := standin.Fail(tcp, errno)
+		l := standin.NewFailingListener(tcp, errno)
 		a := &acceptor{listener: l, server: server}
 		done := make(chan struct{})
 		go func() { a.serve(); close(done) }()
@@ -35,8 +35,8 @@
 			t.Fatal(err)
 		}
 		waitForConns(1)
-		if l.Failed() != 1 {
-			t.Errorf("%v: %d accepts failed, want 1", errno, l.Failed())
+		if l.FailedAccepts() != 1 {
+			t.Errorf("%v: %d accepts failed, want 1", errno, l.FailedAccepts())
 		}
 		c.Close()
 		waitForConns(0)
--- a/internal/daemon/age_test.go
+++ b/internal/daemon/age_test.go
@@ -24,7 +24,7 @@
 	d := startDaemon(t, baseConfig, poolText("a", nodes), routeText("", "a"))
 	old := d.Pool("a")
 	eventually(t, "the first node is known", func() bool { return old.Knows("n-1") })
-	agent.Change(entry("n-2", time.Now().Add(-clockLag)))
+	agent.Update(entry("n-2", time.Now().Add(-clockLag)))
 	eventually(t, "the second node is known", func() bool { return old.Knows("n-2") })
 	applyConfig(t, d, baseConfig, poolText("a", nodes+"attempts = 2\n"), routeText("", "a"))
 	next := d.Pool("a")
--- a/internal/daemon/client_test.go
+++ b/internal/daemon/client_test.go
@@ -67,7 +67,7 @@
 	if len(id) != 16 || id == "theirs" || last.Host != "any.example.org" || last.Header.Get("X-Forwarded-For") != "127.0.0.1" {
 		t.Errorf("forwarded with host %q and header %v", last.Host, last.Header)
 	}
-	for id, n := range nodes[0].Runs() {
+	for id, n := range nodes[0].RunsByID() {
 		if n > 1 && id != "" {
 			t.Logf("%s ran %d times, which is allowed for a GET", id, n)
 		}
@@ -86,7 +86,7 @@
 	c := newClient(t, d.publicAddr(t))
 	setMode := func(m standin.Mode) {
 		for _, n := range nodes {
-			n.Set(m)
+			n.SetMode(m)
 		}
 	}
 	for _, q := range []struct {
@@ -101,18 +101,18 @@
 		{"GET", "/order", "", false},
 		{"POST", "/pay", "k2", true},
 	} {
-		setMode(standin.Serve)
+		setMode(standin.ModeServe)
 		for range 60 { // fills the retry budget, which grows with accepted requests
 			c.get("x", "/")
 		}
-		setMode(standin.Error)
-		before := nodes[0].Total() + nodes[1].Total()
+		setMode(standin.ModeError)
+		before := nodes[0].TotalRuns() + nodes[1].TotalRuns()
 		var header []string
 		if q.key != "" {
 			header = []string{"Idempotency-Key", q.key}
 		}
 		r := c.send(q.method, "x", q.path, "", header...)
-		runs := nodes[0].Total() + nodes[1].Total() - before
+		runs := nodes[0].TotalRuns() + nodes[1].TotalRuns() - before
 		if r.status != 500 || runs < 1 || runs > 1 != q.retried {
 			t.Errorf("%s %s key %q: status %d, %d runs, want retried %t", q.method, q.path, q.key, r.status, runs, q.retried)
 		}
@@ -270,7 +270,7 @@
 	if s := pay("one"); s != 409 {
 		t.Errorf("after a reload: status %d, want 409", s)
 	}
-	if n := nodes[0].Total(); n != 1 {
+	if n := nodes[0].TotalRuns(); n != 1 {
 		t.Errorf("%d runs, want 1", n)
 	}
 }
--- a/internal/daemon/close_test.go
+++ b/internal/daemon/close_test.go
@@ -46,7 +46,7 @@
 					t.Errorf("%s: %v, %v, want 200", what, resp, err)
 				}
 			}
-			eventually(t, "the first request is at the node", func() bool { return nodes[0].Open() == 1 })
+			eventually(t, "the first request is at the node", func() bool { return nodes[0].OpenRequests() == 1 })
 			eventually(t, "all connections are open", func() bool {
 				d.mu.Lock()
 				defer d.mu.Unlock()
--- a/internal/daemon/isolation_test.go
+++ b/internal/daemon/isolation_test.go
@@ -117,17 +117,17 @@
 	for name, breakNodes := range map[string]func(t *testing.T, nodes []*standin.Node, file string){
 		"refuse": func(t *testing.T, nodes []*standin.Node, _ string) {
 			for _, n := range nodes {
-				n.Set(standin.Refuse)
+				n.SetMode(standin.ModeReject)
 			}
 		},
 		"vanish": func(t *testing.T, nodes []*standin.Node, _ string) {
 			for _, n := range nodes {
-				n.Vanish()
+				n.Crash()
 			}
 		},
 		"silent": func(t *testing.T, nodes []*standin.Node, _ string) {
 			for _, n := range nodes {
-				n.Set(standin.Mute)
+				n.SetMode(standin.ModeNoAnswer)
 			}
 		},
 		"empty list": func(t *testing.T, _ []*standin.Node, file string) { writeFile(t, file, "# none\n") },
@@ -178,10 +178,10 @@
 			}
 			// The pool recovers with its nodes.
 			for _, n := range donate {
-				if err := n.Return(); err != nil {
+				if err := n.Restart(); err != nil {
 					t.Fatal(err)
 				}
-				n.Set(standin.Serve)
+				n.SetMode(standin.ModeServe)
 			}
 			writeFile(t, file, lines.String()+"# changed\n")
 			eventually(t, "donate serves again", func() bool { return c.get(donateHost, "/").status == 200 })
@@ -205,12 +205,12 @@
 	nodes := startNodes(t, "n", 1, standin.NodeConfig{})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(nodes)+"requests = 3\n"), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
-	nodes[0].Set(standin.Freeze)
+	nodes[0].SetMode(standin.ModeFreeze)
 	statuses := make(chan int, 3)
 	for range 3 {
 		go func() { statuses <- c.get("x", "/").status }()
 	}
-	eventually(t, "three requests are at the node", func() bool { return nodes[0].Open() == 3 })
+	eventually(t, "three requests are at the node", func() bool { return nodes[0].OpenRequests() == 3 })
 	started := time.Now()
 	for _, body := range []string{"", "some"} {
 		r := c.send(http.MethodPost, "x", "/", body)
@@ -224,7 +224,7 @@
 	if n := d.Pool("a").Stats().Full; n != 2 {
 		t.Errorf("%d requests counted as rejected, want 2", n)
 	}
-	nodes[0].Set(standin.Serve)
+	nodes[0].SetMode(standin.ModeServe)
 	for range 3 {
 		if s := <-statuses; s != 200 {
 			t.Errorf("status %d for an accepted request", s)
--- a/internal/daemon/nodes_test.go
+++ b/internal/daemon/nodes_test.go
@@ -24,13 +24,13 @@
 			var drain func(d *Daemon)
 			switch name {
 			case "discovery":
-				agent, err := standin.StartAgent(standin.EntryOf(nodes[0], "in_service"), standin.EntryOf(nodes[1], "in_service"))
+				agent, err := standin.StartAgent(standin.NewEntry(nodes[0], "in_service"), standin.NewEntry(nodes[1], "in_service"))
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(agent.Close)
 				nodesText = fmt.Sprintf("discovery = %q\n", agent.Addr())
-				drain = func(*Daemon) { agent.Change(standin.EntryOf(nodes[0], "terminating")) }
+				drain = func(*Daemon) { agent.Update(standin.NewEntry(nodes[0], "terminating")) }
 			case "file":
 				path := filepath.Join(t.TempDir(), "nodes")
 				writeFile(t, path, nodes[0].Addr()+"\n"+nodes[1].Addr()+"\n")
@@ -46,12 +46,12 @@
 				if r := c.get("x", "/"); r.status != 200 && r.status != 503 {
 					t.Fatalf("status %d, %v", r.status, r.err)
 				}
-				return nodes[0].Total() > 0 && nodes[1].Total() > 0
+				return nodes[0].TotalRuns() > 0 && nodes[1].TotalRuns() > 0
 			})
-			nodes[0].Set(standin.Freeze)
+			nodes[0].SetMode(standin.ModeFreeze)
 			statuses := make(chan int, 100)
 			sent := 0
-			for ; nodes[0].Open() == 0; sent++ { // until the node to be drained holds a request
+			for ; nodes[0].OpenRequests() == 0; sent++ { // until the node to be drained holds a request
 				go func() { statuses <- c.get("x", "/").status }()
 				time.Sleep(5 * time.Millisecond)
 				if sent == 100 {
@@ -67,20 +67,20 @@
 				}
 				return true
 			})
-			eventually(t, "all open requests are at the node", func() bool { return d.Pool("a").OpenRequests() == nodes[0].Open() })
-			before := nodes[0].Total() + nodes[0].Open()
+			eventually(t, "all open requests are at the node", func() bool { return d.Pool("a").OpenRequests() == nodes[0].OpenRequests() })
+			before := nodes[0].TotalRuns() + nodes[0].OpenRequests()
 			for range 100 {
 				if r := c.get("x", "/"); r.status != 200 {
 					t.Errorf("status %d, %v", r.status, r.err)
 				}
 			}
-			nodes[0].Set(standin.Serve)
+			nodes[0].SetMode(standin.ModeServe)
 			for range sent {
 				if s := <-statuses; s != 200 {
 					t.Errorf("status %d for a request sent before the drain", s)
 				}
 			}
-			if n := nodes[0].Total(); n != before {
+			if n := nodes[0].TotalRuns(); n != before {
 				t.Errorf("%d requests sent to a draining node", n-before)
 			}
 		})
@@ -93,7 +93,7 @@
 	a, b := startNodes(t, "a", 1, standin.NodeConfig{}), startNodes(t, "b", 1, standin.NodeConfig{})
 	small := strings.Replace(baseConfig, "descriptors = 1032", "descriptors = 152", 1) // 60 of them for callers
 	d := startDaemon(t, small, poolText("a", nodeList(a)), poolText("b", nodeList(b)), routeText("a", "a"), routeText("b", "b"))
-	a[0].Set(standin.Freeze)
+	a[0].SetMode(standin.ModeFreeze)
 	var mu sync.Mutex
 	var conns []net.Conn
 	openConns := func(n int, text string) {
@@ -141,7 +141,7 @@
 			t.Errorf("a body of %d bytes: status %d, want %d", size, r.status, want)
 		}
 	}
-	if n := nodes[0].Total(); n != 1 {
+	if n := nodes[0].TotalRuns(); n != 1 {
 		t.Errorf("%d runs, want 1", n)
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -108,7 +108,7 @@
 		}
 	}
 	for _, n := range append(a, b...) {
-		for id, times := range n.Runs() {
+		for id, times := range n.RunsByID() {
 			if times != 1 {
 				t.Errorf("node %s ran %s %d times", n.Name(), id, times)
 			}
@@ -123,14 +123,14 @@
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(a)), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
 	c.get("x", "/")
-	kept, opened := d.Pool("a"), a[0].Opened()
+	kept, opened := d.Pool("a"), a[0].TotalConns()
 	changes := applyConfig(t, d, baseConfig, "[classes.pay]\nworth = 5\n", poolText("a", nodeList(a)+"requests = 7\nmemory = \"9 MiB\"\nmax_body = \"64 KiB\"\n"), poolText("b", nodeList(b)),
 		"[[routes]]\npath = \"/pay\"\npool = \"a\"\nclass = \"pay\"\n", routeText("", "a"), routeText("b.example.org", "b"))
 	if d.Pool("a") != kept {
 		t.Error("the pool was replaced")
 	}
-	if r := c.get("x", "/pay/1"); r.status != 200 || a[0].Opened() != opened {
-		t.Errorf("status %d, %d connections opened, want %d", r.status, a[0].Opened(), opened)
+	if r := c.get("x", "/pay/1"); r.status != 200 || a[0].TotalConns() != opened {
+		t.Errorf("status %d, %d connections opened, want %d", r.status, a[0].TotalConns(), opened)
 	}
 	if r := c.send(http.MethodPost, "x", "/", strings.Repeat("b", 65<<10)); r.status != 413 {
 		t.Errorf("status %d for a body over the new limit", r.status)
@@ -149,9 +149,9 @@
 	}
 	// Other Balancer settings replace the pool, which keeps its connections.
 	applyConfig(t, d, baseConfig, poolText("a", nodeList(b)+"attempts = 2\n"), routeText("", "a"))
-	opened = b[0].Opened()
-	if r := c.get("x", "/"); r.status != 200 || d.Pool("a") == kept || b[0].Opened() != opened {
-		t.Errorf("status %d, same pool %t, %d connections opened, want 200, false and %d", r.status, d.Pool("a") == kept, b[0].Opened(), opened)
+	opened = b[0].TotalConns()
+	if r := c.get("x", "/"); r.status != 200 || d.Pool("a") == kept || b[0].TotalConns() != opened {
+		t.Errorf("status %d, same pool %t, %d connections opened, want 200, false and %d", r.status, d.Pool("a") == kept, b[0].TotalConns(), opened)
 	}
 }
 
@@ -164,11 +164,11 @@
 	d := startDaemon(t, with...)
 	c := newClient(t, d.publicAddr(t))
 	old := d.Pool("b")
-	b[0].Set(standin.Freeze)
+	b[0].SetMode(standin.ModeFreeze)
 	done := make(chan response)
 	startRequest := func() {
 		go func() { done <- c.send(http.MethodPost, "b.example.org", "/", "x") }()
-		eventually(t, "the request is at the node", func() bool { return b[0].Open() == 1 })
+		eventually(t, "the request is at the node", func() bool { return b[0].OpenRequests() == 1 })
 	}
 	startRequest()
 	applyConfig(t, d, without...)
@@ -181,15 +181,15 @@
 		t.Errorf("restored while draining: same pool %t, %d retired", d.Pool("b") == old, d.RetiredCount())
 	}
 	applyConfig(t, d, without...)
-	b[0].Set(standin.Serve)
+	b[0].SetMode(standin.ModeServe)
 	if r := <-done; r.status != 200 || !strings.HasPrefix(r.body, "b-0") {
 		t.Errorf("the open request: %d %q", r.status, r.body)
 	}
 	eventually(t, "the pool is closed", func() bool { return d.RetiredCount() == 0 && d.Pool("b") == nil })
-	if n := b[0].Total(); n != 1 {
+	if n := b[0].TotalRuns(); n != 1 {
 		t.Errorf("%d runs, want 1", n)
 	}
-	eventually(t, "its connections are closed", func() bool { return b[0].Conns() == 0 })
+	eventually(t, "its connections are closed", func() bool { return b[0].OpenConns() == 0 })
 }
 
 // A host can move to another pool between two requests on one connection.
@@ -235,8 +235,8 @@
 	}
 	runs := func(wantA, wantB int) {
 		t.Helper()
-		if a[0].Total() != wantA || b[0].Total() != wantB {
-			t.Errorf("%d and %d runs, want %d and %d", a[0].Total(), b[0].Total(), wantA, wantB)
+		if a[0].TotalRuns() != wantA || b[0].TotalRuns() != wantB {
+			t.Errorf("%d and %d runs, want %d and %d", a[0].TotalRuns(), b[0].TotalRuns(), wantA, wantB)
 		}
 	}
 	if s := pay("k1"); s != 200 {
@@ -278,12 +278,12 @@
 	small := strings.Replace(baseConfig, "descriptors = 1032", "descriptors = 152", 1) // 60 each for callers and nodes
 	d := startDaemon(t, small, poolText("a", nodeList(a)), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
-	a[0].Set(standin.Freeze)
+	a[0].SetMode(standin.ModeFreeze)
 	done := make(chan int, 40)
 	for range 40 {
 		go func() { done <- c.get("x", "/").status }()
 	}
-	eventually(t, "40 requests are at the node", func() bool { return a[0].Open() == 40 })
+	eventually(t, "40 requests are at the node", func() bool { return a[0].OpenRequests() == 40 })
 	applyConfig(t, d, small, poolText("b", nodeList(b)), routeText("", "b"))
 	if n := d.Pool("b").Conns().MaxConns(); n > 20 {
 		t.Errorf("the new pool may open %d connections, want at most 20: 40 of 60 are in use", n)
@@ -291,7 +291,7 @@
 	if r := c.get("x", "/"); r.status != 200 {
 		t.Errorf("status %d from the new pool", r.status)
 	}
-	a[0].Set(standin.Serve)
+	a[0].SetMode(standin.ModeServe)
 	for range 40 {
 		if s := <-done; s != 200 {
 			t.Errorf("status %d for an open request", s)
@@ -368,7 +368,7 @@
 	for range 10 {
 		go func() { statuses <- c.get("x", "/").status }()
 	}
-	eventually(t, "all requests are at the node", func() bool { return nodes[0].Open() == 10 })
+	eventually(t, "all requests are at the node", func() bool { return nodes[0].OpenRequests() == 10 })
 	ended := make(chan struct{})
 	go func() { d.Drain(50*time.Millisecond, time.Now().Add(testTimeout)); close(ended) }()
 	eventually(t, "the daemon reports not ready", func() bool { return c.get("x", "/-/ready").status != 200 })
--- a/internal/fleet/accept_test.go
+++ b/internal/fleet/accept_test.go
@@ -20,8 +20,8 @@
 
 // The console answers a request after any transient error of accept.
 func TestConsoleAcceptContinuesAfterTransientErrors(t *testing.T) {
-	for _, errno := range standin.AcceptErrors {
-		l := standin.Fail(listen(t), errno)
+	for _, errno := range standin.TransientAcceptErrors {
+		l := standin.NewFailingListener(listen(t), errno)
 		s := NewConsole(readyController{})
 		ended := make(chan error, 1)
 		go func() { ended <- s.Serve(NewLimitedListener(l)) }()
@@ -32,8 +32,8 @@
 		}
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		if resp.StatusCode != http.StatusOK || !strings.HasPrefix(string(text), "ok") || l.Failed() != 1 {
-			t.Errorf("%v: %s %q, %d accepts failed, want 200, ok and 1", errno, resp.Status, text, l.Failed())
+		if resp.StatusCode != http.StatusOK || !strings.HasPrefix(string(text), "ok") || l.FailedAccepts() != 1 {
+			t.Errorf("%v: %s %q, %d accepts failed, want 200, ok and 1", errno, resp.Status, text, l.FailedAccepts())
 		}
 		s.Close()
 		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
@@ -45,13 +45,13 @@
 // A successor can take over after any transient error of accept.
 func TestSuccessorAcceptContinuesAfterTransientErrors(t *testing.T) {
 	front := listen(t).(*net.TCPListener)
-	for _, errno := range standin.AcceptErrors {
+	for _, errno := range standin.TransientAcceptErrors {
 		dir := t.TempDir()
 		inner, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: filepath.Join(dir, socketName), Net: "unixpacket"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := standin.Fail(inner, errno)
+		l := standin.NewFailingListener(inner, errno)
 		s := &SuccessorListener{listener: acceptloop.Wrap(l), done: make(chan struct{})}
 		ended := make(chan struct{})
 		go func() {
@@ -60,8 +60,8 @@
 		}()
 		var got string
 		link, listener, err := TakeOver(dir, &got)
-		if err != nil || link == nil || got != "state" || l.Failed() != 1 {
-			t.Fatalf("%v: state %q, error %v, %d accepts failed, want state, no error and 1", errno, got, err, l.Failed())
+		if err != nil || link == nil || got != "state" || l.FailedAccepts() != 1 {
+			t.Fatalf("%v: state %q, error %v, %d accepts failed, want state, no error and 1", errno, got, err, l.FailedAccepts())
 		}
 		listener.Close()
 		link.Close()
--- a/internal/front/http/begin_test.go
+++ b/internal/front/http/begin_test.go
@@ -58,7 +58,7 @@
 	}
 	dialing := func(longBodyBytes int64) func(*testing.T) *disconnectRig {
 		return func(t *testing.T) *disconnectRig {
-			l, err := standin.ListenLate()
+			l, err := standin.ListenFull()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -66,7 +66,7 @@
 			d := newDisconnectRig(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
 			d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
 			d.unblock = func() {
-				if err := l.Open(); err != nil {
+				if err := l.Unblock(); err != nil {
 					t.Fatal(err)
 				}
 				d.recorder = newRecorder(t, l)
--- a/internal/front/http/gone_test.go
+++ b/internal/front/http/gone_test.go
@@ -201,7 +201,7 @@
 // dialingRig returns a rig whose endpoint accepts connections only once unblock is called.
 func dialingRig(longBodyBytes int64) func(*testing.T) *disconnectRig {
 	return func(t *testing.T) *disconnectRig {
-		l, err := standin.ListenLate()
+		l, err := standin.ListenFull()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,7 +209,7 @@
 		d := newDisconnectRig(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
 		d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
 		d.unblock = func() {
-			if err := l.Open(); err != nil {
+			if err := l.Unblock(); err != nil {
 				t.Fatal(err)
 			}
 			d.recorder = newRecorder(t, l)
@@ -257,7 +257,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(srv.Close)
-	lateListener, err := standin.ListenLate()
+	lateListener, err := standin.ListenFull()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 	d.earnRetryBudget(t)
 	d.SetDisabled(map[string]bool{"late": true, "first": true})
 	d.unblock = func() {
-		if err := lateListener.Open(); err != nil {
+		if err := lateListener.Unblock(); err != nil {
 			t.Fatal(err)
 		}
 		d.recorder = newRecorder(t, lateListener)
--- a/internal/front/http/left_test.go
+++ b/internal/front/http/left_test.go
@@ -137,7 +137,7 @@
 		return d
 	}
 	dialing := func(t *testing.T, longBodyBytes int64) *disconnectRig {
-		l, err := standin.ListenLate()
+		l, err := standin.ListenFull()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -146,7 +146,7 @@
 		d.recorder = &recorder{}
 		d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n }
 		d.unblock = func() {
-			if err := l.Open(); err != nil {
+			if err := l.Unblock(); err != nil {
 				t.Fatal(err)
 			}
 			d.recorder = newRecorder(t, l)
--- a/internal/front/http/told_test.go
+++ b/internal/front/http/told_test.go
@@ -45,10 +45,10 @@
 				io.Copy(io.Discard, r.Body)
 				io.WriteString(w, "ok")
 			}))
-			var lateListener *standin.Late
+			var lateListener *standin.FullListener
 			if c.delayed {
 				var err error
-				if lateListener, err = standin.ListenLate(); err != nil {
+				if lateListener, err = standin.ListenFull(); err != nil {
 					t.Fatal(err)
 				}
 				srv.Listener.Close()
@@ -80,7 +80,7 @@
 				waitStart := time.Now()
 				time.Sleep(200 * time.Millisecond)
 				longest -= time.Since(waitStart)
-				if err := lateListener.Open(); err != nil {
+				if err := lateListener.Unblock(); err != nil {
 					t.Fatal(err)
 				}
 				srv.Start()
--- a/internal/hollow/role.go
+++ b/internal/hollow/role.go
@@ -185,21 +185,21 @@
 				return nil, fmt.Errorf("service %d, endpoint %d: there is none", e.Service, e.Endpoint)
 			}
 			b.state[e.Service][e.Endpoint]++
-			if _, err := b.r.Change(e.Service, entryOf(e.Service, e.Endpoint, b.state[e.Service][e.Endpoint])); err != nil {
+			if _, err := b.r.Update(e.Service, entryOf(e.Service, e.Endpoint, b.state[e.Service][e.Endpoint])); err != nil {
 				return nil, err
 			}
 		}
 	case "count":
-		a.Counts = b.r.Count()
+		a.Counts = b.r.ResetCounts()
 	case "so far": // what there was so far, without an end of it
-		a.Counts = b.r.SoFar()
+		a.Counts = b.r.Counts()
 	case "changes":
-		a.Changes = b.r.Changes()
+		a.Changes = b.r.TakeChanges()
 	case "digest":
 		lists := map[string]nodes.List{}
 		for s := range b.state {
 			var l nodes.List
-			for _, e := range b.r.List(s) {
+			for _, e := range b.r.Entries(s) {
 				l.Endpoints = append(l.Endpoints, nodes.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Status: nodes.Status(e.Status), SinceMs: e.SinceMs})
 			}
 			lists[PoolName(s)] = l
--- a/internal/load/engine_test.go
+++ b/internal/load/engine_test.go
@@ -219,15 +219,15 @@
 		}
 		before := make([]int, len(nodes))
 		for i, n := range nodes {
-			before[i] = n.Total()
+			before[i] = n.TotalRuns()
 		}
 		res := run(t, cfg)
 		if int64(len(told)) != res.Requests() || len(told) == 0 {
 			t.Errorf("%d ends told of %d requests", len(told), res.Requests())
 		}
 		for i, n := range nodes {
-			if n.Total()-before[i] != went[i] || went[i] == 0 {
-				t.Errorf("target %d: %d requests, %d meant for it", i, n.Total()-before[i], went[i])
+			if n.TotalRuns()-before[i] != went[i] || went[i] == 0 {
+				t.Errorf("target %d: %d requests, %d meant for it", i, n.TotalRuns()-before[i], went[i])
 			}
 		}
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -136,8 +136,8 @@
 		}
 	})
 	begin := time.Now()
-	time.AfterFunc(1500*ms, func() { n.Set(standin.Freeze) })
-	time.AfterFunc(1500*ms+pause, func() { n.Set(standin.Serve) })
+	time.AfterFunc(1500*ms, func() { n.SetMode(standin.ModeFreeze) })
+	time.AfterFunc(1500*ms+pause, func() { n.SetMode(standin.ModeServe) })
 	res := run(t, config(n.Addr(), s))
 	wg.Wait()
 	if took := time.Since(begin); took > patience/2 {
@@ -193,7 +193,7 @@
 // costs no memory: what is due waits in the plan.
 func TestStalledTargetBoundedMemory(t *testing.T) {
 	n := node(t, standin.NodeConfig{})
-	n.Set(standin.Freeze)
+	n.SetMode(standin.ModeFreeze)
 	s := stream(t, "hold 50000 4s")
 	s.Budget = 0
 	cfg := config(n.Addr(), s)
@@ -226,17 +226,17 @@
 	if p := res.Latency.ValueAtQuantile(50); p < 2400000 || p > 2900000 {
 		t.Errorf("half have waited for %d µs, want about 2.5 s", p)
 	}
-	if n.Opened() > 64 {
-		t.Errorf("%d connections, want 64 at most", n.Opened())
+	if n.TotalConns() > 64 {
+		t.Errorf("%d connections, want 64 at most", n.TotalConns())
 	}
 }
 
 // Each way of not answering is told apart, and the run ends.
 func TestOutcomes(t *testing.T) {
 	refusing := node(t, standin.NodeConfig{})
-	refusing.Vanish()
+	refusing.Crash()
 	silent := node(t, standin.NodeConfig{})
-	silent.Set(standin.Freeze)
+	silent.SetMode(standin.ModeFreeze)
 	for name, c := range map[string]struct {
 		addr string
 		want Outcome
@@ -342,7 +342,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 600*ms)
 	defer cancel()
-	n2 := time.AfterFunc(300*ms, func() { n.Set(standin.Freeze) })
+	n2 := time.AfterFunc(300*ms, func() { n.SetMode(standin.ModeFreeze) })
 	defer n2.Stop()
 	res := r.Run(ctx)
 	if res.Outcomes[OK] < 20 || res.Outcomes[Unanswered] < 20 || res.Requests() > 200 {
--- a/internal/load/spec_test.go
+++ b/internal/load/spec_test.go
@@ -209,7 +209,7 @@
 	for _, c := range []struct {
 		share float64
 		err   error
-	}{{0.1, trace.ErrTooBad}, {0.5, nil}} {
+	}{{0.1, trace.ErrTooManyBadLines}, {0.5, nil}} {
 		s := NewSpec()
 		s.Target, s.Streams = n.Addr(), []StreamSpec{{Trace: put(t, "t.jsonl", text.String()), Speed: 1000, BadShare: c.share}}
 		var told bytes.Buffer
--- a/internal/load/verdict_test.go
+++ b/internal/load/verdict_test.go
@@ -27,8 +27,8 @@
 			n := node(t, standin.NodeConfig{})
 			cfg := config(n.Addr(), stream(t, "hold 500 3s"))
 			cfg.Conns = conns
-			time.AfterFunc(1000*ms, func() { n.Set(standin.Freeze) })
-			time.AfterFunc(2000*ms, func() { n.Set(standin.Serve) })
+			time.AfterFunc(1000*ms, func() { n.SetMode(standin.ModeFreeze) })
+			time.AfterFunc(2000*ms, func() { n.SetMode(standin.ModeServe) })
 			w := newWitness()
 			res := run(t, cfg)
 			worst := w.worst()
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			late, err := standin.ListenLate()
+			late, err := standin.ListenFull()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,7 +89,7 @@
 			srv := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received.Add(1) }))
 			srv.Listener.Close()
 			srv.Listener = late
-			if err := late.Open(); err != nil {
+			if err := late.Unblock(); err != nil {
 				t.Fatal(err)
 			}
 			srv.Start()
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -91,7 +91,7 @@
 // Requests whose connection times out are sent once to the other endpoint, including unsafe ones.
 // The first endpoint receives none of them when it accepts connections later.
 func TestConnectTimeoutFailsOver(t *testing.T) {
-	late, err := standin.ListenLate()
+	late, err := standin.ListenFull()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { lateNode.add(r.URL.Path) }))
 	srv.Listener.Close()
 	srv.Listener = late
-	if err := late.Open(); err != nil {
+	if err := late.Unblock(); err != nil {
 		t.Fatal(err)
 	}
 	srv.Start()
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -132,7 +132,7 @@
 			pending.Wait()
 			runsByCallID := map[string]int{}
 			for _, n := range servers {
-				for id, k := range n.Runs() {
+				for id, k := range n.RunsByID() {
 					runsByCallID[id] += k
 				}
 			}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -102,17 +102,17 @@
 	p.Reactivate()
 	check(false, nil)
 	p.SetLimits(Limits{Requests: 1, BodyBytes: 1})
-	n.Set(standin.Freeze)
+	n.SetMode(standin.ModeFreeze)
 	done := make(chan Answer)
 	go func() { a, _ := doRequest(t, p, false); done <- a }()
 	// The node also has an idle connection, so the limit of the Pool is reached first.
-	eventually(t, "the request is open in the Pool and at the node", func() bool { return p.OpenRequests() == 1 && n.Open() == 1 })
+	eventually(t, "the request is open in the Pool and at the node", func() bool { return p.OpenRequests() == 1 && n.OpenRequests() == 1 })
 	check(false, ErrFull)
 	check(true, ErrFull)
 	if after := p.RetryAfter(); after < minRetryAfter || after > maxRetryAfter {
 		t.Errorf("RetryAfter is %v, want it within its bounds", after)
 	}
-	n.Set(standin.Serve)
+	n.SetMode(standin.ModeServe)
 	if a := <-done; a.Verdict != Served {
 		t.Errorf("answer %+v, want Served", a)
 	}
@@ -132,7 +132,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
-		n.Set(standin.Error)
+		n.SetMode(standin.ModeError)
 		servers = append(servers, n)
 		cfg.Known.Endpoints = append(cfg.Known.Endpoints, undatedList(n.Addr()).Endpoints...)
 	}
@@ -143,7 +143,7 @@
 	}
 	a.Upstream.Release()
 	for _, n := range servers {
-		n.Vanish()
+		n.Crash()
 	}
 	if a, err = doRequest(t, p, false); err != nil || a.Upstream != nil || a.Verdict == Served {
 		t.Errorf("after the nodes have stopped: answer %+v, error %v, want no response", a, err)
--- a/internal/pool/told_test.go
+++ b/internal/pool/told_test.go
@@ -123,10 +123,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var endpoint *budgetRecorder
-			var late *standin.Late
+			var late *standin.FullListener
 			if c.slowConnect {
 				var err error
-				if late, err = standin.ListenLate(); err != nil {
+				if late, err = standin.ListenFull(); err != nil {
 					t.Fatal(err)
 				}
 				endpoint = newBudgetRecorder(t, late)
@@ -163,7 +163,7 @@
 				}()
 			}
 			if c.retryAfterDialTimeout {
-				other, err := standin.ListenLate()
+				other, err := standin.ListenFull()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -256,7 +256,7 @@
 					p.mu.Lock()
 				}
 				waitEndedAt = time.Now()
-				if err := late.Open(); err != nil {
+				if err := late.Unblock(); err != nil {
 					t.Fatal(err)
 				}
 				go endpoint.serve()
--- a/internal/proving/experiment.go
+++ b/internal/proving/experiment.go
@@ -397,7 +397,7 @@
 
 func (e *Experiment) parseEvents(top *tomlfile.Table) {
 	modes := slices.Clone(nodeActions)
-	for m := range standin.Modes {
+	for m := range standin.ModesByName {
 		modes = append(modes, m)
 	}
 	slices.Sort(modes)
--- a/internal/proving/rig.go
+++ b/internal/proving/rig.go
@@ -95,11 +95,11 @@
 	for i := range e.Nodes.Count {
 		rng, mu := rand.New(rand.NewPCG(r.seed, uint64(i))), new(sync.Mutex)
 		cfg := standin.NodeConfig{
-			Name: fmt.Sprintf("n%03d", i), Work: e.Nodes.Work, Cores: e.Nodes.Cores, Queue: e.Nodes.Queue, Warm: e.Nodes.WarmUp, ColdShare: e.Nodes.ColdShare,
+			Name: fmt.Sprintf("n%03d", i), Work: e.Nodes.Work, Cores: e.Nodes.Cores, Queue: e.Nodes.Queue, WarmUp: e.Nodes.WarmUp, ColdShare: e.Nodes.ColdShare,
 			Observe: func(req *http.Request, _ []byte) { r.record.recordArrival(i, req) },
 		}
 		if !e.Nodes.ConstantWork {
-			cfg.Draw = func() float64 {
+			cfg.WorkFactor = func() float64 {
 				mu.Lock()
 				defer mu.Unlock()
 				return rng.ExpFloat64()
@@ -364,7 +364,7 @@
 		return nil, fmt.Errorf("interrupted: %w", interrupted)
 	}
 	for _, n := range r.nodes {
-		r.record.recordExecutions(n.Runs())
+		r.record.recordExecutions(n.RunsByID())
 	}
 	rep, err := res.Report()
 	if err != nil {
@@ -532,19 +532,19 @@
 		n := r.nodes[d.party]
 		switch ev.Action {
 		case "slow":
-			n.Slow(ev.Factor)
+			n.SetSlowdown(ev.Factor)
 		case "vanish":
-			n.Vanish()
+			n.Crash()
 		case "return":
 			r.record.recordReturn(d.party)
-			return n.Return()
+			return n.Restart()
 		case "leave", "join":
 			r.mu.Lock()
 			r.unlisted[d.party] = ev.Action == "leave"
 			r.mu.Unlock()
 			r.record.recordListChange(d.party, ev.Action == "join")
 		default:
-			n.Set(standin.Modes[ev.Action])
+			n.SetMode(standin.ModesByName[ev.Action])
 		}
 		return nil
 	}
--- a/internal/proving/scale_rig.go
+++ b/internal/proving/scale_rig.go
@@ -263,11 +263,11 @@
 		if err != nil {
 			return err
 		}
-		if a.Counts.Sockets >= c.size.Services {
+		if a.Counts.Subscribers >= c.size.Services {
 			return nil
 		}
 		if time.Now().After(end) || c.realSidecar.process.hasExited() {
-			return fmt.Errorf("real sidecar watches %d of %d lists%s", a.Counts.Sockets, c.size.Services, c.realSidecar.logTail())
+			return fmt.Errorf("real sidecar watches %d of %d lists%s", a.Counts.Subscribers, c.size.Services, c.realSidecar.logTail())
 		}
 	}
 	return ctx.Err()
@@ -466,7 +466,7 @@
 	}
 	counted := a.Counts.Span.Seconds()
 	for name, x := range map[string]float64{
-		"calls": float64(a.Counts.Calls) / counted, "bytes": float64(a.Counts.In+a.Counts.Out) / counted, "peak": float64(a.Counts.Peak),
+		"calls": float64(a.Counts.Calls) / counted, "bytes": float64(a.Counts.BytesIn+a.Counts.BytesOut) / counted, "peak": float64(a.Counts.PeakCalls),
 		"sidecar_cpu": cpu.Seconds() / span * 1000, "sidecar_memory": float64(memory) / (1 << 20),
 		"registry_cpu": (u.cpu - m.registry.cpu).Seconds() / span * 1000, "registry_memory": float64(u.memory) / (1 << 20),
 	} {
@@ -532,7 +532,7 @@
 	if err != nil {
 		return nil, err
 	}
-	res.Costs["start_calls"], res.Costs["start_bytes"] = float64(at.Counts.Calls), float64(at.Counts.In+at.Counts.Out)
+	res.Costs["start_calls"], res.Costs["start_bytes"] = float64(at.Counts.Calls), float64(at.Counts.BytesIn+at.Counts.BytesOut)
 	if !real {
 		if res.OutOfSync, err = c.awaitSync(ctx, syncTimeout); err != nil {
 			return nil, err
@@ -593,12 +593,12 @@
 	for i := range changes {
 		ch := &changes[i]
 		m.Changes++
-		m.Unreached += ch.Waiting
-		slices.Sort(ch.Took)
-		n := len(ch.Took) + ch.Waiting
+		m.Unreached += ch.Pending
+		slices.Sort(ch.Delays)
+		n := len(ch.Delays) + ch.Pending
 		for name, share := range shares {
-			if k := int(math.Ceil(share*float64(n))) - 1; k >= 0 && k < len(ch.Took) {
-				times[name] = append(times[name], ch.Took[k].Seconds()*1000)
+			if k := int(math.Ceil(share*float64(n))) - 1; k >= 0 && k < len(ch.Delays) {
+				times[name] = append(times[name], ch.Delays[k].Seconds()*1000)
 			}
 		}
 	}
--- a/internal/proving/scale_test.go
+++ b/internal/proving/scale_test.go
@@ -77,7 +77,7 @@
 	w := &testSidecar{registry: r, path: filepath.Join(t.TempDir(), name+".toml")}
 	var pairs []string
 	for i, addr := range r.Addrs() {
-		r.Keep(i)
+		r.RecordQueries(i)
 		pairs = append(pairs, addr, fmt.Sprintf("list-%d", i))
 	}
 	w.addrs = strings.NewReplacer(pairs...)
@@ -95,7 +95,7 @@
 // queries returns the queries for a list and their number. Repeated queries and wait times are
 // left out, as they depend on timing.
 func (w *testSidecar) queries(list int) (distinct []string, calls int) {
-	for _, q := range w.registry.Asked(list) {
+	for _, q := range w.registry.Queries(list) {
 		if q = strings.TrimSuffix(q, "&wait_ms=0"); len(distinct) == 0 || distinct[len(distinct)-1] != strings.TrimSuffix(q, "&wait_ms=500") {
 			distinct = append(distinct, strings.TrimSuffix(q, "&wait_ms=500"))
 		}
@@ -133,7 +133,7 @@
 			t.Cleanup(n.Close)
 			endpoints[s] = append(endpoints[s], n)
 			if e < 3 {
-				lists[s] = append(lists[s], standin.EntryOf(n, "in_service"))
+				lists[s] = append(lists[s], standin.NewEntry(n, "in_service"))
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 		index := 0
 		for _, w := range sidecars {
 			var err error
-			if index, err = w.registry.Change(list, standin.EntryOf(endpoints[list][node], status)); err != nil {
+			if index, err = w.registry.Update(list, standin.NewEntry(endpoints[list][node], status)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -250,7 +250,7 @@
 	opened := 0
 	for s := range services {
 		for _, n := range endpoints[s] {
-			opened += n.Opened()
+			opened += n.TotalConns()
 		}
 	}
 	if opened > 0 {
@@ -269,7 +269,7 @@
 		}
 		reached := func() (names []string) {
 			for _, n := range endpoints[s] {
-				if n.Total() > 0 {
+				if n.TotalRuns() > 0 {
 					names = append(names, n.Name())
 				}
 			}
@@ -449,7 +449,7 @@
 	dayStart := time.Unix(1000, 0)
 	var changes []standin.Change
 	for hour, ms := range map[int]int{1: 900, 2: 20, 3: 30, 4: 40, 5: 50, 6: 800, 23: 7} {
-		changes = append(changes, standin.Change{At: dayStart.Add(time.Duration(hour) * time.Second), Took: []time.Duration{time.Millisecond, time.Duration(ms) * time.Millisecond}})
+		changes = append(changes, standin.Change{At: dayStart.Add(time.Duration(hour) * time.Second), Delays: []time.Duration{time.Millisecond, time.Duration(ms) * time.Millisecond}})
 	}
 	m := &Measured{Costs: map[string]float64{}}
 	d.recordPerEvent(m, changes, dayStart)
--- a/internal/sidecar/age_test.go
+++ b/internal/sidecar/age_test.go
@@ -23,7 +23,7 @@
 	path, temp := filepath.Join(t.TempDir(), "config.json"), t.TempDir()
 	put(t, path, configuration(freeAddr(t), agent.Addr()))
 	old, _ := start(t, path, temp)
-	agent.Change(entry("s-2", time.Now().Add(-wrong)))
+	agent.Update(entry("s-2", time.Now().Add(-wrong)))
 	eventually(t, "the second endpoint", func() bool { return old.pool.Knows("s-2") })
 	next, _ := start(t, path, temp)
 	for name, p := range map[string]*process{"old": old, "next": next} {
--- a/internal/sidecar/answers_test.go
+++ b/internal/sidecar/answers_test.go
@@ -339,7 +339,7 @@
 
 // newScene makes sound endpoints and a discovery that lists them. Connections to the late
 // ones come up once they are opened.
-func newScene(t *testing.T, name string, late ...*standin.Late) *scene {
+func newScene(t *testing.T, name string, late ...*standin.FullListener) *scene {
 	t.Helper()
 	lag, err := machine()
 	if err != nil {
@@ -426,7 +426,7 @@
 // open lets connections come up to the late endpoint i.
 func (s *scene) open(i int) {
 	e := s.endpoints[i]
-	if err := e.Listener.(*standin.Late).Open(); err != nil {
+	if err := e.Listener.(*standin.FullListener).Unblock(); err != nil {
 		s.t.Errorf("%s: %v", s.name, err)
 	}
 	go e.accept()
--- a/internal/sidecar/beside_test.go
+++ b/internal/sidecar/beside_test.go
@@ -32,14 +32,14 @@
 			hang := endpointFaults["hangs"]
 			s.endpoints[2].does.Store(&hang)
 			old, told := s.sidecar, time.Now()
-			s.agent.Change(s.entry(0, "terminating"))
+			s.agent.Update(s.entry(0, "terminating"))
 			old.stop()
 			was := s.listen.Load()
 			time.AfterFunc(300*time.Millisecond, func() { s.away.Store(was) })
 			time.Sleep(50 * time.Millisecond)
 			s.start(next, text)
 			second := time.Now()
-			s.agent.Change(s.entry(1, "terminating"))
+			s.agent.Update(s.entry(1, "terminating"))
 			back := s.endpoints[2]
 			back.does.Store(&sound)
 			select {
@@ -82,10 +82,10 @@
 		"fails":     func(s *scene) { s.set(1, endpointFaults["fails"]) },
 		"resets":    func(s *scene) { s.set(1, endpointFaults["resets before"]) },
 		"dies":      func(s *scene) { s.endpoints[0].die() },
-		"drains":    func(s *scene) { s.agent.Change(s.entry(0, "terminating")); s.set(1, endpointFaults["rejects"]) },
-		"is gone":   func(s *scene) { s.agent.Change(s.entry(0, "terminated")); s.endpoints[0].die() },
+		"drains":    func(s *scene) { s.agent.Update(s.entry(0, "terminating")); s.set(1, endpointFaults["rejects"]) },
+		"is gone":   func(s *scene) { s.agent.Update(s.entry(0, "terminated")); s.endpoints[0].die() },
 		"no fault":  func(s *scene) {},
-		"discovery": func(s *scene) { s.agent.Silence(true); s.endpoints[0].die() },
+		"discovery": func(s *scene) { s.agent.SetUnresponsive(true); s.endpoints[0].die() },
 		"replaced":  func(s *scene) { s.renew(sceneEndpoints - 1) },
 	}
 	var all sync.WaitGroup
@@ -124,7 +124,7 @@
 // addresses.
 func (s *scene) renew(n int) {
 	for i := range s.endpoints[:n] {
-		s.agent.Change(s.entry(i, "terminated"))
+		s.agent.Update(s.entry(i, "terminated"))
 		s.endpoints[i].die()
 		e, err := listenFaulty(s)
 		if err != nil {
@@ -135,6 +135,6 @@
 		s.endpoints[i] = e
 		entry := s.entry(i, "in_service")
 		entry.SinceMs = time.Now().UnixMilli()
-		s.agent.Change(entry)
+		s.agent.Update(entry)
 	}
 }
--- a/internal/sidecar/everyanswer_test.go
+++ b/internal/sidecar/everyanswer_test.go
@@ -45,12 +45,12 @@
 			}},
 			trouble{name: "endpoint drains" + at, begin: func(s *scene) {
 				for i := range s.endpoints[:n] {
-					s.agent.Change(s.entry(i, "terminating"))
+					s.agent.Update(s.entry(i, "terminating"))
 				}
 				s.set(n, endpointFaults["rejects"])
 			}},
 			trouble{name: "discovery is silent, endpoint hangs" + at, begin: func(s *scene) {
-				s.agent.Silence(true)
+				s.agent.SetUnresponsive(true)
 				s.set(n, endpointFaults["hangs"])
 			}},
 			trouble{name: "discovery is down, endpoint dies" + at, begin: func(s *scene) {
@@ -180,17 +180,17 @@
 
 // lateListeners are the listeners that the troubles need, made together as each takes a
 // while.
-func lateListeners(t *testing.T, all []trouble) [][]*standin.Late {
+func lateListeners(t *testing.T, all []trouble) [][]*standin.FullListener {
 	t.Helper()
-	made := make([][]*standin.Late, len(all))
+	made := make([][]*standin.FullListener, len(all))
 	errs := make(chan error, len(all)*sceneEndpoints)
 	var making sync.WaitGroup
 	for i, tr := range all {
-		made[i] = make([]*standin.Late, tr.late)
+		made[i] = make([]*standin.FullListener, tr.late)
 		for k := range made[i] {
 			making.Go(func() {
 				var err error
-				if made[i][k], err = standin.ListenLate(); err != nil {
+				if made[i][k], err = standin.ListenFull(); err != nil {
 					errs <- err
 				}
 			})
--- a/internal/sidecar/growth_test.go
+++ b/internal/sidecar/growth_test.go
@@ -120,7 +120,7 @@
 		time.Sleep(lasts / (changes + 1))
 		gone, come := entry(i), entry(endpoints+i)
 		gone.Status = "terminated"
-		if _, err := registry.Change(0, gone, come); err != nil {
+		if _, err := registry.Update(0, gone, come); err != nil {
 			t.Fatal(err)
 		}
 		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -130,9 +130,9 @@
 		need.descriptors = max(need.descriptors, len(fds))
 	}
 	all.Wait()
-	need.cpu, need.peak, need.lists = procStat(t, pid), procPeak(t, pid), registry.SoFar().Out
+	need.cpu, need.peak, need.lists = procStat(t, pid), procPeak(t, pid), registry.Counts().BytesOut
 	for _, n := range nodes {
-		need.connections += n.Opened()
+		need.connections += n.TotalConns()
 	}
 	return need
 }
--- a/internal/sidecar/level_test.go
+++ b/internal/sidecar/level_test.go
@@ -85,7 +85,7 @@
 			gone.Status = string(nodes.Terminated)
 			e.Name = fmt.Sprintf("s-%d-%d", lastAsk.Add(1), i)
 			list[i%len(list)] = e
-			agent.Change(e, gone)
+			agent.Update(e, gone)
 			time.Sleep(5 * time.Millisecond)
 		}
 		for i := range reloads {
--- a/internal/sidecar/stall_test.go
+++ b/internal/sidecar/stall_test.go
@@ -45,7 +45,7 @@
 		p.cmd.Process.Signal(syscall.SIGSTOP)
 		time.Sleep(ahead)
 		told := time.Now()
-		s.agent.Change(s.entry(0, "terminating"))
+		s.agent.Update(s.entry(0, "terminating"))
 		time.Sleep(stall - ahead)
 		p.cmd.Process.Signal(syscall.SIGCONT)
 		time.Sleep(time.Until(told.Add(grace + 150*time.Millisecond)))
@@ -54,7 +54,7 @@
 		} else {
 			t.Logf("drain %d: the last attempt %v after it was told", n, late.Round(time.Millisecond))
 		}
-		s.agent.Change(s.entry(0, "in_service"))
+		s.agent.Update(s.entry(0, "in_service"))
 	}
 	close(done)
 	all.Wait()
--- a/internal/sidecar/thrift_test.go
+++ b/internal/sidecar/thrift_test.go
@@ -35,7 +35,7 @@
 		}()
 	}
 	all.Wait()
-	if n := node.Opened(); n < burst/2 {
+	if n := node.TotalConns(); n < burst/2 {
 		t.Fatalf("a burst of %d opened %d connections, want about as many", burst, n)
 	}
 	settings := 5 * time.Second
@@ -48,11 +48,11 @@
 		t.Errorf("%v until %d connections were left, want about %v", took, few, upstream.OptimalIdleTimeout(0, 0))
 	}
 	// One that is in use all the time is kept.
-	was := node.Opened()
+	was := node.TotalConns()
 	for range 10 {
 		askNew(listen)
 	}
-	if n := node.Opened() - was; n > 2 {
+	if n := node.TotalConns() - was; n > 2 {
 		t.Errorf("10 requests in a row opened %d connections, want none", n)
 	}
 }
--- a/internal/standin/accept_test.go
+++ b/internal/standin/accept_test.go
@@ -9,12 +9,12 @@
 // A node goes on after each error that an accept can fail with.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
 	n := start(t, NodeConfig{Name: "s-1"})
-	for _, errno := range AcceptErrors {
+	for _, errno := range TransientAcceptErrors {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := Fail(inner, errno)
+		l := NewFailingListener(inner, errno)
 		n.mu.Lock()
 		own := n.l
 		n.l = l
@@ -27,8 +27,8 @@
 			t.Fatalf("%v: %v", errno, err)
 		}
 		resp.Body.Close()
-		if l.Failed() != 1 {
-			t.Errorf("%v: %d accepts failed, want 1", errno, l.Failed())
+		if l.FailedAccepts() != 1 {
+			t.Errorf("%v: %d accepts failed, want 1", errno, l.FailedAccepts())
 		}
 		n.mu.Lock()
 		n.l = own
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -23,9 +23,9 @@
 }
 
 // EntryOf is the entry of a Node as it is now.
-func EntryOf(n *Node, status string) Entry {
+func NewEntry(n *Node, status string) Entry {
 	e := Entry{Name: n.Name(), Address: n.Addr(), Zone: "a", Status: status}
-	if since := n.Since(); !since.IsZero() {
+	if since := n.RestartedAt(); !since.IsZero() {
 		e.SinceMs = since.UnixMilli()
 	}
 	return e
@@ -78,7 +78,7 @@
 
 // Change tells that these entries have changed. A terminated one leaves the
 // list.
-func (a *Agent) Change(entries ...Entry) {
+func (a *Agent) Update(entries ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.index++
@@ -94,7 +94,7 @@
 }
 
 // Silence makes calls wait without an answer, or ends that.
-func (a *Agent) Silence(on bool) {
+func (a *Agent) SetUnresponsive(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -11,7 +11,7 @@
 // Late is a listener to which connections come up only once it is opened: its queue is
 // full until then, and the kernel drops what else knocks, which knocks again after 1, 3
 // and 7 s.
-type Late struct {
+type FullListener struct {
 	net.Listener
 	fill []net.Conn
 }
@@ -20,12 +20,12 @@
 const fullAfter = 200 * time.Millisecond
 
 // ListenLate starts a Late on a free port of 127.0.0.1.
-func ListenLate() (*Late, error) {
+func ListenFull() (*FullListener, error) {
 	l, err := listenOne()
 	if err != nil {
 		return nil, fmt.Errorf("stand-in that comes up late: %w", err)
 	}
-	k := &Late{Listener: l}
+	k := &FullListener{Listener: l}
 	for { // until one does not come up
 		c, err := net.DialTimeout("tcp", l.Addr().String(), fullAfter)
 		if err != nil {
@@ -53,7 +53,7 @@
 }
 
 // Open lets connections come up; somebody has to accept them.
-func (k *Late) Open() error {
+func (k *FullListener) Unblock() error {
 	raw, err := k.Listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
@@ -65,14 +65,14 @@
 	return err
 }
 
-func (k *Late) leave() {
+func (k *FullListener) leave() {
 	for _, c := range k.fill {
 		c.Close()
 	}
 }
 
 // Close implements net.Listener.
-func (k *Late) Close() error {
+func (k *FullListener) Close() error {
 	k.leave()
 	return k.Listener.Close()
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -22,32 +22,32 @@
 type Mode int
 
 const (
-	Serve  Mode = iota
-	Freeze      // takes requests and begins none until the mode changes
-	Mute        // runs each request and never answers
-	Error       // runs each request and answers 500
-	Spoil       // runs each request and answers noise
-	Reset       // runs each request and breaks the connection
-	Refuse      // runs nothing: 503 with X-Rejected
+	ModeServe     Mode = iota
+	ModeFreeze         // takes requests and begins none until the mode changes
+	ModeNoAnswer       // runs each request and never answers
+	ModeError          // runs each request and answers 500
+	ModeMalformed      // runs each request and answers noise
+	ModeReset          // runs each request and breaks the connection
+	ModeReject         // runs nothing: 503 with X-Rejected
 )
 
 // Modes are the names of the modes, as the demo takes them.
-var Modes = map[string]Mode{
-	"serve": Serve, "freeze": Freeze, "mute": Mute, "error": Error, "spoil": Spoil, "reset": Reset, "refuse": Refuse,
+var ModesByName = map[string]Mode{
+	"serve": ModeServe, "freeze": ModeFreeze, "mute": ModeNoAnswer, "error": ModeError, "spoil": ModeMalformed, "reset": ModeReset, "refuse": ModeReject,
 }
 
 // NodeConfig says what a Node is. The zero value serves at once.
 type NodeConfig struct {
-	Name    string
-	Latency time.Duration  // of every answer, whatever else is running
-	Work    time.Duration  // of one core, for every request
-	Draw    func() float64 // how many times Work a request takes; nil for once. Safe for concurrent use
-	Cores   int            // requests that are worked on at once; 0 for no bound
-	Queue   int            // requests that wait for a core, more are turned away; 0 for no bound
+	Name       string
+	Latency    time.Duration  // of every answer, whatever else is running
+	Work       time.Duration  // of one core, for every request
+	WorkFactor func() float64 // how many times Work a request takes; nil for once. Safe for concurrent use
+	Cores      int            // requests that are worked on at once; 0 for no bound
+	Queue      int            // requests that wait for a core, more are turned away; 0 for no bound
 
 	// Warm is how long a node that has come back is cold: its work takes
 	// 1/ColdShare of the usual at first and the usual after Warm.
-	Warm      time.Duration
+	WarmUp    time.Duration
 	ColdShare float64
 
 	// Answer, if set, makes the answer to a request that has run. It must be
@@ -114,7 +114,7 @@
 
 // Set changes how requests are treated from now on; those held by Freeze are
 // looked at anew.
-func (n *Node) Set(m Mode) {
+func (n *Node) SetMode(m Mode) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.mode = m
@@ -124,7 +124,7 @@
 
 // Slow makes all work take factor times as long from now on; what is being worked
 // on is not changed.
-func (n *Node) Slow(factor float64) {
+func (n *Node) SetSlowdown(factor float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.factor = factor
@@ -132,7 +132,7 @@
 
 // Vanish ends the node as a process that dies: its connections are reset and
 // new ones refused.
-func (n *Node) Vanish() {
+func (n *Node) Crash() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.l == nil {
@@ -149,7 +149,7 @@
 
 // Return starts the node again at its address, cold and serving. What it has
 // run in former lives stays counted.
-func (n *Node) Return() error {
+func (n *Node) Restart() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.l != nil {
@@ -159,38 +159,38 @@
 	if err != nil {
 		return fmt.Errorf("stand-in node %s: %w", n.cfg.Name, err)
 	}
-	n.l, n.mode, n.since = l, Serve, time.Now()
+	n.l, n.mode, n.since = l, ModeServe, time.Now()
 	n.life++
 	go n.accept(l)
 	return nil
 }
 
 // Close ends the node for good.
-func (n *Node) Close() { n.Vanish() }
+func (n *Node) Close() { n.Crash() }
 
 // Since is when the node last returned; zero in its first life.
-func (n *Node) Since() time.Time {
+func (n *Node) RestartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.since
 }
 
 // Runs is how often each id has run. Requests without an id count under "".
-func (n *Node) Runs() map[string]int {
+func (n *Node) RunsByID() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.runs)
 }
 
 // Total is how many requests have run.
-func (n *Node) Total() int {
+func (n *Node) TotalRuns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.total
 }
 
 // Open is how many requests are in, and MostOpen how many were at once.
-func (n *Node) Open() int {
+func (n *Node) OpenRequests() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.open
@@ -204,14 +204,14 @@
 }
 
 // Opened is how many connections have ever come.
-func (n *Node) Opened() int {
+func (n *Node) TotalConns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.opened
 }
 
 // Conns is how many connections are open.
-func (n *Node) Conns() int {
+func (n *Node) OpenConns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.conns)
@@ -279,10 +279,10 @@
 		case !alive:
 			abort(c)
 			return false
-		case mode == Freeze:
+		case mode == ModeFreeze:
 			<-changed
 			continue
-		case mode == Refuse:
+		case mode == ModeReject:
 			return n.answer(c, req, Answer{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
 		}
 		break
@@ -296,15 +296,15 @@
 	mode, changed := n.mode, n.changed
 	n.mu.Unlock()
 	switch mode {
-	case Mute:
+	case ModeNoAnswer:
 		<-changed
 		return false
-	case Reset:
+	case ModeReset:
 		abort(c)
 		return false
-	case Error:
+	case ModeError:
 		return n.answer(c, req, Answer{Status: http.StatusInternalServerError, Body: n.cfg.Name + " failed\n"})
-	case Spoil:
+	case ModeMalformed:
 		io.WriteString(c, "\x00\x01 this is no answer\r\n\r\n")
 		return false
 	}
@@ -363,15 +363,15 @@
 	n.mu.Lock()
 	since, factor := n.since, n.factor
 	n.mu.Unlock()
-	if n.cfg.Draw != nil {
-		work = time.Duration(float64(work) * n.cfg.Draw())
+	if n.cfg.WorkFactor != nil {
+		work = time.Duration(float64(work) * n.cfg.WorkFactor())
 	}
 	if factor > 0 {
 		work = time.Duration(float64(work) * factor)
 	}
-	if !since.IsZero() && n.cfg.Warm > 0 && n.cfg.ColdShare > 0 {
-		if age := time.Since(since); age < n.cfg.Warm {
-			share := n.cfg.ColdShare + (1-n.cfg.ColdShare)*age.Seconds()/n.cfg.Warm.Seconds()
+	if !since.IsZero() && n.cfg.WarmUp > 0 && n.cfg.ColdShare > 0 {
+		if age := time.Since(since); age < n.cfg.WarmUp {
+			share := n.cfg.ColdShare + (1-n.cfg.ColdShare)*age.Seconds()/n.cfg.WarmUp.Seconds()
 			work = time.Duration(float64(work) / share)
 		}
 	}
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -59,18 +59,18 @@
 type Change struct {
 	Index   int
 	At      time.Time
-	Took    []time.Duration // from At, one for each subscriber that has it
-	Waiting int             // subscribers that are there and do not have it
+	Delays  []time.Duration // from At, one for each subscriber that has it
+	Pending int             // subscribers that are there and do not have it
 }
 
 // Counts is what a Registry has counted since it was last asked.
 type Counts struct {
-	Span    time.Duration `json:"span_ns"`
-	Calls   int           `json:"calls"`
-	Peak    int           `json:"peak"` // the most calls in 100 ms
-	In      int64         `json:"in"`   // bytes from subscribers
-	Out     int64         `json:"out"`
-	Sockets int           `json:"sockets"` // subscribers that are there
+	Span        time.Duration `json:"span_ns"`
+	Calls       int           `json:"calls"`
+	PeakCalls   int           `json:"peak"` // the most calls in 100 ms
+	BytesIn     int64         `json:"in"`   // bytes from subscribers
+	BytesOut    int64         `json:"out"`
+	Subscribers int           `json:"sockets"` // subscribers that are there
 }
 
 const (
@@ -160,7 +160,7 @@
 
 // Change tells that entries of a list have changed, and returns its new index. A
 // terminated one leaves the list.
-func (r *Registry) Change(list int, entries ...Entry) (int, error) {
+func (r *Registry) Update(list int, entries ...Entry) (int, error) {
 	if list < 0 || list >= len(r.lists) {
 		return 0, fmt.Errorf("stand-in registry: list %d of %d", list, len(r.lists))
 	}
@@ -184,7 +184,7 @@
 }
 
 // List is a list as it is now, by name.
-func (r *Registry) List(list int) []Entry {
+func (r *Registry) Entries(list int) []Entry {
 	l := r.lists[list]
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,41 +209,41 @@
 }
 
 // SoFar tells what has come and gone since the last Count.
-func (r *Registry) SoFar() Counts { return r.count(false) }
+func (r *Registry) Counts() Counts { return r.count(false) }
 
 // Count tells what has come and gone since the last time, and begins anew.
-func (r *Registry) Count() Counts { return r.count(true) }
+func (r *Registry) ResetCounts() Counts { return r.count(true) }
 
 func (r *Registry) count(anew bool) Counts {
 	var c Counts
 	for _, l := range r.lists {
 		l.mu.Lock()
-		c.Sockets += len(l.subs)
+		c.Subscribers += len(l.subs)
 		l.mu.Unlock()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	c.In, c.Out, c.Span, c.Calls = r.in.Load(), r.out.Load(), now.Sub(r.begin), r.calls
+	c.BytesIn, c.BytesOut, c.Span, c.Calls = r.in.Load(), r.out.Load(), now.Sub(r.begin), r.calls
 	for _, n := range r.buckets {
-		c.Peak = max(c.Peak, n)
+		c.PeakCalls = max(c.PeakCalls, n)
 	}
 	if anew {
-		r.in.Add(-c.In)
-		r.out.Add(-c.Out)
+		r.in.Add(-c.BytesIn)
+		r.out.Add(-c.BytesOut)
 		r.begin, r.calls, r.buckets = now, 0, map[int64]int{}
 	}
 	return c
 }
 
 // Changes are the changes since the last time, with who has them by now.
-func (r *Registry) Changes() (all []Change) {
+func (r *Registry) TakeChanges() (all []Change) {
 	for _, l := range r.lists {
 		l.mu.Lock()
 		for _, c := range l.changes {
 			for s := range l.subs {
 				if s.asked && s.known < c.Index && (s.open || time.Since(s.last) < staleAfter) {
-					c.Waiting++
+					c.Pending++
 				}
 			}
 			all = append(all, *c)
@@ -255,7 +255,7 @@
 }
 
 // Keep has the query of each call of a list kept from now on; Asked gives them.
-func (r *Registry) Keep(list int) {
+func (r *Registry) RecordQueries(list int) {
 	l := r.lists[list]
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -263,7 +263,7 @@
 }
 
 // Asked are the queries since Keep, in order.
-func (r *Registry) Asked(list int) []string {
+func (r *Registry) Queries(list int) []string {
 	l := r.lists[list]
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -324,7 +324,7 @@
 	if s.asked {
 		for _, c := range l.changes {
 			if c.Index > s.known && c.Index <= from {
-				c.Took = append(c.Took, s.last.Sub(c.At))
+				c.Delays = append(c.Delays, s.last.Sub(c.At))
 			}
 		}
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -52,65 +52,65 @@
 		mode   Mode
 		status int
 		runs   int
-	}{{Serve, 200, 1}, {Error, 500, 1}, {Refuse, 503, 0}, {Reset, 0, 1}, {Spoil, 0, 1}} {
-		n.Set(c.mode)
+	}{{ModeServe, 200, 1}, {ModeError, 500, 1}, {ModeReject, 503, 0}, {ModeReset, 0, 1}, {ModeMalformed, 0, 1}} {
+		n.SetMode(c.mode)
 		id := fmt.Sprint("id-", c.mode)
 		status, body, header := ask(n, id)
-		if status != c.status || n.Runs()[id] != c.runs {
-			t.Errorf("mode %d: status %d %q, %d runs, want %d and %d", c.mode, status, body, n.Runs()[id], c.status, c.runs)
+		if status != c.status || n.RunsByID()[id] != c.runs {
+			t.Errorf("mode %d: status %d %q, %d runs, want %d and %d", c.mode, status, body, n.RunsByID()[id], c.status, c.runs)
 		}
-		if c.mode == Refuse && header.Get("X-Rejected") != "1" {
+		if c.mode == ModeReject && header.Get("X-Rejected") != "1" {
 			t.Error("a refusal without X-Rejected")
 		}
 	}
-	n.Set(Freeze)
+	n.SetMode(ModeFreeze)
 	done := make(chan int)
 	go func() { s, _, _ := ask(n, "frozen"); done <- s }()
-	eventually(t, "it is in", func() bool { return n.Open() == 1 })
-	if n.Runs()["frozen"] != 0 {
+	eventually(t, "it is in", func() bool { return n.OpenRequests() == 1 })
+	if n.RunsByID()["frozen"] != 0 {
 		t.Error("it runs while frozen")
 	}
-	n.Set(Serve)
-	if s := <-done; s != 200 || n.Runs()["frozen"] != 1 {
-		t.Errorf("status %d, %d runs after the thaw", s, n.Runs()["frozen"])
+	n.SetMode(ModeServe)
+	if s := <-done; s != 200 || n.RunsByID()["frozen"] != 1 {
+		t.Errorf("status %d, %d runs after the thaw", s, n.RunsByID()["frozen"])
 	}
-	n.Set(Mute)
+	n.SetMode(ModeNoAnswer)
 	go func() { s, _, _ := ask(n, "mute"); done <- s }()
-	eventually(t, "it runs", func() bool { return n.Runs()["mute"] == 1 })
-	n.Vanish()
+	eventually(t, "it runs", func() bool { return n.RunsByID()["mute"] == 1 })
+	n.Crash()
 	if s := <-done; s != 0 {
 		t.Errorf("status %d from a node that has gone", s)
 	}
-	if n.Total() != 6 || n.MostOpen() < 1 {
-		t.Errorf("%d runs, %d at once at the most", n.Total(), n.MostOpen())
+	if n.TotalRuns() != 6 || n.MostOpen() < 1 {
+		t.Errorf("%d runs, %d at once at the most", n.TotalRuns(), n.MostOpen())
 	}
 }
 
 // One that vanishes resets its connections and refuses new ones; what it held
 // does not run in its next life, at the same address and cold.
 func TestNodeVanishesAndReturns(t *testing.T) {
-	n := start(t, NodeConfig{Work: 20 * time.Millisecond, Cores: 1, Warm: time.Hour, ColdShare: 0.1})
+	n := start(t, NodeConfig{Work: 20 * time.Millisecond, Cores: 1, WarmUp: time.Hour, ColdShare: 0.1})
 	if took := duration(func() { ask(n, "a") }); took > 150*time.Millisecond {
 		t.Logf("a warm answer took %v: the machine is busy", took)
 	}
-	n.Set(Freeze)
+	n.SetMode(ModeFreeze)
 	done := make(chan int)
 	go func() { s, _, _ := ask(n, "held"); done <- s }()
-	eventually(t, "it is in", func() bool { return n.Open() == 1 })
-	n.Vanish()
-	if err := n.Return(); err != nil {
+	eventually(t, "it is in", func() bool { return n.OpenRequests() == 1 })
+	n.Crash()
+	if err := n.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if s := <-done; s != 0 || n.Runs()["held"] != 0 {
-		t.Errorf("status %d, %d runs of what the former life held", s, n.Runs()["held"])
+	if s := <-done; s != 0 || n.RunsByID()["held"] != 0 {
+		t.Errorf("status %d, %d runs of what the former life held", s, n.RunsByID()["held"])
 	}
 	if took := duration(func() { ask(n, "b") }); took < 180*time.Millisecond {
 		t.Errorf("a cold answer took %v, want ten times 20ms", took)
 	}
-	if n.Since().IsZero() || EntryOf(n, "in_service").SinceMs == 0 {
+	if n.RestartedAt().IsZero() || NewEntry(n, "in_service").SinceMs == 0 {
 		t.Error("its start is not told")
 	}
-	n.Vanish()
+	n.Crash()
 	if s, text, _ := ask(n, "c"); s != 0 || !strings.Contains(text, "refused") {
 		t.Errorf("%d %s, want a refused connection", s, text)
 	}
@@ -134,8 +134,8 @@
 	for range 10 {
 		count[<-statuses]++
 	}
-	if count[200]+count[503] != 10 || count[200] < 3 || n.Total() != count[200] {
-		t.Errorf("statuses %v, %d runs", count, n.Total())
+	if count[200]+count[503] != 10 || count[200] < 3 || n.TotalRuns() != count[200] {
+		t.Errorf("statuses %v, %d runs", count, n.TotalRuns())
 	}
 }
 
@@ -174,21 +174,21 @@
 	news := make(chan list)
 	go func() { news <- get(fmt.Sprintf("?after=%d&wait_ms=20000", whole.Index)) }()
 	eventually(t, "the watch", func() bool { return a.Calls() == 3 })
-	a.Change(Entry{Name: "s-2", Address: "127.0.0.1:2", Status: "in_service"}, Entry{Name: "s-1", Status: "terminated"})
+	a.Update(Entry{Name: "s-2", Address: "127.0.0.1:2", Status: "in_service"}, Entry{Name: "s-1", Status: "terminated"})
 	if l := <-news; len(l.Endpoints) != 2 || l.Index != whole.Index+1 {
 		t.Errorf("%+v", l)
 	}
 	if l := get(""); len(l.Endpoints) != 1 || l.Endpoints[0].Name != "s-2" {
 		t.Errorf("%+v", l)
 	}
-	a.Silence(true)
+	a.SetUnresponsive(true)
 	go func() { news <- get("") }()
 	select {
 	case l := <-news:
 		t.Errorf("told while silent: %+v", l)
 	case <-time.After(50 * time.Millisecond):
 	}
-	a.Silence(false)
+	a.SetUnresponsive(false)
 	if l := <-news; len(l.Endpoints) != 1 {
 		t.Errorf("%+v", l)
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -72,7 +72,7 @@
 func (e *BadLine) Unwrap() error { return e.Err }
 
 // ErrTooBad tells that more lines were bad than may be.
-var ErrTooBad = errors.New("too many bad lines")
+var ErrTooManyBadLines = errors.New("too many bad lines")
 
 // Reader reads the records of a trace one by one, in constant memory.
 type Reader struct {
@@ -127,14 +127,14 @@
 			r.onBad(&BadLine{r.line, err})
 		}
 		if r.line >= leastLines && float64(r.bad) > r.skip*float64(r.line) {
-			return Record{}, fmt.Errorf("%w: %d of %d, %v may be; the last: line %d: %w", ErrTooBad, r.bad, r.line, r.skip, r.line, err)
+			return Record{}, fmt.Errorf("%w: %d of %d, %v may be; the last: line %d: %w", ErrTooManyBadLines, r.bad, r.line, r.skip, r.line, err)
 		}
 	}
 	if err := r.lines.Err(); err != nil {
 		return Record{}, &BadLine{r.line + 1, err}
 	}
 	if r.bad > 0 && float64(r.bad) > r.skip*float64(r.line) && r.line < leastLines {
-		return Record{}, fmt.Errorf("%w: %d of %d, %v may be", ErrTooBad, r.bad, r.line, r.skip)
+		return Record{}, fmt.Errorf("%w: %d of %d, %v may be", ErrTooManyBadLines, r.bad, r.line, r.skip)
 	}
 	return Record{}, io.EOF
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -92,7 +92,7 @@
 		if err != nil || len(bad) != 1 || !strings.HasPrefix(bad[0], fmt.Sprintf("line %d: ", n)) || !strings.Contains(bad[0], c.want) {
 			t.Errorf("%q: told %q, %v, want line %d and %q", c.bad, bad, err, n, c.want)
 		}
-		if _, _, err := read(c.head+c.bad+"\n", c.f, 0); !errors.Is(err, ErrTooBad) {
+		if _, _, err := read(c.head+c.bad+"\n", c.f, 0); !errors.Is(err, ErrTooManyBadLines) {
 			t.Errorf("%q with none allowed: %v", c.bad, err)
 		}
 	}
@@ -106,7 +106,7 @@
 	if all, bad, err := read(strings.Repeat(good, 98)+"x\nx\n", JSONLines, 0.02); len(all) != 98 || len(bad) != 2 || err != nil {
 		t.Errorf("2 of 100 with 0.02 allowed: %d, %d, %v", len(all), len(bad), err)
 	}
-	if _, _, err := read(strings.Repeat(good, 97)+"x\nx\nx\n"+strings.Repeat(good, 1000), JSONLines, 0.02); !errors.Is(err, ErrTooBad) {
+	if _, _, err := read(strings.Repeat(good, 97)+"x\nx\nx\n"+strings.Repeat(good, 1000), JSONLines, 0.02); !errors.Is(err, ErrTooManyBadLines) {
 		t.Errorf("3 of 100 with 0.02 allowed: %v", err)
 	}
 	if _, _, err := read(good+strings.Repeat("x", maxLine+1), JSONLines, 1); err == nil || !strings.Contains(err.Error(), "line 2") {
@@ -194,7 +194,7 @@
 	if _, err := drain(schedule(t, "due,path\n", CSV, Options{Loops: 5})); err == nil || !strings.Contains(err.Error(), "no request") {
 		t.Errorf("an empty trace: %v", err)
 	}
-	if _, err := drain(schedule(t, fine+"x\n", CSV, Options{})); !errors.Is(err, ErrTooBad) {
+	if _, err := drain(schedule(t, fine+"x\n", CSV, Options{})); !errors.Is(err, ErrTooManyBadLines) {
 		t.Errorf("a bad trace: %v", err)
 	}
 	for _, o := range []Options{{Speed: -1}, {From: time.Second, To: time.Second}, {Loops: -1}, {From: -1}} {
--- a/internal/upstream/broken_test.go
+++ b/internal/upstream/broken_test.go
@@ -130,12 +130,12 @@
 				if result != c.want || p.OpenConns() != 0 {
 					t.Errorf("result %v, want %v; %d connections open, want 0", result, c.want, p.OpenConns())
 				}
-				for end := time.Now().Add(testTimeout); node.Opened() < opened || node.Conns() > 0; time.Sleep(time.Millisecond) {
+				for end := time.Now().Add(testTimeout); node.TotalConns() < opened || node.OpenConns() > 0; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
 						t.Fatal("the node's connection does not end")
 					}
 				}
-				if n := node.Total(); n != totalRuns { // all complete requests have been executed by now
+				if n := node.TotalRuns(); n != totalRuns { // all complete requests have been executed by now
 					t.Fatalf("%d requests executed so far, want %d", n, totalRuns)
 				}
 			})
--- a/internal/voter/accept_test.go
+++ b/internal/voter/accept_test.go
@@ -14,12 +14,12 @@
 // The accept loop must continue after every transient accept error.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
 	const cluster = "test"
-	for _, errno := range standin.AcceptErrors {
+	for _, errno := range standin.TransientAcceptErrors {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		failingListener := standin.Fail(listener, errno)
+		failingListener := standin.NewFailingListener(listener, errno)
 		n := &Node{cfg: Config{ID: 1, Cluster: cluster}, listener: failingListener, log: slog.Default(), done: make(chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
@@ -28,8 +28,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if peer, err := quorum.NewFrameConn(conn).Handshake(quorum.Hello{Cluster: cluster}); err != nil || peer.Voter != 1 || failingListener.Failed() != 1 {
-			t.Errorf("after accept error %v: handshake with voter %d, error %v, %d accepts failed; want voter 1, no error, 1 accept failed", errno, peer.Voter, err, failingListener.Failed())
+		if peer, err := quorum.NewFrameConn(conn).Handshake(quorum.Hello{Cluster: cluster}); err != nil || peer.Voter != 1 || failingListener.FailedAccepts() != 1 {
+			t.Errorf("after accept error %v: handshake with voter %d, error %v, %d accepts failed; want voter 1, no error, 1 accept failed", errno, peer.Voter, err, failingListener.FailedAccepts())
 		}
 		conn.Close()
 		cancel()
--- a/scripts/faultinject/main.go
+++ b/scripts/faultinject/main.go
@@ -298,7 +298,7 @@
 func (c *counts) judgeRuns(nodes []*standin.Node) {
 	runs := map[string]int{}
 	for _, n := range nodes {
-		for id, k := range n.Runs() {
+		for id, k := range n.RunsByID() {
 			runs[id] += k
 		}
 	}
