--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -14,38 +14,38 @@
 
 const ms = time.Millisecond
 
-// world is what a Balancer's actions go to: attempts and timers that come due.
-type world struct {
-	rng *rand.Rand
-	now time.Duration
-	due []due
-	try map[balance.RequestID]int
+// fakeHost is a balance.Host that schedules the outcomes of attempts and the timers.
+type fakeHost struct {
+	rng      *rand.Rand
+	now      time.Duration
+	events   []dueEvent
+	attempts map[balance.RequestID]int
 }
 
-type due struct {
-	at time.Duration
-	do func(t *Recorder, now time.Duration)
+type dueEvent struct {
+	at  time.Duration
+	run func(r *Recorder, now time.Duration)
 }
 
-func (w *world) after(d time.Duration, do func(t *Recorder, now time.Duration)) {
-	w.due = append(w.due, due{w.now + d, do})
+func (h *fakeHost) schedule(d time.Duration, run func(r *Recorder, now time.Duration)) {
+	h.events = append(h.events, dueEvent{h.now + d, run})
 }
 
-func (w *world) Send(id balance.RequestID, addr string, timeout time.Duration) {
-	n := w.try[id]
-	w.try[id]++
-	result := balance.Result(w.rng.IntN(int(balance.NotSent) + 1))
-	if w.rng.IntN(4) > 0 && addr != "s-bad" {
+func (h *fakeHost) Send(id balance.RequestID, addr string, timeout time.Duration) {
+	n := h.attempts[id]
+	h.attempts[id]++
+	result := balance.Result(h.rng.IntN(int(balance.NotSent) + 1))
+	if h.rng.IntN(4) > 0 && addr != "s-bad" {
 		result = balance.OK
 	}
-	took := time.Duration(w.rng.IntN(120)) * ms
-	w.after(took, func(t *Recorder, now time.Duration) { t.Outcome(now, id, n, result, took, result == balance.OK) })
+	took := time.Duration(h.rng.IntN(120)) * ms
+	h.schedule(took, func(r *Recorder, now time.Duration) { r.Outcome(now, id, n, result, took, result == balance.OK) })
 }
-func (w *world) Refuse(balance.RequestID, time.Duration) {}
-func (w *world) Fail(balance.RequestID)                  {}
-func (w *world) Watch()                                  {}
-func (w *world) After(d time.Duration, token uint64) {
-	w.after(d, func(t *Recorder, now time.Duration) { t.Timer(now, token) })
+func (h *fakeHost) Refuse(balance.RequestID, time.Duration) {}
+func (h *fakeHost) Fail(balance.RequestID)                  {}
+func (h *fakeHost) Watch()                                  {}
+func (h *fakeHost) After(d time.Duration, token uint64) {
+	h.schedule(d, func(r *Recorder, now time.Duration) { r.Timer(now, token) })
 }
 
 func config() balance.Config {
@@ -59,14 +59,14 @@
 	}
 }
 
-// recorded is the capture of so many steps of faults, churn, reloads and events at the
-// same instant, and how many events it has.
-func recorded(t testing.TB, seed uint64, steps int) (file []byte, events int) {
+// recordCapture returns a capture of a random sequence of requests, failures, list
+// changes and reconfigurations, and its number of events.
+func recordCapture(t testing.TB, seed uint64, steps int) (file []byte, events int) {
 	t.Helper()
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	world := &world{rng: rand.New(rand.NewPCG(seed, 1)), try: map[balance.RequestID]int{}}
-	tap, err := NewRecorder(config(), seed, world, func(e *Event) {
+	host := &fakeHost{rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[balance.RequestID]int{}}
+	recorder, err := NewRecorder(config(), seed, host, func(e *Event) {
 		events++
 		if err := w.Write(e); err != nil {
 			t.Fatal(err)
@@ -81,65 +81,65 @@
 		}
 		return append(l, balance.Endpoint{Addr: "s-bad", State: balance.Ready})
 	}
-	tap.Members(0, balance.Full, list(8, 0))
+	recorder.Members(0, balance.Full, list(8, 0))
 	for k := range steps {
-		world.now += time.Duration(world.rng.IntN(3)) * ms // also none: events at the same instant
-		for i := 0; i < len(world.due); i++ {
-			if d := world.due[i]; d.at <= world.now {
-				world.due = append(world.due[:i], world.due[i+1:]...)
+		host.now += time.Duration(host.rng.IntN(3)) * ms // 0 gives events with equal times
+		for i := 0; i < len(host.events); i++ {
+			if d := host.events[i]; d.at <= host.now {
+				host.events = append(host.events[:i], host.events[i+1:]...)
 				i--
-				d.do(tap, world.now)
+				d.run(recorder, host.now)
 			}
 		}
-		tap.Request(world.now, balance.RequestID(k+1), k%2, -1, 400*ms)
-		switch world.rng.IntN(200) {
+		recorder.Request(host.now, balance.RequestID(k+1), k%2, -1, 400*ms)
+		switch host.rng.IntN(200) {
 		case 0:
-			tap.Members(world.now, balance.Delta, []balance.Endpoint{{Addr: fmt.Sprint("s-", k%8), State: balance.State(world.rng.IntN(3)), Since: world.now}})
+			recorder.Members(host.now, balance.Delta, []balance.Endpoint{{Addr: fmt.Sprint("s-", k%8), State: balance.State(host.rng.IntN(3)), Since: host.now}})
 		case 1:
-			tap.Members(world.now, balance.Full, list(4+world.rng.IntN(8), world.now))
+			recorder.Members(host.now, balance.Full, list(4+host.rng.IntN(8), host.now))
 		case 2:
-			tap.Withdrawn(world.now, balance.RequestID(k))
+			recorder.Withdrawn(host.now, balance.RequestID(k))
 		case 3:
 			cfg := config()
-			cfg.AttemptLimit = 1 + world.rng.IntN(5)
-			if err := tap.Retune(cfg); err != nil {
+			cfg.AttemptLimit = 1 + host.rng.IntN(5)
+			if err := recorder.Reconfigure(cfg); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := tap.AddClass(balance.Class{Deadline: time.Second, Worth: float64(k) / 3}); err != nil {
+			if _, err := recorder.AddClass(balance.Class{Deadline: time.Second, Worth: float64(k) / 3}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	tap.Close(world.now) // with all that is open
+	recorder.Close(host.now) // while requests are open
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	return out.Bytes(), events
 }
 
-// What was captured through faults, churn, reloads and events at one instant decides
-// the same each time that it is played.
-func TestReplayTenTimes(t *testing.T) {
-	file, events := recorded(t, 7, 20000)
+// Guards against decisions that depend on anything but the settings, the seed and the
+// inputs, such as the iteration order of a map.
+func TestReplayIsDeterministic(t *testing.T) {
+	file, events := recordCapture(t, 7, 20000)
 	for range 10 {
-		played, err := Replay(NewReader(bytes.NewReader(file)))
+		replayed, err := Replay(NewReader(bytes.NewReader(file)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if played != events {
-			t.Fatalf("played %d events of %d", played, events)
+		if replayed != events {
+			t.Fatalf("replayed %d events of %d", replayed, events)
 		}
 	}
-	if each := float64(len(file)) / float64(events); each > 12 {
-		t.Errorf("%.1f bytes an event, want 12 at most", each)
+	if eventSize := float64(len(file)) / float64(events); eventSize > 12 {
+		t.Errorf("%.1f bytes per event, want at most 12", eventSize)
 	} else {
-		t.Logf("%d events, %.1f bytes each", events, each)
+		t.Logf("%d events, %.1f bytes per event", events, eventSize)
 	}
 }
 
-// A capture in which one decision is another shows just that one.
-func TestReplayFindsTheDifference(t *testing.T) {
-	file, _ := recorded(t, 7, 500)
+// Guards against a changed decision that is not reported, or reported at a wrong event.
+func TestReplayReportsFirstDifference(t *testing.T) {
+	file, _ := recordCapture(t, 7, 500)
 	for _, kind := range []Kind{Send, After} {
 		var out bytes.Buffer
 		w, r := NewWriter(&out), NewReader(bytes.NewReader(file))
@@ -156,16 +156,16 @@
 		_, err := Replay(NewReader(&out))
 		var d *Difference
 		if !errors.As(err, &d) || d.Index != changed || d.Captured == nil || d.Replayed == nil || d.Captured.Duration != d.Replayed.Duration+1 {
-			t.Errorf("kind %d changed at event %d: %v", kind, changed, err)
+			t.Errorf("decision of kind %d changed at event %d: error %v", kind, changed, err)
 		}
 	}
 }
 
-// A file cut at any byte gives all of the whole blocks before, and says that it is cut.
-func TestCutAnywhere(t *testing.T) {
+// Guards against lost events or a missing error in a file that is truncated at any byte.
+func TestReaderTruncatedFile(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	ends := map[int]int{} // events that are whole at a length
+	ends := map[int]int{} // number of events by file length at the end of a block
 	for i := range 5 {
 		for k := range 3 {
 			if err := w.Write(&Event{Kind: Timer, At: time.Duration(i), ID: uint64(k)}); err != nil {
@@ -176,10 +176,10 @@
 		ends[out.Len()] = 3 * (i + 1)
 	}
 	file := out.Bytes()
-	whole := 0
+	complete := 0
 	for n := range len(file) + 1 {
 		if k, ok := ends[n]; ok {
-			whole = k
+			complete = k
 		}
 		r := NewReader(bytes.NewReader(file[:n]))
 		var e Event
@@ -196,54 +196,53 @@
 		case n < len(magic):
 			want = ErrVersion
 		}
-		if got != whole || !errors.Is(err, want) {
-			t.Errorf("cut at %d: %d events and %v, want %d and %v", n, got, err, whole, want)
+		if got != complete || !errors.Is(err, want) {
+			t.Errorf("truncated to %d bytes: %d events and error %v, want %d and %v", n, got, err, complete, want)
 		}
 	}
 }
 
-// Files of other kinds and versions, damaged ones, and ones that lie about their
-// lengths are errors.
-func TestForeignVersionIsRefused(t *testing.T) {
-	file, _ := recorded(t, 1, 50)
+// Guards against invalid files that are replayed: other formats and versions, wrong
+// checksums and block lengths.
+func TestReaderRejectsInvalidFiles(t *testing.T) {
+	file, _ := recordCapture(t, 1, 50)
 	damaged := bytes.Clone(file)
 	damaged[len(magic)+20] ^= 1
-	lies := bytes.Clone(file)
-	copy(lies[len(magic):], []byte{0xff, 0xff, 0xff, 0x7f})
+	wrongLength := bytes.Clone(file)
+	copy(wrongLength[len(magic):], []byte{0xff, 0xff, 0xff, 0x7f})
 	for name, c := range map[string]struct {
 		file []byte
 		want error
 	}{
-		"empty":         {nil, ErrVersion},
-		"another kind":  {[]byte("GIF89a and some more of it than that"), ErrVersion},
-		"a later one":   {append([]byte("gorselink capture 2\n"), file[len(magic):]...), ErrVersion},
-		"damaged":       {damaged, ErrDamaged},
-		"lies of 2 GiB": {lies, ErrDamaged},
+		"empty":           {nil, ErrVersion},
+		"other format":    {[]byte("GIF89a and some more of it than that"), ErrVersion},
+		"later version":   {append([]byte("gorselink capture 2\n"), file[len(magic):]...), ErrVersion},
+		"damaged":         {damaged, ErrDamaged},
+		"length of 2 GiB": {wrongLength, ErrDamaged},
 	} {
 		if _, err := Replay(NewReader(bytes.NewReader(c.file))); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	file, _ := recorded(f, 1, 50)
+	file, _ := recordCapture(f, 1, 50)
 	f.Add(file)
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		// The sums keep most of what is mutated away from the events: play those by
-		// themselves as well.
-		for _, of := range [][]byte{text, text[min(len(text), len(magic)+8):]} {
-			r := NewReader(bytes.NewReader(of))
+		// Checksums reject most mutated files, so the events are also decoded directly.
+		for _, data := range [][]byte{text, text[min(len(text), len(magic)+8):]} {
+			r := NewReader(bytes.NewReader(data))
 			var e Event
 			for n := 0; r.Next(&e) == nil; n++ {
 				if n > 1<<20 {
-					t.Fatal("no end of events")
+					t.Fatal("more than 1<<20 events")
 				}
 			}
-			var c coder
-			p := parser{b: of}
-			for len(p.b) > 0 && c.parse(&p, &e) == nil {
+			var c codec
+			p := parser{rest: data}
+			for len(p.rest) > 0 && c.parseEvent(&p, &e) == nil {
 			}
 		}
 	})
@@ -251,7 +250,7 @@
 
 func BenchmarkWrite(b *testing.B) {
 	w := NewWriter(io.Discard)
-	e := Event{Kind: Outcome, Number: 1, Duration: 31415926}
+	e := Event{Kind: Outcome, Attempt: 1, Duration: 31415926}
 	b.ReportAllocs()
 	for b.Loop() {
 		e.ID++
@@ -261,7 +260,7 @@
 }
 
 func BenchmarkReplay(b *testing.B) {
-	file, events := recorded(b, 7, 20000)
+	file, events := recordCapture(b, 7, 20000)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Replay(NewReader(bytes.NewReader(file))); err != nil {
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -1,6 +1,6 @@
-// Package capture writes down what a Balancer was told and what it decided, reads it
-// again, and plays it to a Balancer of the same making, whose decisions must be the
-// same. docs/capture.md tells the form and the ways weighed.
+// Package capture records the inputs and decisions of a Balancer in a file and replays
+// the inputs to a new Balancer with the same settings and seed, whose decisions must be
+// the same. The file format is described in docs/capture.md.
 package capture
 
 import (
@@ -13,13 +13,13 @@
 	"gorselink/balance"
 )
 
-// Kind is what an Event is.
+// Kind is the kind of an Event. Its values are stored in capture files.
 type Kind uint8
 
-// What a Balancer is told, and from Send to Watch what it decides.
+// The kinds from Send to Watch are decisions of a Balancer, the others its inputs.
 const (
-	Start Kind = 1 + iota // a Balancer is made
-	Retune
+	Start Kind = 1 + iota // a Balancer is created
+	Reconfigure
 	AddClass
 	Members
 	Request
@@ -31,49 +31,48 @@
 	Fail
 	After
 	Watch
-	Close // told again: the process ends
-	kinds
+	Close // an input: the process ends
+	kindCount
 )
 
-// decides tells whether events of kind k are the Balancer's own.
-func (k Kind) decides() bool { return k >= Send && k <= Watch }
+// isDecision reports whether events of kind k are decisions of the Balancer.
+func (k Kind) isDecision() bool { return k >= Send && k <= Watch }
 
-// Event is one thing that a Balancer was told or decided. Which fields are set hangs
-// on Kind.
+// Event is an input or a decision of a Balancer. Kind determines which fields are set.
 type Event struct {
-	Kind      Kind
-	At        time.Duration // the Balancer's time; that of what it was told, for a decision
-	ID        uint64        // of the request; the token of Timer and After
-	Class     int
-	Tenant    int
-	Number    int // of the attempt
-	Result    balance.Result
-	Over      bool
-	Duration  time.Duration // budget, elapsed, time-out, retry-after or delay
-	Addr      string        // of Send
-	ListKind  balance.ListKind
-	Endpoints []balance.Endpoint
-	Seed      uint64
-	Config    *balance.Config // of Start and Retune
-	Added     *balance.Class  // of AddClass
+	Kind       Kind
+	At         time.Duration // time of the input; for a decision, of the input that led to it
+	ID         uint64        // of the request, or the token of a Timer or After event
+	Class      int
+	Tenant     int
+	Attempt    int // number of the attempt, from 0
+	Result     balance.Result
+	Final      bool          // see Balancer.Outcome
+	Duration   time.Duration // budget, elapsed time, timeout, retry-after or delay
+	Addr       string        // the endpoint of a Send event
+	ListKind   balance.ListKind
+	Endpoints  []balance.Endpoint
+	Seed       uint64
+	Config     *balance.Config // of Start and Reconfigure events
+	AddedClass *balance.Class  // of AddClass events
 }
 
-var words = [kinds]string{Start: "start", Retune: "retune", AddClass: "add class", Members: "members", Request: "request", Outcome: "outcome",
+var kindNames = [kindCount]string{Start: "start", Reconfigure: "retune", AddClass: "add class", Members: "members", Request: "request", Outcome: "outcome",
 	Withdrawn: "withdrawn", Timer: "timer", Send: "send", Refuse: "refuse", Fail: "fail", After: "after", Watch: "watch", Close: "close"}
 
-// String tells an event in words, for people; nil is nothing.
+// String describes the event for error messages and reports; nil is "nothing".
 func (e *Event) String() string {
 	if e == nil {
 		return "nothing"
 	}
-	s := words[e.Kind]
+	s := kindNames[e.Kind]
 	switch e.Kind {
 	case Members:
 		return fmt.Sprintf("%s, kind %d, %d entries", s, e.ListKind, len(e.Endpoints))
 	case Request:
 		return fmt.Sprintf("%s %d of class %d with %v", s, e.ID, e.Class, e.Duration)
 	case Outcome:
-		return fmt.Sprintf("%s of attempt %d of %d: %d after %v", s, e.Number, e.ID, e.Result, e.Duration)
+		return fmt.Sprintf("%s of attempt %d of %d: %d after %v", s, e.Attempt, e.ID, e.Result, e.Duration)
 	case Send:
 		return fmt.Sprintf("%s %d to %s for %v", s, e.ID, e.Addr, e.Duration)
 	case Refuse:
@@ -86,49 +85,51 @@
 	return s
 }
 
-// coder holds what one event is written against: the last time and id, and the
-// addresses that have been named.
-type coder struct {
-	at    time.Duration
-	id    uint64
-	names map[string]uint64 // writing
-	list  []string          // reading
+// codec encodes or decodes events. Times and IDs are stored as differences from the
+// previous event, and an address is stored as a number after its first occurrence.
+type codec struct {
+	lastTime    time.Duration
+	lastID      uint64
+	addrNumbers map[string]uint64 // for encoding
+	addrs       []string          // for decoding
 }
 
-func (c *coder) addr(b []byte, s string) []byte {
-	if n, ok := c.names[s]; ok {
+// appendAddr appends s to b, as 0 and the text at its first occurrence and as its number
+// from 1 afterwards.
+func (c *codec) appendAddr(b []byte, s string) []byte {
+	if n, ok := c.addrNumbers[s]; ok {
 		return binary.AppendUvarint(b, n+1)
 	}
-	if c.names == nil {
-		c.names = map[string]uint64{}
+	if c.addrNumbers == nil {
+		c.addrNumbers = map[string]uint64{}
 	}
-	c.names[s] = uint64(len(c.names))
+	c.addrNumbers[s] = uint64(len(c.addrNumbers))
 	b = append(b, 0)
 	b = binary.AppendUvarint(b, uint64(len(s)))
 	return append(b, s...)
 }
 
-// append writes e behind b.
-func (c *coder) append(b []byte, e *Event) ([]byte, error) {
+// appendEvent appends the encoding of e to b.
+func (c *codec) appendEvent(b []byte, e *Event) ([]byte, error) {
 	b = append(b, byte(e.Kind))
-	b = binary.AppendVarint(b, int64(e.At-c.at))
-	c.at = e.At
+	b = binary.AppendVarint(b, int64(e.At-c.lastTime))
+	c.lastTime = e.At
 	switch e.Kind {
 	case Request, Outcome, Withdrawn, Timer, Send, Refuse, Fail, After:
-		b = binary.AppendVarint(b, int64(e.ID-c.id))
-		c.id = e.ID
+		b = binary.AppendVarint(b, int64(e.ID-c.lastID))
+		c.lastID = e.ID
 	}
-	span := func() { b = binary.AppendVarint(b, int64(e.Duration)) }
+	duration := func() { b = binary.AppendVarint(b, int64(e.Duration)) }
 	switch e.Kind {
-	case Start, Retune, AddClass:
+	case Start, Reconfigure, AddClass:
 		if e.Kind == Start {
 			b = binary.AppendUvarint(b, e.Seed)
 		}
-		var of any = e.Config
+		var settings any = e.Config
 		if e.Kind == AddClass {
-			of = e.Added
+			settings = e.AddedClass
 		}
-		text, err := json.Marshal(of)
+		text, err := json.Marshal(settings)
 		if err != nil {
 			return nil, fmt.Errorf("capture: %w", err)
 		}
@@ -137,116 +138,117 @@
 	case Members:
 		b = binary.AppendUvarint(append(b, byte(e.ListKind)), uint64(len(e.Endpoints)))
 		for i := range e.Endpoints {
-			n := &e.Endpoints[i]
-			b = append(c.addr(b, n.Addr), byte(n.State))
-			b = binary.AppendVarint(b, int64(n.Zone))
-			b = binary.AppendVarint(b, int64(n.Cell))
-			b = binary.AppendVarint(b, int64(n.Since))
+			ep := &e.Endpoints[i]
+			b = append(c.appendAddr(b, ep.Addr), byte(ep.State))
+			b = binary.AppendVarint(b, int64(ep.Zone))
+			b = binary.AppendVarint(b, int64(ep.Cell))
+			b = binary.AppendVarint(b, int64(ep.Since))
 		}
 	case Request:
 		b = binary.AppendVarint(b, int64(e.Class))
 		b = binary.AppendVarint(b, int64(e.Tenant))
-		span()
+		duration()
 	case Outcome:
-		over := byte(0)
-		if e.Over {
-			over = 0x80
+		finalBit := byte(0)
+		if e.Final {
+			finalBit = 0x80
 		}
-		b = binary.AppendUvarint(append(b, byte(e.Result)|over), uint64(e.Number))
-		span()
+		b = binary.AppendUvarint(append(b, byte(e.Result)|finalBit), uint64(e.Attempt))
+		duration()
 	case Send:
-		b = c.addr(b, e.Addr)
-		span()
+		b = c.appendAddr(b, e.Addr)
+		duration()
 	case Refuse, After:
-		span()
+		duration()
 	}
 	return b, nil
 }
 
-// mostZone bounds the zones of a list: a Balancer keeps something of each up to it.
-const mostZone = 1 << 16
+// maxZone limits the zone number of an endpoint, as the memory of a Balancer grows with
+// the highest one.
+const maxZone = 1 << 16
 
-var errShort = errors.New("capture: an event ends inside")
+var errTruncatedEvent = errors.New("capture: an event is truncated")
 
-// parser takes values off a block and keeps the first error.
+// parser decodes values from the start of rest. err is set if a value is invalid.
 type parser struct {
-	b   []byte
-	err error
+	rest []byte
+	err  error
 }
 
 func (p *parser) byte() byte {
-	if len(p.b) == 0 {
-		p.err = errShort
+	if len(p.rest) == 0 {
+		p.err = errTruncatedEvent
 		return 0
 	}
-	x := p.b[0]
-	p.b = p.b[1:]
+	x := p.rest[0]
+	p.rest = p.rest[1:]
 	return x
 }
 
 func (p *parser) uint() uint64 {
-	x, n := binary.Uvarint(p.b)
+	x, n := binary.Uvarint(p.rest)
 	if n <= 0 {
-		p.err, p.b = errShort, nil
+		p.err, p.rest = errTruncatedEvent, nil
 		return 0
 	}
-	p.b = p.b[n:]
+	p.rest = p.rest[n:]
 	return x
 }
 
 func (p *parser) int() int64 {
-	x, n := binary.Varint(p.b)
+	x, n := binary.Varint(p.rest)
 	if n <= 0 {
-		p.err, p.b = errShort, nil
+		p.err, p.rest = errTruncatedEvent, nil
 		return 0
 	}
-	p.b = p.b[n:]
+	p.rest = p.rest[n:]
 	return x
 }
 
-// bytes takes a length and as many bytes. What lies about its length is an error and
-// costs no memory.
+// bytes decodes a length and that number of bytes, without a copy. A length beyond the
+// end of rest is an error.
 func (p *parser) bytes() []byte {
 	n := p.uint()
-	if n > uint64(len(p.b)) {
-		p.err, p.b = errShort, nil
+	if n > uint64(len(p.rest)) {
+		p.err, p.rest = errTruncatedEvent, nil
 		return nil
 	}
-	x := p.b[:n]
-	p.b = p.b[n:]
+	x := p.rest[:n]
+	p.rest = p.rest[n:]
 	return x
 }
 
-func (c *coder) parseAddr(p *parser) string {
+func (c *codec) parseAddr(p *parser) string {
 	n := p.uint()
 	if n == 0 {
 		s := string(p.bytes())
-		c.list = append(c.list, s)
+		c.addrs = append(c.addrs, s)
 		return s
 	}
-	if n > uint64(len(c.list)) {
-		p.err = fmt.Errorf("capture: address %d of %d named", n, len(c.list))
+	if n > uint64(len(c.addrs)) {
+		p.err = fmt.Errorf("capture: unknown address number %d, want at most %d", n, len(c.addrs))
 		return ""
 	}
-	return c.list[n-1]
+	return c.addrs[n-1]
 }
 
-// parse takes the next event off p.
-func (c *coder) parse(p *parser, e *Event) error {
+// parseEvent decodes the next event from p into e.
+func (c *codec) parseEvent(p *parser, e *Event) error {
 	*e = Event{Kind: Kind(p.byte())}
-	if p.err == nil && (e.Kind < Start || e.Kind >= kinds) {
-		return fmt.Errorf("capture: unknown kind of event %d", e.Kind)
+	if p.err == nil && (e.Kind < Start || e.Kind >= kindCount) {
+		return fmt.Errorf("capture: unknown event kind %d", e.Kind)
 	}
-	c.at += time.Duration(p.int())
-	e.At = c.at
+	c.lastTime += time.Duration(p.int())
+	e.At = c.lastTime
 	switch e.Kind {
 	case Request, Outcome, Withdrawn, Timer, Send, Refuse, Fail, After:
-		c.id += uint64(p.int())
-		e.ID = c.id
+		c.lastID += uint64(p.int())
+		e.ID = c.lastID
 	}
-	span := func() { e.Duration = time.Duration(p.int()) }
+	duration := func() { e.Duration = time.Duration(p.int()) }
 	switch e.Kind {
-	case Start, Retune, AddClass:
+	case Start, Reconfigure, AddClass:
 		if e.Kind == Start {
 			e.Seed = p.uint()
 		}
@@ -254,46 +256,46 @@
 		if p.err != nil {
 			return p.err
 		}
-		var into any = &e.Config
+		var target any = &e.Config
 		if e.Kind == AddClass {
-			into = &e.Added
+			target = &e.AddedClass
 		}
-		if err := json.Unmarshal(text, into); err != nil {
+		if err := json.Unmarshal(text, target); err != nil {
 			return fmt.Errorf("capture: settings: %w", err)
 		}
-		if e.Config == nil && e.Added == nil {
-			return errors.New("capture: settings: none")
+		if e.Config == nil && e.AddedClass == nil {
+			return errors.New("capture: settings are missing")
 		}
 	case Members:
 		e.ListKind = balance.ListKind(p.byte())
-		if n := p.uint(); n > uint64(len(p.b)) {
-			p.err = errShort
+		if n := p.uint(); n > uint64(len(p.rest)) {
+			p.err = errTruncatedEvent
 		} else {
 			for range n {
-				n := balance.Endpoint{Addr: c.parseAddr(p), State: balance.State(p.byte())}
-				n.Zone, n.Cell, n.Since = int(p.int()), int(p.int()), time.Duration(p.int())
+				ep := balance.Endpoint{Addr: c.parseAddr(p), State: balance.State(p.byte())}
+				ep.Zone, ep.Cell, ep.Since = int(p.int()), int(p.int()), time.Duration(p.int())
 				if p.err != nil {
 					return p.err
 				}
-				if n.Zone < 0 || n.Zone > mostZone {
-					return fmt.Errorf("capture: zone %d, want 0 to %d", n.Zone, mostZone)
+				if ep.Zone < 0 || ep.Zone > maxZone {
+					return fmt.Errorf("capture: zone %d, want 0 to %d", ep.Zone, maxZone)
 				}
-				e.Endpoints = append(e.Endpoints, n)
+				e.Endpoints = append(e.Endpoints, ep)
 			}
 		}
 	case Request:
 		e.Class, e.Tenant = int(p.int()), int(p.int())
-		span()
+		duration()
 	case Outcome:
 		r := p.byte()
-		e.Result, e.Over = balance.Result(r&0x7f), r&0x80 != 0
-		e.Number = int(p.uint())
-		span()
+		e.Result, e.Final = balance.Result(r&0x7f), r&0x80 != 0
+		e.Attempt = int(p.uint())
+		duration()
 	case Send:
 		e.Addr = c.parseAddr(p)
-		span()
+		duration()
 	case Refuse, After:
-		span()
+		duration()
 	}
 	return p.err
 }
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -9,40 +9,40 @@
 	"io"
 )
 
-// A file is its magic, which holds the version, and blocks: the length of what follows
-// and its CRC-32C, 4 bytes each, little-endian, then events. Names and times carry
-// over from one block to the next.
+// A file has a header with the version, followed by blocks. A block has the length and
+// the CRC-32C of its events, 4 bytes each in little-endian order, and then the events.
+// Times, IDs and address numbers continue from one block to the next.
 const (
-	magic     = "gorselink capture 1\n"
-	blockSize = 32 << 10 // bytes of events, about
-	mostBlock = 8 << 20  // of one block, a list of some 100,000 endpoints
+	magic        = "gorselink capture 1\n"
+	blockSize    = 32 << 10 // size in bytes at which a block is written
+	maxBlockSize = 8 << 20  // in bytes; enough for a list of 100,000 endpoints
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of a Reader beside those of what it reads from.
+// Errors of a Reader, besides those of its input.
 var (
-	// ErrVersion is that of a file of another kind or version.
-	ErrVersion = errors.New("capture: not a capture, or of another version")
-	// ErrCut is that of a file which ends inside a block. All before it was read.
-	ErrTruncated = errors.New("capture: the file ends inside a block")
-	// ErrDamaged is that of a block whose sum is wrong.
-	ErrDamaged = errors.New("capture: a block is damaged")
+	// ErrVersion means that the file is not a capture or has another version.
+	ErrVersion = errors.New("capture: not a capture file or unsupported version")
+	// ErrTruncated means that the file ends within a block. All earlier blocks were read.
+	ErrTruncated = errors.New("capture: file is truncated within a block")
+	// ErrDamaged means that a block has a wrong checksum or an invalid length.
+	ErrDamaged = errors.New("capture: block is damaged")
 )
 
-// Writer writes events. Its zero value is not usable; make it with NewWriter.
+// Writer writes events. Create it with NewWriter.
 type Writer struct {
-	out   io.Writer
-	code  coder
-	block []byte
-	begun bool
-	err   error
+	out        io.Writer
+	codec      codec
+	block      []byte
+	headerDone bool
+	err        error
 }
 
-// NewWriter returns a Writer to out. It writes whole blocks.
+// NewWriter returns a Writer to out, to which it writes one block at a time.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
-// Write adds an event. The first error stays.
+// Write adds an event. After an error, all calls return that error.
 func (w *Writer) Write(e *Event) error {
 	if w.err != nil {
 		return w.err
@@ -50,26 +50,26 @@
 	if w.block == nil {
 		w.block = make([]byte, 8, blockSize+1024)
 	}
-	w.block, w.err = w.code.append(w.block, e)
+	w.block, w.err = w.codec.appendEvent(w.block, e)
 	if w.err == nil && len(w.block) >= blockSize {
 		w.err = w.Flush()
 	}
 	return w.err
 }
 
-// Flush ends the block and writes it.
+// Flush writes the current block, if it has any event.
 func (w *Writer) Flush() error {
 	if w.err != nil || len(w.block) <= 8 {
 		return w.err
 	}
-	if !w.begun {
-		w.begun = true
+	if !w.headerDone {
+		w.headerDone = true
 		if _, w.err = io.WriteString(w.out, magic); w.err != nil {
 			return w.err
 		}
 	}
 	binary.LittleEndian.PutUint32(w.block, uint32(len(w.block)-8))
-	binary.LittleEndian.PutUint32(w.block[4:], crc32.Checksum(w.block[8:], table))
+	binary.LittleEndian.PutUint32(w.block[4:], crc32.Checksum(w.block[8:], crcTable))
 	_, w.err = w.out.Write(w.block)
 	w.block = w.block[:8]
 	return w.err
@@ -77,61 +77,62 @@
 
 // Reader reads events.
 type Reader struct {
-	in    *bufio.Reader
-	code  coder
-	block []byte
-	rest  parser
-	begun bool
+	in         *bufio.Reader
+	codec      codec
+	block      []byte
+	events     parser
+	headerDone bool
 }
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReader(in)} }
 
-// Next reads the next event into e. It returns io.EOF at the end, ErrCut if the last
-// block is not whole, and ErrDamaged or ErrVersion.
+// Next reads the next event into e. It returns io.EOF at the end of the file, and
+// ErrTruncated, ErrDamaged or ErrVersion for an invalid file.
 func (r *Reader) Next(e *Event) error {
-	for len(r.rest.b) == 0 {
-		if err := r.next(); err != nil {
+	for len(r.events.rest) == 0 {
+		if err := r.readBlock(); err != nil {
 			return err
 		}
 	}
-	return r.code.parse(&r.rest, e)
+	return r.codec.parseEvent(&r.events, e)
 }
 
-func (r *Reader) next() error {
-	if !r.begun {
-		var head [len(magic)]byte
-		if _, err := io.ReadFull(r.in, head[:]); err != nil || string(head[:]) != magic {
+func (r *Reader) readBlock() error {
+	if !r.headerDone {
+		var header [len(magic)]byte
+		if _, err := io.ReadFull(r.in, header[:]); err != nil || string(header[:]) != magic {
 			return ErrVersion
 		}
-		r.begun = true
+		r.headerDone = true
 	}
-	var head [8]byte
-	if _, err := io.ReadFull(r.in, head[:]); err != nil {
-		return cut(err)
+	var header [8]byte
+	if _, err := io.ReadFull(r.in, header[:]); err != nil {
+		return truncated(err)
 	}
-	n := binary.LittleEndian.Uint32(head[:])
-	if n > mostBlock {
-		return fmt.Errorf("%w: of %d bytes, want %d at most", ErrDamaged, n, mostBlock)
+	n := binary.LittleEndian.Uint32(header[:])
+	if n > maxBlockSize {
+		return fmt.Errorf("%w: length of %d bytes, want at most %d", ErrDamaged, n, maxBlockSize)
 	}
 	r.block = r.block[:0]
-	for left := int(n); left > 0; { // grows with what comes, not with what is said
-		step := min(left, blockSize)
+	for remaining := int(n); remaining > 0; { // the buffer grows only with the data that is read
+		step := min(remaining, blockSize)
 		at := len(r.block)
 		r.block = append(r.block, make([]byte, step)...)
 		if _, err := io.ReadFull(r.in, r.block[at:]); err != nil {
 			return ErrTruncated
 		}
-		left -= step
+		remaining -= step
 	}
-	if crc32.Checksum(r.block, table) != binary.LittleEndian.Uint32(head[4:]) {
+	if crc32.Checksum(r.block, crcTable) != binary.LittleEndian.Uint32(header[4:]) {
 		return ErrDamaged
 	}
-	r.rest = parser{b: r.block}
+	r.events = parser{rest: r.block}
 	return nil
 }
 
-func cut(err error) error {
+// truncated returns ErrTruncated in place of io.ErrUnexpectedEOF.
+func truncated(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrTruncated
 	}
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -9,219 +9,220 @@
 	"gorselink/balance"
 )
 
-// Tap stands between a pool and its Balancer: it passes on what the Balancer is told
-// and what it decides, and writes both down in the order in which they happened. It is
-// no safer for concurrent use than a Balancer.
+// Recorder wraps a Balancer. It forwards the calls to the Balancer and the decisions to
+// its Host, and emits both as events in their order. Like a Balancer, it is not safe for
+// concurrent use.
 type Recorder struct {
-	b    *balance.Balancer
-	host balance.Host
-	to   func(*Event)
-	e    Event // the one being written, used again
-	now  time.Duration
-}
-
-// NewTap makes a Balancer whose events go to to, which must not keep them.
-func NewRecorder(cfg balance.Config, seed uint64, host balance.Host, to func(*Event)) (*Recorder, error) {
-	t := &Recorder{host: host, to: to}
-	t.put(Event{Kind: Start, Seed: seed, Config: &cfg})
+	balancer *balance.Balancer
+	host     balance.Host
+	emit     func(*Event)
+	event    Event // reused for each call of emit
+	now      time.Duration
+}
+
+// NewRecorder creates a Balancer and passes its events to emit, which must not retain
+// them.
+func NewRecorder(cfg balance.Config, seed uint64, host balance.Host, emit func(*Event)) (*Recorder, error) {
+	r := &Recorder{host: host, emit: emit}
+	r.record(Event{Kind: Start, Seed: seed, Config: &cfg})
 	var err error
-	t.b, err = balance.New(cfg, seed, t)
-	return t, err
+	r.balancer, err = balance.New(cfg, seed, r)
+	return r, err
 }
 
-func (t *Recorder) put(e Event) {
-	e.At = t.now
-	t.e = e
-	t.to(&t.e)
+func (r *Recorder) record(e Event) {
+	e.At = r.now
+	r.event = e
+	r.emit(&r.event)
 }
 
-// Retune is told to the Balancer and written down, as are all that follow.
-func (t *Recorder) Retune(cfg balance.Config) error {
-	t.put(Event{Kind: Retune, Config: &cfg})
-	return t.b.Reconfigure(cfg)
+// Reconfigure records and forwards a call of Balancer.Reconfigure.
+func (r *Recorder) Reconfigure(cfg balance.Config) error {
+	r.record(Event{Kind: Reconfigure, Config: &cfg})
+	return r.balancer.Reconfigure(cfg)
 }
 
-// AddClass is as that of a Balancer.
-func (t *Recorder) AddClass(c balance.Class) (int, error) {
-	t.put(Event{Kind: AddClass, Added: &c})
-	return t.b.AddClass(c)
+// AddClass records and forwards a call of Balancer.AddClass.
+func (r *Recorder) AddClass(c balance.Class) (int, error) {
+	r.record(Event{Kind: AddClass, AddedClass: &c})
+	return r.balancer.AddClass(c)
 }
 
-// Members is as that of a Balancer.
-func (t *Recorder) Members(now time.Duration, kind balance.ListKind, list []balance.Endpoint) {
-	t.now = now
-	t.put(Event{Kind: Members, ListKind: kind, Endpoints: list})
-	t.b.Members(now, kind, list)
+// Members records and forwards a call of Balancer.Members.
+func (r *Recorder) Members(now time.Duration, kind balance.ListKind, list []balance.Endpoint) {
+	r.now = now
+	r.record(Event{Kind: Members, ListKind: kind, Endpoints: list})
+	r.balancer.Members(now, kind, list)
 }
 
-// Request is as that of a Balancer.
-func (t *Recorder) Request(now time.Duration, id balance.RequestID, class, tenant int, budget time.Duration) {
-	t.now = now
-	t.put(Event{Kind: Request, ID: uint64(id), Class: class, Tenant: tenant, Duration: budget})
-	t.b.Request(now, id, class, tenant, budget)
+// Request records and forwards a call of Balancer.Request.
+func (r *Recorder) Request(now time.Duration, id balance.RequestID, class, tenant int, budget time.Duration) {
+	r.now = now
+	r.record(Event{Kind: Request, ID: uint64(id), Class: class, Tenant: tenant, Duration: budget})
+	r.balancer.Request(now, id, class, tenant, budget)
 }
 
-// Outcome is as that of a Balancer.
-func (t *Recorder) Outcome(now time.Duration, id balance.RequestID, number int, result balance.Result, elapsed time.Duration, over bool) {
-	t.now = now
-	t.put(Event{Kind: Outcome, ID: uint64(id), Number: number, Result: result, Duration: elapsed, Over: over})
-	t.b.Outcome(now, id, number, result, elapsed, over)
+// Outcome records and forwards a call of Balancer.Outcome.
+func (r *Recorder) Outcome(now time.Duration, id balance.RequestID, number int, result balance.Result, elapsed time.Duration, final bool) {
+	r.now = now
+	r.record(Event{Kind: Outcome, ID: uint64(id), Attempt: number, Result: result, Duration: elapsed, Final: final})
+	r.balancer.Outcome(now, id, number, result, elapsed, final)
 }
 
-// Withdrawn is as that of a Balancer.
-func (t *Recorder) Withdrawn(now time.Duration, id balance.RequestID) {
-	t.now = now
-	t.put(Event{Kind: Withdrawn, ID: uint64(id)})
-	t.b.Withdrawn(now, id)
+// Withdrawn records and forwards a call of Balancer.Withdrawn.
+func (r *Recorder) Withdrawn(now time.Duration, id balance.RequestID) {
+	r.now = now
+	r.record(Event{Kind: Withdrawn, ID: uint64(id)})
+	r.balancer.Withdrawn(now, id)
 }
 
-// Timer is as that of a Balancer.
-func (t *Recorder) Timer(now time.Duration, token uint64) {
-	t.now = now
-	t.put(Event{Kind: Timer, ID: token})
-	t.b.Timer(now, token)
+// Timer records and forwards a call of Balancer.Timer.
+func (r *Recorder) Timer(now time.Duration, token uint64) {
+	r.now = now
+	r.record(Event{Kind: Timer, ID: token})
+	r.balancer.Timer(now, token)
 }
 
-// Close is as that of a Balancer.
-func (t *Recorder) Close(now time.Duration) {
-	t.now = now
-	t.put(Event{Kind: Close})
-	t.b.Close(now)
+// Close records and forwards a call of Balancer.Close.
+func (r *Recorder) Close(now time.Duration) {
+	r.now = now
+	r.record(Event{Kind: Close})
+	r.balancer.Close(now)
 }
 
-// Send implements balance.Host, as do the others.
-func (t *Recorder) Send(id balance.RequestID, addr string, timeout time.Duration) {
-	t.put(Event{Kind: Send, ID: uint64(id), Addr: addr, Duration: timeout})
-	t.host.Send(id, addr, timeout)
+// Send implements balance.Host.
+func (r *Recorder) Send(id balance.RequestID, addr string, timeout time.Duration) {
+	r.record(Event{Kind: Send, ID: uint64(id), Addr: addr, Duration: timeout})
+	r.host.Send(id, addr, timeout)
 }
 
 // Refuse implements balance.Host.
-func (t *Recorder) Refuse(id balance.RequestID, retryAfter time.Duration) {
-	t.put(Event{Kind: Refuse, ID: uint64(id), Duration: retryAfter})
-	t.host.Refuse(id, retryAfter)
+func (r *Recorder) Refuse(id balance.RequestID, retryAfter time.Duration) {
+	r.record(Event{Kind: Refuse, ID: uint64(id), Duration: retryAfter})
+	r.host.Refuse(id, retryAfter)
 }
 
 // Fail implements balance.Host.
-func (t *Recorder) Fail(id balance.RequestID) {
-	t.put(Event{Kind: Fail, ID: uint64(id)})
-	t.host.Fail(id)
+func (r *Recorder) Fail(id balance.RequestID) {
+	r.record(Event{Kind: Fail, ID: uint64(id)})
+	r.host.Fail(id)
 }
 
 // After implements balance.Host.
-func (t *Recorder) After(d time.Duration, token uint64) {
-	t.put(Event{Kind: After, ID: token, Duration: d})
-	t.host.After(d, token)
+func (r *Recorder) After(d time.Duration, token uint64) {
+	r.record(Event{Kind: After, ID: token, Duration: d})
+	r.host.After(d, token)
 }
 
 // Watch implements balance.Host.
-func (t *Recorder) Watch() {
-	t.put(Event{Kind: Watch})
-	t.host.Watch()
+func (r *Recorder) Watch() {
+	r.record(Event{Kind: Watch})
+	r.host.Watch()
 }
 
-// Difference is the first decision of a replay that is not the captured one.
+// Difference is the first decision of a replay that differs from the capture.
 type Difference struct {
-	Index    int    // its place in the capture, from 0
-	Input    Event  // what the Balancer was told last
-	Captured *Event // nil where the replay decided something more
-	Replayed *Event // nil where it decided something less
+	Index    int    // position of the event in the capture, from 0
+	Input    Event  // the last input before the decision
+	Captured *Event // nil if the replay has an additional decision
+	Replayed *Event // nil if the replay lacks a decision
 }
 
 // Error implements error.
 func (d *Difference) Error() string {
-	return fmt.Sprintf("capture: event %d: after %v the capture has %v, the replay %v", d.Index, &d.Input, d.Captured, d.Replayed)
-}
-
-// Replay plays a capture from its Start on and compares every decision. It returns how
-// many events it has played, and a *Difference at the first decision that differs, or
-// what is wrong with the capture.
-func Replay(r *Reader) (played int, err error) {
-	var b *balance.Balancer
-	var e, told Event
-	var decided []Event
-	host := &deciding{&decided, &told}
-	differs := func(captured *Event) error {
-		d := &Difference{Index: played, Input: told, Captured: captured}
-		if len(decided) > 0 {
-			d.Replayed = &decided[0]
+	return fmt.Sprintf("capture: event %d: after %v, captured decision %v, replayed decision %v", d.Index, &d.Input, d.Captured, d.Replayed)
+}
+
+// Replay replays the inputs of a capture and compares every decision. It returns the
+// number of events before the first error, and as error a *Difference for a decision that
+// differs, or another one for an invalid capture.
+func Replay(r *Reader) (replayed int, err error) {
+	var balancer *balance.Balancer
+	var e, input Event
+	var decisions []Event
+	host := &decisionCollector{&decisions, &input}
+	newDifference := func(captured *Event) error {
+		d := &Difference{Index: replayed, Input: input, Captured: captured}
+		if len(decisions) > 0 {
+			d.Replayed = &decisions[0]
 		}
 		return d
 	}
-	for ; ; played++ {
+	for ; ; replayed++ {
 		err := r.Next(&e)
-		if err == io.EOF && len(decided) > 0 {
-			return played, differs(nil)
+		if err == io.EOF && len(decisions) > 0 {
+			return replayed, newDifference(nil)
 		}
 		if err == io.EOF {
-			return played, nil
+			return replayed, nil
 		}
 		if err != nil {
-			return played, err
+			return replayed, err
 		}
-		if e.Kind.decides() {
-			if len(decided) == 0 || !same(&decided[0], &e) {
-				return played, differs(&e)
+		if e.Kind.isDecision() {
+			if len(decisions) == 0 || !sameDecision(&decisions[0], &e) {
+				return replayed, newDifference(&e)
 			}
-			decided = decided[1:]
+			decisions = decisions[1:]
 			continue
 		}
-		if len(decided) > 0 {
-			return played, differs(nil)
+		if len(decisions) > 0 {
+			return replayed, newDifference(nil)
 		}
-		if b == nil && e.Kind != Start {
-			return played, errors.New("capture: begins with something else than a start")
+		if balancer == nil && e.Kind != Start {
+			return replayed, errors.New("capture: first event is not a start")
 		}
-		told, decided = e, decided[:0]
+		input, decisions = e, decisions[:0]
 		switch e.Kind {
 		case Start:
-			if b, err = balance.New(*e.Config, e.Seed, host); err != nil {
-				return played, err
+			if balancer, err = balance.New(*e.Config, e.Seed, host); err != nil {
+				return replayed, err
 			}
-		case Retune:
-			b.Reconfigure(*e.Config)
+		case Reconfigure:
+			balancer.Reconfigure(*e.Config)
 		case AddClass:
-			b.AddClass(*e.Added)
+			balancer.AddClass(*e.AddedClass)
 		case Members:
-			b.Members(e.At, e.ListKind, e.Endpoints)
+			balancer.Members(e.At, e.ListKind, e.Endpoints)
 		case Request:
-			b.Request(e.At, balance.RequestID(e.ID), e.Class, e.Tenant, e.Duration)
+			balancer.Request(e.At, balance.RequestID(e.ID), e.Class, e.Tenant, e.Duration)
 		case Outcome:
-			b.Outcome(e.At, balance.RequestID(e.ID), e.Number, e.Result, e.Duration, e.Over)
+			balancer.Outcome(e.At, balance.RequestID(e.ID), e.Attempt, e.Result, e.Duration, e.Final)
 		case Withdrawn:
-			b.Withdrawn(e.At, balance.RequestID(e.ID))
+			balancer.Withdrawn(e.At, balance.RequestID(e.ID))
 		case Timer:
-			b.Timer(e.At, e.ID)
+			balancer.Timer(e.At, e.ID)
 		case Close:
-			b.Close(e.At)
+			balancer.Close(e.At)
 		}
 	}
 }
 
-// same tells whether two decisions are one.
-func same(a, b *Event) bool {
+// sameDecision reports whether two decisions are equal.
+func sameDecision(a, b *Event) bool {
 	return a.Kind == b.Kind && a.At == b.At && a.ID == b.ID && a.Addr == b.Addr && a.Duration == b.Duration
 }
 
-// deciding gathers what a replayed Balancer decides.
-type deciding struct {
-	to   *[]Event
-	told *Event
+// decisionCollector is a balance.Host that collects the decisions of a replayed Balancer.
+type decisionCollector struct {
+	decisions *[]Event
+	input     *Event
 }
 
-func (d *deciding) put(e Event) {
-	e.At = d.told.At
-	*d.to = append(*d.to, e)
+func (d *decisionCollector) add(e Event) {
+	e.At = d.input.At
+	*d.decisions = append(*d.decisions, e)
 }
 
-func (d *deciding) Send(id balance.RequestID, addr string, timeout time.Duration) {
-	d.put(Event{Kind: Send, ID: uint64(id), Addr: addr, Duration: timeout})
+func (d *decisionCollector) Send(id balance.RequestID, addr string, timeout time.Duration) {
+	d.add(Event{Kind: Send, ID: uint64(id), Addr: addr, Duration: timeout})
 }
 
-func (d *deciding) Refuse(id balance.RequestID, after time.Duration) {
-	d.put(Event{Kind: Refuse, ID: uint64(id), Duration: after})
+func (d *decisionCollector) Refuse(id balance.RequestID, retryAfter time.Duration) {
+	d.add(Event{Kind: Refuse, ID: uint64(id), Duration: retryAfter})
 }
-func (d *deciding) Fail(id balance.RequestID) { d.put(Event{Kind: Fail, ID: uint64(id)}) }
-func (d *deciding) After(span time.Duration, token uint64) {
-	d.put(Event{Kind: After, ID: token, Duration: span})
+func (d *decisionCollector) Fail(id balance.RequestID) { d.add(Event{Kind: Fail, ID: uint64(id)}) }
+func (d *decisionCollector) After(delay time.Duration, token uint64) {
+	d.add(Event{Kind: After, ID: token, Duration: delay})
 }
-func (d *deciding) Watch() { d.put(Event{Kind: Watch}) }
+func (d *decisionCollector) Watch() { d.add(Event{Kind: Watch}) }
--- a/internal/standin/accept_test.go
+++ b/internal/standin/accept_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A node goes on after each error that an accept can fail with.
+// Guards against a node that stops accepting connections after a transient error.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
-	n := start(t, NodeConfig{Name: "s-1"})
+	n := startNode(t, NodeConfig{Name: "s-1"})
 	for _, errno := range TransientAcceptErrors {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -16,22 +16,22 @@
 		}
 		l := NewFailingListener(inner, errno)
 		n.mu.Lock()
-		own := n.l
-		n.l = l
+		original := n.listener
+		n.listener = l
 		n.mu.Unlock()
 		ended := make(chan struct{})
 		go func() { n.accept(l); close(ended) }()
-		client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+		client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 		resp, err := client.Get("http://" + l.Addr().String() + "/x")
 		if err != nil {
-			t.Fatalf("%v: %v", errno, err)
+			t.Fatalf("request after accept error %v: %v", errno, err)
 		}
 		resp.Body.Close()
 		if l.FailedAccepts() != 1 {
-			t.Errorf("%v: %d accepts failed, want 1", errno, l.FailedAccepts())
+			t.Errorf("accept error %v: %d failed accepts, want 1", errno, l.FailedAccepts())
 		}
 		n.mu.Lock()
-		n.l = own
+		n.listener = original
 		n.mu.Unlock()
 		l.Close()
 		<-ended
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -12,17 +12,17 @@
 	"gorselink/internal/acceptloop"
 )
 
-// Entry is one endpoint in the list that an Agent tells.
+// Entry is one endpoint in an endpoint list of discovery.
 type Entry struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Group   int    `json:"group"`
-	Status  string `json:"status"` // "in_service", "terminating" or, as a change, "terminated"
-	SinceMs int64  `json:"since_ms"`
+	Status  string `json:"status"`   // "in_service", "terminating" or, only in a change, "terminated"
+	SinceMs int64  `json:"since_ms"` // start of the process in Unix time
 }
 
-// EntryOf is the entry of a Node as it is now.
+// NewEntry returns the entry of n with its current start time.
 func NewEntry(n *Node, status string) Entry {
 	e := Entry{Name: n.Name(), Address: n.Addr(), Zone: "a", Status: status}
 	if since := n.RestartedAt(); !since.IsZero() {
@@ -31,92 +31,92 @@
 	return e
 }
 
-// Agent is a stand-in for discovery over HTTP: the whole list, and watches that
-// wait for what changes.
+// Agent is a fake of the discovery HTTP API of one service. It serves snapshots of the
+// list and watches, which wait for changes.
 type Agent struct {
-	srv  *http.Server
-	addr string
+	server *http.Server
+	addr   string
 
-	mu      sync.Mutex
-	list    []Entry
-	index   int
-	history []change
-	changed chan struct{}
-	silent  chan struct{} // not nil while calls get no answer; closed when they do again
-	calls   int
+	mu           sync.Mutex
+	entries      []Entry
+	index        int
+	history      []entryChange // all changes since the start
+	changed      chan struct{} // closed at the next change
+	unresponsive chan struct{} // non-nil while calls are not answered; closed to answer them
+	calls        int
 }
 
-type change struct {
+type entryChange struct {
 	index int
 	entry Entry
 }
 
-// StartAgent starts an Agent on a free port of 127.0.0.1 that tells list.
-func StartAgent(list ...Entry) (*Agent, error) {
+// StartAgent starts an Agent with these entries on a free port of 127.0.0.1.
+func StartAgent(entries ...Entry) (*Agent, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in discovery: %w", err)
+		return nil, fmt.Errorf("start fake discovery agent: %w", err)
 	}
-	a := &Agent{addr: l.Addr().String(), list: list, index: 1, changed: make(chan struct{})}
-	a.srv = &http.Server{Handler: http.HandlerFunc(a.serve)}
-	go a.srv.Serve(acceptloop.Wrap(l))
+	a := &Agent{addr: l.Addr().String(), entries: entries, index: 1, changed: make(chan struct{})}
+	a.server = &http.Server{Handler: http.HandlerFunc(a.serve)}
+	go a.server.Serve(acceptloop.Wrap(l))
 	return a, nil
 }
 
-// Addr is where the agent listens.
+// Addr returns the listen address.
 func (a *Agent) Addr() string { return a.addr }
 
-// Close ends the agent and all its watches.
-func (a *Agent) Close() { a.srv.Close() }
+// Close stops the agent and all watches.
+func (a *Agent) Close() { a.server.Close() }
 
-// Calls is how many calls have come.
+// Calls returns the number of calls received.
 func (a *Agent) Calls() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.calls
 }
 
-// Change tells that these entries have changed. A terminated one leaves the
-// list.
+// Update adds or replaces entries of the list and notifies watches. A terminated entry
+// is removed from the list.
 func (a *Agent) Update(entries ...Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.index++
 	for _, e := range entries {
-		a.history = append(a.history, change{a.index, e})
-		a.list = slices.DeleteFunc(a.list, func(o Entry) bool { return o.Name == e.Name })
+		a.history = append(a.history, entryChange{a.index, e})
+		a.entries = slices.DeleteFunc(a.entries, func(o Entry) bool { return o.Name == e.Name })
 		if e.Status != "terminated" {
-			a.list = append(a.list, e)
+			a.entries = append(a.entries, e)
 		}
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Silence makes calls wait without an answer, or ends that.
+// SetUnresponsive sets whether calls wait without a response.
 func (a *Agent) SetUnresponsive(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case on && a.silent == nil:
-		a.silent = make(chan struct{})
-	case !on && a.silent != nil:
-		close(a.silent)
-		a.silent = nil
+	case on && a.unresponsive == nil:
+		a.unresponsive = make(chan struct{})
+	case !on && a.unresponsive != nil:
+		close(a.unresponsive)
+		a.unresponsive = nil
 	}
 }
 
-// maxWait bounds a watch, as discovery does.
-const maxWait = time.Minute
+// maxWatchWait limits the duration of a watch.
+const maxWatchWait = time.Minute
 
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	a.calls++
-	silent := a.silent
+	unresponsive := a.unresponsive
 	a.mu.Unlock()
-	if silent != nil {
+	if unresponsive != nil {
 		select {
-		case <-silent:
+		case <-unresponsive:
 		case <-r.Context().Done():
 			return
 		}
@@ -125,43 +125,43 @@
 		http.NotFound(w, r)
 		return
 	}
-	after, watch := r.URL.Query()["after"]
-	if !watch {
+	after, isWatch := r.URL.Query()["after"]
+	if !isWatch {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		tellList(w, a.index, true, a.list)
+		writeList(w, a.index, true, a.entries)
 		return
 	}
 	from, err := strconv.Atoi(after[0])
 	if err != nil {
-		http.Error(w, "after: want a number", http.StatusBadRequest)
+		http.Error(w, "after: want an integer", http.StatusBadRequest)
 		return
 	}
 	ms, err := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	if err != nil {
-		http.Error(w, "wait_ms: want a number", http.StatusBadRequest)
+		http.Error(w, "wait_ms: want an integer", http.StatusBadRequest)
 		return
 	}
-	end := time.NewTimer(min(time.Duration(ms)*time.Millisecond, maxWait))
-	defer end.Stop()
-	for ended := false; ; {
+	timer := time.NewTimer(min(time.Duration(ms)*time.Millisecond, maxWatchWait))
+	defer timer.Stop()
+	for timedOut := false; ; {
 		a.mu.Lock()
-		var news []Entry
+		var entries []Entry
 		for _, c := range a.history {
 			if c.index > from {
-				news = append(news, c.entry)
+				entries = append(entries, c.entry)
 			}
 		}
 		index, changed := a.index, a.changed
 		a.mu.Unlock()
-		if len(news) > 0 || ended {
-			tellList(w, index, false, news)
+		if len(entries) > 0 || timedOut {
+			writeList(w, index, false, entries)
 			return
 		}
 		select {
 		case <-changed:
-		case <-end.C:
-			ended = true
+		case <-timer.C:
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/standin/failing.go
+++ b/internal/standin/failing.go
@@ -7,15 +7,15 @@
 	"syscall"
 )
 
-// AcceptErrors are the errors of accept(2) that say nothing of the listener. Of EAGAIN the
-// Go runtime itself makes a wait.
+// TransientAcceptErrors are the errors of accept(2) after which the listener still works.
+// EAGAIN is not among them, as the Go runtime handles it.
 var TransientAcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EPERM, syscall.EINTR, syscall.ETIMEDOUT,
 }
 
-// Failing is a listener some of whose accepts fail, as those of the system do.
+// FailingListener is a listener whose first calls of Accept fail with given errors.
 type FailingListener struct {
 	net.Listener
 
@@ -24,12 +24,13 @@
 	failed int
 }
 
-// Fail makes the next accepts of l fail with errs, one after another.
+// NewFailingListener wraps l. Each of the next calls of Accept fails with one of errs, in
+// their order.
 func NewFailingListener(l net.Listener, errs ...syscall.Errno) *FailingListener {
 	return &FailingListener{Listener: l, errs: errs}
 }
 
-// Failed is how many accepts have failed.
+// FailedAccepts returns the number of failed calls of Accept.
 func (f *FailingListener) FailedAccepts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,14 +39,14 @@
 
 // Accept implements net.Listener.
 func (f *FailingListener) Accept() (net.Conn, error) {
-	if err := f.next(); err != 0 {
+	if err := f.nextError(); err != 0 {
 		return nil, &net.OpError{Op: "accept", Net: f.Addr().Network(), Addr: f.Addr(), Err: os.NewSyscallError("accept4", err)}
 	}
 	return f.Listener.Accept()
 }
 
-// next is the error of this accept, or 0.
-func (f *FailingListener) next() syscall.Errno {
+// nextError returns the error of this call of Accept, or 0.
+func (f *FailingListener) nextError() syscall.Errno {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.errs) == 0 {
--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// Late is a listener to which connections come up only once it is opened: its queue is
-// full until then, and the kernel drops what else knocks, which knocks again after 1, 3
-// and 7 s.
+// FullListener is a listener whose accept queue is full until Unblock is called. Until
+// then the kernel drops SYNs; clients retransmit them 1, 3 and 7 s after the first.
 type FullListener struct {
 	net.Listener
-	fill []net.Conn
+	queued []net.Conn // fill the accept queue
 }
 
-// fullAfter is how long a connection takes to come up that finds no place.
-const fullAfter = 200 * time.Millisecond
+// fullTimeout is the time after which a dial that has not succeeded shows a full queue.
+const fullTimeout = 200 * time.Millisecond
 
-// ListenLate starts a Late on a free port of 127.0.0.1.
+// ListenFull starts a FullListener on a free port of 127.0.0.1.
 func ListenFull() (*FullListener, error) {
-	l, err := listenOne()
+	inner, err := listenShortest()
 	if err != nil {
-		return nil, fmt.Errorf("stand-in that comes up late: %w", err)
+		return nil, fmt.Errorf("listen with a full accept queue: %w", err)
 	}
-	k := &FullListener{Listener: l}
-	for { // until one does not come up
-		c, err := net.DialTimeout("tcp", l.Addr().String(), fullAfter)
+	l := &FullListener{Listener: inner}
+	for { // until the queue is full
+		c, err := net.DialTimeout("tcp", inner.Addr().String(), fullTimeout)
 		if err != nil {
-			return k, nil
+			return l, nil
 		}
-		k.fill = append(k.fill, c)
+		l.queued = append(l.queued, c)
 	}
 }
 
-// listenOne listens with the shortest queue that there is, which net does not offer.
-func listenOne() (net.Listener, error) {
+// listenShortest listens with the shortest possible accept queue. Package net cannot set
+// its length.
+func listenShortest() (net.Listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
-	f := os.NewFile(uintptr(fd), "late")
-	defer f.Close() // FileListener has a copy
+	f := os.NewFile(uintptr(fd), "full listener")
+	defer f.Close() // FileListener duplicates the descriptor
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return nil, err
 	}
@@ -52,27 +52,27 @@
 	return net.FileListener(f)
 }
 
-// Open lets connections come up; somebody has to accept them.
-func (k *FullListener) Unblock() error {
-	raw, err := k.Listener.(*net.TCPListener).SyscallConn()
+// Unblock makes the kernel complete new connections, which the caller then accepts.
+func (l *FullListener) Unblock() error {
+	raw, err := l.Listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
 	}
-	if control := raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 1024) }); control != nil {
-		return control
+	if controlErr := raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 1024) }); controlErr != nil {
+		return controlErr
 	}
-	k.leave()
+	l.closeQueued()
 	return err
 }
 
-func (k *FullListener) leave() {
-	for _, c := range k.fill {
+func (l *FullListener) closeQueued() {
+	for _, c := range l.queued {
 		c.Close()
 	}
 }
 
 // Close implements net.Listener.
-func (k *FullListener) Close() error {
-	k.leave()
-	return k.Listener.Close()
+func (l *FullListener) Close() error {
+	l.closeQueued()
+	return l.Listener.Close()
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -1,6 +1,6 @@
-// Package standin holds scripted stand-ins for the systems around the program:
-// nodes that serve and fail on command, and a discovery agent. Tests and the
-// demo use them; they listen on loopback addresses only.
+// Package standin has fakes of the systems that the program talks to: nodes with
+// configurable failures, discovery servers and listeners. They listen on loopback
+// addresses, unless a Registry is started on another host.
 package standin
 
 import (
@@ -18,87 +18,87 @@
 	"gorselink/internal/acceptloop"
 )
 
-// Mode is how a Node treats the requests that reach it.
+// Mode is how a Node handles requests.
 type Mode int
 
 const (
 	ModeServe     Mode = iota
-	ModeFreeze         // takes requests and begins none until the mode changes
-	ModeNoAnswer       // runs each request and never answers
-	ModeError          // runs each request and answers 500
-	ModeMalformed      // runs each request and answers noise
-	ModeReset          // runs each request and breaks the connection
-	ModeReject         // runs nothing: 503 with X-Rejected
+	ModeFreeze         // accepts requests and holds them until the mode changes
+	ModeNoAnswer       // runs each request and sends no answer
+	ModeError          // runs each request and answers with status 500
+	ModeMalformed      // runs each request and sends bytes that are not HTTP
+	ModeReset          // runs each request and resets the connection
+	ModeReject         // answers with status 503 and X-Rejected, without running the request
 )
 
-// Modes are the names of the modes, as the demo takes them.
+// ModesByName has the modes by their names in experiments and in the demo.
 var ModesByName = map[string]Mode{
 	"serve": ModeServe, "freeze": ModeFreeze, "mute": ModeNoAnswer, "error": ModeError, "spoil": ModeMalformed, "reset": ModeReset, "refuse": ModeReject,
 }
 
-// NodeConfig says what a Node is. The zero value serves at once.
+// NodeConfig configures a Node. With the zero value, it answers immediately.
 type NodeConfig struct {
 	Name       string
-	Latency    time.Duration  // of every answer, whatever else is running
-	Work       time.Duration  // of one core, for every request
-	WorkFactor func() float64 // how many times Work a request takes; nil for once. Safe for concurrent use
-	Cores      int            // requests that are worked on at once; 0 for no bound
-	Queue      int            // requests that wait for a core, more are turned away; 0 for no bound
-
-	// Warm is how long a node that has come back is cold: its work takes
-	// 1/ColdShare of the usual at first and the usual after Warm.
+	Latency    time.Duration  // added to every request, independent of load
+	Work       time.Duration  // time of one core per request
+	WorkFactor func() float64 // returns the factor on Work for one request; nil means 1. Must be safe for concurrent use
+	Cores      int            // limit of requests that run concurrently; 0 means no limit
+	Queue      int            // limit of requests that wait for a core, others are rejected; 0 means no limit
+
+	// WarmUp is the time after a restart during which the node is slower. Its speed
+	// rises linearly from ColdShare of the normal speed to the normal speed.
 	WarmUp    time.Duration
 	ColdShare float64
 
-	// Answer, if set, makes the answer to a request that has run. It must be
-	// safe for concurrent use.
+	// Answer, if set, returns the answer to a request that has run. It must be safe
+	// for concurrent use.
 	Answer func(req *http.Request, body []byte) Answer
-	// Observe, if set, is called with each request that has come whole, before
-	// it runs. It must be safe for concurrent use.
+	// Observe, if set, is called with each request that was received completely,
+	// before it runs. It must be safe for concurrent use.
 	Observe func(req *http.Request, body []byte)
 }
 
-// Answer is what a node answers.
+// Answer is the answer of a node to a request.
 type Answer struct {
-	Status int // 0 for 200
+	Status int // 0 means 200
 	Header http.Header
 	Body   string
 }
 
-// Node is a stand-in for one endpoint. It listens on a loopback address of its
-// own and counts what it runs by X-Call-Id.
+// Node is a fake server process. It listens on its own loopback address and counts the
+// requests that it runs by their X-Call-Id header.
 type Node struct {
 	cfg   NodeConfig
 	addr  string
-	cores chan struct{} // one token for each core; nil for no bound
-
-	mu      sync.Mutex
-	l       net.Listener
-	conns   map[net.Conn]bool
-	mode    Mode
-	changed chan struct{} // closed when the mode changes or the node goes
-	life    int           // grows with each return
-	since   time.Time     // of the last return; zero for the first life
-	factor  float64       // of Work, see Slow; 0 for 1
-	runs    map[string]int
-	total   int
-	opened  int // connections ever
-	waiting int // for a core
-	open    int // requests that are in
-	most    int // requests that were in at once
+	cores chan struct{} // semaphore of the cores in use; nil without a limit
+
+	mu              sync.Mutex
+	listener        net.Listener // nil while the node is down
+	conns           map[net.Conn]bool
+	mode            Mode
+	changed         chan struct{} // closed when the mode changes or the node crashes
+	generation      int           // number of restarts
+	restartedAt     time.Time     // zero before the first restart
+	slowdown        float64       // factor on Work, see SetSlowdown; 0 means 1
+	runsByID        map[string]int
+	totalRuns       int
+	totalConns      int // connections accepted since the start
+	coreRequests    int // requests that use a core or wait for one
+	openRequests    int // requests received and not finished
+	maxOpenRequests int // maximum of openRequests
 }
 
 // StartNode starts a Node on a free port of 127.0.0.1.
 func StartNode(cfg NodeConfig) (*Node, error) {
-	n := &Node{cfg: cfg, runs: map[string]int{}, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
+	n := &Node{cfg: cfg, runsByID: map[string]int{}, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
 	if cfg.Cores > 0 {
 		n.cores = make(chan struct{}, cfg.Cores)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in node %s: %w", cfg.Name, err)
+		return nil, fmt.Errorf("start fake node %s: %w", cfg.Name, err)
 	}
-	n.l, n.addr = l, l.Addr().String()
+	n.listener, n.addr = l, l.Addr().String()
 	if n.cfg.Name == "" {
 		n.cfg.Name = n.addr
 	}
@@ -106,14 +106,14 @@
 	return n, nil
 }
 
-// Addr is where the node listens, the same in all its lives.
+// Addr returns the listen address, which a restart does not change.
 func (n *Node) Addr() string { return n.addr }
 
-// Name is the node's name; its address unless one was given.
+// Name returns the configured name, or the address if there is none.
 func (n *Node) Name() string { return n.cfg.Name }
 
-// Set changes how requests are treated from now on; those held by Freeze are
-// looked at anew.
+// SetMode sets the mode for new requests and for those held by ModeFreeze. Requests held
+// by ModeNoAnswer lose their connection.
 func (n *Node) SetMode(m Mode) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,24 +122,23 @@
 	n.changed = make(chan struct{})
 }
 
-// Slow makes all work take factor times as long from now on; what is being worked
-// on is not changed.
+// SetSlowdown sets a factor on the work of requests that start after the call.
 func (n *Node) SetSlowdown(factor float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.factor = factor
+	n.slowdown = factor
 }
 
-// Vanish ends the node as a process that dies: its connections are reset and
-// new ones refused.
+// Crash simulates the crash of the process: connections are reset and new ones are
+// refused.
 func (n *Node) Crash() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.l == nil {
+	if n.listener == nil {
 		return
 	}
-	n.l.Close()
-	n.l = nil
+	n.listener.Close()
+	n.listener = nil
 	for c := range n.conns {
 		abort(c)
 	}
@@ -147,70 +146,70 @@
 	n.changed = make(chan struct{})
 }
 
-// Return starts the node again at its address, cold and serving. What it has
-// run in former lives stays counted.
+// Restart starts the node after a crash, at the same address, in ModeServe and at the
+// start of its WarmUp. Counters are kept.
 func (n *Node) Restart() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.l != nil {
+	if n.listener != nil {
 		return nil
 	}
 	l, err := net.Listen("tcp", n.addr)
 	if err != nil {
-		return fmt.Errorf("stand-in node %s: %w", n.cfg.Name, err)
+		return fmt.Errorf("restart fake node %s: %w", n.cfg.Name, err)
 	}
-	n.l, n.mode, n.since = l, ModeServe, time.Now()
-	n.life++
+	n.listener, n.mode, n.restartedAt = l, ModeServe, time.Now()
+	n.generation++
 	go n.accept(l)
 	return nil
 }
 
-// Close ends the node for good.
+// Close stops the node.
 func (n *Node) Close() { n.Crash() }
 
-// Since is when the node last returned; zero in its first life.
+// RestartedAt returns the time of the last restart, or zero.
 func (n *Node) RestartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.since
+	return n.restartedAt
 }
 
-// Runs is how often each id has run. Requests without an id count under "".
+// RunsByID returns the number of runs by X-Call-Id, which is "" for requests without it.
 func (n *Node) RunsByID() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return maps.Clone(n.runs)
+	return maps.Clone(n.runsByID)
 }
 
-// Total is how many requests have run.
+// TotalRuns returns the number of requests that ran.
 func (n *Node) TotalRuns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.total
+	return n.totalRuns
 }
 
-// Open is how many requests are in, and MostOpen how many were at once.
+// OpenRequests returns the number of requests received and not finished.
 func (n *Node) OpenRequests() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.open
+	return n.openRequests
 }
 
-// MostOpen is the most requests that were in at once.
-func (n *Node) MostOpen() int {
+// MaxOpenRequests returns the maximum of OpenRequests since the start.
+func (n *Node) MaxOpenRequests() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.most
+	return n.maxOpenRequests
 }
 
-// Opened is how many connections have ever come.
+// TotalConns returns the number of connections accepted since the start.
 func (n *Node) TotalConns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.opened
+	return n.totalConns
 }
 
-// Conns is how many connections are open.
+// OpenConns returns the number of open connections.
 func (n *Node) OpenConns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -220,19 +219,19 @@
 func (n *Node) accept(l net.Listener) {
 	acceptloop.Serve(l, func(c net.Conn) {
 		n.mu.Lock()
-		if n.l != l { // a connection of a life that has ended
+		if n.listener != l { // the node has crashed since the connection was accepted
 			n.mu.Unlock()
 			abort(c)
 			return
 		}
 		n.conns[c] = true
-		n.opened++
+		n.totalConns++
 		n.mu.Unlock()
 		go n.serve(c)
 	})
 }
 
-// abort closes c so that the other side sees a reset.
+// abort closes c with a TCP reset.
 func abort(c net.Conn) {
 	if tc, ok := c.(*net.TCPConn); ok {
 		tc.SetLinger(0)
@@ -240,7 +239,7 @@
 	c.Close()
 }
 
-// maxBody is the longest body that a node reads, beyond all that tests send.
+// maxBody is the maximum number of bytes that a node reads from a request body.
 const maxBody = 64 << 20
 
 func (n *Node) serve(c net.Conn) {
@@ -260,21 +259,21 @@
 		if err != nil {
 			return
 		}
-		if !n.one(c, req, body) {
+		if !n.handle(c, req, body) {
 			return
 		}
 	}
 }
 
-// one treats one request and tells whether the connection goes on.
-func (n *Node) one(c net.Conn, req *http.Request, body []byte) bool {
-	life := n.enter(1)
-	defer n.enter(-1)
+// handle handles one request and reports whether the connection stays open.
+func (n *Node) handle(c net.Conn, req *http.Request, body []byte) bool {
+	generation := n.countOpen(1)
+	defer n.countOpen(-1)
 	if n.cfg.Observe != nil {
 		n.cfg.Observe(req, body)
 	}
 	for {
-		mode, changed, alive := n.now(life)
+		mode, changed, alive := n.state(generation)
 		switch {
 		case !alive:
 			abort(c)
@@ -291,8 +290,8 @@
 		return n.answer(c, req, Answer{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
 	}
 	n.mu.Lock()
-	n.runs[req.Header.Get("X-Call-Id")]++
-	n.total++
+	n.runsByID[req.Header.Get("X-Call-Id")]++
+	n.totalRuns++
 	mode, changed := n.mode, n.changed
 	n.mu.Unlock()
 	switch mode {
@@ -314,30 +313,31 @@
 	return n.answer(c, req, Answer{Body: fmt.Sprintf("%s %s %s%s %d\n", n.cfg.Name, req.Method, req.Host, req.RequestURI, len(body))})
 }
 
-// now is how requests are treated, until when, and whether this life goes on.
-func (n *Node) now(life int) (m Mode, changed <-chan struct{}, alive bool) {
+// state returns the mode, a channel that is closed when it changes, and whether the node
+// has not crashed since this generation started.
+func (n *Node) state(generation int) (m Mode, changed <-chan struct{}, alive bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.mode, n.changed, n.l != nil && n.life == life
+	return n.mode, n.changed, n.listener != nil && n.generation == generation
 }
 
-// enter books that a request has come or gone, and tells the node's life.
-func (n *Node) enter(d int) (life int) {
+// countOpen adds delta to the number of open requests and returns the generation.
+func (n *Node) countOpen(delta int) (generation int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.open += d
-	n.most = max(n.most, n.open)
-	return n.life
+	n.openRequests += delta
+	n.maxOpenRequests = max(n.maxOpenRequests, n.openRequests)
+	return n.generation
 }
 
-// work spends what a request costs. It is false if there was no place in the
-// queue.
+// work waits for a core and for the time that a request takes. It returns false if the
+// queue is full.
 func (n *Node) work() bool {
 	if n.cores != nil {
 		n.mu.Lock()
-		full := n.cfg.Queue > 0 && n.waiting >= n.cfg.Queue+n.cfg.Cores
+		full := n.cfg.Queue > 0 && n.coreRequests >= n.cfg.Queue+n.cfg.Cores
 		if !full {
-			n.waiting++
+			n.coreRequests++
 		}
 		n.mu.Unlock()
 		if full {
@@ -347,32 +347,32 @@
 		defer func() {
 			<-n.cores
 			n.mu.Lock()
-			n.waiting--
+			n.coreRequests--
 			n.mu.Unlock()
 		}()
 	}
-	if d := n.cost(); d > 0 {
+	if d := n.workTime(); d > 0 {
 		time.Sleep(d)
 	}
 	return true
 }
 
-// cost is how long one request takes at present.
-func (n *Node) cost() time.Duration {
+// workTime returns the time that one request takes, without the wait for a core.
+func (n *Node) workTime() time.Duration {
 	work := n.cfg.Work
 	n.mu.Lock()
-	since, factor := n.since, n.factor
+	restartedAt, slowdown := n.restartedAt, n.slowdown
 	n.mu.Unlock()
 	if n.cfg.WorkFactor != nil {
 		work = time.Duration(float64(work) * n.cfg.WorkFactor())
 	}
-	if factor > 0 {
-		work = time.Duration(float64(work) * factor)
+	if slowdown > 0 {
+		work = time.Duration(float64(work) * slowdown)
 	}
-	if !since.IsZero() && n.cfg.WarmUp > 0 && n.cfg.ColdShare > 0 {
-		if age := time.Since(since); age < n.cfg.WarmUp {
-			share := n.cfg.ColdShare + (1-n.cfg.ColdShare)*age.Seconds()/n.cfg.WarmUp.Seconds()
-			work = time.Duration(float64(work) / share)
+	if !restartedAt.IsZero() && n.cfg.WarmUp > 0 && n.cfg.ColdShare > 0 {
+		if age := time.Since(restartedAt); age < n.cfg.WarmUp {
+			speed := n.cfg.ColdShare + (1-n.cfg.ColdShare)*age.Seconds()/n.cfg.WarmUp.Seconds()
+			work = time.Duration(float64(work) / speed)
 		}
 	}
 	return n.cfg.Latency + work
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -16,123 +16,122 @@
 	"gorselink/internal/acceptloop"
 )
 
-// Registry is a stand-in for the discoveries of many services in one process: a listener
-// for each, as an address tells one list only. It counts what comes and goes on its
-// sockets, and sees from the calls alone when a change is in force: whoever asks for what
-// came after a change has taken it, as a follower applies a list before it asks again.
+// Registry is a fake of the discovery servers of many services, with one listener per
+// service. It counts calls and bytes, and measures how soon subscribers apply a change.
+// A change counts as applied when a subscriber asks for later ones.
 type Registry struct {
-	srv   *http.Server
-	lists []*listed
-	addrs []string
-	in    atomic.Int64
-	out   atomic.Int64
-
-	mu      sync.Mutex // guards what is counted
-	calls   int
-	begin   time.Time
-	buckets map[int64]int // calls by step of peakStep since begin
+	server   *http.Server
+	lists    []*serviceList
+	addrs    []string
+	bytesIn  atomic.Int64
+	bytesOut atomic.Int64
+
+	mu              sync.Mutex // guards the fields below
+	calls           int
+	countedFrom     time.Time
+	callsByInterval map[int64]int // number of calls by peakInterval since countedFrom
 }
 
-// listed is one service.
-type listed struct {
-	mu      sync.Mutex
-	entries map[string]Entry
-	index   int
-	history []change
-	changed chan struct{}
-	subs    map[*subscriber]bool
-	changes []*Change
-	asked   []string // query strings, while they are kept
-	keeps   bool
+// serviceList is the endpoint list of one service.
+type serviceList struct {
+	mu             sync.Mutex
+	entries        map[string]Entry
+	index          int
+	history        []entryChange // at most maxHistory
+	changed        chan struct{} // closed at the next change
+	subscribers    map[*subscriber]bool
+	changes        []*Change // since the last call of TakeChanges
+	queries        []string  // URL queries, if recordsQueries is set
+	recordsQueries bool
 }
 
-// subscriber is a connection that asks for a list.
+// subscriber is a connection that requests a list.
 type subscriber struct {
-	known int // the index that it is known to have
-	asked bool
-	open  bool // a watch of it is open
-	last  time.Time
-	gone  bool
+	knownIndex int       // index of the list that it has applied
+	hasCalled  bool      // knownIndex is set
+	watching   bool      // a watch is open
+	lastCall   time.Time // start of the last call, or end of the last watch
+	closed     bool
 }
 
-// Change is one change of a list and when subscribers had it.
+// Change is one change of a list, with the delays until subscribers applied it.
 type Change struct {
-	Index   int
-	At      time.Time
-	Delays  []time.Duration // from At, one for each subscriber that has it
-	Pending int             // subscribers that are there and do not have it
+	Index   int             `json:"Index"`
+	At      time.Time       `json:"At"`
+	Delays  []time.Duration `json:"Took"`    // since At, one for each subscriber that has applied it
+	Pending int             `json:"Waiting"` // number of connected subscribers that have not applied it
 }
 
-// Counts is what a Registry has counted since it was last asked.
+// Counts has the counters of a Registry since they were last reset.
 type Counts struct {
-	Span        time.Duration `json:"span_ns"`
+	Span        time.Duration `json:"span_ns"` // since the last reset
 	Calls       int           `json:"calls"`
-	PeakCalls   int           `json:"peak"` // the most calls in 100 ms
-	BytesIn     int64         `json:"in"`   // bytes from subscribers
-	BytesOut    int64         `json:"out"`
-	Subscribers int           `json:"sockets"` // subscribers that are there
+	PeakCalls   int           `json:"peak"`    // maximum number of calls in 100 ms
+	BytesIn     int64         `json:"in"`      // bytes received from subscribers
+	BytesOut    int64         `json:"out"`     // bytes sent to subscribers
+	Subscribers int           `json:"sockets"` // number of connected subscribers
 }
 
 const (
-	peakStep = 100 * time.Millisecond
-	// historyKept bounds the changes that a list can tell one by one; whoever is further
-	// behind gets the whole list.
-	historyKept = 512
-	// staleAfter is when a connection without an open call counts as gone: a follower asks
-	// at once again, and one behind a cut link has long opened another.
-	staleAfter = 3 * time.Second
+	peakInterval = 100 * time.Millisecond
+	// maxHistory limits the changed entries that a list keeps. A watch from an older index
+	// gets a snapshot.
+	maxHistory = 512
+	// staleTimeout is the time after which a connection without an open watch no longer
+	// counts as connected. A subscriber starts its next call right after a response.
+	staleTimeout = 3 * time.Second
 )
 
 type subscriberKey struct{}
 
-// metered counts the bytes of a connection.
-type metered struct {
+// countedConn counts the bytes of a connection.
+type countedConn struct {
 	net.Conn
-	r *Registry
-	s *subscriber
-	l *listed
+	registry   *Registry
+	subscriber *subscriber
+	list       *serviceList
 }
 
-func (c *metered) Read(b []byte) (int, error) {
+func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.r.in.Add(int64(n))
+	c.registry.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c *metered) Write(b []byte) (int, error) {
+func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.r.out.Add(int64(n))
+	c.registry.bytesOut.Add(int64(n))
 	return n, err
 }
 
-type meteredListener struct {
+type countedListener struct {
 	net.Listener
-	r *Registry
-	l *listed
+	registry *Registry
+	list     *serviceList
 }
 
-func (m meteredListener) Accept() (net.Conn, error) {
-	c, err := m.Listener.Accept()
+func (l countedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &metered{c, m.r, &subscriber{}, m.l}, nil
+	return &countedConn{c, l.registry, &subscriber{}, l.list}, nil
 }
 
-// StartRegistry starts a Registry that tells these lists, each at a free port of host.
+// StartRegistry starts a Registry with these lists, each on a free port of host.
 func StartRegistry(host string, lists [][]Entry) (*Registry, error) {
-	r := &Registry{begin: time.Now(), buckets: map[int64]int{}}
-	r.srv = &http.Server{
+	r := &Registry{countedFrom: time.Now(), callsByInterval: map[int64]int{}}
+	r.server = &http.Server{
 		Handler: http.HandlerFunc(r.serve),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, subscriberKey{}, c)
 		},
 		ConnState: func(c net.Conn, s http.ConnState) {
-			if m, ok := c.(*metered); ok && (s == http.StateClosed || s == http.StateHijacked) {
-				m.l.mu.Lock()
-				m.s.gone = true
-				delete(m.l.subs, m.s)
-				m.l.mu.Unlock()
+			if conn, ok := c.(*countedConn); ok && (s == http.StateClosed || s == http.StateHijacked) {
+				conn.list.mu.Lock()
+				conn.subscriber.closed = true
+				delete(conn.list.subscribers, conn.subscriber)
+				conn.list.mu.Unlock()
 			}
 		},
 	}
@@ -140,42 +139,42 @@
 		l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 		if err != nil {
 			r.Close()
-			return nil, fmt.Errorf("stand-in registry, list %d: %w", i, err)
+			return nil, fmt.Errorf("start fake registry, list %d: %w", i, err)
 		}
-		s := &listed{entries: map[string]Entry{}, index: 1, changed: make(chan struct{}), subs: map[*subscriber]bool{}}
+		s := &serviceList{entries: map[string]Entry{}, index: 1, changed: make(chan struct{}), subscribers: map[*subscriber]bool{}}
 		for _, e := range list {
 			s.entries[e.Name] = e
 		}
 		r.lists, r.addrs = append(r.lists, s), append(r.addrs, l.Addr().String())
-		go r.srv.Serve(meteredListener{acceptloop.Wrap(l), r, s})
+		go r.server.Serve(countedListener{acceptloop.Wrap(l), r, s})
 	}
 	return r, nil
 }
 
-// Addrs are where the lists are told, in their order.
+// Addrs returns the listen addresses in the order of the lists.
 func (r *Registry) Addrs() []string { return r.addrs }
 
-// Close ends the Registry and all its watches.
-func (r *Registry) Close() { r.srv.Close() }
+// Close stops the Registry and all watches.
+func (r *Registry) Close() { r.server.Close() }
 
-// Change tells that entries of a list have changed, and returns its new index. A
-// terminated one leaves the list.
+// Update adds or replaces entries of a list, notifies watches and returns the new index.
+// A terminated entry is removed from the list.
 func (r *Registry) Update(list int, entries ...Entry) (int, error) {
 	if list < 0 || list >= len(r.lists) {
-		return 0, fmt.Errorf("stand-in registry: list %d of %d", list, len(r.lists))
+		return 0, fmt.Errorf("fake registry: no list %d, have %d lists", list, len(r.lists))
 	}
 	l := r.lists[list]
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
 	for _, e := range entries {
-		l.history = append(l.history, change{l.index, e})
+		l.history = append(l.history, entryChange{l.index, e})
 		if l.entries[e.Name] = e; e.Status == "terminated" {
 			delete(l.entries, e.Name)
 		}
 	}
-	if over := len(l.history) - historyKept; over > 0 {
-		l.history = slices.Delete(l.history, 0, over)
+	if excess := len(l.history) - maxHistory; excess > 0 {
+		l.history = slices.Delete(l.history, 0, excess)
 	}
 	l.changes = append(l.changes, &Change{Index: l.index, At: time.Now()})
 	close(l.changed)
@@ -183,7 +182,7 @@
 	return l.index, nil
 }
 
-// List is a list as it is now, by name.
+// Entries returns the current entries of a list, sorted by name.
 func (r *Registry) Entries(list int) []Entry {
 	l := r.lists[list]
 	l.mu.Lock()
@@ -191,7 +190,7 @@
 	return l.sorted()
 }
 
-func (l *listed) sorted() []Entry {
+func (l *serviceList) sorted() []Entry {
 	all := make([]Entry, 0, len(l.entries))
 	for _, e := range l.entries {
 		all = append(all, e)
@@ -208,41 +207,42 @@
 	return all
 }
 
-// SoFar tells what has come and gone since the last Count.
-func (r *Registry) Counts() Counts { return r.count(false) }
+// Counts returns the counters since the last call of ResetCounts.
+func (r *Registry) Counts() Counts { return r.readCounts(false) }
 
-// Count tells what has come and gone since the last time, and begins anew.
-func (r *Registry) ResetCounts() Counts { return r.count(true) }
+// ResetCounts returns the counters since its last call and resets them.
+func (r *Registry) ResetCounts() Counts { return r.readCounts(true) }
 
-func (r *Registry) count(anew bool) Counts {
+func (r *Registry) readCounts(reset bool) Counts {
 	var c Counts
 	for _, l := range r.lists {
 		l.mu.Lock()
-		c.Subscribers += len(l.subs)
+		c.Subscribers += len(l.subscribers)
 		l.mu.Unlock()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	c.BytesIn, c.BytesOut, c.Span, c.Calls = r.in.Load(), r.out.Load(), now.Sub(r.begin), r.calls
-	for _, n := range r.buckets {
+	c.BytesIn, c.BytesOut, c.Span, c.Calls = r.bytesIn.Load(), r.bytesOut.Load(), now.Sub(r.countedFrom), r.calls
+	for _, n := range r.callsByInterval {
 		c.PeakCalls = max(c.PeakCalls, n)
 	}
-	if anew {
-		r.in.Add(-c.BytesIn)
-		r.out.Add(-c.BytesOut)
-		r.begin, r.calls, r.buckets = now, 0, map[int64]int{}
+	if reset {
+		r.bytesIn.Add(-c.BytesIn)
+		r.bytesOut.Add(-c.BytesOut)
+		r.countedFrom, r.calls, r.callsByInterval = now, 0, map[int64]int{}
 	}
 	return c
 }
 
-// Changes are the changes since the last time, with who has them by now.
+// TakeChanges returns the changes since its last call, with the current number of pending
+// subscribers of each.
 func (r *Registry) TakeChanges() (all []Change) {
 	for _, l := range r.lists {
 		l.mu.Lock()
 		for _, c := range l.changes {
-			for s := range l.subs {
-				if s.asked && s.known < c.Index && (s.open || time.Since(s.last) < staleAfter) {
+			for s := range l.subscribers {
+				if s.hasCalled && s.knownIndex < c.Index && (s.watching || time.Since(s.lastCall) < staleTimeout) {
 					c.Pending++
 				}
 			}
@@ -254,120 +254,121 @@
 	return all
 }
 
-// Keep has the query of each call of a list kept from now on; Asked gives them.
+// RecordQueries starts to record the URL query of each call for a list, without the
+// queries recorded before.
 func (r *Registry) RecordQueries(list int) {
 	l := r.lists[list]
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.keeps, l.asked = true, nil
+	l.recordsQueries, l.queries = true, nil
 }
 
-// Asked are the queries since Keep, in order.
+// Queries returns the URL queries of a list since RecordQueries, in order.
 func (r *Registry) Queries(list int) []string {
 	l := r.lists[list]
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.asked)
+	return slices.Clone(l.queries)
 }
 
-func (r *Registry) counted() {
+func (r *Registry) countCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls++
-	r.buckets[int64(time.Since(r.begin)/peakStep)]++
+	r.callsByInterval[int64(time.Since(r.countedFrom)/peakInterval)]++
 }
 
-func (r *Registry) serve(w http.ResponseWriter, q *http.Request) {
-	conn, ok := q.Context().Value(subscriberKey{}).(*metered)
-	if !ok || q.URL.Path != "/api/targets" {
-		http.NotFound(w, q)
+func (r *Registry) serve(w http.ResponseWriter, req *http.Request) {
+	conn, ok := req.Context().Value(subscriberKey{}).(*countedConn)
+	if !ok || req.URL.Path != "/api/targets" {
+		http.NotFound(w, req)
 		return
 	}
-	r.counted()
-	after, watch := q.URL.Query()["after"]
-	if !watch {
-		conn.l.whole(w, conn.s, q.URL.RawQuery)
+	r.countCall()
+	after, isWatch := req.URL.Query()["after"]
+	if !isWatch {
+		conn.list.serveSnapshot(w, conn.subscriber, req.URL.RawQuery)
 		return
 	}
 	from, err := strconv.Atoi(after[0])
-	ms, err2 := strconv.Atoi(q.URL.Query().Get("wait_ms"))
+	ms, err2 := strconv.Atoi(req.URL.Query().Get("wait_ms"))
 	if err := errors.Join(err, err2); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	conn.l.watch(w, q, conn.s, from, min(time.Duration(ms)*time.Millisecond, maxWait))
+	conn.list.serveWatch(w, req, conn.subscriber, from, min(time.Duration(ms)*time.Millisecond, maxWatchWait))
 }
 
-// enter books a call of a subscriber; the mutex is held.
-func (l *listed) enter(s *subscriber, query string) {
-	if l.keeps {
-		l.asked = append(l.asked, query)
+// addCall records a call of a subscriber. l.mu must be held.
+func (l *serviceList) addCall(s *subscriber, query string) {
+	if l.recordsQueries {
+		l.queries = append(l.queries, query)
 	}
-	if !s.gone {
-		l.subs[s] = true
+	if !s.closed {
+		l.subscribers[s] = true
 	}
-	s.last = time.Now()
+	s.lastCall = time.Now()
 }
 
-func (l *listed) whole(w http.ResponseWriter, s *subscriber, query string) {
+func (l *serviceList) serveSnapshot(w http.ResponseWriter, s *subscriber, query string) {
 	l.mu.Lock()
-	l.enter(s, query)
-	s.known, s.asked = l.index, true // what is older it never lacked
+	l.addCall(s, query)
+	s.knownIndex, s.hasCalled = l.index, true // earlier changes are not pending for it
 	index, list := l.index, l.sorted()
 	l.mu.Unlock()
-	tellList(w, index, true, list)
+	writeList(w, index, true, list)
 }
 
-func (l *listed) watch(w http.ResponseWriter, q *http.Request, s *subscriber, from int, wait time.Duration) {
+func (l *serviceList) serveWatch(w http.ResponseWriter, req *http.Request, s *subscriber, from int, wait time.Duration) {
 	l.mu.Lock()
-	l.enter(s, q.URL.RawQuery)
-	if s.asked {
+	l.addCall(s, req.URL.RawQuery)
+	if s.hasCalled {
 		for _, c := range l.changes {
-			if c.Index > s.known && c.Index <= from {
-				c.Delays = append(c.Delays, s.last.Sub(c.At))
+			if c.Index > s.knownIndex && c.Index <= from {
+				c.Delays = append(c.Delays, s.lastCall.Sub(c.At))
 			}
 		}
 	}
-	s.known, s.asked, s.open = from, true, true
+	s.knownIndex, s.hasCalled, s.watching = from, true, true
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		s.open, s.last = false, time.Now()
+		s.watching, s.lastCall = false, time.Now()
 		l.mu.Unlock()
 	}()
-	end := time.NewTimer(wait)
-	defer end.Stop()
-	for ended := false; ; {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	for timedOut := false; ; {
 		l.mu.Lock()
-		var news []Entry
+		var entries []Entry
 		index, changed := l.index, l.changed
-		// A list that was started anew, or one further behind than the history, is told whole.
-		whole := from > index || from < index && (len(l.history) == 0 || l.history[0].index > from+1)
-		if whole {
-			news = l.sorted()
+		// An index that is unknown or older than the history gets a snapshot.
+		snapshot := from > index || from < index && (len(l.history) == 0 || l.history[0].index > from+1)
+		if snapshot {
+			entries = l.sorted()
 		} else {
 			for _, c := range l.history {
 				if c.index > from {
-					news = append(news, c.entry)
+					entries = append(entries, c.entry)
 				}
 			}
 		}
 		l.mu.Unlock()
-		if len(news) > 0 || whole || ended {
-			tellList(w, index, whole, news)
+		if len(entries) > 0 || snapshot || timedOut {
+			writeList(w, index, snapshot, entries)
 			return
 		}
 		select {
 		case <-changed:
-		case <-end.C:
-			ended = true
-		case <-q.Context().Done():
+		case <-timer.C:
+			timedOut = true
+		case <-req.Context().Done():
 			return
 		}
 	}
 }
 
-func tellList(w http.ResponseWriter, index int, snapshot bool, list []Entry) {
+func writeList(w http.ResponseWriter, index int, snapshot bool, list []Entry) {
 	if list == nil {
 		list = []Entry{}
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func start(t *testing.T, cfg NodeConfig) *Node {
+func startNode(t *testing.T, cfg NodeConfig) *Node {
 	t.Helper()
 	n, err := StartNode(cfg)
 	if err != nil {
@@ -22,9 +22,9 @@
 	return n
 }
 
-// ask makes one request on a connection of its own.
-func ask(n *Node, id string) (status int, body string, header http.Header) {
-	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+// post sends one request on a new connection. Its status is 0 if there is no answer.
+func post(n *Node, id string) (status int, body string, header http.Header) {
+	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 	req, _ := http.NewRequest(http.MethodPost, "http://"+n.Addr()+"/x", strings.NewReader("hello"))
 	req.Header.Set("X-Call-Id", id)
 	resp, err := c.Do(req)
@@ -38,16 +38,16 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
-// Each mode does what it says, and counts what has run and nothing else.
+// Guards against a mode with a wrong answer or a wrong count of runs.
 func TestNodeModes(t *testing.T) {
-	n := start(t, NodeConfig{Name: "s-1"})
+	n := startNode(t, NodeConfig{Name: "s-1"})
 	for _, c := range []struct {
 		mode   Mode
 		status int
@@ -55,80 +55,79 @@
 	}{{ModeServe, 200, 1}, {ModeError, 500, 1}, {ModeReject, 503, 0}, {ModeReset, 0, 1}, {ModeMalformed, 0, 1}} {
 		n.SetMode(c.mode)
 		id := fmt.Sprint("id-", c.mode)
-		status, body, header := ask(n, id)
+		status, body, header := post(n, id)
 		if status != c.status || n.RunsByID()[id] != c.runs {
-			t.Errorf("mode %d: status %d %q, %d runs, want %d and %d", c.mode, status, body, n.RunsByID()[id], c.status, c.runs)
+			t.Errorf("mode %d: status %d %q, %d runs, want status %d and %d runs", c.mode, status, body, n.RunsByID()[id], c.status, c.runs)
 		}
 		if c.mode == ModeReject && header.Get("X-Rejected") != "1" {
-			t.Error("a refusal without X-Rejected")
+			t.Error("ModeReject: answer has no X-Rejected header")
 		}
 	}
 	n.SetMode(ModeFreeze)
 	done := make(chan int)
-	go func() { s, _, _ := ask(n, "frozen"); done <- s }()
-	eventually(t, "it is in", func() bool { return n.OpenRequests() == 1 })
+	go func() { s, _, _ := post(n, "frozen"); done <- s }()
+	eventually(t, "request open at the node", func() bool { return n.OpenRequests() == 1 })
 	if n.RunsByID()["frozen"] != 0 {
-		t.Error("it runs while frozen")
+		t.Error("request ran in ModeFreeze")
 	}
 	n.SetMode(ModeServe)
 	if s := <-done; s != 200 || n.RunsByID()["frozen"] != 1 {
-		t.Errorf("status %d, %d runs after the thaw", s, n.RunsByID()["frozen"])
+		t.Errorf("status %d, %d runs after ModeFreeze, want 200 and 1", s, n.RunsByID()["frozen"])
 	}
 	n.SetMode(ModeNoAnswer)
-	go func() { s, _, _ := ask(n, "mute"); done <- s }()
-	eventually(t, "it runs", func() bool { return n.RunsByID()["mute"] == 1 })
+	go func() { s, _, _ := post(n, "unanswered"); done <- s }()
+	eventually(t, "request ran in ModeNoAnswer", func() bool { return n.RunsByID()["unanswered"] == 1 })
 	n.Crash()
 	if s := <-done; s != 0 {
-		t.Errorf("status %d from a node that has gone", s)
+		t.Errorf("status %d from a crashed node, want no answer", s)
 	}
-	if n.TotalRuns() != 6 || n.MostOpen() < 1 {
-		t.Errorf("%d runs, %d at once at the most", n.TotalRuns(), n.MostOpen())
+	if n.TotalRuns() != 6 || n.MaxOpenRequests() < 1 {
+		t.Errorf("%d runs, at most %d open requests, want 6 and at least 1", n.TotalRuns(), n.MaxOpenRequests())
 	}
 }
 
-// One that vanishes resets its connections and refuses new ones; what it held
-// does not run in its next life, at the same address and cold.
-func TestNodeVanishesAndReturns(t *testing.T) {
-	n := start(t, NodeConfig{Work: 20 * time.Millisecond, Cores: 1, WarmUp: time.Hour, ColdShare: 0.1})
-	if took := duration(func() { ask(n, "a") }); took > 150*time.Millisecond {
-		t.Logf("a warm answer took %v: the machine is busy", took)
+// Guards against a crash that leaves connections open or held requests to run later, and
+// against a restart at another address or without warm-up.
+func TestNodeCrashAndRestart(t *testing.T) {
+	n := startNode(t, NodeConfig{Work: 20 * time.Millisecond, Cores: 1, WarmUp: time.Hour, ColdShare: 0.1})
+	if took := timed(func() { post(n, "a") }); took > 150*time.Millisecond {
+		t.Logf("answer of a warm node took %v; the machine may be busy", took)
 	}
 	n.SetMode(ModeFreeze)
 	done := make(chan int)
-	go func() { s, _, _ := ask(n, "held"); done <- s }()
-	eventually(t, "it is in", func() bool { return n.OpenRequests() == 1 })
+	go func() { s, _, _ := post(n, "held"); done <- s }()
+	eventually(t, "request open at the node", func() bool { return n.OpenRequests() == 1 })
 	n.Crash()
 	if err := n.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	if s := <-done; s != 0 || n.RunsByID()["held"] != 0 {
-		t.Errorf("status %d, %d runs of what the former life held", s, n.RunsByID()["held"])
+		t.Errorf("status %d, %d runs of a request held at the crash, want neither", s, n.RunsByID()["held"])
 	}
-	if took := duration(func() { ask(n, "b") }); took < 180*time.Millisecond {
-		t.Errorf("a cold answer took %v, want ten times 20ms", took)
+	if took := timed(func() { post(n, "b") }); took < 180*time.Millisecond {
+		t.Errorf("answer of a cold node took %v, want at least 180ms", took)
 	}
 	if n.RestartedAt().IsZero() || NewEntry(n, "in_service").SinceMs == 0 {
-		t.Error("its start is not told")
+		t.Error("restarted node has no restart time in its entry")
 	}
 	n.Crash()
-	if s, text, _ := ask(n, "c"); s != 0 || !strings.Contains(text, "refused") {
-		t.Errorf("%d %s, want a refused connection", s, text)
+	if s, text, _ := post(n, "c"); s != 0 || !strings.Contains(text, "refused") {
+		t.Errorf("status %d %s, want a refused connection", s, text)
 	}
 }
 
-func duration(do func()) time.Duration {
-	at := time.Now()
-	do()
-	return time.Since(at)
+func timed(run func()) time.Duration {
+	start := time.Now()
+	run()
+	return time.Since(start)
 }
 
-// Work is done on the cores that there are; what finds no place in the queue is
-// turned away and does not run.
-func TestNodeQueue(t *testing.T) {
-	n := start(t, NodeConfig{Work: 100 * time.Millisecond, Cores: 2, Queue: 1})
+// Guards against rejected requests that run, and against more or fewer runs than answers.
+func TestNodeRejectsWhenQueueIsFull(t *testing.T) {
+	n := startNode(t, NodeConfig{Work: 100 * time.Millisecond, Cores: 2, Queue: 1})
 	statuses := make(chan int, 10)
 	for i := range 10 {
-		go func() { s, _, _ := ask(n, fmt.Sprint(i)); statuses <- s }()
+		go func() { s, _, _ := post(n, fmt.Sprint(i)); statuses <- s }()
 	}
 	count := map[int]int{}
 	for range 10 {
@@ -139,7 +138,9 @@
 	}
 }
 
-func TestAgentTellsListAndChanges(t *testing.T) {
+// Guards against lost changes, wrong snapshots, and answers while the agent is
+// unresponsive.
+func TestAgentServesListAndChanges(t *testing.T) {
 	a, err := StartAgent(Entry{Name: "s-1", Address: "127.0.0.1:1", Status: "in_service"})
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +153,7 @@
 	}
 	get := func(query string) (l list) {
 		t.Helper()
-		c := http.Client{Timeout: patience}
+		c := http.Client{Timeout: testTimeout}
 		resp, err := c.Get("http://" + a.Addr() + "/api/targets" + query)
 		if err != nil {
 			t.Error(err)
@@ -164,32 +165,32 @@
 		}
 		return l
 	}
-	whole := get("")
-	if !whole.Snapshot || len(whole.Endpoints) != 1 {
-		t.Fatalf("%+v", whole)
+	snapshot := get("")
+	if !snapshot.Snapshot || len(snapshot.Endpoints) != 1 {
+		t.Fatalf("list %+v, want a snapshot of 1 endpoint", snapshot)
 	}
-	if l := get(fmt.Sprintf("?after=%d&wait_ms=1", whole.Index)); l.Snapshot || len(l.Endpoints) != 0 {
-		t.Errorf("nothing has changed: %+v", l)
+	if l := get(fmt.Sprintf("?after=%d&wait_ms=1", snapshot.Index)); l.Snapshot || len(l.Endpoints) != 0 {
+		t.Errorf("watch without a change: %+v, want no endpoint", l)
 	}
-	news := make(chan list)
-	go func() { news <- get(fmt.Sprintf("?after=%d&wait_ms=20000", whole.Index)) }()
-	eventually(t, "the watch", func() bool { return a.Calls() == 3 })
+	lists := make(chan list)
+	go func() { lists <- get(fmt.Sprintf("?after=%d&wait_ms=20000", snapshot.Index)) }()
+	eventually(t, "watch received", func() bool { return a.Calls() == 3 })
 	a.Update(Entry{Name: "s-2", Address: "127.0.0.1:2", Status: "in_service"}, Entry{Name: "s-1", Status: "terminated"})
-	if l := <-news; len(l.Endpoints) != 2 || l.Index != whole.Index+1 {
-		t.Errorf("%+v", l)
+	if l := <-lists; len(l.Endpoints) != 2 || l.Index != snapshot.Index+1 {
+		t.Errorf("changes %+v, want 2 endpoints at the next index", l)
 	}
 	if l := get(""); len(l.Endpoints) != 1 || l.Endpoints[0].Name != "s-2" {
-		t.Errorf("%+v", l)
+		t.Errorf("list %+v, want only s-2", l)
 	}
 	a.SetUnresponsive(true)
-	go func() { news <- get("") }()
+	go func() { lists <- get("") }()
 	select {
-	case l := <-news:
-		t.Errorf("told while silent: %+v", l)
+	case l := <-lists:
+		t.Errorf("answer while unresponsive: %+v", l)
 	case <-time.After(50 * time.Millisecond):
 	}
 	a.SetUnresponsive(false)
-	if l := <-news; len(l.Endpoints) != 1 {
-		t.Errorf("%+v", l)
+	if l := <-lists; len(l.Endpoints) != 1 {
+		t.Errorf("list %+v, want 1 endpoint", l)
 	}
 }
--- a/internal/trace/schedule.go
+++ b/internal/trace/schedule.go
@@ -8,72 +8,72 @@
 	"time"
 )
 
-// Options say what is made of a trace.
+// Options selects the part of a trace to replay, its speed and its repetitions.
 type Options struct {
-	Speed float64       // 2 makes it twice as fast; 0 for 1
-	From  time.Duration // of the trace: what is before is left out
-	To    time.Duration // what is from here on is left out; 0 for the end
-	Loops int           // how often it is played; 0 for once
+	Speed float64       // factor on the speed of the trace; 0 means 1
+	From  time.Duration // records due before it, at the speed of the trace, are left out
+	To    time.Duration // records due at or after it are left out; 0 means the end of the trace
+	Loops int           // number of repetitions; 0 means 1
 }
 
-// Bounds of the memory that putting records in order takes.
 const (
-	// window is how far behind the latest record one may come and still find
-	// its place: servers write a line when an answer has ended, some seconds
-	// after its stamp.
-	window = 10 * time.Second
-	// mostHeld bounds the records that are held for it.
-	mostHeld = 200000
+	// reorderWindow is how far a record may be behind the latest one and still be
+	// sorted. Servers log a request when its response has ended, so the lines of a
+	// log are not in the order of their timestamps.
+	reorderWindow = 10 * time.Second
+	// maxPending limits the number of records that are kept for sorting.
+	maxPending = 200000
 )
 
-// Schedule gives the records of a trace in the order in which they are due.
+// Schedule returns the records of a trace in the order of their due times.
 //
-// Where stamps have whole seconds the n records of one second are spread evenly
-// over it, in the order of their lines: the i-th, from 0, is due (i+0.5)/n into
-// it. That is the least that the second can have been; real arrivals came in
-// bunches, which the stamps do not tell.
+// If the timestamps have whole seconds, the n records of a second are spaced evenly
+// in the order of their lines: record i, counted from 0, is due (i+0.5)/n seconds
+// into it. Bursts shorter than a second are lost.
 //
-// A record that comes over 10 s behind the latest one, or finds 200,000 waiting,
-// is due at once, and counted as late.
+// A record can come too late to be sorted, by more than reorderWindow or with maxPending
+// records kept. If a later record has been returned before it, it is due immediately
+// and counted as late.
 type Schedule struct {
-	open   func() (io.ReadCloser, error)
-	read   func(io.Reader) *Reader
-	opts   Options
-	file   io.ReadCloser
-	reader *Reader
-	loop   int
-	base   time.Duration // of the present loop, in the time of the trace
-	end    time.Duration // the latest due time of the present loop
-	held   records
-	ready  []Record // of one second, spread
-	latest time.Duration
-	ended  bool // the reader
-	last   time.Duration
-	late   int
-	given  int
+	open        func() (io.ReadCloser, error)
+	read        func(io.Reader) *Reader
+	opts        Options
+	file        io.ReadCloser
+	reader      *Reader
+	loopIndex   int
+	loopStart   time.Duration // start of the current loop, before Speed is applied
+	loopEnd     time.Duration // latest due time in the current loop
+	pending     recordHeap
+	ready       []Record      // evenly spaced records of one second
+	latestDue   time.Duration // of the records read in the current loop
+	readerEnded bool
+	lastDue     time.Duration // of the record returned last
+	lateRecords int
+	returned    int // number of records returned
 }
 
-// NewSchedule returns the Schedule of the trace that open opens, once for each
-// loop, and read makes a Reader of.
+// NewSchedule returns the Schedule of a trace. It calls open and read at the start of
+// each loop to open the trace and to create its Reader.
 func NewSchedule(open func() (io.ReadCloser, error), read func(io.Reader) *Reader, opts Options) (*Schedule, error) {
 	if opts.Speed == 0 {
 		opts.Speed = 1
 	}
 	switch {
 	case !(opts.Speed > 0 && opts.Speed <= 1e6):
-		return nil, fmt.Errorf("speed %v, want above 0 and 1e6 at most", opts.Speed)
+		return nil, fmt.Errorf("speed %v, want above 0 and at most 1e6", opts.Speed)
 	case opts.From < 0 || opts.To < 0 || opts.To > 0 && opts.To <= opts.From:
-		return nil, fmt.Errorf("cut from %v to %v, want a stretch", opts.From, opts.To)
+		return nil, fmt.Errorf("range from %v to %v, want from at least 0 and to after it, or 0 for the end", opts.From, opts.To)
 	case opts.Loops < 0:
 		return nil, fmt.Errorf("%d loops, want 0 or more", opts.Loops)
 	}
-	return &Schedule{open: open, read: read, opts: opts, loop: -1}, nil
+	return &Schedule{open: open, read: read, opts: opts, loopIndex: -1}, nil
 }
 
-// Late is how many records were due at once because they came too late.
-func (s *Schedule) Late() int { return s.late }
+// LateRecords returns the number of records that were due immediately because they
+// could not be sorted.
+func (s *Schedule) LateRecords() int { return s.lateRecords }
 
-// Close closes the trace.
+// Close closes the trace file.
 func (s *Schedule) Close() error {
 	if s.file == nil {
 		return nil
@@ -83,14 +83,14 @@
 	return err
 }
 
-// Next returns the next record, its Due counted from the begin of the schedule.
-// It is io.EOF after the last one. A trace with nothing in the cut is an error:
-// a schedule of nothing is a slip.
+// Next returns the next record with its due time since the start of the schedule, or
+// io.EOF after the last one. If no record is between From and To, it returns another
+// error.
 func (s *Schedule) Next() (Record, error) {
 	for {
-		rec, err := s.ordered()
+		rec, err := s.nextOrdered()
 		if err == io.EOF {
-			if err := s.again(); err != nil {
+			if err := s.startLoop(); err != nil {
 				return Record{}, err
 			}
 			continue
@@ -102,38 +102,38 @@
 			continue
 		}
 		at := rec.Due - s.opts.From
-		s.end = max(s.end, at)
-		rec.Due = time.Duration(float64(s.base+at) / s.opts.Speed)
-		if rec.Due < s.last {
-			rec.Due = s.last
-			s.late++
+		s.loopEnd = max(s.loopEnd, at)
+		rec.Due = time.Duration(float64(s.loopStart+at) / s.opts.Speed)
+		if rec.Due < s.lastDue {
+			rec.Due = s.lastDue
+			s.lateRecords++
 		}
-		s.last = rec.Due
-		s.given++
+		s.lastDue = rec.Due
+		s.returned++
 		return rec, nil
 	}
 }
 
-// again begins the next loop, right behind the one before.
-func (s *Schedule) again() error {
+// startLoop starts the next loop. It begins where the previous one ends.
+func (s *Schedule) startLoop() error {
 	if err := s.Close(); err != nil {
 		return err
 	}
-	if s.loop >= 0 && s.given == 0 {
-		return errors.New("the trace has no request in the cut")
+	if s.loopIndex >= 0 && s.returned == 0 {
+		return errors.New("the trace has no request in the selected range")
 	}
-	if s.loop++; s.loop >= max(s.opts.Loops, 1) {
+	if s.loopIndex++; s.loopIndex >= max(s.opts.Loops, 1) {
 		return io.EOF
 	}
-	if s.loop > 0 {
-		// As long as the cut, or to the end of its last second.
-		length := (s.end/time.Second + 1) * time.Second
+	if s.loopIndex > 0 {
+		// The length of the selected range, or of the trace in whole seconds.
+		length := (s.loopEnd/time.Second + 1) * time.Second
 		if s.opts.To > 0 {
 			length = s.opts.To - s.opts.From
 		}
-		s.base += length
+		s.loopStart += length
 	}
-	s.end, s.latest, s.ended = 0, 0, false
+	s.loopEnd, s.latestDue, s.readerEnded = 0, 0, false
 	var err error
 	if s.file, err = s.open(); err != nil {
 		return err
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// ordered is the next record of the present loop.
-func (s *Schedule) ordered() (Record, error) {
+// nextOrdered returns the next record of the current loop.
+func (s *Schedule) nextOrdered() (Record, error) {
 	if s.reader == nil {
 		return Record{}, io.EOF
 	}
@@ -152,29 +152,29 @@
 		s.ready = s.ready[1:]
 		return rec, nil
 	}
-	for !s.ended && len(s.held) < mostHeld && (len(s.held) == 0 || s.latest-s.held[0].Due <= window) {
+	for !s.readerEnded && len(s.pending) < maxPending && (len(s.pending) == 0 || s.latestDue-s.pending[0].Due <= reorderWindow) {
 		rec, err := s.reader.Next()
 		if err == io.EOF {
-			s.ended = true
+			s.readerEnded = true
 			break
 		}
 		if err != nil {
 			return Record{}, err
 		}
-		s.latest = max(s.latest, rec.Due)
-		heap.Push(&s.held, rec)
+		s.latestDue = max(s.latestDue, rec.Due)
+		heap.Push(&s.pending, rec)
 	}
-	if len(s.held) == 0 {
+	if len(s.pending) == 0 {
 		s.reader = nil
 		return Record{}, io.EOF
 	}
-	rec := heap.Pop(&s.held).(Record)
-	if !rec.Coarse {
+	rec := heap.Pop(&s.pending).(Record)
+	if !rec.WholeSeconds {
 		return rec, nil
 	}
 	s.ready = append(s.ready[:0:0], rec)
-	for len(s.held) > 0 && s.held[0].Coarse && s.held[0].Due == rec.Due {
-		s.ready = append(s.ready, heap.Pop(&s.held).(Record))
+	for len(s.pending) > 0 && s.pending[0].WholeSeconds && s.pending[0].Due == rec.Due {
+		s.ready = append(s.ready, heap.Pop(&s.pending).(Record))
 	}
 	n := time.Duration(len(s.ready))
 	for i := range s.ready {
@@ -185,22 +185,22 @@
 	return rec, nil
 }
 
-// records are a heap by when they are due, then by their lines.
-type records []Record
+// recordHeap is a heap of records ordered by due time, then by line number.
+type recordHeap []Record
 
-func (h records) Len() int      { return len(h) }
-func (h records) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
-func (h records) Less(i, k int) bool {
+func (h recordHeap) Len() int      { return len(h) }
+func (h recordHeap) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
+func (h recordHeap) Less(i, k int) bool {
 	if h[i].Due != h[k].Due {
 		return h[i].Due < h[k].Due
 	}
 	return h[i].Line < h[k].Line
 }
-func (h *records) Push(x any) { *h = append(*h, x.(Record)) }
-func (h *records) Pop() any {
+func (h *recordHeap) Push(x any) { *h = append(*h, x.(Record)) }
+func (h *recordHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = Record{} // lets go of its texts
+	old[len(old)-1] = Record{} // releases its strings
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/trace/source.go
+++ b/internal/trace/source.go
@@ -9,31 +9,32 @@
 	"gorselink/traffic"
 )
 
-// Source gives the records of a Schedule as the arrivals of a stream.
+// Source provides the records of a Schedule as a traffic.Source.
 type Source struct {
-	name string
-	s    *Schedule
-	err  error
+	name     string
+	schedule *Schedule
+	err      error
 }
 
-// NewSource returns the arrivals of s; errors name the trace so. It owns s.
-func NewSource(name string, s *Schedule) *Source { return &Source{name: name, s: s} }
+// NewSource returns a Source of the records of s, which it closes at the end. Errors
+// contain name.
+func NewSource(name string, s *Schedule) *Source { return &Source{name: name, schedule: s} }
 
-// Next returns the next arrival. It is false after the last one, and after an
-// error.
+// Next returns the next request and its due time. It returns false after the last one
+// and after an error.
 func (s *Source) Next() (time.Duration, *traffic.Ask, bool) {
 	if s.err != nil {
 		return 0, nil, false
 	}
-	rec, err := s.s.Next()
+	rec, err := s.schedule.Next()
 	if err != nil {
-		s.err = errors.Join(err, s.s.Close())
+		s.err = errors.Join(err, s.schedule.Close())
 		return 0, nil, false
 	}
 	return rec.Due, &traffic.Ask{Method: rec.Method, Host: rec.Host, Path: rec.Path, Class: rec.Class, Body: rec.Body}, true
 }
 
-// Err is what has ended the trace before its end, if anything has.
+// Err returns the error that ended the trace early, or nil.
 func (s *Source) Err() error {
 	if s.err == nil || errors.Is(s.err, io.EOF) {
 		return nil
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,6 +1,6 @@
-// Package trace reads recorded traffic: access logs of web servers, CSV and JSON
-// lines. It reads line by line, in constant memory however long a trace is, and
-// gives the requests back in order with the times at which they are due.
+// Package trace reads recorded traffic from access logs of web servers, CSV and JSON
+// lines, and returns the requests in the order of their due times. Its memory does not
+// grow with the length of a trace.
 package trace
 
 import (
@@ -20,33 +20,33 @@
 
 // Record is one request of a trace.
 type Record struct {
-	Line   int
-	At     time.Time     // of the recording; zero where the trace has due times
-	Due    time.Duration // since the first record, below 0 for one from before it
-	Coarse bool          // At has whole seconds only
-	Method string
-	Host   string
-	Path   string // with the query
-	Class  string
-	Body   int // bytes
+	Line         int
+	Time         time.Time     // when it was recorded; zero if the trace has due times
+	Due          time.Duration // as the trace has it, or Time since that of the first record; may be negative
+	WholeSeconds bool          // Time has a resolution of one second
+	Method       string
+	Host         string
+	Path         string // includes the query
+	Class        string
+	Body         int // size in bytes
 }
 
-// Format is the form of a trace.
+// Format is the file format of a trace.
 type Format int
 
 const (
-	// AccessLog is the Common Log Format and the Combined one of web servers:
+	// AccessLog is the Common or Combined Log Format of web servers:
 	//
 	//	127.0.0.1 - - [29/Nov/2026:11:00:00 +0700] "GET /receipt/1 HTTP/1.1" 200 512 "ref" "agent"
 	AccessLog Format = iota
-	// CSV has a head that names its columns: due (seconds, with fractions) or
-	// time (RFC 3339), path, and any of method, host, class, body.
+	// CSV has a header row with the column path, either due (seconds, with fractions)
+	// or time (RFC 3339), and optionally method, host, class and body.
 	CSV
-	// JSONLines has an object a line with the same names.
+	// JSONLines has one JSON object per line, with the column names of CSV as keys.
 	JSONLines
 )
 
-// ParseFormat reads the name of a format.
+// ParseFormat returns the Format named log, csv or jsonl.
 func ParseFormat(s string) (Format, error) {
 	for f, name := range [...]string{"log", "csv", "jsonl"} {
 		if s == name {
@@ -56,13 +56,12 @@
 	return 0, fmt.Errorf("trace format %q, want log, csv or jsonl", s)
 }
 
-// Bounds of a trace's lines.
 const (
-	maxLine = 64 << 10 // bytes of a line
-	maxSize = 64 << 20 // bytes of a body that a line can ask for
+	maxLine = 64 << 10 // maximum length of a line in bytes
+	maxBody = 64 << 20 // maximum size of a request body in bytes
 )
 
-// BadLine tells of a line that was skipped.
+// BadLine is the error of a line that could not be parsed.
 type BadLine struct {
 	Line int
 	Err  error
@@ -71,39 +70,38 @@
 func (e *BadLine) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 func (e *BadLine) Unwrap() error { return e.Err }
 
-// ErrTooBad tells that more lines were bad than may be.
+// ErrTooManyBadLines means that the share of bad lines exceeds the limit.
 var ErrTooManyBadLines = errors.New("too many bad lines")
 
-// Reader reads the records of a trace one by one, in constant memory.
+// Reader reads the records of a trace in the order of its lines.
 type Reader struct {
-	format  Format
-	lines   *bufio.Scanner
-	line    int
-	columns []string // of a CSV
-	skip    float64  // share of lines that may be bad
-	bad     int
-	onBad   func(*BadLine)
-	begin   time.Time // of times that are no due times
-	began   bool
+	format       Format
+	lines        *bufio.Scanner
+	line         int
+	columns      []string // column names of a CSV
+	maxBadShare  float64
+	badLines     int
+	onBad        func(*BadLine)
+	firstTime    time.Time // Time of the first record that has one
+	hasFirstTime bool
 }
 
-// leastLines is how many lines must be read before a share of them means
-// anything: one bad line of the first three is no bad trace.
-const leastLines = 100
+// minLinesForShare is the number of lines after which the share of bad lines is checked
+// at each bad line. A shorter trace is checked at its end.
+const minLinesForShare = 100
 
-// NewReader returns a Reader of in. A share of at most skip of its lines may be
-// bad; each is told to onBad, which may be nil, and skipped. Beyond it Next
-// fails with ErrTooBad.
-func NewReader(in io.Reader, f Format, skip float64, onBad func(*BadLine)) *Reader {
-	r := &Reader{format: f, lines: bufio.NewScanner(in), skip: skip, onBad: onBad}
+// NewReader returns a Reader of in. Bad lines are passed to onBad, which may be nil, and
+// skipped. If their share exceeds maxBadShare, Next returns ErrTooManyBadLines.
+func NewReader(in io.Reader, f Format, maxBadShare float64, onBad func(*BadLine)) *Reader {
+	r := &Reader{format: f, lines: bufio.NewScanner(in), maxBadShare: maxBadShare, onBad: onBad}
 	r.lines.Buffer(make([]byte, 0, 4096), maxLine)
 	return r
 }
 
-// Bad is how many lines have been skipped, of how many.
-func (r *Reader) Bad() (bad, of int) { return r.bad, r.line }
+// BadLines returns the number of bad lines and of all lines read.
+func (r *Reader) BadLines() (bad, total int) { return r.badLines, r.line }
 
-// Next returns the next record. It is io.EOF after the last one.
+// Next returns the next record, or io.EOF after the last one.
 func (r *Reader) Next() (Record, error) {
 	for r.lines.Scan() {
 		r.line++
@@ -112,7 +110,7 @@
 			continue
 		}
 		if r.format == CSV && r.columns == nil {
-			if err := r.head(text); err != nil {
+			if err := r.parseHeader(text); err != nil {
 				return Record{}, &BadLine{r.line, err}
 			}
 			continue
@@ -122,19 +120,19 @@
 			rec.Line = r.line
 			return rec, nil
 		}
-		r.bad++
+		r.badLines++
 		if r.onBad != nil {
 			r.onBad(&BadLine{r.line, err})
 		}
-		if r.line >= leastLines && float64(r.bad) > r.skip*float64(r.line) {
-			return Record{}, fmt.Errorf("%w: %d of %d, %v may be; the last: line %d: %w", ErrTooManyBadLines, r.bad, r.line, r.skip, r.line, err)
+		if r.line >= minLinesForShare && float64(r.badLines) > r.maxBadShare*float64(r.line) {
+			return Record{}, fmt.Errorf("%w: %d of %d, allowed share %v; last one in line %d: %w", ErrTooManyBadLines, r.badLines, r.line, r.maxBadShare, r.line, err)
 		}
 	}
 	if err := r.lines.Err(); err != nil {
 		return Record{}, &BadLine{r.line + 1, err}
 	}
-	if r.bad > 0 && float64(r.bad) > r.skip*float64(r.line) && r.line < leastLines {
-		return Record{}, fmt.Errorf("%w: %d of %d, %v may be", ErrTooManyBadLines, r.bad, r.line, r.skip)
+	if r.badLines > 0 && float64(r.badLines) > r.maxBadShare*float64(r.line) && r.line < minLinesForShare {
+		return Record{}, fmt.Errorf("%w: %d of %d, allowed share %v", ErrTooManyBadLines, r.badLines, r.line, r.maxBadShare)
 	}
 	return Record{}, io.EOF
 }
@@ -144,7 +142,7 @@
 	var err error
 	switch r.format {
 	case AccessLog:
-		rec, err = parseAccess(text)
+		rec, err = parseAccessLog(text)
 	case CSV:
 		rec, err = r.parseCSV(text)
 	default:
@@ -153,11 +151,12 @@
 	if err != nil {
 		return Record{}, err
 	}
-	return rec, r.finish(&rec)
+	return rec, r.complete(&rec)
 }
 
-// finish checks what all formats have, and counts times from the first one.
-func (r *Reader) finish(rec *Record) error {
+// complete checks the fields of a record, sets the default method and computes Due from
+// Time if the record has one.
+func (r *Reader) complete(rec *Record) error {
 	if rec.Method == "" {
 		rec.Method = "GET"
 	}
@@ -165,48 +164,48 @@
 		return fmt.Errorf("method %.20q, want capital letters", rec.Method)
 	}
 	if !strings.HasPrefix(rec.Path, "/") || strings.ContainsFunc(rec.Path, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
-		return fmt.Errorf("path %.60q, want a slash first and no spaces", rec.Path)
+		return fmt.Errorf("path %.60q, want a leading slash and no spaces or control characters", rec.Path)
 	}
 	if strings.ContainsFunc(rec.Host+rec.Class, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
-		return fmt.Errorf("host %.60q and class %.60q, want letters, digits and signs", rec.Host, rec.Class)
+		return fmt.Errorf("host %.60q and class %.60q, want printable ASCII characters without spaces", rec.Host, rec.Class)
 	}
-	if rec.Body < 0 || rec.Body > maxSize {
-		return fmt.Errorf("body %d, want 0 to %d bytes", rec.Body, maxSize)
+	if rec.Body < 0 || rec.Body > maxBody {
+		return fmt.Errorf("body %d, want 0 to %d bytes", rec.Body, maxBody)
 	}
-	if !rec.At.IsZero() {
-		if !r.began {
-			r.begin, r.began = rec.At, true
+	if !rec.Time.IsZero() {
+		if !r.hasFirstTime {
+			r.firstTime, r.hasFirstTime = rec.Time, true
 		}
-		rec.Due = rec.At.Sub(r.begin)
+		rec.Due = rec.Time.Sub(r.firstTime)
 	}
 	if rec.Due > traffic.MaxSpan || rec.Due < -traffic.MaxSpan {
-		return fmt.Errorf("due %v after the begin, want %v at most", rec.Due, traffic.MaxSpan)
+		return fmt.Errorf("due %v after the first record, want at most %v before or after it", rec.Due, traffic.MaxSpan)
 	}
 	return nil
 }
 
-// clfTime is the time of the Common Log Format.
-const clfTime = "02/Jan/2006:15:04:05 -0700"
+// accessLogTime is the time layout of the Common and Combined Log Format.
+const accessLogTime = "02/Jan/2006:15:04:05 -0700"
 
 // parseAccess reads a line of the Common or Combined Log Format.
-func parseAccess(text string) (rec Record, err error) {
+func parseAccessLog(text string) (rec Record, err error) {
 	_, rest, ok := strings.Cut(text, " [")
 	stamp, rest, ok2 := strings.Cut(rest, "] \"")
 	if !ok || !ok2 {
-		return rec, errors.New(`no [time] "request"`)
+		return rec, errors.New(`missing [time] "request"`)
 	}
-	if rec.At, err = time.Parse(clfTime, stamp); err != nil {
-		return rec, fmt.Errorf("time %.40q, want as 29/Nov/2026:11:00:00 +0700", stamp)
+	if rec.Time, err = time.Parse(accessLogTime, stamp); err != nil {
+		return rec, fmt.Errorf("time %.40q, want the form 29/Nov/2026:11:00:00 +0700", stamp)
 	}
 	request, _, ok := cutQuoted(rest)
 	if !ok {
-		return rec, errors.New("a request without a closing quote")
+		return rec, errors.New("request has no closing quote")
 	}
 	words := strings.Split(request, " ")
 	if len(words) != 3 || !strings.HasPrefix(words[2], "HTTP/") {
-		return rec, fmt.Errorf("request %.60q, want method, path and HTTP/1.1", request)
+		return rec, fmt.Errorf("request %.60q, want method, path and HTTP version", request)
 	}
-	rec.Method, rec.Path, rec.Coarse = words[0], words[1], true
+	rec.Method, rec.Path, rec.WholeSeconds = words[0], words[1], true
 	if scheme, after, absolute := strings.Cut(rec.Path, "://"); absolute && scheme == "http" {
 		host, path, _ := strings.Cut(after, "/")
 		rec.Host, rec.Path = host, "/"+path
@@ -214,7 +213,7 @@
 	return rec, nil
 }
 
-// cutQuoted cuts s at the first quote that is not escaped.
+// cutQuoted cuts s at the first unescaped quote.
 func cutQuoted(s string) (before, after string, ok bool) {
 	for i := 0; i < len(s); i++ {
 		switch s[i] {
@@ -227,9 +226,9 @@
 	return s, "", false
 }
 
-// head reads the names of a CSV's columns.
-func (r *Reader) head(text string) error {
-	names, err := fields(text)
+// parseHeader reads the column names of a CSV.
+func (r *Reader) parseHeader(text string) error {
+	names, err := splitCSV(text)
 	if err != nil {
 		return err
 	}
@@ -239,48 +238,48 @@
 		has[names[i]] = true
 	}
 	if !has["path"] || has["due"] == has["time"] {
-		return fmt.Errorf("columns %.80q, want path and one of due and time, then any of method, host, class, body", names)
+		return fmt.Errorf("columns %.80q, want path, one of due and time, and optionally method, host, class, body", names)
 	}
 	r.columns = names
 	return nil
 }
 
-func fields(text string) ([]string, error) {
+func splitCSV(text string) ([]string, error) {
 	c := csv.NewReader(strings.NewReader(text))
 	return c.Read()
 }
 
 func (r *Reader) parseCSV(text string) (rec Record, err error) {
-	values, err := fields(text)
+	values, err := splitCSV(text)
 	if err != nil {
-		return rec, errors.New("no line of a CSV: a quote is missing, or stands inside a field")
+		return rec, errors.New("invalid CSV: a quote is missing or stands inside a field")
 	}
 	if len(values) != len(r.columns) {
 		return rec, fmt.Errorf("%d fields, want %d", len(values), len(r.columns))
 	}
 	for i, name := range r.columns {
-		if err := rec.set(name, values[i]); err != nil {
+		if err := rec.setField(name, values[i]); err != nil {
 			return rec, err
 		}
 	}
 	return rec, nil
 }
 
-func (rec *Record) set(name, value string) (err error) {
+func (rec *Record) setField(name, value string) (err error) {
 	switch name {
 	case "due":
 		seconds, err := strconv.ParseFloat(value, 64)
 		if err != nil {
 			return fmt.Errorf("due %.40q, want seconds", value)
 		}
-		return rec.due(seconds)
+		return rec.setDue(seconds)
 	case "time":
-		if rec.At, err = time.Parse(time.RFC3339Nano, value); err != nil {
-			return fmt.Errorf("time %.40q, want as 2026-11-29T11:00:00.25+07:00", value)
+		if rec.Time, err = time.Parse(time.RFC3339Nano, value); err != nil {
+			return fmt.Errorf("time %.40q, want the form 2026-11-29T11:00:00.25+07:00", value)
 		}
 	case "body":
 		if rec.Body, err = strconv.Atoi(value); err != nil && value != "" {
-			return fmt.Errorf("body %.40q, want bytes", value)
+			return fmt.Errorf("body %.40q, want a number of bytes", value)
 		}
 	case "path":
 		rec.Path = value
@@ -294,7 +293,7 @@
 	return nil
 }
 
-func (rec *Record) due(seconds float64) error {
+func (rec *Record) setDue(seconds float64) error {
 	if !(math.Abs(seconds) <= traffic.MaxSpan.Seconds()) {
 		return fmt.Errorf("due %v, want seconds up to %v", seconds, traffic.MaxSpan.Seconds())
 	}
@@ -318,11 +317,11 @@
 	rec = Record{Method: v.Method, Host: v.Host, Path: v.Path, Class: v.Class, Body: v.Body}
 	switch {
 	case (v.Due == nil) == (v.Time == nil):
-		return rec, errors.New("want one of due and time")
+		return rec, errors.New("want exactly one of due and time")
 	case v.Time != nil:
-		rec.At = *v.Time
+		rec.Time = *v.Time
 	default:
-		err = rec.due(*v.Due)
+		err = rec.setDue(*v.Due)
 	}
 	return rec, err
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -12,9 +12,9 @@
 
 const ms = time.Millisecond
 
-// read is all that a text has, and its bad lines.
-func read(text string, f Format, skip float64) (all []Record, bad []string, err error) {
-	r := NewReader(strings.NewReader(text), f, skip, func(b *BadLine) { bad = append(bad, b.Error()) })
+// readAll returns the records and the bad lines of a trace.
+func readAll(text string, f Format, maxBadShare float64) (all []Record, bad []string, err error) {
+	r := NewReader(strings.NewReader(text), f, maxBadShare, func(b *BadLine) { bad = append(bad, b.Error()) })
 	for {
 		rec, err := r.Next()
 		if err == io.EOF {
@@ -32,9 +32,9 @@
 ::1 - - [29/Nov/2026:11:00:01 +0700] "HEAD http://donate.example.org/a/b HTTP/1.0" 304 0
 `
 
-// TestTraceImport: each format gives the requests it has, in the time of the
-// first one, and tells each line that it cannot read by its number.
-func TestTraceImport(t *testing.T) {
+// Guards against fields that are lost or changed by the parser of a format, and against
+// due times that do not start at the first record.
+func TestReaderFormats(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		f    Format
@@ -49,7 +49,7 @@
 		{"jsonl with time", JSONLines, `{"time":"2026-11-29T11:00:00Z","path":"/a"}` + "\n" + `{"time":"2026-11-29T10:59:59Z","path":"/b"}`, `1 0s GET  /a  0; 2 -1s GET  /b  0`},
 		{"empty", JSONLines, "", ""},
 	} {
-		all, bad, err := read(c.text, c.f, 0)
+		all, bad, err := readAll(c.text, c.f, 0)
 		var got []string
 		for _, r := range all {
 			got = append(got, fmt.Sprintf("%d %v %s %s %s %s %d", r.Line, r.Due, r.Method, r.Host, r.Path, r.Class, r.Body))
@@ -60,19 +60,21 @@
 	}
 }
 
-func TestBadLinesAreToldByNumber(t *testing.T) {
+// Guards against bad lines that are accepted, reported with a wrong line number or not
+// counted against the allowed share.
+func TestBadLinesAreReportedByNumber(t *testing.T) {
 	for _, c := range []struct {
 		f    Format
 		head string
 		bad  string
 		want string
 	}{
-		{AccessLog, "", "noise", "no [time]"},
+		{AccessLog, "", "noise", "missing [time]"},
 		{AccessLog, "", `1 - - [yesterday] "GET / HTTP/1.1" 200 1`, "time"},
 		{AccessLog, "", `1 - - [29/Nov/2026:11:00:00 +0700] "GET /`, "closing quote"},
 		{AccessLog, "", `1 - - [29/Nov/2026:11:00:00 +0700] "\x16\x03" 400 1`, "want method, path"},
 		{AccessLog, "", `1 - - [29/Nov/2026:11:00:00 +0700] "get / HTTP/1.1" 400 1`, "capital"},
-		{AccessLog, "", `1 - - [29/Nov/2026:11:00:00 +0700] "GET * HTTP/1.1" 400 1`, "slash first"},
+		{AccessLog, "", `1 - - [29/Nov/2026:11:00:00 +0700] "GET * HTTP/1.1" 400 1`, "leading slash"},
 		{CSV, "due,path\n", "1", "1 fields, want 2"},
 		{CSV, "due,path\n", "x,/a", "want seconds"},
 		{CSV, "due,path\n", "1e300,/a", "want seconds up to"},
@@ -81,45 +83,45 @@
 		{CSV, "due,path,body\n", "1,/a,-1", "body -1"},
 		{CSV, "due,path,body\n", "1,/a,99999999999", "body"},
 		{CSV, "time,path\n", "noon,/a", "2026"},
-		{JSONLines, "", `{"due":1}`, "slash first"},
+		{JSONLines, "", `{"due":1}`, "leading slash"},
 		{JSONLines, "", `{"path":"/"}`, "one of due and time"},
 		{JSONLines, "", `{"due":1,"path":"/a b"}`, "no spaces"},
 		{JSONLines, "", `{"due":1,"path":"/","host":"a\r\nX: y"}`, "host"},
 		{JSONLines, "", `[1]`, "cannot unmarshal"},
 	} {
 		n := strings.Count(c.head, "\n") + 1
-		_, bad, err := read(c.head+c.bad+"\n", c.f, 1)
+		_, bad, err := readAll(c.head+c.bad+"\n", c.f, 1)
 		if err != nil || len(bad) != 1 || !strings.HasPrefix(bad[0], fmt.Sprintf("line %d: ", n)) || !strings.Contains(bad[0], c.want) {
-			t.Errorf("%q: told %q, %v, want line %d and %q", c.bad, bad, err, n, c.want)
+			t.Errorf("%q: bad lines %q, error %v, want line %d and %q", c.bad, bad, err, n, c.want)
 		}
-		if _, _, err := read(c.head+c.bad+"\n", c.f, 0); !errors.Is(err, ErrTooManyBadLines) {
-			t.Errorf("%q with none allowed: %v", c.bad, err)
+		if _, _, err := readAll(c.head+c.bad+"\n", c.f, 0); !errors.Is(err, ErrTooManyBadLines) {
+			t.Errorf("%q with no bad lines allowed: error %v, want ErrTooManyBadLines", c.bad, err)
 		}
 	}
 	for _, head := range []string{"path\n", "due,time,path\n", "due,method\n", "a\"b\n"} {
-		if _, _, err := read(head+"1,/a\n", CSV, 1); err == nil || !strings.Contains(err.Error(), "line 1") {
-			t.Errorf("head %q: %v", head, err)
+		if _, _, err := readAll(head+"1,/a\n", CSV, 1); err == nil || !strings.Contains(err.Error(), "line 1") {
+			t.Errorf("header %q: error %v, want one of line 1", head, err)
 		}
 	}
-	// A share is judged over many lines, and a long line does not end quietly.
+	// The share is checked from minLinesForShare on, and a line that is too long is an error.
 	good := `{"due":1,"path":"/"}` + "\n"
-	if all, bad, err := read(strings.Repeat(good, 98)+"x\nx\n", JSONLines, 0.02); len(all) != 98 || len(bad) != 2 || err != nil {
-		t.Errorf("2 of 100 with 0.02 allowed: %d, %d, %v", len(all), len(bad), err)
+	if all, bad, err := readAll(strings.Repeat(good, 98)+"x\nx\n", JSONLines, 0.02); len(all) != 98 || len(bad) != 2 || err != nil {
+		t.Errorf("2 bad lines of 100 with share 0.02 allowed: %d records, %d bad lines, error %v", len(all), len(bad), err)
 	}
-	if _, _, err := read(strings.Repeat(good, 97)+"x\nx\nx\n"+strings.Repeat(good, 1000), JSONLines, 0.02); !errors.Is(err, ErrTooManyBadLines) {
-		t.Errorf("3 of 100 with 0.02 allowed: %v", err)
+	if _, _, err := readAll(strings.Repeat(good, 97)+"x\nx\nx\n"+strings.Repeat(good, 1000), JSONLines, 0.02); !errors.Is(err, ErrTooManyBadLines) {
+		t.Errorf("3 bad lines of 100 with share 0.02 allowed: error %v, want ErrTooManyBadLines", err)
 	}
-	if _, _, err := read(good+strings.Repeat("x", maxLine+1), JSONLines, 1); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("a line without end: %v", err)
+	if _, _, err := readAll(good+strings.Repeat("x", maxLine+1), JSONLines, 1); err == nil || !strings.Contains(err.Error(), "line 2") {
+		t.Errorf("line that is too long: error %v, want one of line 2", err)
 	}
 }
 
 func fuzz(f *testing.F, format Format, head string) {
 	f.Fuzz(func(t *testing.T, text string) {
-		all, _, _ := read(head+text, format, 1)
+		all, _, _ := readAll(head+text, format, 1)
 		for _, r := range all {
-			if !strings.HasPrefix(r.Path, "/") || strings.ContainsAny(r.Path+r.Host+r.Method+r.Class, "\r\n ") || r.Body < 0 || r.Body > maxSize {
-				t.Errorf("%q: took %+v", text, r)
+			if !strings.HasPrefix(r.Path, "/") || strings.ContainsAny(r.Path+r.Host+r.Method+r.Class, "\r\n ") || r.Body < 0 || r.Body > maxBody {
+				t.Errorf("%q: accepted %+v", text, r)
 			}
 		}
 	})
@@ -140,7 +142,7 @@
 	fuzz(f, JSONLines, "")
 }
 
-func schedule(t *testing.T, text string, f Format, o Options) *Schedule {
+func newSchedule(t *testing.T, text string, f Format, o Options) *Schedule {
 	t.Helper()
 	s, err := NewSchedule(func() (io.ReadCloser, error) { return io.NopCloser(strings.NewReader(text)), nil },
 		func(in io.Reader) *Reader { return NewReader(in, f, 0, nil) }, o)
@@ -150,7 +152,7 @@
 	return s
 }
 
-func drain(s *Schedule) (got []string, err error) {
+func readSchedule(s *Schedule) (got []string, err error) {
 	for {
 		r, err := s.Next()
 		if err == io.EOF {
@@ -163,12 +165,13 @@
 	}
 }
 
+// Guards against a wrong order, spacing, speed, range or repetition of records.
 func TestSchedule(t *testing.T) {
 	line := func(second int, path string) string {
 		return fmt.Sprintf("h - - [29/Nov/2026:11:00:%02d +0700] \"GET %s HTTP/1.1\" 200 1\n", second, path)
 	}
 	logText := line(0, "/a") + line(0, "/b") + line(2, "/d") + line(1, "/c") + line(2, "/e") + line(2, "/f") + line(2, "/g")
-	fine := "due,path\n3,/c\n1,/a\n2,/b\n20,/z\n4,/late\n"
+	outOfOrder := "due,path\n3,/c\n1,/a\n2,/b\n20,/z\n4,/late\n"
 	for _, c := range []struct {
 		name string
 		f    Format
@@ -177,56 +180,56 @@
 		want string
 		late int
 	}{
-		{"seconds are spread", AccessLog, logText, Options{}, "/a@250ms /b@750ms /c@1.5s /d@2.125s /e@2.375s /f@2.625s /g@2.875s", 0},
-		{"twice as fast", AccessLog, logText, Options{Speed: 2}, "/a@125ms /b@375ms /c@750ms /d@1.0625s /e@1.1875s /f@1.3125s /g@1.4375s", 0},
-		{"cut", AccessLog, logText, Options{From: 500 * ms, To: 2500 * ms}, "/b@250ms /c@1s /d@1.625s /e@1.875s", 0},
+		{"records of a second are spaced evenly", AccessLog, logText, Options{}, "/a@250ms /b@750ms /c@1.5s /d@2.125s /e@2.375s /f@2.625s /g@2.875s", 0},
+		{"double speed", AccessLog, logText, Options{Speed: 2}, "/a@125ms /b@375ms /c@750ms /d@1.0625s /e@1.1875s /f@1.3125s /g@1.4375s", 0},
+		{"range", AccessLog, logText, Options{From: 500 * ms, To: 2500 * ms}, "/b@250ms /c@1s /d@1.625s /e@1.875s", 0},
 		{"looped", AccessLog, line(0, "/a") + line(1, "/b"), Options{Loops: 3}, "/a@500ms /b@1.5s /a@2.5s /b@3.5s /a@4.5s /b@5.5s", 0},
-		{"cut and looped", AccessLog, line(0, "/a") + line(1, "/b"), Options{Loops: 2, From: time.Second, To: 5 * time.Second}, "/b@500ms /b@4.5s", 0},
-		{"out of order", CSV, fine, Options{}, "/a@1s /b@2s /c@3s /late@4s /z@20s", 0},
+		{"range and looped", AccessLog, line(0, "/a") + line(1, "/b"), Options{Loops: 2, From: time.Second, To: 5 * time.Second}, "/b@500ms /b@4.5s", 0},
+		{"out of order", CSV, outOfOrder, Options{}, "/a@1s /b@2s /c@3s /late@4s /z@20s", 0},
 		{"far out of order", CSV, "due,path\n1,/a\n100,/z\n200,/zz\n5,/late\n", Options{}, "/a@1s /z@1m40s /late@1m40s /zz@3m20s", 1},
 	} {
-		s := schedule(t, c.text, c.f, c.o)
-		got, err := drain(s)
-		if all := strings.Join(got, " "); all != c.want || err != nil || s.Late() != c.late {
-			t.Errorf("%s: %s, %v, %d late\nwant %s, %d", c.name, all, err, s.Late(), c.want, c.late)
+		s := newSchedule(t, c.text, c.f, c.o)
+		got, err := readSchedule(s)
+		if all := strings.Join(got, " "); all != c.want || err != nil || s.LateRecords() != c.late {
+			t.Errorf("%s: got %s, error %v, %d late records\nwant %s, %d late records", c.name, all, err, s.LateRecords(), c.want, c.late)
 		}
 	}
-	if _, err := drain(schedule(t, "due,path\n", CSV, Options{Loops: 5})); err == nil || !strings.Contains(err.Error(), "no request") {
-		t.Errorf("an empty trace: %v", err)
+	if _, err := readSchedule(newSchedule(t, "due,path\n", CSV, Options{Loops: 5})); err == nil || !strings.Contains(err.Error(), "no request") {
+		t.Errorf("empty trace: error %v, want no request", err)
 	}
-	if _, err := drain(schedule(t, fine+"x\n", CSV, Options{})); !errors.Is(err, ErrTooManyBadLines) {
-		t.Errorf("a bad trace: %v", err)
+	if _, err := readSchedule(newSchedule(t, outOfOrder+"x\n", CSV, Options{})); !errors.Is(err, ErrTooManyBadLines) {
+		t.Errorf("trace with a bad line: error %v, want ErrTooManyBadLines", err)
 	}
 	for _, o := range []Options{{Speed: -1}, {From: time.Second, To: time.Second}, {Loops: -1}, {From: -1}} {
 		if _, err := NewSchedule(nil, nil, o); err == nil {
-			t.Errorf("%+v was taken", o)
+			t.Errorf("%+v was accepted", o)
 		}
 	}
 }
 
-// endless is a trace of n lines that is never in memory as a whole.
-type endless struct {
+// generatedTrace is a trace of n lines that are generated while it is read.
+type generatedTrace struct {
 	n, i int
 	rest []byte
 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	for len(e.rest) == 0 {
-		if e.i == e.n {
+func (g *generatedTrace) Read(p []byte) (int, error) {
+	for len(g.rest) == 0 {
+		if g.i == g.n {
 			return 0, io.EOF
 		}
-		e.rest = fmt.Appendf(e.rest[:0], "{\"due\":%d.%03d,\"path\":\"/receipt/%d\"}\n", e.i/1000, e.i%1000, e.i)
-		e.i++
+		g.rest = fmt.Appendf(g.rest[:0], "{\"due\":%d.%03d,\"path\":\"/receipt/%d\"}\n", g.i/1000, g.i%1000, g.i)
+		g.i++
 	}
-	k := copy(p, e.rest)
-	e.rest = e.rest[k:]
+	k := copy(p, g.rest)
+	g.rest = g.rest[k:]
 	return k, nil
 }
 
-// A trace is read in constant memory, however long it is.
-func TestLongTraceInConstantMemory(t *testing.T) {
+// Guards against memory that grows with the length of a trace.
+func TestLongTraceUsesConstantMemory(t *testing.T) {
 	const lines = 120000
-	s, err := NewSchedule(func() (io.ReadCloser, error) { return io.NopCloser(&endless{n: lines}), nil },
+	s, err := NewSchedule(func() (io.ReadCloser, error) { return io.NopCloser(&generatedTrace{n: lines}), nil },
 		func(in io.Reader) *Reader { return NewReader(in, JSONLines, 0, nil) }, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -251,6 +254,6 @@
 		}
 	}
 	if late > early+4<<20 {
-		t.Errorf("%d bytes held at nine tenths, %d at a third", late, early)
+		t.Errorf("heap of %d bytes after 9/10 of the trace, %d after 1/3, want at most 4 MiB more", late, early)
 	}
 }
