--- a/cmd/gorselink/commands_test.go
+++ b/cmd/gorselink/commands_test.go
@@ -51,7 +51,7 @@
 	var out syncBuffer
 	done := make(chan error, 1)
 	go func() {
-		done <- run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, []string{"demo", "--for", "6s", "--rate", "20"}, sidecar.Place{})
+		done <- run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, []string{"demo", "--for", "6s", "--rate", "20"}, sidecar.Options{})
 	}()
 	var lines []string
 	for end := time.Now().Add(testTimeout); len(lines) < 2 && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -137,7 +137,7 @@
 	defer cancel()
 	reload, done := make(chan os.Signal, 1), make(chan error, 1)
 	go func() {
-		done <- run(&environment{ctx: ctx, reload: reload, stdout: io.Discard}, []string{"serve", "--config", path}, sidecar.Place{})
+		done <- run(&environment{ctx: ctx, reload: reload, stdout: io.Discard}, []string{"serve", "--config", path}, sidecar.Options{})
 	}()
 	waitServedBy := func(want string) {
 		t.Helper()
@@ -178,7 +178,7 @@
 	check := func(text string) (string, error) {
 		writeTestFile(t, path, text)
 		var out syncBuffer
-		err := run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, []string{"check", path}, sidecar.Place{})
+		err := run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, []string{"check", path}, sidecar.Options{})
 		return out.String(), err
 	}
 	const good = "[listeners.l]\naddress = \"127.0.0.1:1\"\n[pools.a]\nnodes_file = \"a.nodes\"\n[[routes]]\npool = \"a\"\n"
@@ -198,15 +198,15 @@
 func TestCommandLine(t *testing.T) {
 	var out syncBuffer
 	env := &environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}
-	if err := run(env, []string{"version"}, sidecar.Place{Config: "ignored"}); err != nil || !strings.HasPrefix(out.String(), "gorselink ") {
+	if err := run(env, []string{"version"}, sidecar.Options{ConfigPath: "ignored"}); err != nil || !strings.HasPrefix(out.String(), "gorselink ") {
 		t.Errorf("version: %q, %v", out.String(), err)
 	}
 	for _, args := range [][]string{{"serve"}, {"nonsense"}, {"check"}, {"demo", "--for", "1h"}, {"demo", "--rate", "0"}, {"serve", "--config", "/nowhere"}} {
-		if err := run(env, args, sidecar.Place{}); err == nil {
+		if err := run(env, args, sidecar.Options{}); err == nil {
 			t.Errorf("%v: no error", args)
 		}
 	}
-	if err := run(env, nil, sidecar.Place{Config: "/nowhere"}); err == nil || !strings.Contains(err.Error(), "/nowhere") {
+	if err := run(env, nil, sidecar.Options{ConfigPath: "/nowhere"}); err == nil || !strings.Contains(err.Error(), "/nowhere") {
 		t.Errorf("missing platform configuration: %v", err)
 	}
 }
@@ -232,7 +232,7 @@
 // A sidecar without ROUTER_CONFIG exits at once with an error that names the variable.
 func TestMissingConfigurationIsAnError(t *testing.T) {
 	t.Setenv("ROUTER_LISTEN", "127.0.0.1:1")
-	err := run(&environment{ctx: context.Background(), stdout: io.Discard, stderr: io.Discard}, nil, sidecar.Place{})
+	err := run(&environment{ctx: context.Background(), stdout: io.Discard, stderr: io.Discard}, nil, sidecar.Options{})
 	if err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG: missing") {
 		t.Errorf("got %v, want that ROUTER_CONFIG is missing", err)
 	}
@@ -271,10 +271,10 @@
 	}
 	var out bytes.Buffer
 	env := &environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}
-	if err := run(env, []string{"replay", good}, sidecar.Place{}); err != nil {
+	if err := run(env, []string{"replay", good}, sidecar.Options{}); err != nil {
 		t.Errorf("good: %v\n%s", err, out.String())
 	}
-	err := run(env, []string{"replay", good, other}, sidecar.Place{})
+	err := run(env, []string{"replay", good, other}, sidecar.Options{})
 	var c exitError
 	if !errors.As(err, &c) || c.code != 1 {
 		t.Errorf("differing decision: %v, want code 1", err)
--- a/cmd/gorselink/load_test.go
+++ b/cmd/gorselink/load_test.go
@@ -37,7 +37,7 @@
 	var out syncBuffer
 	err = run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, []string{"load", "--target", n.Addr(), "--shape", "hold 200 500ms", "--arrivals", "even",
 		"--method", "POST", "--host", "donate.example.org", "--path", "/pledge/{n}", "--body", "10", "--keyed", "--class", "pay", "--header", "X-Tenant: acme",
-		"--json", json, "--hgrm", hgrm, "--quiet"}, sidecar.Place{})
+		"--json", json, "--hgrm", hgrm, "--quiet"}, sidecar.Options{})
 	var c exitError
 	if err != nil && !(errors.As(err, &c) && c.code == exitBottleneck) { // possible on a busy machine
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 		"retries":       {"--target", "127.0.0.1:1", "--retries", "-1"},
 	} {
 		var out syncBuffer
-		if err := run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, append([]string{"load"}, args...), sidecar.Place{}); err == nil {
+		if err := run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, append([]string{"load"}, args...), sidecar.Options{}); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
@@ -89,7 +89,7 @@
 	writeTestFile(t, broken, "{}")
 	for _, path := range []string{broken, filepath.Join(dir, "none.json")} {
 		var out syncBuffer
-		err := run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, []string{"load", "compare", path, path}, sidecar.Place{})
+		err := run(&environment{ctx: context.Background(), stdout: &out, stderr: io.Discard}, []string{"load", "compare", path, path}, sidecar.Options{})
 		if err == nil || !strings.Contains(err.Error(), filepath.Base(path)) {
 			t.Errorf("%s: %v", path, err)
 		}
@@ -110,7 +110,7 @@
 	writeTestFile(t, trace, "due,path\n0,/a\n0.1,x\n0.2,/c\n")
 	call := func(args ...string) (string, int) {
 		var out, errs syncBuffer
-		err := run(&environment{ctx: context.Background(), stdout: &out, stderr: &errs}, append([]string{"load", "--quiet"}, args...), sidecar.Place{})
+		err := run(&environment{ctx: context.Background(), stdout: &out, stderr: &errs}, append([]string{"load", "--quiet"}, args...), sidecar.Options{})
 		var c exitError
 		if errors.As(err, &c) {
 			return out.String() + errs.String(), c.code
--- a/cmd/gorselink/main.go
+++ b/cmd/gorselink/main.go
@@ -46,7 +46,7 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	env := &environment{ctx, reload, os.Stdout, os.Stderr, isTerminal(os.Stdout) && isTerminal(os.Stderr)}
-	place := sidecar.Place{Config: os.Getenv("ROUTER_CONFIG"), Console: os.Getenv("ROUTER_CONSOLE"), Temp: os.Getenv("TMPDIR")}
+	place := sidecar.Options{ConfigPath: os.Getenv("ROUTER_CONFIG"), ConsoleAddr: os.Getenv("ROUTER_CONSOLE"), TempDir: os.Getenv("TMPDIR")}
 	if err := run(env, os.Args[1:], place); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		code := 1
@@ -65,8 +65,8 @@
 }
 
 // run executes the command given by the arguments.
-func run(env *environment, args []string, place sidecar.Place) error {
-	if len(args) == 0 && (place.Config != "" || startedByPlatform()) {
+func run(env *environment, args []string, place sidecar.Options) error {
+	if len(args) == 0 && (place.ConfigPath != "" || startedByPlatform()) {
 		if err := sidecar.Run(env.ctx, place, env.reload); err != nil {
 			return fmt.Errorf("gorselink: %w", err)
 		}
--- a/internal/sidecar/answers_test.go
+++ b/internal/sidecar/answers_test.go
@@ -399,7 +399,7 @@
 		s.t.Fatal(err)
 	}
 	p := &process{
-		Sidecar: &Sidecar{place: Place{Config: path}, cfg: cfg},
+		Sidecar: &Sidecar{place: Options{ConfigPath: path}, cfg: cfg},
 		reload:  make(chan os.Signal, 1),
 		ended:   make(chan error, 1),
 	}
--- a/internal/sidecar/kill_test.go
+++ b/internal/sidecar/kill_test.go
@@ -32,7 +32,7 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer tellLag(ctx)()
-	return Run(ctx, Place{Config: path, Temp: os.TempDir()}, reload)
+	return Run(ctx, Options{ConfigPath: path, TempDir: os.TempDir()}, reload)
 }
 
 // lagFile is where a process tells for how long it has not got to run since SIGTERM, in one
--- a/internal/sidecar/refused_test.go
+++ b/internal/sidecar/refused_test.go
@@ -30,7 +30,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		if err := Run(ctx, Place{Config: path, Temp: os.TempDir()}, nil); err != nil {
+		if err := Run(ctx, Options{ConfigPath: path, TempDir: os.TempDir()}, nil); err != nil {
 			println(err.Error())
 			os.Exit(1)
 		}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -71,15 +71,15 @@
 )
 
 // Place is where a sidecar finds what it is told.
-type Place struct {
-	Config  string // path of the configuration
-	Console string // address:port for operators, if the configuration names none
-	Temp    string // folder that the processes of this sidecar share; "" for none
+type Options struct {
+	ConfigPath  string // path of the configuration
+	ConsoleAddr string // address:port for operators, if the configuration names none
+	TempDir     string // folder that the processes of this sidecar share; "" for none
 }
 
 // Sidecar is one process of the platform's sidecar.
 type Sidecar struct {
-	place    Place
+	place    Options
 	cfg      *config.Platform // guarded by mu once it serves
 	longest  time.Duration    // the shortest that LongestDeadline has been
 	limits   config.Limits    // as they were at the start
@@ -101,11 +101,11 @@
 
 // Run serves until ctx ends, and then until all that was taken is answered.
 // Each reload reads the configuration again.
-func Run(ctx context.Context, at Place, reload <-chan os.Signal) error {
-	if at.Config == "" {
+func Run(ctx context.Context, at Options, reload <-chan os.Signal) error {
+	if at.ConfigPath == "" {
 		return errors.New("ROUTER_CONFIG: missing")
 	}
-	cfg, err := config.LoadPlatform(at.Config)
+	cfg, err := config.LoadPlatform(at.ConfigPath)
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 	s.limits, s.longest = cfg.Limits, cfg.LongestDeadline()
 	var console net.Listener
 	var err error
-	if addr := cfg.ConsoleAddress(s.place.Console); addr != "" {
+	if addr := cfg.ConsoleAddress(s.place.ConsoleAddr); addr != "" {
 		if console, err = net.Listen("tcp", addr); err != nil {
 			return fmt.Errorf("console: %w", err)
 		}
@@ -236,10 +236,10 @@
 // folder is the one that the processes of this sidecar share, "" if there is
 // none. One that cannot be made yet is made once something is to be kept there.
 func (s *Sidecar) folder() string {
-	if s.place.Temp == "" {
+	if s.place.TempDir == "" {
 		return ""
 	}
-	dir := filepath.Join(s.place.Temp, "gorselink-"+url.QueryEscape(s.cfg.Name))
+	dir := filepath.Join(s.place.TempDir, "gorselink-"+url.QueryEscape(s.cfg.Name))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		slog.Error("the folder to share with other processes cannot be made yet", "error", err)
 	}
@@ -383,7 +383,7 @@
 // Requests that are open keep their class. Addresses and limits hold for the life
 // of the process.
 func (s *Sidecar) reread() {
-	cfg, err := config.ReloadPlatform(s.place.Config, s.cfg)
+	cfg, err := config.ReloadPlatform(s.place.ConfigPath, s.cfg)
 	if err == nil {
 		err = s.retune(thrifty(cfg))
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	p := &process{
-		Sidecar: &Sidecar{place: Place{Config: path, Console: console, Temp: temp}, cfg: cfg},
+		Sidecar: &Sidecar{place: Options{ConfigPath: path, ConsoleAddr: console, TempDir: temp}, cfg: cfg},
 		reload:  make(chan os.Signal, 1),
 		ended:   make(chan error, 1),
 	}
