--- a/internal/sidecar/answers_test.go
+++ b/internal/sidecar/answers_test.go
@@ -21,30 +21,30 @@
 	"gorselink/internal/standin"
 )
 
-// answerSlack is how long after its time a request's final answer may still come; then it
-// counts as lost.
-const answerSlack = 500 * time.Millisecond
+// responseSlack is how long after its budget a request's final response may arrive before
+// the request counts as unanswered.
+const responseSlack = 500 * time.Millisecond
 
-// exchange is one request that has come whole to a faultyEndpoint.
-type exchange struct {
-	conn net.Conn
-	id   string
-	told time.Duration // how long the sidecar will wait
-	idle time.Duration // since the last answer on the connection; 0 for its first request
-	stop <-chan struct{}
+// receivedRequest is a complete request received by a faultyEndpoint.
+type receivedRequest struct {
+	conn     net.Conn
+	id       string
+	budget   time.Duration // X-Budget-Ms of the attempt
+	connIdle time.Duration // time since the last response on the connection; 0 for its first request
+	stop     <-chan struct{}
 }
 
-// say writes text to the endpoint's peer; a peer that has gone is no matter.
-func (x *exchange) say(text string) { io.WriteString(x.conn, text) }
+// write sends text to the sidecar and ignores errors.
+func (x *receivedRequest) write(text string) { io.WriteString(x.conn, text) }
 
-// serve answers as a sound endpoint does, with the id as the body.
-func (x *exchange) serve() bool {
-	x.say(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(x.id), x.id))
+// respond sends a valid response with the id as the body.
+func (x *receivedRequest) respond() bool {
+	x.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(x.id), x.id))
 	return true
 }
 
-// hang says nothing until the peer or the test ends.
-func (x *exchange) hang() bool {
+// hang sends nothing until the peer closes the connection or the test ends.
+func (x *receivedRequest) hang() bool {
 	gone := make(chan struct{})
 	go func() { io.Copy(io.Discard, x.conn); close(gone) }()
 	select {
@@ -54,21 +54,21 @@
 	return false
 }
 
-// reset breaks the connection off.
-func (x *exchange) reset() bool {
+// reset makes closing the connection send a TCP reset.
+func (x *receivedRequest) reset() bool {
 	x.conn.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// resetLater breaks the connection off once what was said has had time to be read: a reset
-// overtakes it.
-func (x *exchange) resetLater() bool {
+// resetAfterDelay resets the connection after a delay in which the peer can read what was
+// written, because a reset discards unread data.
+func (x *receivedRequest) resetAfterDelay() bool {
 	time.Sleep(10 * time.Millisecond)
 	return x.reset()
 }
 
-// repeat says text every pause, without end.
-func (x *exchange) repeat(text string, pause time.Duration) bool {
+// writeRepeatedly sends text once per pause until the peer or the test ends.
+func (x *receivedRequest) writeRepeatedly(text string, pause time.Duration) bool {
 	for {
 		if _, err := io.WriteString(x.conn, text); err != nil {
 			return false
@@ -81,121 +81,121 @@
 	}
 }
 
-// behaviour is what an endpoint does with a request, and tells whether its connection
-// goes on. One that rejects has not run the request.
+// behaviour is how an endpoint handles requests. handle returns whether the connection stays
+// open. With rejects set, the endpoint does not run the request.
 type behaviour struct {
 	rejects bool
-	do      func(x *exchange) bool
+	handle  func(x *receivedRequest) bool
 }
 
-// The faults at endpoints.
+// Behaviours of endpoints.
 var (
-	sound = behaviour{do: (*exchange).serve}
+	healthy = behaviour{handle: (*receivedRequest).respond}
 
 	endpointFaults = map[string]behaviour{
-		"hangs":                  {do: (*exchange).hang},
-		"closes before":          {do: func(x *exchange) bool { return false }},
-		"resets before":          {do: (*exchange).reset},
-		"closes inside the head": {do: func(x *exchange) bool { x.say("HTTP/1.1 200 OK\r\nContent-Le"); return false }},
-		"resets inside the head": {do: func(x *exchange) bool { x.say("HTTP/1.1 200 OK\r\nContent-Le"); return x.resetLater() }},
-		"stops inside the head":  {do: func(x *exchange) bool { x.say("HTTP/1.1 200 OK\r\nContent-Le"); return x.hang() }},
-		"closes inside the body": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf")
+		"hangs":                         {handle: (*receivedRequest).hang},
+		"closes before the response":    {handle: func(x *receivedRequest) bool { return false }},
+		"resets before the response":    {handle: (*receivedRequest).reset},
+		"closes in the response header": {handle: func(x *receivedRequest) bool { x.write("HTTP/1.1 200 OK\r\nContent-Le"); return false }},
+		"resets in the response header": {handle: func(x *receivedRequest) bool { x.write("HTTP/1.1 200 OK\r\nContent-Le"); return x.resetAfterDelay() }},
+		"stalls in the response header": {handle: func(x *receivedRequest) bool { x.write("HTTP/1.1 200 OK\r\nContent-Le"); return x.hang() }},
+		"closes in the response body": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf")
 			return false
 		}},
-		"resets inside the body": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf")
-			return x.resetLater()
+		"resets in the response body": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf")
+			return x.resetAfterDelay()
 		}},
-		"stops inside the body": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf")
+		"stalls in the response body": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\nhalf")
 			return x.hang()
 		}},
-		"stops inside a chunk": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nhalf")
+		"stalls in a chunk": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nhalf")
 			return x.hang()
 		}},
-		"never ends its chunks": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-			return x.repeat("1\r\nx\r\n", 20*time.Millisecond)
+		"sends chunks without end": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			return x.writeRepeatedly("1\r\nx\r\n", 20*time.Millisecond)
 		}},
-		"never ends without a length": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-			return x.repeat("x", 20*time.Millisecond)
+		"sends a body without length or end": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
+			return x.writeRepeatedly("x", 20*time.Millisecond)
 		}},
-		"never ends its interim answers": {do: func(x *exchange) bool {
-			return x.repeat("HTTP/1.1 100 Continue\r\n\r\n", 50*time.Millisecond)
+		"sends interim responses without end": {handle: func(x *receivedRequest) bool {
+			return x.writeRepeatedly("HTTP/1.1 100 Continue\r\n\r\n", 50*time.Millisecond)
 		}},
-		"resets an answer without a length": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")
-			return x.resetLater()
+		"resets a response without length": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf")
+			return x.resetAfterDelay()
 		}},
-		"spoils the status line": {do: func(x *exchange) bool { x.say("\x00\x01\x02 this is no answer\r\n\r\n"); return true }},
-		"spoils the chunks": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhalf\r\n0\r\n\r\n")
+		"sends an invalid status line": {handle: func(x *receivedRequest) bool { x.write("\x00\x01\x02 this is no answer\r\n\r\n"); return true }},
+		"sends an invalid chunk": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhalf\r\n0\r\n\r\n")
 			return true
 		}},
-		"spoils the length": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 16\r\n\r\nhalf")
+		"sends conflicting lengths": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 16\r\n\r\nhalf")
 			return true
 		}},
-		"answers twice at once": {do: func(x *exchange) bool {
-			x.serve()
-			x.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
+		"sends two responses at once": {handle: func(x *receivedRequest) bool {
+			x.respond()
+			x.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 			return true
 		}},
-		"answers twice, later": {do: func(x *exchange) bool {
-			x.serve()
+		"sends a second response later": {handle: func(x *receivedRequest) bool {
+			x.respond()
 			answered := time.Now()
 			time.Sleep(2 * time.Millisecond)
-			if time.Since(answered) < restTime-time.Millisecond { // later ones are not told apart
-				x.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
+			if time.Since(answered) < connReuseDelay-time.Millisecond { // later bytes cannot be told from the next response
+				x.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 			}
 			return true
 		}},
-		"fails": {do: func(x *exchange) bool {
-			x.say("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+		"fails": {handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}},
-		"rejects": {rejects: true, do: func(x *exchange) bool {
-			x.say("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
+		"rejects": {rejects: true, handle: func(x *receivedRequest) bool {
+			x.write("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}},
-		"closes idle connections": {do: func(x *exchange) bool { x.serve(); time.Sleep(20 * time.Millisecond); return false }},
-		"resets idle connections": {do: func(x *exchange) bool { x.serve(); time.Sleep(20 * time.Millisecond); return x.reset() }},
-		"forgets idle connections": {do: func(x *exchange) bool {
-			if x.idle > forgetsAfter {
+		"closes idle connections": {handle: func(x *receivedRequest) bool { x.respond(); time.Sleep(20 * time.Millisecond); return false }},
+		"resets idle connections": {handle: func(x *receivedRequest) bool { x.respond(); time.Sleep(20 * time.Millisecond); return x.reset() }},
+		"resets reused idle connections": {handle: func(x *receivedRequest) bool {
+			if x.connIdle > endpointIdleTimeout {
 				return x.reset()
 			}
-			return x.serve()
+			return x.respond()
 		}},
-		"forgets idle connections in silence": {do: func(x *exchange) bool {
-			if x.idle > forgetsAfter {
+		"ignores requests on idle connections": {handle: func(x *receivedRequest) bool {
+			if x.connIdle > endpointIdleTimeout {
 				return x.hang()
 			}
-			return x.serve()
+			return x.respond()
 		}},
 	}
 )
 
-// forgetsAfter is how long a connection is idle before an endpoint forgets it.
-const forgetsAfter = 20 * time.Millisecond
+// endpointIdleTimeout is how long faulty endpoints remember an idle connection.
+const endpointIdleTimeout = 20 * time.Millisecond
 
-// faultyEndpoint is an endpoint that does with each request what it is told.
+// faultyEndpoint is an endpoint with a configurable behaviour.
 type faultyEndpoint struct {
 	net.Listener
-	does  atomic.Pointer[behaviour]
-	scene *scene
+	behaviour atomic.Pointer[behaviour]
+	scenario  *scenario
 
-	last time.Time // when an attempt last came; guarded by scene.mu
+	lastAttempt time.Time // guarded by scenario.mu
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// die ends the endpoint as a process that dies: its connections are reset, and new ones
-// refused.
-func (e *faultyEndpoint) die() {
+// kill simulates the death of the endpoint's process: it resets open connections and refuses
+// new ones.
+func (e *faultyEndpoint) kill() {
 	e.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -205,15 +205,15 @@
 	}
 }
 
-// listenFaulty starts a sound endpoint of a scene, on a loopback address of its own, where
-// nobody looks for what another test has left.
-func listenFaulty(s *scene) (*faultyEndpoint, error) {
-	l, err := net.Listen("tcp", ownHost()+":0")
+// newFaultyEndpoint starts a healthy endpoint on a separate loopback address, which sidecars
+// of other tests do not connect to.
+func newFaultyEndpoint(s *scenario) (*faultyEndpoint, error) {
+	l, err := net.Listen("tcp", nextLoopbackHost()+":0")
 	if err != nil {
 		return nil, err
 	}
-	e := &faultyEndpoint{scene: s, Listener: l}
-	e.does.Store(&sound)
+	e := &faultyEndpoint{scenario: s, Listener: l}
+	e.behaviour.Store(&healthy)
 	go e.accept()
 	return e, nil
 }
@@ -243,90 +243,90 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		x := &exchange{conn: c, id: req.Header.Get("X-Call-Id"), stop: e.scene.stop}
+		x := &receivedRequest{conn: c, id: req.Header.Get("X-Call-Id"), stop: e.scenario.stop}
 		if !answered.IsZero() {
-			x.idle = time.Since(answered)
+			x.connIdle = time.Since(answered)
 		}
 		ms, err := strconv.Atoi(req.Header.Get("X-Budget-Ms"))
 		if err != nil {
-			e.scene.t.Errorf("%s: an attempt tells %q of its time", e.scene.name, req.Header.Get("X-Budget-Ms"))
+			e.scenario.t.Errorf("%s: attempt has X-Budget-Ms %q, want a number", e.scenario.name, req.Header.Get("X-Budget-Ms"))
 		}
-		x.told = time.Duration(ms) * time.Millisecond
-		does := e.does.Load()
-		e.attempt(x, !does.rejects)
-		if !does.do(x) {
+		x.budget = time.Duration(ms) * time.Millisecond
+		current := e.behaviour.Load()
+		e.recordAttempt(x, !current.rejects)
+		if !current.handle(x) {
 			return
 		}
 		answered = time.Now()
 	}
 }
 
-// scene is one sidecar, its endpoints and its discovery.
-type scene struct {
-	t         *testing.T
-	name      string
-	lag       *lagMeter
-	listen    atomic.Pointer[string] // where clients find a sidecar
-	path      string                 // of its configuration
-	sidecar   *process
-	endpoints []*faultyEndpoint
-	agent     *standin.Agent
-	stop      chan struct{}          // closed at the end
-	over      chan struct{}          // closed once no client of the scene makes requests any more
-	padding   string                 // that answers have behind the id
-	away      atomic.Pointer[string] // where the front deals out no new connections any more
-	crosses   bool                   // the sidecar may close connections on which no request is open
-
-	mu       sync.Mutex
-	ran      map[string]int
-	told     map[string]time.Duration // the most that an attempt told
-	attempts []time.Time
-	rejects  []time.Time
-	count    counts
-}
-
-// counts are the ends of requests.
-type counts struct{ served, rejected, failed, unanswered, twice int }
-
-// attempt books an attempt, which runs its request unless it is rejected.
-func (e *faultyEndpoint) attempt(x *exchange, runs bool) {
-	s, now := e.scene, time.Now()
+// scenario is a sidecar with its endpoints and its discovery agent.
+type scenario struct {
+	t            *testing.T
+	name         string
+	lag          *lagMeter
+	sidecarAddr  atomic.Pointer[string] // where clients connect
+	configPath   string
+	sidecar      *sidecarInstance
+	endpoints    []*faultyEndpoint
+	agent        *standin.Agent
+	stop         chan struct{}          // closed at the end of the test
+	clientsDone  chan struct{}          // closed once all clients have finished
+	bodyPadding  string                 // follows the id in response bodies
+	drainedAddr  atomic.Pointer[string] // address that clients open no new connections to
+	mayCloseIdle bool                   // the sidecar may close connections without open requests
+
+	mu             sync.Mutex
+	runCounts      map[string]int
+	maxBudgets     map[string]time.Duration // largest X-Budget-Ms of any attempt
+	attemptTimes   []time.Time
+	rejectionTimes []time.Time
+	outcomes       outcomeCounts
+}
+
+// outcomeCounts counts requests by outcome.
+type outcomeCounts struct{ served, rejected, failed, unanswered, repeated int }
+
+// recordAttempt records an attempt, and a run of its request if runs is set.
+func (e *faultyEndpoint) recordAttempt(x *receivedRequest, runs bool) {
+	s, now := e.scenario, time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.attempts = append(s.attempts, now)
-	e.last = now
+	s.attemptTimes = append(s.attemptTimes, now)
+	e.lastAttempt = now
 	if runs {
-		s.ran[x.id]++
+		s.runCounts[x.id]++
 	}
-	s.told[x.id] = max(s.told[x.id], x.told)
+	s.maxBudgets[x.id] = max(s.maxBudgets[x.id], x.budget)
 }
 
-// tally is how requests have ended so far, and how many attempts have come.
-func (s *scene) tally() (ends counts, attempts int) {
+// outcomesSoFar returns the outcomes of requests and the number of attempts so far.
+func (s *scenario) outcomesSoFar() (outcomes outcomeCounts, attempts int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count, len(s.attempts)
+	return s.outcomes, len(s.attemptTimes)
 }
 
-func (s *scene) runs(id string) int {
+func (s *scenario) runCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[id]
+	return s.runCounts[id]
 }
 
-var lastOwnHost atomic.Int32
+var lastLoopbackHost atomic.Int32
 
-// ownHost is a loopback address that this process has not used yet.
-func ownHost() string {
-	n := lastOwnHost.Add(1)
+// nextLoopbackHost returns a loopback address that this process has not used yet.
+func nextLoopbackHost() string {
+	n := lastLoopbackHost.Add(1)
 	return fmt.Sprintf("127.9.%d.%d", n>>8, n&0xff)
 }
 
-// ownAddr is an address that nobody listens at, on a loopback address of its own: no
-// connection's own port takes it in the time until somebody listens.
-func ownAddr(t *testing.T) string {
+// isolatedAddr returns a free address on an unused loopback host, so that no ephemeral port
+// takes it before the test listens on it.
+func isolatedAddr(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", ownHost()+":0")
+	l, err := net.Listen("tcp", nextLoopbackHost()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -334,28 +334,27 @@
 	return l.Addr().String()
 }
 
-// sceneEndpoints is how many endpoints a scene has.
-const sceneEndpoints = 3
+const scenarioEndpoints = 3
 
-// newScene makes sound endpoints and a discovery that lists them. Connections to the late
-// ones come up once they are opened.
-func newScene(t *testing.T, name string, late ...*standin.FullListener) *scene {
+// newScenario starts healthy endpoints and a discovery agent that lists them. The first
+// endpoints use the listeners in late, which accept no connections until they are opened.
+func newScenario(t *testing.T, name string, late ...*standin.FullListener) *scenario {
 	t.Helper()
-	lag, err := machine()
+	lag, err := machineLag()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scene{t: t, name: name, lag: lag, stop: make(chan struct{}), over: make(chan struct{}), ran: map[string]int{}, told: map[string]time.Duration{}}
+	s := &scenario{t: t, name: name, lag: lag, stop: make(chan struct{}), clientsDone: make(chan struct{}), runCounts: map[string]int{}, maxBudgets: map[string]time.Duration{}}
 	t.Cleanup(func() { close(s.stop) })
 	var list []standin.Entry
-	for i := range sceneEndpoints {
+	for i := range scenarioEndpoints {
 		var e *faultyEndpoint
-		if i < len(late) { // whoever accepts there makes room for connections to come up
-			e = &faultyEndpoint{scene: s, Listener: late[i]}
-			e.does.Store(&sound)
+		if i < len(late) { // accepting here would let connections complete
+			e = &faultyEndpoint{scenario: s, Listener: late[i]}
+			e.behaviour.Store(&healthy)
 		} else {
 			var err error
-			if e, err = listenFaulty(s); err != nil {
+			if e, err = newFaultyEndpoint(s); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -370,36 +369,36 @@
 	return s
 }
 
-// text is a configuration of the sidecar at listen, which may hold so many descriptors.
-func (s *scene) text(listen string, sockets int) string {
-	text := strings.Replace(configuration(listen, s.agent.Addr()), `"cores":1,"memory_mb":64,"sockets":256`,
+// configText returns a configuration for a sidecar at listen with a limit of sockets.
+func (s *scenario) configText(listen string, sockets int) string {
+	text := strings.Replace(configJSON(listen, s.agent.Addr()), `"cores":1,"memory_mb":64,"sockets":256`,
 		fmt.Sprintf(`"cores":4,"memory_mb":512,"sockets":%d`, sockets), 1)
 	text = strings.Replace(text, `"Worth":1}`, `"Worth":1},
 {"Name":"put","AimS":1,"DeadlineS":2,"Semantics":"guarded","KeyScope":"all","MemorySpanS":1,"Worth":1},
 {"Name":"pay","AimS":1,"DeadlineS":2,"Semantics":"single_shot","Worth":1}`, 1)
-	return strings.Replace(text, `"ConnectTimeoutS":1,`, `"ConnectTimeoutS":1.5,`, 1) // the kernel knocks again after 1 s
+	return strings.Replace(text, `"ConnectTimeoutS":1,`, `"ConnectTimeoutS":1.5,`, 1) // the kernel retransmits a SYN after 1 s
 }
 
-// begin starts the sidecar, which may hold so many descriptors; 0 for plenty.
-func (s *scene) begin(sockets int) {
+// startSidecar starts the sidecar with a limit of sockets; 0 selects the default.
+func (s *scenario) startSidecar(sockets int) {
 	s.t.Helper()
 	if sockets == 0 {
 		sockets = 256
 	}
-	s.start(ownAddr(s.t), func(listen string) string { return s.text(listen, sockets) })
+	s.startSidecarAt(isolatedAddr(s.t), func(listen string) string { return s.configText(listen, sockets) })
 }
 
-// start starts a sidecar at listen, which clients find from then on.
-func (s *scene) start(listen string, text func(listen string) string) {
+// startSidecarAt starts a sidecar at listen and directs clients to it.
+func (s *scenario) startSidecarAt(listen string, configText func(listen string) string) {
 	s.t.Helper()
 	path := filepath.Join(s.t.TempDir(), "config.json")
-	put(s.t, path, text(listen))
+	writeFile(s.t, path, configText(listen))
 	cfg, err := config.LoadPlatform(path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	p := &process{
-		Sidecar: &Sidecar{place: Options{ConfigPath: path}, cfg: cfg},
+	p := &sidecarInstance{
+		Sidecar: &Sidecar{options: Options{ConfigPath: path}, cfg: cfg},
 		reload:  make(chan os.Signal, 1),
 		ended:   make(chan error, 1),
 	}
@@ -412,19 +411,19 @@
 			s.t.Fatalf("%s: the sidecar ended: %v", s.name, err)
 		default:
 		}
-		return call(listen, "GET", "/-/ready", "") == http.StatusOK
+		return callStatus(listen, "GET", "/-/ready", "") == http.StatusOK
 	})
-	s.path, s.sidecar = path, p
-	s.listen.Store(&listen)
+	s.configPath, s.sidecar = path, p
+	s.sidecarAddr.Store(&listen)
 }
 
-// entry is how discovery lists an endpoint.
-func (s *scene) entry(i int, status string) standin.Entry {
+// entry returns the discovery entry of endpoint i.
+func (s *scenario) entry(i int, status string) standin.Entry {
 	return standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: s.endpoints[i].Addr().String(), Zone: "a", Status: status}
 }
 
-// open lets connections come up to the late endpoint i.
-func (s *scene) open(i int) {
+// openLateEndpoint lets the late endpoint i accept connections.
+func (s *scenario) openLateEndpoint(i int) {
 	e := s.endpoints[i]
 	if err := e.Listener.(*standin.FullListener).Unblock(); err != nil {
 		s.t.Errorf("%s: %v", s.name, err)
@@ -432,24 +431,24 @@
 	go e.accept()
 }
 
-// set makes the first n endpoints do b.
-func (s *scene) set(n int, b behaviour) {
+// setBehaviour sets the behaviour of the first n endpoints.
+func (s *scenario) setBehaviour(n int, b behaviour) {
 	for _, e := range s.endpoints[:n] {
-		e.does.Store(&b)
+		e.behaviour.Store(&b)
 	}
 }
 
-// client sends requests of one class one by one on a connection that it keeps.
+// client sends requests of one class sequentially on a persistent connection.
 type client struct {
-	s      *scene
-	class  string
-	budget time.Duration
-	conn   net.Conn
-	in     *bufio.Reader
+	scenario *scenario
+	class    string
+	budget   time.Duration
+	conn     net.Conn
+	in       *bufio.Reader
 }
 
-// text is a request of the client's class in the protocol's form.
-func (c *client) text(id string) string {
+// requestText returns a request of the client's class.
+func (c *client) requestText(id string) string {
 	head := fmt.Sprintf("Host: x\r\nX-Call-Id: %s\r\nX-Budget-Ms: %d\r\n", id, c.budget.Milliseconds())
 	switch c.class {
 	case "view":
@@ -467,17 +466,17 @@
 	}
 }
 
-// errUnanswered is the end of a request whose connection brought no head of an answer.
-var errUnanswered = errors.New("no answer")
+// errNoResponse reports a connection that ended without a response header.
+var errNoResponse = errors.New("no response")
 
-// dial connects to the sidecar, or the next one once that is there.
+// dial connects to the current sidecar, and waits for the next one while it is draining.
 func (c *client) dial() (err error) {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		listen := c.s.listen.Load()
-		if c.s.away.Load() == listen {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		listen := c.scenario.sidecarAddr.Load()
+		if c.scenario.drainedAddr.Load() == listen {
 			continue
 		}
-		if c.conn, err = net.DialTimeout("tcp", *listen, patience); err == nil || !c.s.crosses {
+		if c.conn, err = net.DialTimeout("tcp", *listen, testTimeout); err == nil || !c.scenario.mayCloseIdle {
 			break
 		}
 	}
@@ -487,29 +486,29 @@
 	return err
 }
 
-// once sends one request, and waits for its whole answer while it is wanted and half a
-// second more.
-func (c *client) once(id string) (status int, body string, err error) {
+// send sends a request and reads the response. A response later than the budget and
+// responseSlack is an error.
+func (c *client) send(id string) (status int, body string, err error) {
 	if c.conn == nil {
 		if err := c.dial(); err != nil {
-			return 0, "", fmt.Errorf("%w: %w", errUnanswered, err)
+			return 0, "", fmt.Errorf("%w: %w", errNoResponse, err)
 		}
 	}
 	sent := time.Now()
-	c.conn.SetDeadline(sent.Add(c.budget + answerSlack + patience))
+	c.conn.SetDeadline(sent.Add(c.budget + responseSlack + testTimeout))
 	defer func() {
-		// Late is as good as never, unless it is this machine that was late.
+		// A late response counts as missing unless the machine was slow.
 		now := time.Now()
-		if now.Sub(sent) > c.budget+answerSlack && !c.s.lag.lagged(sent, now) {
-			err = fmt.Errorf("%w in time: it took %v: %w", errUnanswered, now.Sub(sent), os.ErrDeadlineExceeded)
+		if now.Sub(sent) > c.budget+responseSlack && !c.scenario.lag.lagged(sent, now) {
+			err = fmt.Errorf("%w in time: it took %v: %w", errNoResponse, now.Sub(sent), os.ErrDeadlineExceeded)
 		}
 	}()
-	if _, err = io.WriteString(c.conn, c.text(id)); err != nil {
-		return 0, "", fmt.Errorf("%w: %w", errUnanswered, err)
+	if _, err = io.WriteString(c.conn, c.requestText(id)); err != nil {
+		return 0, "", fmt.Errorf("%w: %w", errNoResponse, err)
 	}
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		return 0, "", fmt.Errorf("%w: %w", errUnanswered, err)
+		return 0, "", fmt.Errorf("%w: %w", errNoResponse, err)
 	}
 	text, err := io.ReadAll(resp.Body)
 	if resp.Close {
@@ -518,94 +517,93 @@
 	return resp.StatusCode, string(text), err
 }
 
-// one makes one request and books its end.
-func (c *client) one() {
-	id := fmt.Sprintf("%016x", lastAsk.Add(1))
+// sendAndRecord sends a request and records its outcome.
+func (c *client) sendAndRecord() {
+	id := fmt.Sprintf("%016x", lastCallID.Add(1))
 	used, began := c.conn != nil, time.Now()
-	status, body, err := c.once(id)
-	if errors.Is(err, errUnanswered) && !errors.Is(err, os.ErrDeadlineExceeded) && (used && c.s.crosses || c.s.lag.stalled(began.Add(-clientPause), time.Now())) {
-		// It crossed the end of a resting connection, or of one that said nothing for long
-		// as the machine stood still. One that was read all the same is known by its id.
+	status, body, err := c.send(id)
+	if errors.Is(err, errNoResponse) && !errors.Is(err, os.ErrDeadlineExceeded) && (used && c.scenario.mayCloseIdle || c.scenario.lag.stalled(began.Add(-clientPause), time.Now())) {
+		// The sidecar closed the idle connection while the request was sent, or the machine
+		// stalled. Send it again: the sidecar recognises the id if it has read the request.
 		c.close()
-		if status, body, err = c.once(id); status == http.StatusConflict {
-			err = fmt.Errorf("%w: it was read, and its connection closed", errUnanswered)
+		if status, body, err = c.send(id); status == http.StatusConflict {
+			err = fmt.Errorf("%w: the sidecar read the request and closed the connection", errNoResponse)
 		}
 	}
 	if err != nil {
 		c.close()
 	}
-	s := c.s
-	runs := s.runs(id)
+	s := c.scenario
+	runs := s.runCount(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if told := s.told[id]; told > c.budget {
-		s.t.Errorf("%s: an attempt for request %s tells %v of its time, which is %v", s.name, id, told, c.budget)
+	if budget := s.maxBudgets[id]; budget > c.budget {
+		s.t.Errorf("%s: an attempt of request %s has a budget of %v, want at most %v", s.name, id, budget, c.budget)
 	}
 	if c.class == "pay" && runs > 1 {
-		s.count.twice++
-		s.t.Errorf("%s: request %s must not run twice and ran %d times", s.name, id, runs)
+		s.outcomes.repeated++
+		s.t.Errorf("%s: request %s ran %d times, want at most once", s.name, id, runs)
 	}
 	switch {
-	case errors.Is(err, errUnanswered), errors.Is(err, os.ErrDeadlineExceeded):
-		s.count.unanswered++
-		s.t.Errorf("%s: %s with %v, request %s, ran %d times: no final answer: %v", s.name, c.class, c.budget, id, runs, err)
-	case err != nil: // broken off so that the client can tell
-		s.count.failed++
-	case status == http.StatusOK && body != id+s.padding:
-		s.t.Errorf("%s: %s, request %s is given %.40q, %d bytes", s.name, c.class, id, body, len(body))
+	case errors.Is(err, errNoResponse), errors.Is(err, os.ErrDeadlineExceeded):
+		s.outcomes.unanswered++
+		s.t.Errorf("%s: %s with %v, request %s, ran %d times: no final response: %v", s.name, c.class, c.budget, id, runs, err)
+	case err != nil: // truncated in a way that the client detects
+		s.outcomes.failed++
+	case status == http.StatusOK && body != id+s.bodyPadding:
+		s.t.Errorf("%s: %s, request %s got %.40q, %d bytes, want its own response", s.name, c.class, id, body, len(body))
 	case status == http.StatusOK:
-		s.count.served++
+		s.outcomes.served++
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		s.count.rejected++
-		s.rejects = append(s.rejects, time.Now())
+		s.outcomes.rejected++
+		s.rejectionTimes = append(s.rejectionTimes, time.Now())
 		if c.class == "pay" && runs > 0 {
-			s.t.Errorf("%s: request %s may have run and is refused", s.name, id)
+			s.t.Errorf("%s: request %s was rejected but may have run", s.name, id)
 		}
 	default:
-		s.count.failed++
+		s.outcomes.failed++
 	}
 }
 
 const (
-	// Budgets of requests: one that few answers miss, and one that many do.
+	// Budgets of requests: few responses miss longBudget, many miss shortBudget.
 	longBudget, shortBudget = 1300 * time.Millisecond, 150 * time.Millisecond
-	// clientPause is between two requests of a client, longer than what endpoints of
-	// these tests remember idle connections for.
+	// clientPause is the pause between requests of a client. It exceeds endpointIdleTimeout.
 	clientPause = 80 * time.Millisecond
-	// sceneTime is how long clients go on making requests, and troubleAfter when
-	// trouble begins: connections are kept by then, and means known.
-	sceneTime, troubleAfter = 800 * time.Millisecond, 100 * time.Millisecond
+	// Clients send requests for scenarioDuration. The fault begins after faultDelay, when
+	// connections are open and mean latencies are known.
+	scenarioDuration, faultDelay = 800 * time.Millisecond, 100 * time.Millisecond
 )
 
-// play has clients of all classes and both budgets send requests; trouble begins once they
-// are served.
-func (s *scene) play(trouble func()) {
+// runClients runs clients of all classes and both budgets, and injects the fault after
+// faultDelay.
+func (s *scenario) runClients(injectFault func()) {
 	var all sync.WaitGroup
 	all.Go(func() {
-		time.Sleep(troubleAfter)
-		trouble()
+		time.Sleep(faultDelay)
+		injectFault()
 	})
 	for _, class := range []string{"view", "put", "pay"} {
 		for _, budget := range []time.Duration{longBudget, shortBudget} {
 			all.Go(func() {
-				c := &client{s: s, class: class, budget: budget}
+				c := &client{scenario: s, class: class, budget: budget}
 				defer c.close()
-				for end := time.Now().Add(sceneTime); time.Now().Before(end); time.Sleep(clientPause) {
-					c.one()
+				for end := time.Now().Add(scenarioDuration); time.Now().Before(end); time.Sleep(clientPause) {
+					c.sendAndRecord()
 				}
 			})
 		}
 	}
 	all.Wait()
-	close(s.over)
+	close(s.clientsDone)
 }
 
-// fewServed books that fewer requests were served than has to be. Where the machine lags,
-// sidecars rightly shed what they could not answer in time.
-func (s *scene) fewServed(began time.Time, format string, args ...any) {
+// reportFewServed fails the test because too few requests were served. It only logs if the
+// machine lagged, because sidecars then shed requests correctly.
+func (s *scenario) reportFewServed(began time.Time, format string, args ...any) {
 	s.t.Helper()
 	if s.lag.lagged(began, time.Now()) {
-		s.t.Logf(s.name+", on a machine that lags: "+format, args...)
+		s.t.Logf(s.name+", machine lagged: "+format, args...)
 		return
 	}
 	s.t.Errorf(s.name+": "+format, args...)
--- a/internal/sidecar/everyanswer_test.go
+++ b/internal/sidecar/everyanswer_test.go
@@ -14,103 +14,103 @@
 	"gorselink/internal/standin"
 )
 
-// trouble is what happens beside the requests of a scene.
-type trouble struct {
-	name    string
-	sockets int  // descriptors of the sidecar; 0 for plenty
-	crosses bool // the sidecar may close connections on which no request is open
-	late    int  // endpoints that are not reached from the start
-	begin   func(s *scene)
+// faultCase is a fault to inject while the clients of a scenario send requests.
+type faultCase struct {
+	name          string
+	sockets       int  // limit of the sidecar; 0 for the default
+	mayCloseIdle  bool // the sidecar may close connections without open requests
+	lateEndpoints int  // endpoints that accept no connections at first
+	inject        func(s *scenario)
 }
 
-// troubles are the faults at some endpoints and at all of them, those of discovery, and
-// what other clients do.
-func troubles() (all []trouble) {
-	for _, n := range []int{1, sceneEndpoints} {
-		at := fmt.Sprintf(" at %d of %d", n, sceneEndpoints)
+// faultCases returns faults of one endpoint and of all endpoints, faults of discovery, and
+// misbehaviour of other clients.
+func faultCases() (all []faultCase) {
+	for _, n := range []int{1, scenarioEndpoints} {
+		at := fmt.Sprintf(" at %d of %d", n, scenarioEndpoints)
 		for _, name := range slices.Sorted(maps.Keys(endpointFaults)) {
-			all = append(all, trouble{name: "endpoint " + name + at, begin: func(s *scene) { s.set(n, endpointFaults[name]) }})
+			all = append(all, faultCase{name: "endpoint " + name + at, inject: func(s *scenario) { s.setBehaviour(n, endpointFaults[name]) }})
 		}
 		all = append(all,
-			trouble{name: "endpoint dies" + at, begin: func(s *scene) {
+			faultCase{name: "endpoint is killed" + at, inject: func(s *scenario) {
 				for _, e := range s.endpoints[:n] {
-					e.die()
+					e.kill()
 				}
 			}},
-			trouble{name: "connection never comes up" + at, late: n, begin: func(*scene) {}},
-			trouble{name: "connection comes up late" + at, late: n, begin: func(s *scene) {
+			faultCase{name: "connect never completes" + at, lateEndpoints: n, inject: func(*scenario) {}},
+			faultCase{name: "connect completes late" + at, lateEndpoints: n, inject: func(s *scenario) {
 				for i := range s.endpoints[:n] {
-					s.open(i)
+					s.openLateEndpoint(i)
 				}
 			}},
-			trouble{name: "endpoint drains" + at, begin: func(s *scene) {
+			faultCase{name: "endpoint drains" + at, inject: func(s *scenario) {
 				for i := range s.endpoints[:n] {
 					s.agent.Update(s.entry(i, "terminating"))
 				}
-				s.set(n, endpointFaults["rejects"])
+				s.setBehaviour(n, endpointFaults["rejects"])
 			}},
-			trouble{name: "discovery is silent, endpoint hangs" + at, begin: func(s *scene) {
+			faultCase{name: "discovery is silent, endpoint hangs" + at, inject: func(s *scenario) {
 				s.agent.SetUnresponsive(true)
-				s.set(n, endpointFaults["hangs"])
+				s.setBehaviour(n, endpointFaults["hangs"])
 			}},
-			trouble{name: "discovery is down, endpoint dies" + at, begin: func(s *scene) {
+			faultCase{name: "discovery is down, endpoint is killed" + at, inject: func(s *scenario) {
 				s.agent.Close()
 				for _, e := range s.endpoints[:n] {
-					e.die()
+					e.kill()
 				}
 			}})
 	}
-	return append(all, otherClients...)
+	return append(all, otherClientCases...)
 }
 
-// otherClients are the troubles that other clients bring.
-var otherClients = []trouble{
-	{name: "other client sends garbage", begin: func(s *scene) {
+// otherClientCases are misbehaviours of other clients.
+var otherClientCases = []faultCase{
+	{name: "other client sends garbage", inject: func(s *scenario) {
 		for _, text := range []string{"\x00\x01\x02\x03\r\n\r\n", "GET /view HTTP/9.7\r\n\r\n", "POST /pay HTTP/1.1\r\nHost: x\r\nContent-Length: -1\r\n\r\n", strings.Repeat("x", 100<<10)} {
-			s.beside(func(c net.Conn) {
+			s.startOtherClient(func(c net.Conn) {
 				io.WriteString(c, text)
 				c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 				io.Copy(io.Discard, c)
 			})
 		}
 	}},
-	{name: "other client floods early bytes", begin: func(s *scene) {
+	{name: "other client sends excess data", inject: func(s *scenario) {
 		for range 4 {
-			s.beside(func(c net.Conn) {
+			s.startOtherClient(func(c net.Conn) {
 				io.WriteString(c, s.otherRequest())
 				c.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 				c.Write(make([]byte, 1<<20))
 			})
 		}
 	}},
-	{name: "other client stops inside a head", begin: func(s *scene) {
+	{name: "other client stalls in a request header", inject: func(s *scenario) {
 		for range 20 {
-			s.beside(func(c net.Conn) { io.WriteString(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Ca"); <-s.over })
+			s.startOtherClient(func(c net.Conn) { io.WriteString(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Ca"); <-s.clientsDone })
 		}
 	}},
-	{name: "other client stops inside a body", begin: func(s *scene) {
+	{name: "other client stalls in a request body", inject: func(s *scenario) {
 		for range 20 {
-			s.beside(func(c net.Conn) {
-				fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\nContent-Length: 60000\r\n\r\nhalf", lastAsk.Add(1))
-				<-s.over
+			s.startOtherClient(func(c net.Conn) {
+				fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\nContent-Length: 60000\r\n\r\nhalf", lastCallID.Add(1))
+				<-s.clientsDone
 			})
 		}
 	}},
-	{name: "other client leaves", begin: func(s *scene) {
+	{name: "other client disconnects", inject: func(s *scenario) {
 		for range 4 {
-			s.beside(func(c net.Conn) { io.WriteString(c, s.otherRequest()) })
-			s.beside(func(c net.Conn) { io.WriteString(c, s.otherRequest()); c.(*net.TCPConn).SetLinger(0) })
+			s.startOtherClient(func(c net.Conn) { io.WriteString(c, s.otherRequest()) })
+			s.startOtherClient(func(c net.Conn) { io.WriteString(c, s.otherRequest()); c.(*net.TCPConn).SetLinger(0) })
 		}
 	}},
-	{name: "other client leaves, endpoints hang", begin: func(s *scene) {
-		s.set(1, endpointFaults["hangs"])
+	{name: "other client disconnects, endpoint hangs", inject: func(s *scenario) {
+		s.setBehaviour(1, endpointFaults["hangs"])
 		for range 4 {
-			s.beside(func(c net.Conn) { io.WriteString(c, s.otherRequest()) })
+			s.startOtherClient(func(c net.Conn) { io.WriteString(c, s.otherRequest()) })
 		}
 	}},
-	{name: "idle clients use up the descriptors", sockets: 64, crosses: true, begin: func(s *scene) {
+	{name: "idle clients exhaust the descriptors", sockets: 64, mayCloseIdle: true, inject: func(s *scenario) {
 		for range 100 {
-			c, err := net.DialTimeout("tcp", *s.listen.Load(), time.Second)
+			c, err := net.DialTimeout("tcp", *s.sidecarAddr.Load(), time.Second)
 			if err != nil {
 				return
 			}
@@ -119,17 +119,17 @@
 	}},
 }
 
-// beside has another client connect and do what it does, again and again, until the
-// scene is over.
-func (s *scene) beside(does func(c net.Conn)) {
+// startOtherClient starts a client that repeatedly connects and calls handle until the
+// scenario's clients are done.
+func (s *scenario) startOtherClient(handle func(c net.Conn)) {
 	go func() {
 		for {
-			if c, err := net.DialTimeout("tcp", *s.listen.Load(), time.Second); err == nil {
-				does(c)
+			if c, err := net.DialTimeout("tcp", *s.sidecarAddr.Load(), time.Second); err == nil {
+				handle(c)
 				c.Close()
 			}
 			select {
-			case <-s.over:
+			case <-s.clientsDone:
 				return
 			case <-time.After(5 * time.Millisecond):
 			}
@@ -137,70 +137,67 @@
 	}()
 }
 
-// otherRequest is a sound request of another client.
-func (s *scene) otherRequest() string {
-	return (&client{s: s, class: "view", budget: longBudget}).text(fmt.Sprintf("%016x", lastAsk.Add(1)))
+// otherRequest returns a valid request of another client.
+func (s *scenario) otherRequest() string {
+	return (&client{scenario: s, class: "view", budget: longBudget}).requestText(fmt.Sprintf("%016x", lastCallID.Add(1)))
 }
 
-// No fault at an endpoint or of discovery, and nothing that another client does, frees a
-// request of its final answer: each has one within its time and half a second, of each
-// class, with much time and with little, whether the fault is at some of the endpoints or
-// at all of them. What must not run twice does not, what may have run is not refused,
-// and nobody gets what was another's.
-func TestEveryRequestGetsItsFinalAnswer(t *testing.T) {
-	all := troubles()
+// Whatever fault occurs, every request gets a final response within its budget and
+// responseSlack. Requests that must not be repeated run at most once and are not rejected
+// after they may have run, and no client receives the response of another.
+func TestEveryRequestGetsFinalResponse(t *testing.T) {
+	all := faultCases()
 	began, late := time.Now(), lateListeners(t, all)
-	scenes := make([]*scene, len(all))
+	scenarios := make([]*scenario, len(all))
 	for i, tr := range all {
-		s := newScene(t, tr.name, late[i]...)
-		s.crosses = tr.crosses
-		s.begin(tr.sockets)
-		scenes[i] = s
+		s := newScenario(t, tr.name, late[i]...)
+		s.mayCloseIdle = tr.mayCloseIdle
+		s.startSidecar(tr.sockets)
+		scenarios[i] = s
 	}
-	var playing sync.WaitGroup
-	for i, s := range scenes {
-		time.Sleep(10 * time.Millisecond) // not all of them in step
-		playing.Go(func() { s.play(func() { all[i].begin(s) }) })
+	var running sync.WaitGroup
+	for i, s := range scenarios {
+		time.Sleep(10 * time.Millisecond) // stagger the scenarios
+		running.Go(func() { s.runClients(func() { all[i].inject(s) }) })
 	}
-	playing.Wait()
-	for _, s := range scenes {
-		ends, attempts := s.tally()
-		t.Logf("%-60s %+v, %d attempts", s.name, ends, attempts)
-		if ends.unanswered > 0 || ends.twice > 0 {
-			t.Errorf("%s: %+v, want none unanswered and none that ran twice", s.name, ends)
+	running.Wait()
+	for _, s := range scenarios {
+		outcomes, attempts := s.outcomesSoFar()
+		t.Logf("%-60s %+v, %d attempts", s.name, outcomes, attempts)
+		if outcomes.unanswered > 0 || outcomes.repeated > 0 {
+			t.Errorf("%s: %+v, want none unanswered and none that ran twice", s.name, outcomes)
 		}
-		if ends.served == 0 && !strings.Contains(s.name, fmt.Sprintf("at %d of", sceneEndpoints)) {
-			s.fewServed(began, "%+v, want some served: nothing is shown", ends)
+		if outcomes.served == 0 && !strings.Contains(s.name, fmt.Sprintf("at %d of", scenarioEndpoints)) {
+			s.reportFewServed(began, "%+v, want some served; the test is inconclusive", outcomes)
 		}
-		if strings.HasPrefix(s.name, "other client") && ends.served < ends.rejected+ends.failed {
-			s.fewServed(began, "%+v, want most served", ends)
+		if strings.HasPrefix(s.name, "other client") && outcomes.served < outcomes.rejected+outcomes.failed {
+			s.reportFewServed(began, "%+v, want most served", outcomes)
 		}
 	}
 }
 
-// lateListeners are the listeners that the troubles need, made together as each takes a
-// while.
-func lateListeners(t *testing.T, all []trouble) [][]*standin.FullListener {
+// lateListeners opens the late listeners of all cases concurrently, because each takes a while.
+func lateListeners(t *testing.T, all []faultCase) [][]*standin.FullListener {
 	t.Helper()
-	made := make([][]*standin.FullListener, len(all))
-	errs := make(chan error, len(all)*sceneEndpoints)
-	var making sync.WaitGroup
+	listeners := make([][]*standin.FullListener, len(all))
+	errs := make(chan error, len(all)*scenarioEndpoints)
+	var opening sync.WaitGroup
 	for i, tr := range all {
-		made[i] = make([]*standin.FullListener, tr.late)
-		for k := range made[i] {
-			making.Go(func() {
+		listeners[i] = make([]*standin.FullListener, tr.lateEndpoints)
+		for k := range listeners[i] {
+			opening.Go(func() {
 				var err error
-				if made[i][k], err = standin.ListenFull(); err != nil {
+				if listeners[i][k], err = standin.ListenFull(); err != nil {
 					errs <- err
 				}
 			})
 		}
 	}
-	making.Wait()
+	opening.Wait()
 	select {
 	case err := <-errs:
 		t.Fatal(err)
 	default:
 	}
-	return made
+	return listeners
 }
--- a/internal/sidecar/growth_test.go
+++ b/internal/sidecar/growth_test.go
@@ -16,19 +16,19 @@
 	"gorselink/internal/standin"
 )
 
-// fleetNeeds is what one sidecar of a fleet needs over a short day.
-type fleetNeeds struct {
-	cpu         time.Duration
-	peak        int64 // bytes of memory
-	descriptors int   // at the most
-	connections int   // made to endpoints
-	lists       int64 // bytes from discovery
-	served      int
-	asked       int
+// resourceUsage is the resource usage of one sidecar during a test run.
+type resourceUsage struct {
+	cpu            time.Duration
+	peakMemory     int64 // bytes
+	descriptors    int   // maximum
+	connections    int   // opened to endpoints
+	discoveryBytes int64 // bytes received from discovery
+	served         int
+	requests       int
 }
 
-// procStat is the processor time that a process has used.
-func procStat(t *testing.T, pid int) time.Duration {
+// processCPU returns the CPU time used by a process.
+func processCPU(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -46,8 +46,8 @@
 	return time.Duration(ticks) * (time.Second / 100)
 }
 
-// procPeak is the most memory that a process has had.
-func procPeak(t *testing.T, pid int) int64 {
+// processPeakMemory returns the peak resident memory of a process.
+func processPeakMemory(t *testing.T, pid int) int64 {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -61,11 +61,11 @@
 	return kb << 10
 }
 
-// fleetDay plays a sidecar before so many endpoints, of which some come and go, with the
-// traffic that one sidecar has in a fleet of any size.
-func fleetDay(t *testing.T, endpoints, sidecars int) (need fleetNeeds) {
+// measureSidecar runs a sidecar with a changing list of endpoints and a fixed load, and
+// returns its resource usage. sidecars is the configured number of sidecars.
+func measureSidecar(t *testing.T, endpoints, sidecars int) (usage resourceUsage) {
 	t.Helper()
-	const processes, lasts, changes = 16, 1200 * time.Millisecond, 8
+	const processes, duration, changes = 16, 1200 * time.Millisecond, 8
 	var nodes []*standin.Node
 	for range processes {
 		n, err := standin.StartNode(standin.NodeConfig{Latency: 5 * time.Millisecond})
@@ -87,29 +87,29 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(registry.Close)
-	m := &member{listen: ownAddr(t), dir: t.TempDir()}
-	m.path = filepath.Join(m.dir, "config.json")
-	text := strings.Replace(configuration(m.listen, registry.Addrs()[0]), `"NInstances":1`, fmt.Sprintf(`"NInstances":%d`, sidecars), 1)
-	put(t, m.path, strings.Replace(text, `"memory_mb":64,"sockets":256`, `"memory_mb":256,"sockets":512`, 1))
+	m := &fleetMember{listen: isolatedAddr(t), dir: t.TempDir()}
+	m.configPath = filepath.Join(m.dir, "config.json")
+	text := strings.Replace(configJSON(m.listen, registry.Addrs()[0]), `"NInstances":1`, fmt.Sprintf(`"NInstances":%d`, sidecars), 1)
+	writeFile(t, m.configPath, strings.Replace(text, `"memory_mb":64,"sockets":256`, `"memory_mb":256,"sockets":512`, 1))
 	m.start(t)
 	p := m.process()
 	if p == nil {
-		t.Fatal("no process")
+		t.Fatal("the sidecar process did not start")
 	}
 	t.Cleanup(func() { p.cmd.Process.Kill(); <-p.ended })
-	s := newScene(t, fmt.Sprintf("%d endpoints", endpoints))
-	s.listen.Store(&m.listen)
-	pid, end := p.cmd.Process.Pid, time.Now().Add(lasts)
+	s := newScenario(t, fmt.Sprintf("%d endpoints", endpoints))
+	s.sidecarAddr.Store(&m.listen)
+	pid, end := p.cmd.Process.Pid, time.Now().Add(duration)
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for range 4 {
 		all.Go(func() {
 			for time.Now().Before(end) {
-				ok := askNew(m.listen) != ""
+				ok := getWithNewID(m.listen) != ""
 				mu.Lock()
-				need.asked++
+				usage.requests++
 				if ok {
-					need.served++
+					usage.served++
 				}
 				mu.Unlock()
 				time.Sleep(25 * time.Millisecond)
@@ -117,48 +117,48 @@
 		})
 	}
 	for i := range changes {
-		time.Sleep(lasts / (changes + 1))
-		gone, come := entry(i), entry(endpoints+i)
-		gone.Status = "terminated"
-		if _, err := registry.Update(0, gone, come); err != nil {
+		time.Sleep(duration / (changes + 1))
+		removed, added := entry(i), entry(endpoints+i)
+		removed.Status = "terminated"
+		if _, err := registry.Update(0, removed, added); err != nil {
 			t.Fatal(err)
 		}
 		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 		if err != nil {
 			t.Fatal(err)
 		}
-		need.descriptors = max(need.descriptors, len(fds))
+		usage.descriptors = max(usage.descriptors, len(fds))
 	}
 	all.Wait()
-	need.cpu, need.peak, need.lists = procStat(t, pid), procPeak(t, pid), registry.Counts().BytesOut
+	usage.cpu, usage.peakMemory, usage.discoveryBytes = processCPU(t, pid), processPeakMemory(t, pid), registry.Counts().BytesOut
 	for _, n := range nodes {
-		need.connections += n.TotalConns()
+		usage.connections += n.TotalConns()
 	}
-	return need
+	return usage
 }
 
-// A sidecar of a fleet with sixteen times the endpoints, and as many more sidecars, needs
-// only so much more over the same day: the bounds are the operators'.
+// The resource usage of a sidecar stays within the bounds that operators require when the
+// numbers of endpoints and sidecars grow sixteenfold.
 func TestGrowthOverSixteenTimesTheEndpoints(t *testing.T) {
 	t.Parallel()
-	const usual, large = 200, 3200
-	few, many := fleetDay(t, usual, 56), fleetDay(t, large, 900)
-	t.Logf("%d endpoints: %+v", usual, few)
-	t.Logf("%d endpoints: %+v", large, many)
-	const thousands = float64(large-usual) / 1000
-	bound := func(what string, few, many, times, plus float64) {
-		if most := few*times + plus; many > most {
-			t.Errorf("%s: %.4g, and %.4g with %d endpoints, want %.4g at most", what, few, many, large, most)
+	const small, large = 200, 3200
+	smallUsage, largeUsage := measureSidecar(t, small, 56), measureSidecar(t, large, 900)
+	t.Logf("%d endpoints: %+v", small, smallUsage)
+	t.Logf("%d endpoints: %+v", large, largeUsage)
+	const thousands = float64(large-small) / 1000
+	expectAtMost := func(what string, few, many, factor, extra float64) {
+		if limit := few*factor + extra; many > limit {
+			t.Errorf("%s: %.4g with few endpoints, %.4g with %d endpoints, want %.4g at most", what, few, many, large, limit)
 		}
 	}
 	const mb, kb = 1 << 20, 1 << 10
-	bound("CPU seconds", few.cpu.Seconds(), many.cpu.Seconds(), 1.4, (0.02+0.03*thousands)*detectorCost)
-	bound("peak memory", float64(few.peak), float64(many.peak), 1.5, 8*mb+4*mb*thousands)
-	bound("descriptors", float64(few.descriptors), float64(many.descriptors), 2, 40)
-	bound("connections made", float64(few.connections), float64(many.connections), 2.5, 40)
-	bound("bytes of lists", float64(few.lists), float64(many.lists), 2, 64*kb+500*kb*thousands)
-	share := func(n fleetNeeds) float64 { return float64(n.served) / float64(max(1, n.asked)) }
-	if share(many) < 0.85*share(few) || few.served == 0 {
-		t.Errorf("%d of %d served, and %d of %d with %d endpoints", few.served, few.asked, many.served, many.asked, large)
+	expectAtMost("CPU seconds", smallUsage.cpu.Seconds(), largeUsage.cpu.Seconds(), 1.4, (0.02+0.03*thousands)*raceCPUFactor)
+	expectAtMost("peak memory", float64(smallUsage.peakMemory), float64(largeUsage.peakMemory), 1.5, 8*mb+4*mb*thousands)
+	expectAtMost("descriptors", float64(smallUsage.descriptors), float64(largeUsage.descriptors), 2, 40)
+	expectAtMost("connections opened", float64(smallUsage.connections), float64(largeUsage.connections), 2.5, 40)
+	expectAtMost("bytes from discovery", float64(smallUsage.discoveryBytes), float64(largeUsage.discoveryBytes), 2, 64*kb+500*kb*thousands)
+	servedShare := func(u resourceUsage) float64 { return float64(u.served) / float64(max(1, u.requests)) }
+	if servedShare(largeUsage) < 0.85*servedShare(smallUsage) || smallUsage.served == 0 {
+		t.Errorf("%d of %d requests served with few endpoints, %d of %d with %d endpoints, want a similar share", smallUsage.served, smallUsage.requests, largeUsage.served, largeUsage.requests, large)
 	}
 }
--- a/internal/sidecar/level_test.go
+++ b/internal/sidecar/level_test.go
@@ -20,27 +20,17 @@
 	"gorselink/internal/standin"
 )
 
-// The memory of a sidecar stays level while ids, connections, endpoints and classes
-// are ever new. After a time of the same churn, what the churn leaves behind is what
-// the tables are bounded to:
-//
-//	ids         2 spans of 8192, a map's entry of some 100 bytes each   1.6 MB
-//	endpoints   4096 names of those gone, of some 100 bytes             0.4 MB
-//	classes     of 4 that come by turns, none is new after the first round
-//	connections none
-//
-// The first stretch fills the ids' tables to half or more, so that the second, of five
-// times as many requests, may add 1.2 MB to them. An endpoint that is gone is held for
-// 30 s, some 2 KB each with its target and window, and 400 of them come here: 0.8 MB.
-// With a quarter as much again for what the collector has not reached: 2.5 MB, or 80 bytes a
-// request, where a connection's buffers or a request's body are thousands.
-func TestMemoryLevelUnderChurn(t *testing.T) {
-	var served atomic.Int64 // not a standin.Node, which remembers every id
+// The memory of a sidecar stays bounded while ids, connections, endpoints and classes change
+// constantly. Between the two measurements the heap may grow by 2.5 MB: 1.2 MB of ids,
+// 0.8 MB of removed endpoints, which are kept for 30 s, and a quarter more for uncollected
+// garbage. A leak of connection buffers or request bodies would exceed this.
+func TestMemoryBoundedUnderChurn(t *testing.T) {
+	var served atomic.Int64 // unlike standin.Node, does not store request ids
 	var list []standin.Entry
 	for i := range 3 {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { served.Add(1) }))
 		t.Cleanup(node.Close)
-		list = append(list, standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: address(node), Zone: "a", Status: string(nodes.InService)})
+		list = append(list, standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: serverAddr(node), Zone: "a", Status: string(nodes.InService)})
 	}
 	agent, err := standin.StartAgent(list...)
 	if err != nil {
@@ -48,26 +38,26 @@
 	}
 	t.Cleanup(agent.Close)
 	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
-	// All endpoints are ever new to the process, whatever their stamps say: with a ramp they
-	// would be cold, and not all that is asked for would reach one.
-	text := strings.Replace(configuration(listen, agent.Addr()), `"RampTimeS":5`, `"RampTimeS":0`, 1)
-	put(t, path, text)
-	p, _ := start(t, path, t.TempDir())
+	// All endpoints are new to the process. With a ramp time they would be cold, and some
+	// requests would not be served.
+	text := strings.Replace(configJSON(listen, agent.Addr()), `"RampTimeS":5`, `"RampTimeS":0`, 1)
+	writeFile(t, path, text)
+	p, _ := startInstance(t, path, t.TempDir())
 
-	const callers, each = 8, 30 // requests a connection
-	stretch := func(requests, endpoints, reloads int) {
+	const clients, requestsPerConn = 8, 30
+	churn := func(requests, endpoints, reloads int) {
 		var wg sync.WaitGroup
-		for range callers {
+		for range clients {
 			wg.Go(func() {
-				for n := 0; n < requests/callers; n += each {
+				for n := 0; n < requests/clients; n += requestsPerConn {
 					c, err := net.Dial("tcp", listen)
 					if err != nil {
 						t.Error(err)
 						return
 					}
 					in := bufio.NewReader(c)
-					for range each {
-						fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\n\r\n", lastAsk.Add(1))
+					for range requestsPerConn {
+						fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\n\r\n", lastCallID.Add(1))
 						resp, err := http.ReadResponse(in, nil)
 						if err != nil {
 							t.Error(err)
@@ -79,17 +69,17 @@
 				}
 			})
 		}
-		for i := range endpoints { // a new name at the address of an old one
+		for i := range endpoints { // replace an endpoint by a new name at the same address
 			e := list[i%len(list)]
-			gone := e
-			gone.Status = string(nodes.Terminated)
-			e.Name = fmt.Sprintf("s-%d-%d", lastAsk.Add(1), i)
+			removed := e
+			removed.Status = string(nodes.Terminated)
+			e.Name = fmt.Sprintf("s-%d-%d", lastCallID.Add(1), i)
 			list[i%len(list)] = e
-			agent.Update(e, gone)
+			agent.Update(e, removed)
 			time.Sleep(5 * time.Millisecond)
 		}
 		for i := range reloads {
-			put(t, path, strings.Replace(text, `"Worth":1}`, fmt.Sprintf(`"Worth":1},{"Name":"c%d","AimS":1,"DeadlineS":2,"Semantics":"free","Worth":2}`, i%4), 1))
+			writeFile(t, path, strings.Replace(text, `"Worth":1}`, fmt.Sprintf(`"Worth":1},{"Name":"c%d","AimS":1,"DeadlineS":2,"Semantics":"free","Worth":2}`, i%4), 1))
 			p.reload <- syscall.SIGHUP
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -105,28 +95,28 @@
 		return m.HeapAlloc
 	}
 	goroutines := func() int { return runtime.NumGoroutine() }
-	// A connection that rests between two requests is memory in use. How many there are at
-	// the end of a stretch is chance, so that none is left when the heap is measured.
-	settled := func() {
+	// The number of idle connections after churn varies, so all are closed before the heap
+	// is measured.
+	closeIdleConns := func() {
 		http.DefaultClient.CloseIdleConnections()
-		eventually(t, "idle connections are closed", func() bool { return p.up.OpenConns() == 0 })
+		eventually(t, "idle connections are closed", func() bool { return p.upstream.OpenConns() == 0 })
 	}
-	stretch(6000, 80, 20)
-	settled()
+	churn(6000, 80, 20)
+	closeIdleConns()
 	before, running := heap(), goroutines()
-	stretch(30000, 400, 100)
-	settled()
+	churn(30000, 400, 100)
+	closeIdleConns()
 	after := heap()
-	t.Logf("%d KB after the first stretch, %d KB after the second; %d and %d goroutines", before>>10, after>>10, running, goroutines())
-	if grown := int64(after) - int64(before); grown > 5<<19 {
-		t.Errorf("the heap grew by %d KB, want %d at most", grown>>10, 5<<9)
+	t.Logf("%d KB after the first churn, %d KB after the second; %d and %d goroutines", before>>10, after>>10, running, goroutines())
+	if growth := int64(after) - int64(before); growth > 5<<19 {
+		t.Errorf("heap grew by %d KB, want %d KB at most", growth>>10, 5<<9)
 	}
-	eventually(t, "no goroutine is left of what has ended", func() bool { return goroutines() <= running+8 })
+	eventually(t, "goroutines of closed connections have ended", func() bool { return goroutines() <= running+8 })
 	if n := p.pool.ClassCount(); n > 5 {
-		t.Errorf("%d classes, want 5 at most", n)
+		t.Errorf("%d classes registered, want 5 at most", n)
 	}
 	if n := served.Load(); n < 36000 {
-		t.Errorf("%d requests reached a node, want 36000", n)
+		t.Errorf("%d requests reached a node, want at least 36000", n)
 	}
 	p.finish(t)
 }
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// listen listens at addr, and lets a later process of the same user do so too:
-// where it cannot be handed this socket it need not wait for its end.
+// listen listens on addr with SO_REUSEPORT, so that a successor process of the same user
+// can listen on it too when the handover of this socket fails.
 func listen(addr string) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var failed error
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -7,48 +7,51 @@
 	"gorselink/internal/fleet"
 )
 
-// operated is the sidecar as operators have it.
-type operated struct{ s *Sidecar }
+// operatorAPI gives the operator console access to a sidecar.
+type operatorAPI struct{ sidecar *Sidecar }
 
-// Ready implements fleet.Operated. A drained sidecar is ready: it can serve, and
-// only tells callers to go elsewhere.
-func (o operated) Ready() bool { return o.s.pool.HasList() }
+// Ready implements fleet.Operated. A drained sidecar is ready because it still serves
+// the requests that it receives.
+func (o operatorAPI) Ready() bool { return o.sidecar.pool.HasList() }
 
 // Listed implements fleet.Operated.
-func (o operated) EverListed(id string) bool {
-	return o.s.pool.Knows(id) || o.s.marks.State().Disabled[id]
+func (o operatorAPI) EverListed(id string) bool {
+	return o.sidecar.pool.Knows(id) || o.sidecar.operatorState.State().Disabled[id]
 }
 
 // Out implements fleet.Operated.
-func (o operated) SetDisabled(id string, out bool) error { return o.s.marks.SetDisabled(id, out) }
+func (o operatorAPI) SetDisabled(id string, out bool) error {
+	return o.sidecar.operatorState.SetDisabled(id, out)
+}
 
 // Drain implements fleet.Operated.
-func (o operated) SetDrained(on bool) error { return o.s.marks.SetDrained(on) }
+func (o operatorAPI) SetDrained(on bool) error { return o.sidecar.operatorState.SetDrained(on) }
 
-// heed takes up what operators have said, to this process or another one.
-func (s *Sidecar) heed(said fleet.OperatorState) {
-	s.pool.SetDisabled(said.Disabled)
+// applyOperatorState applies the endpoints that operators have disabled and the drain
+// state that they have set, in this process or in another process of the same sidecar.
+func (s *Sidecar) applyOperatorState(state fleet.OperatorState) {
+	s.pool.SetDisabled(state.Disabled)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if said.Drained == s.away {
+	if state.Drained == s.drained {
 		return
 	}
-	s.away = said.Drained
-	slog.Info("drained by hand", "on", s.away)
-	s.judge.SetDrained(s.away)
-	if s.ebb != nil {
-		s.ebb.Stop()
+	s.drained = state.Drained
+	slog.Info("operator drain state changed", "on", s.drained)
+	s.router.SetDrained(s.drained)
+	if s.closeIdleTimer != nil {
+		s.closeIdleTimer.Stop()
 	}
-	if !s.away {
-		s.callers.SetCloseIdle(false)
+	if !s.drained {
+		s.server.SetCloseIdle(false)
 		return
 	}
-	// New connections go on coming until the front has heard of it.
-	s.ebb = time.AfterFunc(comingTime, func() {
+	// New connections still arrive until the front-end load balancer sees the drain state.
+	s.closeIdleTimer = time.AfterFunc(newConnPeriod, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.away {
-			s.callers.SetCloseIdle(true)
+		if s.drained {
+			s.server.SetCloseIdle(true)
 		}
 	})
 }
--- a/internal/sidecar/race_on_test.go
+++ b/internal/sidecar/race_on_test.go
@@ -2,5 +2,5 @@
 
 package sidecar
 
-// detectorCost is how many times the processor time the race detector makes a process use.
-const detectorCost = 5
+// raceCPUFactor is the factor by which the race detector raises CPU time.
+const raceCPUFactor = 5
--- a/internal/sidecar/refused_test.go
+++ b/internal/sidecar/refused_test.go
@@ -19,12 +19,12 @@
 	"gorselink/internal/standin"
 )
 
-// refusedChild makes the test binary a sidecar whose system calls are filtered.
-const refusedChild = "GORSELINK_TEST_REFUSED"
+// filteredChildEnv makes the test binary run as a sidecar with a system call filter.
+const filteredChildEnv = "GORSELINK_TEST_REFUSED"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(refusedChild); path != "" {
-		if err := refuse(); err != nil {
+	if path := os.Getenv(filteredChildEnv); path != "" {
+		if err := installSyscallFilter(); err != nil {
 			println(err.Error())
 			os.Exit(3)
 		}
@@ -36,8 +36,8 @@
 		}
 		return
 	}
-	if path := os.Getenv(plainChild); path != "" {
-		if err := beSidecar(path); err != nil {
+	if path := os.Getenv(sidecarChildEnv); path != "" {
+		if err := runSidecarChild(path); err != nil {
 			println(err.Error())
 			os.Exit(1)
 		}
@@ -46,30 +46,29 @@
 	os.Exit(m.Run())
 }
 
-// refuse makes what a large fleet's platform refuses end with ENOSYS in all threads
-// of this process: starting programs, io_uring, splice, sendfile, and sockets other
-// than those of IPv4.
-func refuse() error {
+// installSyscallFilter makes system calls that some platforms forbid fail with ENOSYS in all
+// threads of this process: fork and exec, io_uring, splice, sendfile, and non-IPv4 sockets.
+func installSyscallFilter() error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	const (
-		load  = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
-		equal = unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K
-		ret   = unix.BPF_RET | unix.BPF_K
-		allow = 0x7fff0000 // SECCOMP_RET_ALLOW
-		enos  = 0x00050000 | uint32(unix.ENOSYS)
+		load       = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
+		equal      = unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K
+		ret        = unix.BPF_RET | unix.BPF_K
+		allow      = 0x7fff0000 // SECCOMP_RET_ALLOW
+		failENOSYS = 0x00050000 | uint32(unix.ENOSYS)
 	)
-	never := []uint32{unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_EXECVE, unix.SYS_EXECVEAT, unix.SYS_SPLICE, unix.SYS_TEE,
+	refusedCalls := []uint32{unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_EXECVE, unix.SYS_EXECVEAT, unix.SYS_SPLICE, unix.SYS_TEE,
 		unix.SYS_SENDFILE, unix.SYS_IO_URING_SETUP, unix.SYS_IO_URING_ENTER, unix.SYS_IO_URING_REGISTER}
 	prog := []unix.SockFilter{{Code: load, K: 0}}
-	for _, nr := range never {
-		prog = append(prog, unix.SockFilter{Code: equal, K: nr, Jf: 1}, unix.SockFilter{Code: ret, K: enos})
+	for _, nr := range refusedCalls {
+		prog = append(prog, unix.SockFilter{Code: equal, K: nr, Jf: 1}, unix.SockFilter{Code: ret, K: failENOSYS})
 	}
 	prog = append(prog,
 		unix.SockFilter{Code: equal, K: unix.SYS_SOCKET, Jf: 3},
-		unix.SockFilter{Code: load, K: 16}, // the first argument's low half
+		unix.SockFilter{Code: load, K: 16}, // low 32 bits of the first argument
 		unix.SockFilter{Code: equal, K: unix.AF_INET, Jt: 1},
-		unix.SockFilter{Code: ret, K: enos},
+		unix.SockFilter{Code: ret, K: failENOSYS},
 		unix.SockFilter{Code: ret, K: allow})
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return err
@@ -80,29 +79,29 @@
 		return errno
 	}
 	if _, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM, 0); err != unix.ENOSYS {
-		return os.ErrInvalid // the filter does not hold
+		return os.ErrInvalid // the filter has no effect
 	}
 	return nil
 }
 
-// A sidecar whose system calls are refused as a large fleet's bench refuses them
-// serves short and long answers all the same, and says once what it does without.
-func TestServesWithCallsRefused(t *testing.T) {
+// A sidecar with forbidden system calls serves short and long responses, and logs once that no
+// process can take over from it.
+func TestServesWithFilteredSyscalls(t *testing.T) {
 	long := string(bytes.Repeat([]byte("x"), 3<<20))
 	node, err := standin.StartNode(standin.NodeConfig{Name: "s-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(node.Close)
-	big := endpoint(t, long)
-	for _, c := range []struct{ name, address, want string }{{"short", node.Addr(), ""}, {"long", address(big), long}} {
+	big := newEndpointServer(t, long)
+	for _, c := range []struct{ name, address, want string }{{"short", node.Addr(), ""}, {"long", serverAddr(big), long}} {
 		t.Run(c.name, func(t *testing.T) {
-			discovery := told(t, "s-1", c.address)
+			discovery := newDiscoveryServer(t, "s-1", c.address)
 			dir := t.TempDir()
 			listen, path := freeAddr(t), filepath.Join(dir, "config.json")
-			put(t, path, configuration(listen, address(discovery)))
+			writeFile(t, path, configJSON(listen, serverAddr(discovery)))
 			cmd := exec.Command(os.Args[0])
-			cmd.Env = append(os.Environ(), refusedChild+"="+path, "TMPDIR="+dir)
+			cmd.Env = append(os.Environ(), filteredChildEnv+"="+path, "TMPDIR="+dir)
 			var mu sync.Mutex
 			var log bytes.Buffer
 			cmd.Stderr = writerFunc(func(b []byte) (int, error) {
@@ -116,21 +115,21 @@
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
 			t.Cleanup(func() { cmd.Process.Kill() })
-			eventually(t, "an answer", func() bool {
+			eventually(t, "a response", func() bool {
 				select {
 				case err := <-ended:
 					mu.Lock()
 					defer mu.Unlock()
-					t.Fatalf("the sidecar ended: %v\n%s", err, log.String())
+					t.Fatalf("the sidecar exited: %v\n%s", err, log.String())
 				default:
 				}
-				got := askNew(listen)
+				got := getWithNewID(listen)
 				return got != "" && (c.want == "" || got == c.want)
 			})
 			mu.Lock()
 			defer mu.Unlock()
 			if n := bytes.Count(log.Bytes(), []byte("no other process can take this one's place")); n != 1 {
-				t.Errorf("said %d times that no process can take its place, want once:\n%s", n, log.String())
+				t.Errorf("logged %d times that no process can take over, want once:\n%s", n, log.String())
 			}
 		})
 	}
--- a/internal/sidecar/short_test.go
+++ b/internal/sidecar/short_test.go
@@ -22,58 +22,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// lastClients counts requests against a sidecar that is told to end.
-type lastClients struct {
-	listen   string
-	deadline time.Duration
-	told     atomic.Pointer[time.Time] // when SIGTERM was sent
+// shutdownClients records the outcomes of requests to a sidecar that is terminated.
+type shutdownClients struct {
+	listen       string
+	deadline     time.Duration
+	terminatedAt atomic.Pointer[time.Time] // when SIGTERM was sent
 
-	answered, unread, nobody atomic.Int64
+	answered, unread, connectFailed atomic.Int64
 
-	mu     sync.Mutex
-	wrongs []string
+	mu         sync.Mutex
+	violations []string
 }
 
-// wrong books what must not be.
-func (l *lastClients) wrong(format string, args ...any) {
+// addViolation records a violation of the shutdown guarantees.
+func (l *shutdownClients) addViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wrongs = append(l.wrongs, fmt.Sprintf(format, args...))
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// since is how long ago SIGTERM was sent, negative before.
-func (l *lastClients) since() time.Duration {
-	if at := l.told.Load(); at != nil {
+// sinceTermination returns the time since SIGTERM, or a negative value before it.
+func (l *shutdownClients) sinceTermination() time.Duration {
+	if at := l.terminatedAt.Load(); at != nil {
 		return time.Since(*at)
 	}
 	return -1
 }
 
-// dial connects, or returns nil where nobody listens any more.
-func (l *lastClients) dial() net.Conn {
-	began := l.since()
+// dial connects to the sidecar. It returns nil if the connection fails.
+func (l *shutdownClients) dial() net.Conn {
+	began := l.sinceTermination()
 	c, err := net.DialTimeout("tcp", l.listen, time.Second)
 	if err != nil {
-		if began < deals {
-			l.wrong("%v after SIGTERM: %v", began, err)
+		if began < newConnWindow {
+			l.addViolation("connection refused %v after SIGTERM: %v", began, err)
 		}
-		l.nobody.Add(1)
+		l.connectFailed.Add(1)
 		return nil
 	}
 	return c
 }
 
-// deals is how long after SIGTERM the front deals out new connections at the most.
-const deals = 400 * time.Millisecond
+// newConnWindow is how long after SIGTERM the front-end load balancer may open connections.
+const newConnWindow = 400 * time.Millisecond
 
-// ask makes one request on c and tells whether another may follow. The answer has to be
-// whole, or the request unread.
-func (l *lastClients) ask(c net.Conn, in *bufio.Reader, fresh bool) (goesOn bool) {
-	began := l.since()
-	c.SetDeadline(time.Now().Add(patience))
-	head := fmt.Sprintf("GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\nX-Budget-Ms: %d\r\n\r\n", lastAsk.Add(1), l.deadline.Milliseconds())
+// sendRequest sends a request on c and returns whether the connection stays open. The request
+// must get a complete response or must not have been read.
+func (l *shutdownClients) sendRequest(c net.Conn, in *bufio.Reader, newConn bool) (keepAlive bool) {
+	began := l.sinceTermination()
+	c.SetDeadline(time.Now().Add(testTimeout))
+	head := fmt.Sprintf("GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\nX-Budget-Ms: %d\r\n\r\n", lastCallID.Add(1), l.deadline.Milliseconds())
 	_, err := io.WriteString(c, head)
-	written, came := time.Now(), l.since()
+	written, writtenAt := time.Now(), l.sinceTermination()
 	var resp *http.Response
 	if err == nil {
 		resp, err = http.ReadResponse(in, nil)
@@ -85,25 +85,24 @@
 	case err == nil:
 		l.answered.Add(1)
 		if began >= 0 && took > l.deadline+500*time.Millisecond {
-			l.wrong("a request %v after SIGTERM is answered after %v", began, took)
+			l.addViolation("a request sent %v after SIGTERM was answered after %v", began, took)
 		}
 		return !resp.Close
-	case fresh && began >= 0 && came < deals:
-		l.wrong("the first request of a connection that came %v after SIGTERM is closed on: %v", began, err)
+	case newConn && began >= 0 && writtenAt < newConnWindow:
+		l.addViolation("the first request on a connection, sent %v after SIGTERM, got no response: %v", began, err)
 	case resp != nil:
-		l.wrong("a request %v after SIGTERM has half an answer: %v", began, err)
-	case read(c, err):
-		l.wrong("a request %v after SIGTERM was read and then closed on, %v later", began, took)
+		l.addViolation("a request sent %v after SIGTERM got a truncated response: %v", began, err)
+	case wasRead(c, err):
+		l.addViolation("a request sent %v after SIGTERM was read, but the connection was closed %v later", began, took)
 	default:
 		l.unread.Add(1)
 	}
 	return false
 }
 
-// read tells whether the other side has read a request before it ended the connection with
-// no answer, which has shown as err. The kernel resets a connection that is closed over
-// bytes, and answers those that come behind a close by a reset.
-func read(c net.Conn, err error) (taken bool) {
+// wasRead reports whether the sidecar read the request before it closed the connection with
+// err. The kernel sends a reset if unread bytes remain at the close or arrive after it.
+func wasRead(c net.Conn, err error) (consumed bool) {
 	if err != io.EOF && err != io.ErrUnexpectedEOF {
 		return false
 	}
@@ -113,52 +112,50 @@
 	}
 	raw.Control(func(fd uintptr) {
 		pending, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR)
-		taken = err == nil && pending == 0
+		consumed = err == nil && pending == 0
 	})
-	return taken
+	return consumed
 }
 
-// heldUp is how long the process may not get to run, in one piece.
-const heldUp = 150 * time.Millisecond
+// processPause is the longest pause of the process that the shutdown must tolerate.
+const processPause = 150 * time.Millisecond
 
-// Deadlines are short, so that SIGKILL comes soon after SIGTERM, and all endpoints hang until
-// then. Clients ask again at once on whatever stays open, some after a pause, and connections
-// that rest bring a request in every moment up to the kill. Each is answered, or has not been
-// read, and the process is gone before the kill, also if it is held up for 0.15 s.
+// With short deadlines SIGKILL follows soon after SIGTERM, while all endpoints hang and clients
+// keep sending requests. Each request is answered or not read, and the process exits before
+// SIGKILL, even if it is paused for processPause.
 //
-// A machine that holds the process up for longer voids a run, which is made again then: the
-// process measures that itself.
+// A run in which the machine pauses the process for longer is repeated.
 func TestShutdownWithShortDeadlines(t *testing.T) {
 	const runs = 12
-	for _, c := range []struct{ deadline, heldUpAt time.Duration }{
+	for _, c := range []struct{ deadline, pauseAt time.Duration }{
 		{100 * time.Millisecond, 0},
 		{300 * time.Millisecond, 0},
 		{time.Second, 0},
-		{100 * time.Millisecond, 500 * time.Millisecond}, // into the last moment of the process
+		{100 * time.Millisecond, 500 * time.Millisecond}, // pauses until the process exits
 		{300 * time.Millisecond, 700 * time.Millisecond},
 	} {
-		t.Run(fmt.Sprintf("%v, held up after %v", c.deadline, c.heldUpAt), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v, paused after %v", c.deadline, c.pauseAt), func(t *testing.T) {
 			t.Parallel()
 			for run := 1; ; run++ {
-				lag, wrong := shutDown(t, c.deadline, c.heldUpAt)
-				if lag <= heldUp+20*time.Millisecond {
-					for _, w := range wrong {
+				lag, violations := runShutdown(t, c.deadline, c.pauseAt)
+				if lag <= processPause+20*time.Millisecond {
+					for _, w := range violations {
 						t.Error(w)
 					}
 					return
 				}
-				t.Logf("run %d is void: held up for %v, %d times wrong", run, lag, len(wrong))
+				t.Logf("run %d is void: paused for %v, %d violations", run, lag, len(violations))
 				if run == runs {
-					t.Fatalf("%d runs are void", runs)
+					t.Fatalf("all %d runs are void", runs)
 				}
 			}
 		})
 	}
 }
 
-// shutDown makes one run, and tells for how long the process, or this one, was held up in one
-// piece and what was wrong.
-func shutDown(t *testing.T, deadline, heldUpAt time.Duration) (lag time.Duration, wrong []string) {
+// runShutdown performs one run. It returns the longest pause of the sidecar or of this process,
+// and the violations.
+func runShutdown(t *testing.T, deadline, pauseAt time.Duration) (lag time.Duration, violations []string) {
 	var hangs atomic.Bool
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if hangs.Load() {
@@ -166,40 +163,40 @@
 		}
 	}))
 	defer node.Close()
-	m := &member{listen: freeAddr(t), dir: t.TempDir()}
-	m.path = filepath.Join(m.dir, "config.json")
-	text := deadlines(configuration(m.listen, address(told(t, "s-1", address(node)))), fmt.Sprint(deadline.Seconds()))
-	put(t, m.path, strings.Replace(text, `"sockets":256`, `"sockets":4096`, 1))
+	m := &fleetMember{listen: freeAddr(t), dir: t.TempDir()}
+	m.configPath = filepath.Join(m.dir, "config.json")
+	text := withDeadline(configJSON(m.listen, serverAddr(newDiscoveryServer(t, "s-1", serverAddr(node)))), fmt.Sprint(deadline.Seconds()))
+	writeFile(t, m.configPath, strings.Replace(text, `"sockets":256`, `"sockets":4096`, 1))
 	m.start(t)
 	p := m.process()
 	defer p.cmd.Process.Kill()
 
 	const step = 6 * time.Millisecond
-	kill := deadline + killTime
-	l := &lastClients{listen: m.listen, deadline: deadline}
-	var all sync.WaitGroup
-	begin := make(chan struct{})
-	for at := time.Duration(0); at < kill; at += step { // one that rests until then
+	killAfter := deadline + killDelay
+	l := &shutdownClients{listen: m.listen, deadline: deadline}
+	var clients sync.WaitGroup
+	terminated := make(chan struct{})
+	for at := time.Duration(0); at < killAfter; at += step { // idle until its time after SIGTERM
 		c := l.dial()
 		if c == nil {
-			t.Fatal("nobody listens")
+			t.Fatal("cannot connect before SIGTERM")
 		}
 		defer c.Close()
-		all.Go(func() {
-			<-begin
-			time.Sleep(at - l.since())
-			l.ask(c, bufio.NewReader(c), false)
+		clients.Go(func() {
+			<-terminated
+			time.Sleep(at - l.sinceTermination())
+			l.sendRequest(c, bufio.NewReader(c), false)
 		})
 	}
-	for i := range 32 { // as many again at once as after a pause
-		all.Go(func() {
-			for first := true; first || l.since() < deals; first = false {
+	for i := range 32 { // half of them without a pause between requests
+		clients.Go(func() {
+			for first := true; first || l.sinceTermination() < newConnWindow; first = false {
 				c := l.dial()
 				if c == nil {
 					return
 				}
 				in := bufio.NewReader(c)
-				for n := 0; l.ask(c, in, n == 0); n++ {
+				for n := 0; l.sendRequest(c, in, n == 0); n++ {
 					time.Sleep(time.Duration(i%2*(5+n%7)) * time.Millisecond)
 				}
 				c.Close()
@@ -208,43 +205,43 @@
 	}
 	eventually(t, "requests are answered", func() bool { return l.answered.Load() >= 200 })
 	hangs.Store(true)
-	ctx, measure := context.WithCancel(context.Background())
-	own, _ := measureLag(ctx)
-	measure()
+	ctx, startMeasuring := context.WithCancel(context.Background())
+	ownLag, _ := measureLag(ctx)
+	startMeasuring()
 	now := time.Now()
-	l.told.Store(&now)
+	l.terminatedAt.Store(&now)
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	close(begin)
-	if heldUpAt > 0 {
-		all.Go(func() {
-			time.Sleep(heldUpAt - l.since())
+	close(terminated)
+	if pauseAt > 0 {
+		clients.Go(func() {
+			time.Sleep(pauseAt - l.sinceTermination())
 			p.cmd.Process.Signal(syscall.SIGSTOP)
-			time.Sleep(heldUp)
+			time.Sleep(processPause)
 			p.cmd.Process.Signal(syscall.SIGCONT)
 		})
 	}
 	select {
 	case err := <-p.ended:
 		if err != nil {
-			l.wrong("told to end: %v", err)
+			l.addViolation("the process exited after SIGTERM with: %v", err)
 		}
-	case <-time.After(patience):
-		t.Fatal("the process does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("the process did not exit")
 	}
-	all.Wait()
-	t.Logf("%d answered, %d unread, %d found nobody", l.answered.Load(), l.unread.Load(), l.nobody.Load())
-	said, err := os.ReadFile(filepath.Join(m.dir, lagFile))
+	clients.Wait()
+	t.Logf("%d answered, %d unread, %d could not connect", l.answered.Load(), l.unread.Load(), l.connectFailed.Load())
+	lagText, err := os.ReadFile(filepath.Join(m.dir, lagFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var total, took time.Duration
-	if _, err := fmt.Sscan(string(said), &lag, &total, &took); err != nil {
+	if _, err := fmt.Sscan(string(lagText), &lag, &total, &took); err != nil {
 		t.Fatal(err)
 	}
-	// What it was held up for beyond what it has to allow for is not its own.
-	if over := max(0, total-heldUp); took-over > kill {
-		l.wrong("the process ends %v after SIGTERM, held up for %v in all, the kill comes after %v", took, total, kill)
+	// Pauses beyond the tolerated one do not count against the process.
+	if excessLag := max(0, total-processPause); took-excessLag > killAfter {
+		l.addViolation("the process exited %v after SIGTERM, paused for %v in total, want before SIGKILL after %v", took, total, killAfter)
 	}
-	t.Logf("ended %v after SIGTERM, held up for %v in all, the kill comes after %v", took, total, kill)
-	return max(lag, time.Duration(own.Load())), l.wrongs
+	t.Logf("exited %v after SIGTERM, paused for %v in total, SIGKILL after %v", took, total, killAfter)
+	return max(lag, time.Duration(ownLag.Load())), l.violations
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,6 +1,6 @@
-// Package sidecar is the platform's sidecar: one service behind one listener, by
-// one file, with a door for operators. A new process of the same sidecar takes
-// the place of one that serves without a caller noticing.
+// Package sidecar runs the load balancer as a platform sidecar: one service behind one
+// listener, one configuration file and an operator console. A new process can take over
+// from a running one without failing any request.
 package sidecar
 
 import (
@@ -27,145 +27,145 @@
 )
 
 const (
-	// heapShare of the memory limit is the Go runtime's; the rest is for the
-	// kernel's socket buffers, which count too, and for what the runtime
-	// overshoots by.
-	heapShare = 0.7
+	// heapFraction is the part of the memory limit given to the Go runtime. The rest covers
+	// kernel socket buffers, which count towards the limit, and overshoot of the runtime.
+	heapFraction = 0.7
 
-	// largeShare: what is read ahead of long answers may fill one part in so
-	// many of the memory.
-	largeShare = 5
-	// longShare: so may bodies of requests over the protocol's first bound.
-	longShare = 8
-	// bodyShare: bodies may fill one part in so many of the memory. Heads,
-	// answers, stacks and garbage need the rest; at 32 MB it is still room
-	// for 64 of the longest bodies.
-	bodyShare = 8
+	// The memory limit divided by readAheadDivisor bounds the data read ahead of large
+	// responses.
+	readAheadDivisor = 5
+	// The memory limit divided by longBodyDivisor bounds the request bodies that exceed the
+	// protocol's lower size limit.
+	longBodyDivisor = 8
+	// The memory limit divided by bodyDivisor bounds all request bodies. The rest is for
+	// headers, responses, stacks and garbage.
+	bodyDivisor = 8
 
-	// restTime is what a second answer may come late, some milliseconds, and short beside
-	// what a request takes: a connection that rests is one that others have to do without,
-	// and where new ones come up badly that costs service.
-	restTime = 5 * time.Millisecond
+	// connReuseDelay is how long a connection stays unused after a response, so that an
+	// unsolicited second response is detected before the next request is sent on it.
+	connReuseDelay = 5 * time.Millisecond
 
-	// comingTime is how long after SIGTERM all goes on as before at the least:
-	// new connections go on coming for 0.4 s. The same holds for a drain by hand.
-	comingTime = 600 * time.Millisecond
-	// windDown is what the last requests get at the least. Until it begins
-	// connections stay as they are, since their callers may have nowhere else to
-	// go yet; most answers come well within it.
-	windDown = 1500 * time.Millisecond
-	// SIGKILL comes no sooner than killTime after the longest deadline, of which
-	// killLongest counts at most, however long requests may take here.
-	killLongest = 3 * time.Second
-	killTime    = 700 * time.Millisecond
-	// killMargin is how long before it the process is gone.
+	// newConnPeriod is how long the process accepts new connections after SIGTERM or an
+	// operator's drain. The front-end load balancer opens new ones for up to 0.4 s.
+	newConnPeriod = 600 * time.Millisecond
+	// minDrainPeriod is how long before its exit the process starts to close connections,
+	// where newConnPeriod leaves that much time. Until then connections stay open, because
+	// callers may not be able to connect to another sidecar yet.
+	minDrainPeriod = 1500 * time.Millisecond
+	// The platform sends SIGKILL no sooner than killDelay after the longest request deadline
+	// following SIGTERM. A longest deadline above maxKillDeadline counts as maxKillDeadline.
+	maxKillDeadline = 3 * time.Second
+	killDelay       = 700 * time.Millisecond
+	// killMargin is how long before SIGKILL the process should have exited.
 	killMargin = 200 * time.Millisecond
-	// answerMargin is what the very last answers have to be written.
-	answerMargin = 50 * time.Millisecond
-	// drainLeast is what connections have to end in at the least, where the kill comes so
-	// soon that comingTime would leave less. Until then is still more than new ones come for.
-	drainLeast = 150 * time.Millisecond
-	// exitMargin is how long before the kill the process ends whatever is still open. It has
-	// killMargin less that to answer what it finds if it does not get to run for a while.
+	// responseWriteMargin is the time reserved for writing the last responses.
+	responseWriteMargin = 50 * time.Millisecond
+	// minConnDrainPeriod is the minimum time for closing connections. It shortens
+	// newConnPeriod where SIGKILL comes early.
+	minConnDrainPeriod = 150 * time.Millisecond
+	// exitMargin is how long before SIGKILL the process closes all open connections.
+	// killMargin less exitMargin is left to answer requests if the process is not scheduled
+	// for a while.
 	exitMargin = 20 * time.Millisecond
 )
 
-// Place is where a sidecar finds what it is told.
+// Options are the settings that a sidecar gets from its environment.
 type Options struct {
-	ConfigPath  string // path of the configuration
-	ConsoleAddr string // address:port for operators, if the configuration names none
-	TempDir     string // folder that the processes of this sidecar share; "" for none
+	ConfigPath  string
+	ConsoleAddr string // host:port of the operator console if the configuration names none
+	TempDir     string // parent of the directory shared by the sidecar's processes; "" for none
 }
 
-// Sidecar is one process of the platform's sidecar.
+// Sidecar is one process of a sidecar.
 type Sidecar struct {
-	place    Options
-	cfg      *config.Platform // guarded by mu once it serves
-	longest  time.Duration    // the shortest that LongestDeadline has been
-	limits   config.Limits    // as they were at the start
-	listener net.Listener
-	up       *upstream.Pool
-	pool     *pool.Pool
-	judge    *httpfront.PlatformRouter
-	callers  *httpfront.Server
-	marks    *fleet.OperatorStore
+	options             Options
+	cfg                 *config.Platform // guarded by mu while serving
+	shortestMaxDeadline time.Duration    // minimum LongestDeadline over all configurations so far
+	limits              config.Limits    // from the first configuration
+	listener            net.Listener
+	upstream            *upstream.Pool
+	pool                *pool.Pool
+	router              *httpfront.PlatformRouter
+	server              *httpfront.Server
+	operatorState       *fleet.OperatorStore
 
-	mu      sync.Mutex
-	away    bool                // drained by hand
-	ebb     *time.Timer         // lets go of callers once new ones have ceased to come
-	before  *fleet.HandoverLink // to the process whose place this one takes, until it is gone
-	after   *fleet.HandoverLink // to the one that takes this one's place
-	serving bool                // after has said that it serves
-	ending  bool                // SIGTERM has come
+	mu               sync.Mutex
+	drained          bool                // by an operator
+	closeIdleTimer   *time.Timer         // closes idle caller connections after newConnPeriod
+	predecessor      *fleet.HandoverLink // to the process that this one takes over from, until it exits
+	successor        *fleet.HandoverLink // to the process that takes over from this one
+	successorServing bool
+	terminating      bool // SIGTERM was received
 }
 
-// Run serves until ctx ends, and then until all that was taken is answered.
-// Each reload reads the configuration again.
-func Run(ctx context.Context, at Options, reload <-chan os.Signal) error {
-	if at.ConfigPath == "" {
+// Run serves until ctx is done, then drains: it answers the requests that it has received
+// and returns. Each signal on reload reloads the configuration.
+func Run(ctx context.Context, options Options, reload <-chan os.Signal) error {
+	if options.ConfigPath == "" {
 		return errors.New("ROUTER_CONFIG: missing")
 	}
-	cfg, err := config.LoadPlatform(at.ConfigPath)
+	cfg, err := config.LoadPlatform(options.ConfigPath)
 	if err != nil {
 		return err
 	}
-	s := &Sidecar{place: at, cfg: cfg}
+	s := &Sidecar{options: options, cfg: cfg}
 	return s.run(ctx, reload)
 }
 
-// thrifty is cfg with connections kept idle for no longer than upstream.KeepIdle.
-func thrifty(cfg *config.Platform) *config.Platform {
+// limitIdleTimeout lowers the idle timeout of endpoint connections in cfg to
+// upstream.OptimalIdleTimeout and returns cfg.
+func limitIdleTimeout(cfg *config.Platform) *config.Platform {
 	cfg.Balance.IdleConnTimeout = min(cfg.Balance.IdleConnTimeout, upstream.OptimalIdleTimeout(cfg.HandshakePrice, cfg.ConnectionPrice))
 	return cfg
 }
 
-// handed is what a process hands to the one that takes its place.
-type handed struct {
-	Nodes  []nodes.Endpoint  `json:"nodes"`  // as they are listed now
-	Listed []string          `json:"listed"` // names that have been listed once
-	Memory pool.LearnedState `json:"memory"` // what was learnt
+// handoverState is the state that a process sends to its successor.
+type handoverState struct {
+	Endpoints  []nodes.Endpoint  `json:"nodes"`  // current list
+	KnownNames []string          `json:"listed"` // names of all endpoints that have been listed
+	Learned    pool.LearnedState `json:"memory"`
 }
 
 func (s *Sidecar) run(ctx context.Context, reload <-chan os.Signal) error {
-	cfg := thrifty(s.cfg)
-	s.limits, s.longest = cfg.Limits, cfg.LongestDeadline()
+	cfg := limitIdleTimeout(s.cfg)
+	s.limits, s.shortestMaxDeadline = cfg.Limits, cfg.LongestDeadline()
 	var console net.Listener
 	var err error
-	if addr := cfg.ConsoleAddress(s.place.ConsoleAddr); addr != "" {
+	if addr := cfg.ConsoleAddress(s.options.ConsoleAddr); addr != "" {
 		if console, err = net.Listen("tcp", addr); err != nil {
-			return fmt.Errorf("console: %w", err)
+			return fmt.Errorf("listen for operator console: %w", err)
 		}
 		defer console.Close()
 	}
-	dir := s.folder()
-	var was handed
-	var ages *pool.Ages // of cfg.Known
+	dir := s.sharedDir()
+	var inherited handoverState
+	var ages *pool.Ages // of the endpoints in cfg.Known
 	if dir != "" {
-		if s.before, s.listener, err = fleet.TakeOver(dir, &was); err != nil {
-			slog.Warn("the process before is not heard", "error", err)
+		if s.predecessor, s.listener, err = fleet.TakeOver(dir, &inherited); err != nil {
+			slog.Warn("handover from the previous process failed; continuing without its state", "error", err)
 		}
 	}
 	if s.listener == nil {
 		if s.listener, err = listen(cfg.Listen); err != nil {
-			return fmt.Errorf("listen: %w", err)
+			return fmt.Errorf("listen for callers: %w", err)
 		}
-	} else if len(was.Nodes) > 0 {
-		cfg.Known.Endpoints = was.Nodes // as new as what the old process goes by
-		ages = was.Memory.Ages
+	} else if len(inherited.Endpoints) > 0 {
+		cfg.Known.Endpoints = inherited.Endpoints // the previous process may have a newer list than the file
+		ages = inherited.Learned.Ages
 	}
 	defer s.listener.Close()
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	s.up = upstream.New(upstream.Config{
+	s.upstream = upstream.New(upstream.Config{
 		DialTimeout:        cfg.DialTimeout,
 		IdleTimeout:        cfg.Balance.IdleConnTimeout,
-		ReuseDelay:         restTime,
-		LargeResponseBytes: s.memory() / largeShare,
+		ReuseDelay:         connReuseDelay,
+		LargeResponseBytes: s.memoryBytes() / readAheadDivisor,
 		MaxStreamBytes:     httpfront.PlatformMaxBytes,
 	})
-	defer s.up.Close()
-	begin := discovery(cfg)
+	defer s.upstream.Close()
+	source := newDiscovery(cfg)
 	if cfg.Balance.PullDiscovery && len(cfg.Known.Endpoints) > 0 {
-		begin.Resume(cfg.Known.Index)
+		source.Resume(cfg.Known.Index)
 	}
 	s.pool, err = pool.New(pool.Config{
 		Name:    cfg.Name,
@@ -173,48 +173,48 @@
 		Balance: cfg.Balance,
 		Zones:   cfg.Zones,
 		Known:   cfg.Known,
-		Source:  begin,
-		Limits:  bodyLimits(s.memory()),
+		Source:  source,
+		Limits:  bodyLimits(s.memoryBytes()),
 		Ages:    ages,
-	}, s.up)
+	}, s.upstream)
 	if err != nil {
-		return fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("create endpoint pool: %w", err)
 	}
-	s.pool.AddKnownNames(was.Listed)
-	form, err := s.form(cfg)
+	s.pool.AddKnownNames(inherited.KnownNames)
+	routerConfig, err := s.newRouterConfig(cfg)
 	if err != nil {
 		return err
 	}
-	if s.before != nil {
-		s.pool.Restore(was.Memory)
+	if s.predecessor != nil {
+		s.pool.Restore(inherited.Learned)
 	}
-	s.judge = httpfront.NewPlatformRouter(s.pool, form)
-	s.callers = httpfront.NewServer(s.judge, 1, httpfront.Timeouts{})
-	s.share()
-	if s.marks, err = fleet.OpenOperatorStore(dir, s.heed); err != nil {
-		slog.Error("what operators say cannot be kept, and is refused", "error", err)
-		s.marks = fleet.UnusableOperatorStore(err, s.heed)
+	s.router = httpfront.NewPlatformRouter(s.pool, routerConfig)
+	s.server = httpfront.NewServer(s.router, 1, httpfront.Timeouts{})
+	s.applyLimits()
+	if s.operatorState, err = fleet.OpenOperatorStore(dir, s.applyOperatorState); err != nil {
+		slog.Error("operator state cannot be stored; refusing operator commands", "error", err)
+		s.operatorState = fleet.UnusableOperatorStore(err, s.applyOperatorState)
 	}
-	work, cancel := context.WithCancel(context.Background())
+	serveCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go s.marks.Watch(work.Done())
-	go s.pool.Run(work)
-	go s.report(work)
+	go s.operatorState.Watch(serveCtx.Done())
+	go s.pool.Run(serveCtx)
+	go s.reportStats(serveCtx)
 	if console != nil {
-		door := fleet.NewConsole(operated{s})
-		go door.Serve(fleet.NewLimitedListener(console))
-		defer door.Close()
+		consoleServer := fleet.NewConsole(operatorAPI{s})
+		go consoleServer.Serve(fleet.NewLimitedListener(console))
+		defer consoleServer.Close()
 	}
 	served := make(chan error, 1)
-	go func() { served <- s.callers.Serve(s.listener) }()
-	takesOver := s.before != nil
+	go func() { served <- s.server.Serve(s.listener) }()
+	takesOver := s.predecessor != nil
 	if takesOver {
-		s.succeed(s.before)
+		s.takeOverFrom(s.predecessor)
 	}
 	if dir != "" {
-		successors, err := fleet.ListenForSuccessor(dir, s.listener, s.state, s.begins, s.replaced)
+		successors, err := fleet.ListenForSuccessor(dir, s.listener, s.handoverSnapshot, s.successorStarted, s.successorReady)
 		if err != nil {
-			slog.Warn("no other process can take this one's place unnoticed", "error", err)
+			slog.Warn("no other process can take this one's place: cannot listen for a successor", "error", err)
 		} else {
 			defer successors.Close()
 		}
@@ -223,127 +223,129 @@
 	for ctx.Err() == nil {
 		select {
 		case err := <-served:
-			return fmt.Errorf("serve: %w", err)
+			return fmt.Errorf("serve callers: %w", err)
 		case <-reload:
-			s.reread()
+			s.reloadConfig()
 		case <-ctx.Done():
 		}
 	}
-	s.end(served)
+	s.shutdown(served)
 	return nil
 }
 
-// folder is the one that the processes of this sidecar share, "" if there is
-// none. One that cannot be made yet is made once something is to be kept there.
-func (s *Sidecar) folder() string {
-	if s.place.TempDir == "" {
+// sharedDir returns the directory shared by the processes of this sidecar, or "" if there
+// is none. If the directory cannot be created, later writes of operator state try again.
+func (s *Sidecar) sharedDir() string {
+	if s.options.TempDir == "" {
 		return ""
 	}
-	dir := filepath.Join(s.place.TempDir, "gorselink-"+url.QueryEscape(s.cfg.Name))
+	dir := filepath.Join(s.options.TempDir, "gorselink-"+url.QueryEscape(s.cfg.Name))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		slog.Error("the folder to share with other processes cannot be made yet", "error", err)
+		slog.Error("cannot create the directory shared with other processes; later writes will retry", "error", err)
 	}
 	return dir
 }
 
-func (s *Sidecar) memory() int64 { return int64(s.limits.MemoryMB) << 20 }
+func (s *Sidecar) memoryBytes() int64 { return int64(s.limits.MemoryMB) << 20 }
 
-// share takes this process's part of the limits: all of them, or half while
-// another process of this sidecar is there as well, as the limits are for both.
-func (s *Sidecar) share() {
+// applyLimits applies the configured limits to this process: all of them, or half while
+// another process of the same sidecar is running, because both share them.
+func (s *Sidecar) applyLimits() {
 	s.mu.Lock()
-	defer s.mu.Unlock() // to the end, so that the last word is of the latest state
-	parts := int64(1)
-	if s.before != nil || s.after != nil {
-		parts = 2
+	defer s.mu.Unlock() // held throughout, so that concurrent calls end with the latest state
+	processes := int64(1)
+	if s.predecessor != nil || s.successor != nil {
+		processes = 2
 	}
-	memory, conns := s.memory()/parts, max(2, s.limits.Sockets/int(parts)-config.ReservedDescriptors)
-	debug.SetMemoryLimit(int64(float64(memory) * heapShare))
-	s.up.SetLimits(conns/2, memory/largeShare)
-	s.callers.SetMaxConns(conns / 2)
+	memory, conns := s.memoryBytes()/processes, max(2, s.limits.Sockets/int(processes)-config.ReservedDescriptors)
+	debug.SetMemoryLimit(int64(float64(memory) * heapFraction))
+	s.upstream.SetLimits(conns/2, memory/readAheadDivisor)
+	s.server.SetMaxConns(conns / 2)
 	s.pool.SetLimits(bodyLimits(memory))
 }
 
 func bodyLimits(memory int64) pool.Limits {
-	return pool.Limits{BodyBytes: memory / bodyShare, LongBytes: memory / longShare}
+	return pool.Limits{BodyBytes: memory / bodyDivisor, LongBytes: memory / longBodyDivisor}
 }
 
-// state is what the next process is told.
-func (s *Sidecar) state() any {
-	return handed{Nodes: s.pool.List().Endpoints, Listed: s.pool.KnownNames(), Memory: s.pool.LearnedState()}
+// handoverSnapshot returns the state to send to the successor.
+func (s *Sidecar) handoverSnapshot() any {
+	return handoverState{Endpoints: s.pool.List().Endpoints, KnownNames: s.pool.KnownNames(), Learned: s.pool.LearnedState()}
 }
 
-// succeed takes the place of the process at the other end of l.
-func (s *Sidecar) succeed(l *fleet.HandoverLink) {
+// takeOverFrom takes over caller connections from the process at the other end of link,
+// and notifies it when this process can serve.
+func (s *Sidecar) takeOverFrom(link *fleet.HandoverLink) {
 	go func() {
-		l.ReceiveConns(s.callers.Resume)
+		link.ReceiveConns(s.server.Resume)
 		s.mu.Lock()
-		s.before = nil
+		s.predecessor = nil
 		s.mu.Unlock()
-		slog.Info("the process before is gone")
-		s.share()
+		slog.Info("the previous process has exited; recalculating the limits")
+		s.applyLimits()
 	}()
 	go func() {
-		for !s.pool.HasList() { // the list may come from discovery alone
+		for !s.pool.HasList() { // without a handed-over list, wait for discovery
 			select {
-			case <-l.Done():
+			case <-link.Done():
 				return
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
-		if err := l.SendReady(); err != nil {
-			slog.Warn("the process before is not told", "error", err)
+		if err := link.SendReady(); err != nil {
+			slog.Warn("cannot tell the previous process that this one is ready", "error", err)
 		}
 	}()
 }
 
-// begins tells that another process is about to take this one's place.
-func (s *Sidecar) begins(l *fleet.HandoverLink) {
+// successorStarted records that another process is about to take over. If that process
+// exits first, this one resumes accepting connections.
+func (s *Sidecar) successorStarted(link *fleet.HandoverLink) {
 	s.mu.Lock()
-	s.after = l
+	s.successor = link
 	s.mu.Unlock()
-	slog.Info("another process begins")
-	s.share()
+	slog.Info("successor process started; using half of the limits")
+	s.applyLimits()
 	go func() {
-		<-l.Done()
+		<-link.Done()
 		s.mu.Lock()
-		last := s.after == l // another one may have begun since
-		if last {
-			s.after, s.serving = nil, false
+		current := s.successor == link // a newer successor may have started
+		if current {
+			s.successor, s.successorServing = nil, false
 		}
-		ending := s.ending
+		terminating := s.terminating
 		s.mu.Unlock()
-		if last && !ending {
-			slog.Warn("the other process is gone, this one serves on")
-			s.share()
-			s.accept(true)
+		if current && !terminating {
+			slog.Warn("successor process exited; accepting new connections again")
+			s.applyLimits()
+			s.setAccepting(true)
 		}
 	}()
 }
 
-// replaced tells that the next process serves. It takes what is new from here
-// on; what this one has stays until it is told to end, as the other may fail.
-func (s *Sidecar) replaced(*fleet.HandoverLink) {
+// successorReady records that the successor serves, and leaves new connections to it.
+// Open connections stay here until SIGTERM, because the successor may still fail.
+func (s *Sidecar) successorReady(*fleet.HandoverLink) {
 	s.mu.Lock()
-	s.serving = true
+	s.successorServing = true
 	s.mu.Unlock()
-	slog.Info("another process serves")
-	s.accept(false)
+	slog.Info("successor process is ready; leaving new connections to it")
+	s.setAccepting(false)
 }
 
-// accept makes this process take new connections, or leave them to the next one.
-func (s *Sidecar) accept(on bool) {
-	until := time.Unix(1, 0)
+// setAccepting starts or stops accepting new connections on the shared listener.
+func (s *Sidecar) setAccepting(on bool) {
+	deadline := time.Unix(1, 0)
 	if on {
-		until = time.Time{}
+		deadline = time.Time{}
 	}
 	if l, ok := s.listener.(*net.TCPListener); ok {
-		l.SetDeadline(until)
+		l.SetDeadline(deadline)
 	}
 }
 
-// report logs a summary a second while anything happens, until ctx ends.
-func (s *Sidecar) report(ctx context.Context) {
+// reportStats logs the pool's statistics once a second while there is activity, until ctx is done.
+func (s *Sidecar) reportStats(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -356,114 +358,113 @@
 	}
 }
 
-// discovery is the source that the configuration names.
-func discovery(cfg *config.Platform) *nodes.Discovery {
+// newDiscovery returns the discovery client that the configuration selects.
+func newDiscovery(cfg *config.Platform) *nodes.Discovery {
 	if cfg.Balance.PullDiscovery {
 		return nodes.NewDiscovery(cfg.Discovery, nodes.SharedServiceTimeouts())
 	}
 	return nodes.NewDiscovery(cfg.Discovery, nodes.LocalAgentTimeouts(cfg.DrainGrace))
 }
 
-// form is how requests are judged by cfg, whose classes the pool learns of.
-func (s *Sidecar) form(cfg *config.Platform) (*httpfront.PlatformConfig, error) {
-	f := &httpfront.PlatformConfig{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
+// newRouterConfig converts cfg for the router and registers its classes with the pool.
+func (s *Sidecar) newRouterConfig(cfg *config.Platform) (*httpfront.PlatformConfig, error) {
+	routerConfig := &httpfront.PlatformConfig{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
 	for name, i := range cfg.Classes {
 		class := cfg.Balance.Classes[i]
 		number, err := s.pool.ClassNumber(class)
 		if err != nil {
 			return nil, err
 		}
-		f.Classes[name] = httpfront.PlatformClass{Class: class, Number: number}
+		routerConfig.Classes[name] = httpfront.PlatformClass{Class: class, Number: number}
 	}
-	return f, nil
+	return routerConfig, nil
 }
 
-// reread takes up a new configuration whole, or not at all: a sidecar that
-// serves by the old one is worth more than one that serves by half of a new one.
-// Requests that are open keep their class. Addresses and limits hold for the life
-// of the process.
-func (s *Sidecar) reread() {
-	cfg, err := config.ReloadPlatform(s.place.ConfigPath, s.cfg)
+// reloadConfig loads the configuration again and applies it completely, or keeps the
+// current one if any part is invalid. Open requests keep their class. Addresses and limits
+// do not change after the start.
+func (s *Sidecar) reloadConfig() {
+	cfg, err := config.ReloadPlatform(s.options.ConfigPath, s.cfg)
 	if err == nil {
-		err = s.retune(thrifty(cfg))
+		err = s.applyConfig(limitIdleTimeout(cfg))
 	}
 	if err != nil {
-		slog.Error("reload: the old configuration stands", "error", err)
+		slog.Error("reload failed; keeping the current configuration", "error", err)
 		return
 	}
-	slog.Info("reload", "discovery", cfg.Discovery, "classes", len(cfg.Classes), "attempts", cfg.Balance.AttemptLimit)
-	next := discovery(cfg)
+	slog.Info("configuration reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Classes), "attempts", cfg.Balance.AttemptLimit)
+	source := newDiscovery(cfg)
 	if index, known := s.pool.ListVersion(); cfg.Balance.PullDiscovery && known {
-		next.Resume(index) // the same list at another address
+		source.Resume(index) // the new address serves the same list
 	}
-	s.pool.SetSource(next)
+	s.pool.SetSource(source)
 }
 
-// mostClasses bounds the classes that the Balancer knows, used or not.
-const mostClasses = 1024
+// maxClasses bounds the classes registered since the start, including unused ones.
+const maxClasses = 1024
 
-func (s *Sidecar) retune(cfg *config.Platform) error {
-	if s.pool.ClassCount() > mostClasses {
-		return fmt.Errorf("over %d classes since the start", mostClasses)
+func (s *Sidecar) applyConfig(cfg *config.Platform) error {
+	if s.pool.ClassCount() > maxClasses {
+		return fmt.Errorf("more than %d request classes since the start of the process", maxClasses)
 	}
-	// New classes that nothing leads to change nothing, so that they can come
-	// before what may fail.
-	form, err := s.form(cfg)
+	// Registering classes has no effect until the router uses them, so it is safe before
+	// the steps that may fail.
+	routerConfig, err := s.newRouterConfig(cfg)
 	if err != nil {
 		return err
 	}
 	if err := s.pool.Reconfigure(cfg.Balance); err != nil {
 		return err
 	}
-	s.judge.SetConfig(form)
+	s.router.SetConfig(routerConfig)
 	s.mu.Lock()
-	s.cfg, s.longest = cfg, min(s.longest, cfg.LongestDeadline())
+	s.cfg, s.shortestMaxDeadline = cfg, min(s.shortestMaxDeadline, cfg.LongestDeadline())
 	s.mu.Unlock()
 	return nil
 }
 
-// end serves on until all that was taken is answered, and is over before the
-// kill could come. With a process that has taken this one's place, callers go
-// on there; without one, the front has to hear first that they must not come.
-func (s *Sidecar) end(served <-chan error) {
+// shutdown answers all received requests and returns before SIGKILL is due. It hands caller
+// connections over to a serving successor. Without one, it first reports not ready, so that
+// the front-end load balancer stops opening connections.
+func (s *Sidecar) shutdown(served <-chan error) {
 	s.mu.Lock()
-	s.ending = true
-	// Whoever kills this process may reckon with the deadlines before a reload, or with
-	// those after it.
-	next, longest := s.after, s.longest
-	if !s.serving {
-		next = nil
+	s.terminating = true
+	// The platform may compute the time of SIGKILL from the deadlines before or after a
+	// reload, so the shortest applies.
+	successor, longestDeadline := s.successor, s.shortestMaxDeadline
+	if !s.successorServing {
+		successor = nil
 	}
 	s.mu.Unlock()
-	began := time.Now()
-	kill := began.Add(min(longest, killLongest) + killTime)
-	last := began.Add(max(kill.Sub(began)-killMargin, comingTime))
-	exit := kill.Add(-exitMargin)
-	s.callers.SetResponseDeadline(last.Add(-answerMargin))
-	// What came before the bound was set may have longer than this process has, and what
-	// is still coming may be whole in the moment that the process ends.
-	defer time.AfterFunc(time.Until(last)-answerMargin, func() {
-		s.callers.StopReading()
+	terminatedAt := time.Now()
+	killAt := terminatedAt.Add(min(longestDeadline, maxKillDeadline) + killDelay)
+	exitBy := terminatedAt.Add(max(killAt.Sub(terminatedAt)-killMargin, newConnPeriod))
+	forcedExitAt := killAt.Add(-exitMargin)
+	s.server.SetResponseDeadline(exitBy.Add(-responseWriteMargin))
+	// Requests received before the response deadline was set may have later deadlines, and
+	// partially received ones may complete as the process exits.
+	defer time.AfterFunc(time.Until(exitBy)-responseWriteMargin, func() {
+		s.server.StopReading()
 		s.pool.Close()
 	}).Stop()
-	if next != nil {
-		slog.Info("handing over", "callers", s.callers.OpenConns())
+	if successor != nil {
+		slog.Info("handing over caller connections to the successor process", "callers", s.server.OpenConns())
 		s.listener.Close()
 		<-served
-		s.callers.SetHandover(next.SendConn)
-		s.callers.Drain(exit)
-		next.Close()
+		s.server.SetHandover(successor.SendConn)
+		s.server.Drain(forcedExitAt)
+		successor.Close()
 		return
 	}
-	slog.Info("draining", "left", time.Until(last), "open", s.pool.OpenRequests())
-	s.judge.MarkDraining()
-	coming := min(comingTime, last.Sub(began)-drainLeast)
-	// Where requests may take long, fewer of those that come late end in time.
-	time.Sleep(max(coming, time.Until(last)-max(windDown, longest/2)))
-	s.callers.Drain(exit)
-	// Whoever connected while the last one was closed is served as well.
-	time.Sleep(min(comingTime, last.Sub(began)-answerMargin) - time.Since(began))
+	slog.Info("draining caller connections", "left", time.Until(exitBy), "open", s.pool.OpenRequests())
+	s.router.MarkDraining()
+	acceptPeriod := min(newConnPeriod, exitBy.Sub(terminatedAt)-minConnDrainPeriod)
+	// With long deadlines, requests that arrive late are less likely to finish in time.
+	time.Sleep(max(acceptPeriod, time.Until(exitBy)-max(minDrainPeriod, longestDeadline/2)))
+	s.server.Drain(forcedExitAt)
+	// Connections opened during the drain are served too.
+	time.Sleep(min(newConnPeriod, exitBy.Sub(terminatedAt)-responseWriteMargin) - time.Since(terminatedAt))
 	s.listener.Close()
 	<-served
-	s.callers.Drain(exit)
+	s.server.Drain(forcedExitAt)
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -21,11 +21,11 @@
 	"gorselink/internal/fleet"
 )
 
-// patience bounds every wait of these tests; a sound run needs far less.
-const patience = 20 * time.Second
+// testTimeout bounds every wait in these tests.
+const testTimeout = 20 * time.Second
 
-// told is a discovery service that lists one endpoint.
-func told(t *testing.T, name, address string) *httptest.Server {
+// newDiscoveryServer starts a discovery server that lists one endpoint.
+func newDiscoveryServer(t *testing.T, name, address string) *httptest.Server {
 	list := fmt.Sprintf(`{"index":7,"snapshot":true,"endpoints":[{"name":%q,"address":%q,"zone":"a","group":0,"status":"in_service","since_ms":0}]}`, name, address)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
@@ -42,8 +42,8 @@
 	return s
 }
 
-// endpoint answers every request with its name.
-func endpoint(t *testing.T, name string) *httptest.Server {
+// newEndpointServer starts an endpoint that responds with its name.
+func newEndpointServer(t *testing.T, name string) *httptest.Server {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, name)
 	}))
@@ -51,9 +51,9 @@
 	return s
 }
 
-func address(s *httptest.Server) string { return s.Listener.Addr().String() }
+func serverAddr(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-func configuration(listen, discovery string) string {
+func configJSON(listen, discovery string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},
 "settings":{"Me":0,"NInstances":1,"Zone":0,"Tier":0,"Zones":["a"],"RegistryMode":"push",
@@ -62,15 +62,15 @@
 "RequestClasses":[{"Name":"view","AimS":1,"DeadlineS":2,"Semantics":"free","Worth":1}]}}`, listen, discovery)
 }
 
-func put(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// ask makes one request and returns the body of a 200, or "".
-func ask(listen string, n int) string {
+// get sends a request with call id n and returns the body of a 200 response, or "".
+func get(listen string, n int) string {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+listen+"/view", nil)
 	req.Header.Set("X-Call-Id", fmt.Sprintf("%016x", n))
 	req.Header.Set("X-Budget-Ms", "1500")
@@ -86,8 +86,8 @@
 	return string(text)
 }
 
-// process is one process of a sidecar under test.
-type process struct {
+// sidecarInstance is a sidecar that runs in the test process.
+type sidecarInstance struct {
 	*Sidecar
 	ctx    context.Context
 	stop   context.CancelFunc
@@ -95,9 +95,9 @@
 	ended  chan error
 }
 
-// start starts a process by the file at path and waits until operators are told
-// that it can serve.
-func start(t *testing.T, path, temp string) (*process, string) {
+// startInstance starts a sidecar with the configuration at path, waits until its console
+// reports it ready, and returns it with its console address.
+func startInstance(t *testing.T, path, temp string) (*sidecarInstance, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,29 +109,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{
-		Sidecar: &Sidecar{place: Options{ConfigPath: path, ConsoleAddr: console, TempDir: temp}, cfg: cfg},
+	p := &sidecarInstance{
+		Sidecar: &Sidecar{options: Options{ConfigPath: path, ConsoleAddr: console, TempDir: temp}, cfg: cfg},
 		reload:  make(chan os.Signal, 1),
 		ended:   make(chan error, 1),
 	}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	go func() { p.ended <- p.run(p.ctx, p.reload) }()
 	t.Cleanup(p.stop)
-	for end := time.Now().Add(patience); call(console, "GET", "/ready", "") != 200; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); callStatus(console, "GET", "/ready", "") != 200; time.Sleep(5 * time.Millisecond) {
 		select {
 		case err := <-p.ended:
 			t.Fatalf("the process ended: %v", err)
 		default:
 		}
 		if time.Now().After(end) {
-			t.Fatal("not ready in time")
+			t.Fatal("the sidecar did not become ready in time")
 		}
 	}
 	return p, console
 }
 
-// end ends the process and waits for it.
-func (p *process) finish(t *testing.T) {
+// finish stops the sidecar and waits for its end.
+func (p *sidecarInstance) finish(t *testing.T) {
 	t.Helper()
 	p.stop()
 	select {
@@ -139,13 +139,13 @@
 		if err != nil {
 			t.Fatalf("the process ended: %v", err)
 		}
-	case <-time.After(patience):
-		t.Fatal("the process did not end")
+	case <-time.After(testTimeout):
+		t.Fatal("the sidecar did not end")
 	}
 }
 
-// call makes one call of an operator and returns the status, 0 for none.
-func call(console, method, path, body string) int {
+// callStatus sends a request and returns the response status, or 0 without a response.
+func callStatus(console, method, path, body string) int {
 	req, _ := http.NewRequest(method, "http://"+console+path, strings.NewReader(body))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -155,7 +155,7 @@
 	return resp.StatusCode
 }
 
-// freeAddr is an address that nobody listens at.
+// freeAddr returns a loopback address that is not in use.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -168,50 +168,49 @@
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
-var lastAsk atomic.Int64
+var lastCallID atomic.Int64
 
-func askNew(listen string) string { return ask(listen, int(lastAsk.Add(1))) }
+func getWithNewID(listen string) string { return get(listen, int(lastCallID.Add(1))) }
 
-// A reload under load takes up the new discovery address; one that cannot be
-// read changes nothing; and the process goes on through both until its end.
+// A reload applies a new discovery address. A reload of an invalid file changes nothing.
 func TestReload(t *testing.T) {
-	first, second := endpoint(t, "first"), endpoint(t, "second")
-	before, after := told(t, "s-1", address(first)), told(t, "s-2", address(second))
+	first, second := newEndpointServer(t, "first"), newEndpointServer(t, "second")
+	before, after := newDiscoveryServer(t, "s-1", serverAddr(first)), newDiscoveryServer(t, "s-2", serverAddr(second))
 	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
-	put(t, path, configuration(listen, address(before)))
-	p, _ := start(t, path, "")
-	until := func(want string) {
+	writeFile(t, path, configJSON(listen, serverAddr(before)))
+	p, _ := startInstance(t, path, "")
+	expectBody := func(want string) {
 		t.Helper()
-		eventually(t, "an answer of "+want, func() bool { return askNew(listen) == want })
+		eventually(t, "a response from "+want, func() bool { return getWithNewID(listen) == want })
 	}
-	until("first")
-	put(t, path, strings.Replace(configuration(listen, address(after)), "{", "[", 1))
+	expectBody("first")
+	writeFile(t, path, strings.Replace(configJSON(listen, serverAddr(after)), "{", "[", 1))
 	p.reload <- syscall.SIGHUP
-	until("first")
-	put(t, path, configuration(listen, address(after)))
+	expectBody("first")
+	writeFile(t, path, configJSON(listen, serverAddr(after)))
 	p.reload <- syscall.SIGHUP
-	until("second")
+	expectBody("second")
 	before.CloseClientConnections()
-	until("second")
+	expectBody("second")
 	p.finish(t)
 }
 
-// What an operator takes out gets nothing more from the yes on, whatever is
-// listed, also from the process that comes next; what comes back is used.
-func TestOutByHandOutlivesAProcess(t *testing.T) {
-	first := endpoint(t, "first")
-	disc := told(t, "s-1", address(first))
+// A disabled endpoint gets no requests, also from the successor process, until it is enabled
+// again.
+func TestDisabledEndpointStaysDisabledAcrossProcesses(t *testing.T) {
+	first := newEndpointServer(t, "first")
+	disc := newDiscoveryServer(t, "s-1", serverAddr(first))
 	listen, path, temp := freeAddr(t), filepath.Join(t.TempDir(), "config.json"), t.TempDir()
-	put(t, path, configuration(listen, address(disc)))
-	old, console := start(t, path, temp)
-	eventually(t, "an answer", func() bool { return askNew(listen) == "first" })
+	writeFile(t, path, configJSON(listen, serverAddr(disc)))
+	old, console := startInstance(t, path, temp)
+	eventually(t, "a response", func() bool { return getWithNewID(listen) == "first" })
 	for _, c := range []struct {
 		method, path, body string
 		want               int
@@ -224,42 +223,41 @@
 		{"POST", "/endpoints/disable", `{"target":"s-1"}`, 200},
 		{"POST", "/endpoints/disable", `{"target":"s-1"}`, 200},
 	} {
-		if got := call(console, c.method, c.path, c.body); got != c.want {
+		if got := callStatus(console, c.method, c.path, c.body); got != c.want {
 			t.Errorf("%s %s %s: %d, want %d", c.method, c.path, c.body, got, c.want)
 		}
 	}
-	if got := askNew(listen); got != "" {
-		t.Errorf("an answer of %q by an endpoint that is out", got)
+	if got := getWithNewID(listen); got != "" {
+		t.Errorf("response %q from a disabled endpoint", got)
 	}
-	next, console := start(t, path, temp)
+	next, console := startInstance(t, path, temp)
 	if m := next.pool.LearnedState().Balancer; m.Classes[0].N == 0 || m.Endpoints["s-1"].N == 0 {
-		t.Errorf("the next process knows %+v, want what was learnt", m)
+		t.Errorf("the successor has %+v, want the learned state", m)
 	}
 	old.finish(t)
-	if got := askNew(listen); got != "" {
-		t.Errorf("an answer of %q by an endpoint that is out, from the next process", got)
+	if got := getWithNewID(listen); got != "" {
+		t.Errorf("response %q from a disabled endpoint through the successor", got)
 	}
-	if got := call(console, "POST", "/endpoints/enable", `{"target":"s-1"}`); got != 200 {
-		t.Fatalf("back: %d", got)
+	if got := callStatus(console, "POST", "/endpoints/enable", `{"target":"s-1"}`); got != 200 {
+		t.Fatalf("enable: %d, want 200", got)
 	}
-	eventually(t, "an answer", func() bool { return askNew(listen) == "first" })
+	eventually(t, "a response", func() bool { return getWithNewID(listen) == "first" })
 	next.finish(t)
 }
 
-// A second process takes the place of the first under load: no request meets a
-// connection that is refused, reset or unread, on kept connections or new ones.
-func TestUpgradeLosesNothing(t *testing.T) {
-	disc := told(t, "s-1", address(endpoint(t, "first")))
+// A second process takes over from the first under load without a failed request or connection,
+// on kept and new connections.
+func TestUpgradeLosesNoRequests(t *testing.T) {
+	disc := newDiscoveryServer(t, "s-1", serverAddr(newEndpointServer(t, "first")))
 	listen, path, temp := freeAddr(t), filepath.Join(t.TempDir(), "config.json"), t.TempDir()
-	put(t, path, configuration(listen, address(disc)))
-	p, _ := start(t, path, temp)
+	writeFile(t, path, configJSON(listen, serverAddr(disc)))
+	p, _ := startInstance(t, path, temp)
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	var bad, good atomic.Int64
+	var failed, succeeded atomic.Int64
 	for i := range 12 {
 		wg.Go(func() {
-			// No request is made again on another connection unseen: each is
-			// written and read here.
+			// An http.Client would retry failed requests, so connections are used directly.
 			var c net.Conn
 			var in *bufio.Reader
 			for n := 0; ; n++ {
@@ -271,33 +269,33 @@
 					return
 				case <-time.After(time.Duration(i+1) * time.Millisecond):
 				}
-				if c == nil || i%3 == 0 { // a third of them comes anew each time
+				if c == nil || i%3 == 0 { // a third of the callers open a new connection each time
 					if c != nil {
 						c.Close()
 					}
 					var err error
 					if c, err = net.Dial("tcp", listen); err != nil {
-						bad.Add(1)
+						failed.Add(1)
 						c = nil
 						continue
 					}
-					c.SetDeadline(time.Now().Add(patience))
+					c.SetDeadline(time.Now().Add(testTimeout))
 					in = bufio.NewReader(c)
 				}
-				fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\n\r\n", lastAsk.Add(1))
+				fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\n\r\n", lastCallID.Add(1))
 				resp, err := http.ReadResponse(in, nil)
 				if err != nil || resp.StatusCode != 200 {
 					t.Logf("caller %d, request %d: %v, %v", i, n, resp, err)
-					bad.Add(1)
+					failed.Add(1)
 					c.Close()
 					c = nil
 					continue
 				}
 				io.Copy(io.Discard, resp.Body)
-				good.Add(1)
+				succeeded.Add(1)
 				if resp.Close {
-					t.Logf("caller %d is told to come anew", i)
-					bad.Add(1)
+					t.Logf("caller %d: the connection is closed after the response", i)
+					failed.Add(1)
 					c.Close()
 					c = nil
 				}
@@ -306,11 +304,11 @@
 	}
 	for range 4 {
 		time.Sleep(100 * time.Millisecond)
-		next, _ := start(t, path, temp)
-		eventually(t, "the old process leaves new callers to the next", func() bool {
+		next, _ := startInstance(t, path, temp)
+		eventually(t, "the old process leaves new connections to the successor", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return p.serving
+			return p.successorServing
 		})
 		time.Sleep(100 * time.Millisecond)
 		p.finish(t)
@@ -319,47 +317,47 @@
 	time.Sleep(100 * time.Millisecond)
 	close(done)
 	wg.Wait()
-	if bad.Load() > 0 || good.Load() < 100 {
-		t.Errorf("%d requests went well, %d did not", good.Load(), bad.Load())
+	if failed.Load() > 0 || succeeded.Load() < 100 {
+		t.Errorf("%d requests succeeded, %d failed, want at least 100 and 0", succeeded.Load(), failed.Load())
 	}
 	p.finish(t)
 }
 
-// A new process that dies leaves everything to the old one.
-func TestUpgradeThatFailsIsUndone(t *testing.T) {
-	disc := told(t, "s-1", address(endpoint(t, "first")))
+// If a new process fails during the handover, the old one continues to serve.
+func TestFailedUpgradeIsReverted(t *testing.T) {
+	disc := newDiscoveryServer(t, "s-1", serverAddr(newEndpointServer(t, "first")))
 	listen, path, temp := freeAddr(t), filepath.Join(t.TempDir(), "config.json"), t.TempDir()
-	put(t, path, configuration(listen, address(disc)))
-	p, _ := start(t, path, temp)
-	var was handed
-	link, l, err := fleet.TakeOver(p.folder(), &was)
-	if err != nil || link == nil || len(was.Nodes) != 1 || len(was.Listed) != 1 {
-		t.Fatalf("taken over: %v, %v, %+v", link, err, was)
+	writeFile(t, path, configJSON(listen, serverAddr(disc)))
+	p, _ := startInstance(t, path, temp)
+	var inherited handoverState
+	link, l, err := fleet.TakeOver(p.sharedDir(), &inherited)
+	if err != nil || link == nil || len(inherited.Endpoints) != 1 || len(inherited.KnownNames) != 1 {
+		t.Fatalf("handover: %v, %v, %+v, want a link and one endpoint", link, err, inherited)
 	}
 	if err := link.SendReady(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the old process leaves callers to the new one", func() bool {
+	eventually(t, "the old process leaves new connections to the new one", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.serving
+		return p.successorServing
 	})
 	l.Close()
 	link.Close()
 	http.DefaultClient.CloseIdleConnections()
-	eventually(t, "an answer", func() bool { return askNew(listen) == "first" })
+	eventually(t, "a response", func() bool { return getWithNewID(listen) == "first" })
 	p.finish(t)
 }
 
-// A drain by hand turns readiness to no, lets go of each caller once no request
-// is open on its connection, and can be taken back.
-func TestDrainByHand(t *testing.T) {
-	disc := told(t, "s-1", address(endpoint(t, "first")))
+// An operator's drain makes the sidecar report not ready and close connections without open
+// requests. It can be reverted.
+func TestOperatorDrain(t *testing.T) {
+	disc := newDiscoveryServer(t, "s-1", serverAddr(newEndpointServer(t, "first")))
 	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
-	put(t, path, configuration(listen, address(disc)))
-	p, console := start(t, path, t.TempDir())
-	ready := func() int { return call(listen, "GET", "/-/ready", "") }
-	eventually(t, "an answer", func() bool { return askNew(listen) == "first" })
+	writeFile(t, path, configJSON(listen, serverAddr(disc)))
+	p, console := startInstance(t, path, t.TempDir())
+	ready := func() int { return callStatus(listen, "GET", "/-/ready", "") }
+	eventually(t, "a response", func() bool { return getWithNewID(listen) == "first" })
 	if got := ready(); got != 200 {
 		t.Fatalf("ready: %d", got)
 	}
@@ -368,45 +366,45 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\n\r\n", lastAsk.Add(1))
+	c.SetDeadline(time.Now().Add(testTimeout))
+	fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: %016x\r\n\r\n", lastCallID.Add(1))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 || resp.Close {
 		t.Fatalf("%v, %v", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	start := time.Now()
-	if got := call(console, "POST", "/drain", ""); got != 200 {
+	if got := callStatus(console, "POST", "/drain", ""); got != 200 {
 		t.Fatalf("drain: %d", got)
 	}
 	if got := ready(); got != 503 {
 		t.Errorf("ready after the drain: %d, want 503", got)
 	}
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the kept connection: %v, want its end", err)
+		t.Errorf("the kept connection: %v, want EOF", err)
 	}
-	if d := time.Since(start); d < comingTime/2 || d > 4*time.Second {
-		t.Errorf("let go of after %v, want after the front could know, and within 4 s", d)
+	if d := time.Since(start); d < newConnPeriod/2 || d > 4*time.Second {
+		t.Errorf("connection closed after %v, want at least half of newConnPeriod and 4 s at most", d)
 	}
-	if got := call(console, "GET", "/ready", ""); got != 200 {
-		t.Errorf("the process can serve: %d, want 200", got)
+	if got := callStatus(console, "GET", "/ready", ""); got != 200 {
+		t.Errorf("console readiness during the drain: %d, want 200", got)
 	}
-	if got := call(console, "POST", "/undrain", ""); got != 200 {
+	if got := callStatus(console, "POST", "/undrain", ""); got != 200 {
 		t.Fatalf("undrain: %d", got)
 	}
 	if got := ready(); got != 200 {
 		t.Errorf("ready after the end of the drain: %d, want 200", got)
 	}
-	eventually(t, "an answer", func() bool { return askNew(listen) == "first" })
+	eventually(t, "a response", func() bool { return getWithNewID(listen) == "first" })
 	p.finish(t)
 }
 
-// Silent callers and half calls keep nobody out of the console.
-func TestConsoleAnswersBesideSilence(t *testing.T) {
-	disc := told(t, "s-1", address(endpoint(t, "first")))
+// Silent connections and partial requests do not block the console.
+func TestConsoleRespondsDespiteSilentClients(t *testing.T) {
+	disc := newDiscoveryServer(t, "s-1", serverAddr(newEndpointServer(t, "first")))
 	path := filepath.Join(t.TempDir(), "config.json")
-	put(t, path, configuration(freeAddr(t), address(disc)))
-	p, console := start(t, path, "")
+	writeFile(t, path, configJSON(freeAddr(t), serverAddr(disc)))
+	p, console := startInstance(t, path, "")
 	for i := range 60 {
 		c, err := net.Dial("tcp", console)
 		if err != nil {
@@ -415,27 +413,27 @@
 		defer c.Close()
 		io.WriteString(c, []string{"", "POST /dra", "POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{"}[i%3])
 	}
-	if got := call(console, "GET", "/ready", ""); got != 200 {
+	if got := callStatus(console, "GET", "/ready", ""); got != 200 {
 		t.Errorf("ready: %d, want 200", got)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if p.marks.State().Drained {
-		t.Error("half a call has drained the sidecar")
+	if p.operatorState.State().Drained {
+		t.Error("a partial request has drained the sidecar")
 	}
 	p.finish(t)
 }
 
-// A reload takes up classes that come, go and change, and fewer attempts. A file
-// that is empty, cut off, or lacks a key changes nothing at all.
-func TestRetune(t *testing.T) {
-	disc := told(t, "s-1", address(endpoint(t, "first")))
+// A reload applies added, removed and changed classes and a new attempt limit. A file that is
+// empty, truncated or invalid changes nothing.
+func TestReloadClasses(t *testing.T) {
+	disc := newDiscoveryServer(t, "s-1", serverAddr(newEndpointServer(t, "first")))
 	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
-	text := configuration(listen, address(disc))
-	put(t, path, text)
-	p, _ := start(t, path, "")
-	asks := func(method, class string) int {
+	text := configJSON(listen, serverAddr(disc))
+	writeFile(t, path, text)
+	p, _ := startInstance(t, path, "")
+	requestStatus := func(method, class string) int {
 		req, _ := http.NewRequest(method, "http://"+listen+"/"+class, nil)
-		req.Header.Set("X-Call-Id", fmt.Sprintf("%016x", lastAsk.Add(1)))
+		req.Header.Set("X-Call-Id", fmt.Sprintf("%016x", lastCallID.Add(1)))
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			return 0
@@ -443,55 +441,55 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	eventually(t, "an answer", func() bool { return asks("GET", "view") == 200 })
-	if got := asks("POST", "pledge"); got != 404 {
-		t.Fatalf("a class that is not there: %d, want 404", got)
+	eventually(t, "a response", func() bool { return requestStatus("GET", "view") == 200 })
+	if got := requestStatus("POST", "pledge"); got != 404 {
+		t.Fatalf("unknown class: %d, want 404", got)
 	}
-	pledge := `,{"Name":"pledge","AimS":1,"DeadlineS":2,"Semantics":"single_shot","Worth":1}`
-	more := strings.Replace(text, `"Worth":1}]`, `"Worth":1}`+pledge+`]`, 1)
-	more = strings.Replace(more, `"TryLimit":3`, `"TryLimit":2`, 1)
-	if more == text {
-		t.Fatal("the texts do not fit")
+	addedClass := `,{"Name":"pledge","AimS":1,"DeadlineS":2,"Semantics":"single_shot","Worth":1}`
+	changed := strings.Replace(text, `"Worth":1}]`, `"Worth":1}`+addedClass+`]`, 1)
+	changed = strings.Replace(changed, `"TryLimit":3`, `"TryLimit":2`, 1)
+	if changed == text {
+		t.Fatal("the configuration has not changed")
 	}
 	reload := func(text string) {
-		put(t, path, text)
+		writeFile(t, path, text)
 		p.reload <- syscall.SIGHUP
 		for len(p.reload) > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	for name, text := range map[string]string{
-		"empty":                  "",
-		"cut off":                more[:len(more)*2/3],
-		"no attempts":            strings.Replace(more, `"TryLimit":2`, `"TryLimit":0`, 1),
-		"attempts missing":       strings.Replace(more, `"TryLimit":2,`, ``, 1),
-		"a deadline of 0":        strings.Replace(more, `"AimS":1,"DeadlineS":2,"Semantics":"single_shot"`, `"AimS":1,"DeadlineS":0,"Semantics":"single_shot"`, 1),
-		"a deadline below 0":     strings.Replace(more, `"DeadlineS":2,"Semantics":"single_shot"`, `"DeadlineS":-1,"Semantics":"single_shot"`, 1),
-		"a deadline missing":     strings.Replace(more, `"DeadlineS":2,"Semantics":"single_shot"`, `"Semantics":"single_shot"`, 1),
-		"semantics missing":      strings.Replace(more, `,"Semantics":"single_shot"`, ``, 1),
-		"the worth missing":      strings.Replace(more, `"single_shot","Worth":1`, `"single_shot"`, 1),
-		"classes missing":        strings.Replace(more, `"RequestClasses"`, `"Other"`, 1),
-		"obligations missing":    strings.Replace(more, `"DrainGraceS":2`, `"Other":2`, 1),
-		"limits as they are not": strings.Replace(more, `"memory_mb":64`, `"memory_mb":0`, 1),
+		"empty":                "",
+		"truncated":            changed[:len(changed)*2/3],
+		"no attempts":          strings.Replace(changed, `"TryLimit":2`, `"TryLimit":0`, 1),
+		"attempts missing":     strings.Replace(changed, `"TryLimit":2,`, ``, 1),
+		"deadline of 0":        strings.Replace(changed, `"AimS":1,"DeadlineS":2,"Semantics":"single_shot"`, `"AimS":1,"DeadlineS":0,"Semantics":"single_shot"`, 1),
+		"negative deadline":    strings.Replace(changed, `"DeadlineS":2,"Semantics":"single_shot"`, `"DeadlineS":-1,"Semantics":"single_shot"`, 1),
+		"deadline missing":     strings.Replace(changed, `"DeadlineS":2,"Semantics":"single_shot"`, `"Semantics":"single_shot"`, 1),
+		"semantics missing":    strings.Replace(changed, `,"Semantics":"single_shot"`, ``, 1),
+		"worth missing":        strings.Replace(changed, `"single_shot","Worth":1`, `"single_shot"`, 1),
+		"classes missing":      strings.Replace(changed, `"RequestClasses"`, `"Other"`, 1),
+		"obligations missing":  strings.Replace(changed, `"DrainGraceS":2`, `"Other":2`, 1),
+		"invalid memory limit": strings.Replace(changed, `"memory_mb":64`, `"memory_mb":0`, 1),
 	} {
-		if text == more {
-			t.Fatalf("%s: the text is whole", name)
+		if text == changed {
+			t.Fatalf("%s: the configuration has not changed", name)
 		}
 		reload(text)
-		if got := asks("POST", "pledge"); got != 404 {
-			t.Errorf("%s: %d for a class of a broken file, want 404", name, got)
+		if got := requestStatus("POST", "pledge"); got != 404 {
+			t.Errorf("%s: %d for a class of an invalid file, want 404", name, got)
 		}
 	}
-	reload(more)
-	eventually(t, "the new class", func() bool { return asks("POST", "pledge") == 200 })
-	if got := asks("GET", "pledge"); got != 400 {
-		t.Errorf("GET for a class that must not be repeated: %d, want 400", got)
+	reload(changed)
+	eventually(t, "the new class is in use", func() bool { return requestStatus("POST", "pledge") == 200 })
+	if got := requestStatus("GET", "pledge"); got != 400 {
+		t.Errorf("GET for a non-repeatable class: %d, want 400", got)
 	}
-	// The same name with a stricter effect, and one class gone.
-	reload(strings.Replace(strings.Replace(more, `"Semantics":"free"`, `"Semantics":"single_shot"`, 1), pledge, "", 1))
-	eventually(t, "a stricter class", func() bool { return asks("GET", "view") == 400 && asks("POST", "view") == 200 })
-	if got := asks("POST", "pledge"); got != 404 {
-		t.Errorf("a class that is gone: %d, want 404", got)
+	// One class becomes non-repeatable, and another is removed.
+	reload(strings.Replace(strings.Replace(changed, `"Semantics":"free"`, `"Semantics":"single_shot"`, 1), addedClass, "", 1))
+	eventually(t, "the changed class is in use", func() bool { return requestStatus("GET", "view") == 400 && requestStatus("POST", "view") == 200 })
+	if got := requestStatus("POST", "pledge"); got != 404 {
+		t.Errorf("removed class: %d, want 404", got)
 	}
 	p.finish(t)
 }
--- a/internal/sidecar/stall_test.go
+++ b/internal/sidecar/stall_test.go
@@ -11,54 +11,52 @@
 	"time"
 )
 
-// A sidecar is held up for 0.15 s in the moment in which a drain is told, with requests at
-// every stage between the choice of an endpoint and the write, again and again: the grace
-// covers it. No attempt reaches the endpoint that drains past its grace, and each request
-// has its answer.
-func TestDrainGraceCoversAStall(t *testing.T) {
+// A sidecar is paused for 0.15 s while discovery reports a drain. No attempt reaches the draining
+// endpoint after its grace period, and every request is answered.
+func TestDrainGraceCoversProcessPause(t *testing.T) {
 	t.Parallel()
-	const grace, stall, drains = 600 * time.Millisecond, 150 * time.Millisecond, 3
-	s := newScene(t, "held up as a drain is told")
-	m := &member{listen: ownAddr(t), dir: t.TempDir()}
-	m.path = filepath.Join(m.dir, "config.json")
-	put(t, m.path, strings.Replace(s.text(m.listen, 256), `"DrainGraceS":2`, `"DrainGraceS":0.6`, 1))
+	const grace, pause, drains = 600 * time.Millisecond, 150 * time.Millisecond, 3
+	s := newScenario(t, "paused while a drain is reported")
+	m := &fleetMember{listen: isolatedAddr(t), dir: t.TempDir()}
+	m.configPath = filepath.Join(m.dir, "config.json")
+	writeFile(t, m.configPath, strings.Replace(s.configText(m.listen, 256), `"DrainGraceS":2`, `"DrainGraceS":0.6`, 1))
 	m.start(t)
 	p := m.process()
 	if p == nil {
-		t.Fatal("no process")
+		t.Fatal("the sidecar process did not start")
 	}
 	t.Cleanup(func() { p.cmd.Process.Kill(); <-p.ended })
-	s.listen.Store(&m.listen)
+	s.sidecarAddr.Store(&m.listen)
 	began, done := time.Now(), make(chan struct{})
 	var all sync.WaitGroup
-	s.ask(&all, 12, longBudget, time.Millisecond, done)
-	last := func() time.Time {
+	s.startClients(&all, 12, longBudget, time.Millisecond, done)
+	lastAttempt := func() time.Time {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.endpoints[0].last
+		return s.endpoints[0].lastAttempt
 	}
 	for n := range drains {
 		before := time.Now()
-		eventually(t, "the endpoint is used", func() bool { return last().After(before) })
-		// The stall begins before the drain is told, or right behind.
-		ahead := time.Duration(n%2) * 100 * time.Millisecond
+		eventually(t, "the endpoint is used", func() bool { return lastAttempt().After(before) })
+		// The pause begins before the drain is reported or at the same time.
+		delay := time.Duration(n%2) * 100 * time.Millisecond
 		p.cmd.Process.Signal(syscall.SIGSTOP)
-		time.Sleep(ahead)
-		told := time.Now()
+		time.Sleep(delay)
+		drainedAt := time.Now()
 		s.agent.Update(s.entry(0, "terminating"))
-		time.Sleep(stall - ahead)
+		time.Sleep(pause - delay)
 		p.cmd.Process.Signal(syscall.SIGCONT)
-		time.Sleep(time.Until(told.Add(grace + 150*time.Millisecond)))
-		if late := last().Sub(told); late > grace+50*time.Millisecond && !s.lag.lagged(told, told.Add(late)) {
-			t.Errorf("drain %d: an attempt %v after it was told, want none after %v", n, late, grace)
+		time.Sleep(time.Until(drainedAt.Add(grace + 150*time.Millisecond)))
+		if late := lastAttempt().Sub(drainedAt); late > grace+50*time.Millisecond && !s.lag.lagged(drainedAt, drainedAt.Add(late)) {
+			t.Errorf("drain %d: an attempt %v after it was reported, want none after %v", n, late, grace)
 		} else {
-			t.Logf("drain %d: the last attempt %v after it was told", n, late.Round(time.Millisecond))
+			t.Logf("drain %d: last attempt %v after it was reported", n, late.Round(time.Millisecond))
 		}
 		s.agent.Update(s.entry(0, "in_service"))
 	}
 	close(done)
 	all.Wait()
-	if served, asked := s.served(); served != asked {
-		s.fewServed(began, "%d of %d served, want all", served, asked)
+	if served, total := s.servedCount(); served != total {
+		s.reportFewServed(began, "%d of %d served, want all", served, total)
 	}
 }
