--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -14,8 +14,8 @@
 
 // Line is a line through points by least squares.
 type Line struct {
-	At0   float64 // the cost of size 0
-	Slope float64 // the cost of one more
+	Intercept float64 // the cost of size 0
+	Slope     float64 // the cost of one more
 	// SlopeLow and SlopeHigh hold the slope with 95 in 100 where the residuals are normal.
 	// With two points they are not known: NaN.
 	SlopeLow, SlopeHigh float64
@@ -55,10 +55,10 @@
 		return nil, errPoints
 	}
 	l.Slope = xy / l.xx
-	l.At0 = y - l.Slope*l.mean
+	l.Intercept = y - l.Slope*l.mean
 	squares := 0.0
 	for _, p := range points {
-		r := p.Y - l.At(p.X)
+		r := p.Y - l.Predict(p.X)
 		l.Residuals = append(l.Residuals, r)
 		squares += r * r
 	}
@@ -73,15 +73,15 @@
 }
 
 // At is what the line says of a size.
-func (l *Line) At(x float64) float64 { return l.At0 + l.Slope*x }
+func (l *Line) Predict(x float64) float64 { return l.Intercept + l.Slope*x }
 
 // Interval holds one more measurement at a size with 95 in 100; NaN with two points.
-func (l *Line) Interval(x float64) (low, high float64) {
+func (l *Line) PredictionInterval(x float64) (low, high float64) {
 	if !l.hasFreedom {
 		return math.NaN(), math.NaN()
 	}
 	half := student(int(l.n)-2) * l.deviation * math.Sqrt(1+1/l.n+(x-l.mean)*(x-l.mean)/l.xx)
-	return l.At(x) - half, l.At(x) + half
+	return l.Predict(x) - half, l.Predict(x) + half
 }
 
 // student is the 0.975 quantile of Student's t with some degrees of freedom.
@@ -106,7 +106,7 @@
 }
 
 // Miss is how far the prediction was off, as a share of what was measured.
-func (p *Prediction) Miss() float64 {
+func (p *Prediction) RelativeError() float64 {
 	if p.Measured == 0 {
 		if p.Predicted == 0 {
 			return 0
@@ -117,7 +117,7 @@
 }
 
 // Holds tells whether the slope may be used.
-func (p *Prediction) Holds() bool { return p.Miss() <= MostMiss }
+func (p *Prediction) WithinTolerance() bool { return p.RelativeError() <= MostMiss }
 
 // Half is how many sizes, the smallest first, a prediction of the largest is made from.
-func Half(sizes int) int { return sizes / 2 }
+func SmallerHalf(sizes int) int { return sizes / 2 }
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -16,12 +16,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	low, high := l.Interval(6)
+	low, high := l.PredictionInterval(6)
 	for _, x := range []struct {
 		what      string
 		got, want float64
 	}{
-		{"slope", l.Slope, 0.6}, {"cost of 0", l.At0, 2.2},
+		{"slope", l.Slope, 0.6}, {"cost of 0", l.Intercept, 2.2},
 		{"slope, low", l.SlopeLow, 0.6 - 3.182*math.Sqrt(0.8)/math.Sqrt(10)},
 		{"slope, high", l.SlopeHigh, 0.6 + 3.182*math.Sqrt(0.8)/math.Sqrt(10)},
 		{"one more, low", low, 5.8 - 3.182*math.Sqrt(0.8)*math.Sqrt(1+0.2+0.9)},
@@ -47,7 +47,7 @@
 			off = append(off, Point{x, a + b*x + rapid.Float64Range(-1, 1).Draw(t, "noise")})
 		}
 		l, err := Fit(on)
-		if err != nil || !near(l.At(100), a+b*100) || l.SlopeHigh-l.SlopeLow > 1e-6 {
+		if err != nil || !near(l.Predict(100), a+b*100) || l.SlopeHigh-l.SlopeLow > 1e-6 {
 			t.Fatalf("on a line: %+v, %v", l, err)
 		}
 		if l, err = Fit(off); err != nil {
@@ -57,8 +57,8 @@
 		for _, r := range l.Residuals {
 			sum += r
 		}
-		low, high := l.Interval(float64(n))
-		if math.Abs(sum) > 1e-6 || !(l.SlopeLow <= l.Slope && l.Slope <= l.SlopeHigh && low <= l.At(float64(n)) && l.At(float64(n)) <= high) {
+		low, high := l.PredictionInterval(float64(n))
+		if math.Abs(sum) > 1e-6 || !(l.SlopeLow <= l.Slope && l.Slope <= l.SlopeHigh && low <= l.Predict(float64(n)) && l.Predict(float64(n)) <= high) {
 			t.Fatalf("residuals sum to %v, slope %v in %v to %v", sum, l.Slope, l.SlopeLow, l.SlopeHigh)
 		}
 	})
@@ -81,11 +81,11 @@
 		predicted, measured float64
 		holds               bool
 	}{{100, 100, true}, {120, 100, true}, {81, 100, true}, {79, 100, false}, {121, 100, false}, {0, 0, true}, {1, 0, false}} {
-		if p := (Prediction{Predicted: x.predicted, Measured: x.measured}); p.Holds() != x.holds {
-			t.Errorf("predicted %v, measured %v: holds %t", x.predicted, x.measured, p.Holds())
+		if p := (Prediction{Predicted: x.predicted, Measured: x.measured}); p.WithinTolerance() != x.holds {
+			t.Errorf("predicted %v, measured %v: holds %t", x.predicted, x.measured, p.WithinTolerance())
 		}
 	}
-	if Half(4) != 2 || Half(6) != 3 || Half(5) != 2 {
+	if SmallerHalf(4) != 2 || SmallerHalf(6) != 3 || SmallerHalf(5) != 2 {
 		t.Error("the smaller half is not half")
 	}
 }
--- a/internal/capacity/inputs.go
+++ b/internal/capacity/inputs.go
@@ -40,17 +40,17 @@
 // Slope is how a cost grew with a dimension in a scale run. Its numbers are written by
 // the run itself.
 type Slope struct {
-	Name              string // as sidecars.calls
-	By                string
-	Cost              string
-	At0, Slope        float64
-	Low, High         float64 // NaN where not known
-	Least, Largest    float64 // sizes
-	Predicted         float64 // of the largest size, from the smaller half; NaN without
-	Measured          float64 // NaN where the machine was the bottleneck
-	PredLow, PredHigh float64
-	Quiet, Busy       float64            // per cent that the machine was busy by, whoever made it so: least and most
-	Base              map[string]float64 // what else the fleet of the run had
+	Name                  string // as sidecars.calls
+	By                    string
+	Cost                  string
+	At0, Slope            float64
+	Low, High             float64 // NaN where not known
+	Least, Largest        float64 // sizes
+	Predicted             float64 // of the largest size, from the smaller half; NaN without
+	Measured              float64 // NaN where the machine was the bottleneck
+	PredLow, PredHigh     float64
+	Quiet, MaxBusyPercent float64            // per cent that the machine was busy by, whoever made it so: least and most
+	Base                  map[string]float64 // what else the fleet of the run had
 }
 
 // prediction is the slope's, if it was put to the test.
@@ -64,8 +64,8 @@
 	switch {
 	case !tested:
 		return false, "its prediction was not put to the test"
-	case !p.Holds():
-		return false, fmt.Sprintf("its prediction missed by %.0f%%", 100*p.Miss())
+	case !p.WithinTolerance():
+		return false, fmt.Sprintf("its prediction missed by %.0f%%", 100*p.RelativeError())
 	}
 	return true, ""
 }
@@ -103,7 +103,7 @@
 	Experiment, Command string
 	Seed                uint64
 	Cores               int
-	Faster              float64
+	Speedup             float64
 }
 
 // Inputs are all that the page is made of.
@@ -153,12 +153,12 @@
 		return err
 	}
 	run := top.Table("run")
-	in.Runs = append(in.Runs, Run{Experiment: run.Text("experiment", ""), Command: run.Text("command", ""), Seed: uint64(run.Integer("seed", 0, 0, math.MaxInt64)), Cores: run.Integer("cores", 0, 0, 4096), Faster: run.Number("faster", 0, 0, most)})
+	in.Runs = append(in.Runs, Run{Experiment: run.Text("experiment", ""), Command: run.Text("command", ""), Seed: uint64(run.Integer("seed", 0, 0, math.MaxInt64)), Cores: run.Integer("cores", 0, 0, 4096), Speedup: run.Number("faster", 0, 0, most)})
 	run.RejectUnknownKeys()
 	for _, t := range top.TableList("slopes") {
 		number := func(key string) float64 { return t.Number(key, math.NaN(), -most, most) }
 		s := Slope{By: t.Text("by", ""), Cost: t.Text("cost", ""), At0: number("at0"), Slope: number("slope"), Low: number("low"), High: number("high"),
-			Least: number("least"), Largest: number("largest"), Predicted: number("predicted"), PredLow: number("predicted_low"), PredHigh: number("predicted_high"), Measured: number("measured"), Quiet: number("busy_least"), Busy: number("busy_most"), Base: map[string]float64{}}
+			Least: number("least"), Largest: number("largest"), Predicted: number("predicted"), PredLow: number("predicted_low"), PredHigh: number("predicted_high"), Measured: number("measured"), Quiet: number("busy_least"), MaxBusyPercent: number("busy_most"), Base: map[string]float64{}}
 		s.Name = s.By + "." + s.Cost
 		base := t.Table("base")
 		for _, d := range []string{"sidecars", "services", "endpoints", "changes"} {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -197,8 +197,8 @@
 
 func (in *Inputs) faster() (string, error) {
 	for _, r := range in.Runs {
-		if r.Faster > 0 {
-			return plain(r.Faster), nil
+		if r.Speedup > 0 {
+			return plain(r.Speedup), nil
 		}
 	}
 	return "", errors.New("no run has a day")
@@ -211,13 +211,13 @@
 		s := &in.Slopes[i]
 		miss, used := "-", "no: not put to the test"
 		if p, tested := s.prediction(); tested {
-			miss, used = fmt.Sprintf("%.0f%%", 100*p.Miss()), "yes"
-			if !p.Holds() {
+			miss, used = fmt.Sprintf("%.0f%%", 100*p.RelativeError()), "yes"
+			if !p.WithinTolerance() {
 				used = "no"
 			}
 		}
 		rows = append(rows, []string{"`" + s.Name + "`", plain(s.Least) + " to " + plain(s.Largest), plain(s.Slope), plain(s.Low) + " to " + plain(s.High),
-			plain(s.Predicted), plain(s.PredLow) + " to " + plain(s.PredHigh), plain(s.Measured), miss, used, plain(s.Quiet) + " to " + plain(s.Busy)})
+			plain(s.Predicted), plain(s.PredLow) + " to " + plain(s.PredHigh), plain(s.Measured), miss, used, plain(s.Quiet) + " to " + plain(s.MaxBusyPercent)})
 	}
 	table(&b, []string{"slope", "sizes", "for one more", "interval", "largest, predicted", "interval", "largest, measured", "miss", "used", "machine busy, %"}, rows)
 	return strings.TrimSuffix(b.String(), "\n")
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -22,7 +22,7 @@
 )
 
 // Fleet is the sidecars of one process, by number.
-type Fleet struct {
+type Sidecars struct {
 	mu  sync.Mutex
 	all map[int]*sidecar
 }
@@ -34,7 +34,7 @@
 }
 
 // Start starts a sidecar by the file at path.
-func (f *Fleet) Start(number int, path string) error {
+func (f *Sidecars) Start(number int, path string) error {
 	f.mu.Lock()
 	_, runs := f.all[number]
 	f.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // Stop ends a sidecar at once, as a machine that fails does.
-func (f *Fleet) Stop(number int) error {
+func (f *Sidecars) Stop(number int) error {
 	f.mu.Lock()
 	s := f.all[number]
 	delete(f.all, number)
@@ -80,7 +80,7 @@
 }
 
 // Reload has a sidecar read its file again, as SIGHUP does, and tells what has changed.
-func (f *Fleet) Reload(number int) (changes []string, err error) {
+func (f *Sidecars) Reload(number int) (changes []string, err error) {
 	f.mu.Lock()
 	s := f.all[number]
 	f.mu.Unlock()
@@ -102,20 +102,20 @@
 }
 
 // Close ends all.
-func (f *Fleet) Close() {
+func (f *Sidecars) Close() {
 	for _, n := range f.numbers() {
 		f.Stop(n)
 	}
 }
 
-func (f *Fleet) numbers() []int {
+func (f *Sidecars) numbers() []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.all))
 }
 
 // Lists are the lists that a sidecar has, by pool; nil if it does not run.
-func (f *Fleet) Lists(number int) map[string]nodes.List {
+func (f *Sidecars) Lists(number int) map[string]nodes.List {
 	f.mu.Lock()
 	s := f.all[number]
 	var names []string
@@ -136,7 +136,7 @@
 }
 
 // Listed waits until all pools of all sidecars have been told a list.
-func (f *Fleet) Listed(within time.Duration) error {
+func (f *Sidecars) WaitForLists(within time.Duration) error {
 	end := time.Now().Add(within)
 	for _, n := range f.numbers() {
 		f.mu.Lock()
@@ -159,7 +159,7 @@
 
 // Digests is a short word for the lists of each sidecar: two that have the same have the
 // same word.
-func (f *Fleet) Digests() map[int]string {
+func (f *Sidecars) Digests() map[int]string {
 	all := map[int]string{}
 	for _, n := range f.numbers() {
 		if lists := f.Lists(n); lists != nil {
--- a/internal/hollow/role.go
+++ b/internal/hollow/role.go
@@ -23,11 +23,11 @@
 
 // Command is one thing that a role is asked for.
 type Command struct {
-	Do string `json:"do"`
+	Action string `json:"do"`
 
 	// Of sidecars.
-	Sidecars []Job `json:"sidecars,omitempty"`
-	ApartNs  int64 `json:"apart_ns,omitempty"` // from one sidecar to the next
+	Sidecars   []SidecarSpec `json:"sidecars,omitempty"`
+	IntervalNs int64         `json:"apart_ns,omitempty"` // from one sidecar to the next
 
 	// Of a registry.
 	Host      string `json:"host,omitempty"`
@@ -37,7 +37,7 @@
 }
 
 // Job is a sidecar and its file.
-type Job struct {
+type SidecarSpec struct {
 	Number int    `json:"n"`
 	Path   string `json:"path,omitempty"`
 }
@@ -49,22 +49,22 @@
 }
 
 // Answer is what a role answers.
-type Answer struct {
-	Error   string           `json:"error,omitempty"`
-	Addrs   []string         `json:"addrs,omitempty"`
-	Digests map[int]string   `json:"digests,omitempty"`
-	Digest  string           `json:"digest,omitempty"`
-	Counts  standin.Counts   `json:"counts"`
-	Changes []standin.Change `json:"changes,omitempty"`
-	TookNs  int64            `json:"took_ns,omitempty"`
+type Response struct {
+	Error      string           `json:"error,omitempty"`
+	Addrs      []string         `json:"addrs,omitempty"`
+	Digests    map[int]string   `json:"digests,omitempty"`
+	Digest     string           `json:"digest,omitempty"`
+	Counts     standin.Counts   `json:"counts"`
+	Changes    []standin.Change `json:"changes,omitempty"`
+	DurationNs int64            `json:"took_ns,omitempty"`
 }
 
 // Serve plays a role until in ends.
 func Serve(role string, in io.Reader, out io.Writer) error {
-	var do func(*Command) (*Answer, error)
+	var do func(*Command) (*Response, error)
 	switch role {
 	case RoleSidecars:
-		f := &Fleet{}
+		f := &Sidecars{}
 		defer f.Close()
 		do = f.do
 	case RoleRegistry:
@@ -84,10 +84,10 @@
 		}
 		a, err := do(&c)
 		if a == nil {
-			a = &Answer{}
+			a = &Response{}
 		}
 		if err != nil {
-			a.Error = fmt.Sprintf("%s: %v", c.Do, err)
+			a.Error = fmt.Sprintf("%s: %v", c.Action, err)
 		}
 		if err := answers.Encode(a); err != nil {
 			return fmt.Errorf("role %s: %w", role, err)
@@ -97,21 +97,21 @@
 
 const listedWithin = 30 * time.Second
 
-func (f *Fleet) do(c *Command) (*Answer, error) {
+func (f *Sidecars) do(c *Command) (*Response, error) {
 	begin := time.Now()
-	a := &Answer{}
-	switch c.Do {
+	a := &Response{}
+	switch c.Action {
 	case "start", "stop", "restart", "reload":
 		for i, j := range c.Sidecars {
-			time.Sleep(time.Until(begin.Add(time.Duration(int64(i) * c.ApartNs))))
+			time.Sleep(time.Until(begin.Add(time.Duration(int64(i) * c.IntervalNs))))
 			var err error
-			if c.Do == "stop" || c.Do == "restart" {
+			if c.Action == "stop" || c.Action == "restart" {
 				err = f.Stop(j.Number)
 			}
-			if err == nil && (c.Do == "start" || c.Do == "restart") {
+			if err == nil && (c.Action == "start" || c.Action == "restart") {
 				err = f.Start(j.Number, j.Path)
 			}
-			if c.Do == "reload" {
+			if c.Action == "reload" {
 				_, err = f.Reload(j.Number)
 			}
 			if err != nil {
@@ -119,7 +119,7 @@
 			}
 		}
 	case "listed":
-		if err := f.Listed(listedWithin); err != nil {
+		if err := f.WaitForLists(listedWithin); err != nil {
 			return nil, err
 		}
 	case "digests":
@@ -127,7 +127,7 @@
 	default:
 		return nil, errNoRole
 	}
-	a.TookNs = time.Since(begin).Nanoseconds()
+	a.DurationNs = time.Since(begin).Nanoseconds()
 	return a, nil
 }
 
@@ -158,12 +158,12 @@
 // PoolName is the pool of a service.
 func PoolName(service int) string { return fmt.Sprintf("s%03d", service) }
 
-func (b *book) do(c *Command) (*Answer, error) {
-	a := &Answer{}
-	if b.r == nil && c.Do != "serve" {
+func (b *book) do(c *Command) (*Response, error) {
+	a := &Response{}
+	if b.r == nil && c.Action != "serve" {
 		return nil, fmt.Errorf("serves nothing yet")
 	}
-	switch c.Do {
+	switch c.Action {
 	case "serve":
 		lists := make([][]standin.Entry, c.Services)
 		b.state = make([][]int, c.Services)
--- a/internal/proving/role.go
+++ b/internal/proving/role.go
@@ -65,14 +65,14 @@
 }
 
 // call sends a command to the role process and waits for its answer.
-func (r *roleProcess) call(c *hollow.Command) (*hollow.Answer, error) {
+func (r *roleProcess) call(c *hollow.Command) (*hollow.Response, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	text, err := json.Marshal(c)
 	if err == nil {
 		_, err = r.input.Write(append(text, '\n'))
 	}
-	a := &hollow.Answer{}
+	a := &hollow.Response{}
 	if err == nil {
 		err = r.answers.Decode(a)
 	}
--- a/internal/proving/scale_result.go
+++ b/internal/proving/scale_result.go
@@ -162,12 +162,12 @@
 // predict predicts the costs of the largest size from the smaller half of the sizes, before the
 // largest one is measured.
 func (r *SweepResult) predict(size int) {
-	half := r.Sizes[:capacity.Half(len(r.Sizes)+1)]
+	half := r.Sizes[:capacity.SmallerHalf(len(r.Sizes)+1)]
 	for _, c := range fittedCosts {
 		line := LineResult{Cost: c.name}
 		if l, err := capacity.Fit(r.costPoints(half, c.name)); err == nil {
-			low, high := l.Interval(float64(size))
-			line.Predicted, line.PredictedLow, line.PredictedHigh = finiteOrNil(l.At(float64(size))), finiteOrNil(low), finiteOrNil(high)
+			low, high := l.PredictionInterval(float64(size))
+			line.Predicted, line.PredictedLow, line.PredictedHigh = finiteOrNil(l.Predict(float64(size))), finiteOrNil(low), finiteOrNil(high)
 		}
 		r.Lines = append(r.Lines, line)
 	}
@@ -180,11 +180,11 @@
 	for i := range r.Lines {
 		line := &r.Lines[i]
 		if l, err := capacity.Fit(r.costPoints(r.Sizes, line.Cost)); err == nil {
-			line.Intercept, line.Slope, line.Low, line.High, line.Residuals = l.At0, l.Slope, finiteOrNil(l.SlopeLow), finiteOrNil(l.SlopeHigh), l.Residuals
+			line.Intercept, line.Slope, line.Low, line.High, line.Residuals = l.Intercept, l.Slope, finiteOrNil(l.SlopeLow), finiteOrNil(l.SlopeHigh), l.Residuals
 		}
 		if y, ok := last.Costs[line.Cost]; ok && line.Predicted != nil {
 			line.Measured = &y
-			line.Used = (&capacity.Prediction{Predicted: *line.Predicted, Measured: y}).Holds()
+			line.Used = (&capacity.Prediction{Predicted: *line.Predicted, Measured: y}).WithinTolerance()
 		}
 	}
 }
@@ -309,7 +309,7 @@
 		return "not tested"
 	}
 	p := capacity.Prediction{Predicted: *l.Predicted, Measured: *l.Measured}
-	s := fmt.Sprintf("%.0f%%", 100*p.Miss())
+	s := fmt.Sprintf("%.0f%%", 100*p.RelativeError())
 	if !l.Used {
 		s += ", slope not used"
 	}
--- a/internal/proving/scale_rig.go
+++ b/internal/proving/scale_rig.go
@@ -128,7 +128,7 @@
 	if c.registry, err = startRoleProcess(c.spawner, o.RoleCommand, hollow.RoleRegistry, "registry", c.dir, roleMaxProcs); err != nil {
 		return c, err
 	}
-	a, err := c.registry.call(&hollow.Command{Do: "serve", Host: "127.0.0.1", Services: size.Services, Endpoints: size.Endpoints})
+	a, err := c.registry.call(&hollow.Command{Action: "serve", Host: "127.0.0.1", Services: size.Services, Endpoints: size.Endpoints})
 	if err != nil {
 		return c, err
 	}
@@ -207,9 +207,9 @@
 
 // startHollow starts all hollow sidecars.
 func (c *fleetRun) startHollow() error {
-	jobs := make([][]hollow.Job, (c.size.Sidecars+c.experiment.SidecarsPerProcess-1)/c.experiment.SidecarsPerProcess)
+	jobs := make([][]hollow.SidecarSpec, (c.size.Sidecars+c.experiment.SidecarsPerProcess-1)/c.experiment.SidecarsPerProcess)
 	for i, path := range c.configPaths {
-		jobs[i/c.experiment.SidecarsPerProcess] = append(jobs[i/c.experiment.SidecarsPerProcess], hollow.Job{Number: i, Path: path})
+		jobs[i/c.experiment.SidecarsPerProcess] = append(jobs[i/c.experiment.SidecarsPerProcess], hollow.SidecarSpec{Number: i, Path: path})
 	}
 	for k := range jobs {
 		h, err := startRoleProcess(c.spawner, c.options.RoleCommand, hollow.RoleSidecars, fmt.Sprintf("sidecars-%d", k), c.dir, roleMaxProcs)
@@ -222,7 +222,7 @@
 	errs := make([]error, len(jobs))
 	for k, h := range c.sidecarHosts {
 		all.Go(func() {
-			_, errs[k] = h.call(&hollow.Command{Do: "start", Sidecars: jobs[k], ApartNs: int64(startSpread) / int64(len(jobs[k]))})
+			_, errs[k] = h.call(&hollow.Command{Action: "start", Sidecars: jobs[k], IntervalNs: int64(startSpread) / int64(len(jobs[k]))})
 		})
 	}
 	all.Wait()
@@ -230,7 +230,7 @@
 		return err
 	}
 	for _, h := range c.sidecarHosts {
-		if _, err := h.call(&hollow.Command{Do: "listed"}); err != nil {
+		if _, err := h.call(&hollow.Command{Action: "listed"}); err != nil {
 			return err
 		}
 	}
@@ -259,7 +259,7 @@
 	}
 	// The process is ready once it watches every list.
 	for end := time.Now().Add(c.realSidecar.readyTimeout); sleep(ctx, 20*time.Millisecond); {
-		a, err := c.registry.call(&hollow.Command{Do: "so far"})
+		a, err := c.registry.call(&hollow.Command{Action: "so far"})
 		if err != nil {
 			return err
 		}
@@ -279,19 +279,19 @@
 	for range n {
 		edits = append(edits, hollow.Edit{Service: c.rng.IntN(c.size.Services), Endpoint: c.rng.IntN(c.size.Endpoints)})
 	}
-	_, err := c.registry.call(&hollow.Command{Do: "edit", Edits: edits})
+	_, err := c.registry.call(&hollow.Command{Action: "edit", Edits: edits})
 	return err
 }
 
 // countOutOfSync returns the number of sidecars whose lists differ from the registry's.
 func (c *fleetRun) countOutOfSync() (n int, err error) {
-	a, err := c.registry.call(&hollow.Command{Do: "digest"})
+	a, err := c.registry.call(&hollow.Command{Action: "digest"})
 	if err != nil {
 		return 0, err
 	}
 	seen := 0
 	for _, h := range c.sidecarHosts {
-		b, err := h.call(&hollow.Command{Do: "digests"})
+		b, err := h.call(&hollow.Command{Action: "digests"})
 		if err != nil {
 			return 0, err
 		}
@@ -374,10 +374,10 @@
 // startMeter starts a measurement and resets the counters.
 func (c *fleetRun) startMeter() (*usageMeter, error) {
 	m := &usageMeter{run: c, timerDelays: make(chan []time.Duration, 1), memoryExceeded: make(chan error, 1)}
-	if _, err := c.registry.call(&hollow.Command{Do: "count"}); err != nil {
+	if _, err := c.registry.call(&hollow.Command{Action: "count"}); err != nil {
 		return nil, err
 	}
-	if _, err := c.registry.call(&hollow.Command{Do: "changes"}); err != nil {
+	if _, err := c.registry.call(&hollow.Command{Action: "changes"}); err != nil {
 		return nil, err
 	}
 	var err error
@@ -456,7 +456,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a, err := m.run.registry.call(&hollow.Command{Do: "count"})
+	a, err := m.run.registry.call(&hollow.Command{Action: "count"})
 	if err != nil {
 		return nil, err
 	}
@@ -505,7 +505,7 @@
 	if !sleep(ctx, s.SettleTime) {
 		return nil, fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	at, err := c.registry.call(&hollow.Command{Do: "so far"})
+	at, err := c.registry.call(&hollow.Command{Action: "so far"})
 	if err != nil {
 		return nil, err
 	}
@@ -546,7 +546,7 @@
 
 // recordPropagation stores how long the changes took to be applied.
 func (c *fleetRun) recordPropagation(res *Measured) error {
-	a, err := c.registry.call(&hollow.Command{Do: "changes"})
+	a, err := c.registry.call(&hollow.Command{Action: "changes"})
 	if err != nil {
 		return err
 	}
@@ -680,11 +680,11 @@
 		if err := write(turns); err != nil {
 			return nil, err
 		}
-		a, err := c.sidecarHosts[0].call(&hollow.Command{Do: "reload", Sidecars: []hollow.Job{{Number: 0}}})
+		a, err := c.sidecarHosts[0].call(&hollow.Command{Action: "reload", Sidecars: []hollow.SidecarSpec{{Number: 0}}})
 		if err != nil {
 			return nil, err
 		}
-		took += time.Duration(a.TookNs)
+		took += time.Duration(a.DurationNs)
 	}
 	span := time.Since(m.startedAt).Seconds()
 	res, err := m.finish()
@@ -788,7 +788,7 @@
 
 // controlSidecars stops, starts or restarts sidecars. It skips those already in that state.
 func (c *fleetRun) controlSidecars(queues *hostQueues, command string, sidecars []int) {
-	byHost := make([][]hollow.Job, len(c.sidecarHosts))
+	byHost := make([][]hollow.SidecarSpec, len(c.sidecarHosts))
 	for _, i := range sidecars {
 		if c.stopped[i] != (command == "start") {
 			continue
@@ -796,11 +796,11 @@
 		if delete(c.stopped, i); command == "stop" {
 			c.stopped[i] = true
 		}
-		byHost[i/c.experiment.SidecarsPerProcess] = append(byHost[i/c.experiment.SidecarsPerProcess], hollow.Job{Number: i, Path: c.configPaths[i]})
+		byHost[i/c.experiment.SidecarsPerProcess] = append(byHost[i/c.experiment.SidecarsPerProcess], hollow.SidecarSpec{Number: i, Path: c.configPaths[i]})
 	}
 	for k, jobs := range byHost {
 		if len(jobs) > 0 {
-			queues.queues[k] <- &hollow.Command{Do: command, Sidecars: jobs}
+			queues.queues[k] <- &hollow.Command{Action: command, Sidecars: jobs}
 		}
 	}
 }
--- a/internal/proving/scale_test.go
+++ b/internal/proving/scale_test.go
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.kill)
-	var fleet hollow.Fleet
+	var fleet hollow.Sidecars
 	t.Cleanup(fleet.Close)
 	if err := fleet.Start(0, hollowSidecar.path); err != nil {
 		t.Fatal(err)
@@ -425,7 +425,7 @@
 	if err := in.ReadSlopes("x.toml", []byte(b.String())); err != nil {
 		t.Fatalf("%v\n%s", err, b.String())
 	}
-	if len(in.Slopes) != 1 || in.Slopes[0].Name != "sidecars.calls" || in.Slopes[0].Slope != 19.95 || in.Slopes[0].Predicted != 830 || in.Slopes[0].Measured != 805 || in.Slopes[0].Base["services"] != 10 || in.Slopes[0].Base["sidecars"] != 0 || in.Slopes[0].Busy != 23 {
+	if len(in.Slopes) != 1 || in.Slopes[0].Name != "sidecars.calls" || in.Slopes[0].Slope != 19.95 || in.Slopes[0].Predicted != 830 || in.Slopes[0].Measured != 805 || in.Slopes[0].Base["services"] != 10 || in.Slopes[0].Base["sidecars"] != 0 || in.Slopes[0].MaxBusyPercent != 23 {
 		t.Errorf("%+v", in.Slopes)
 	}
 	got := map[string]float64{}
@@ -435,7 +435,7 @@
 	if got["x.day.calls"] != 12.5 || got["x.day.changes"] != 3 || len(got) != 7 {
 		t.Errorf("%v", got)
 	}
-	if len(in.Runs) != 1 || in.Runs[0].Faster != 1800 || in.Runs[0].Command != "prove x" {
+	if len(in.Runs) != 1 || in.Runs[0].Speedup != 1800 || in.Runs[0].Command != "prove x" {
 		t.Errorf("%+v", in.Runs)
 	}
 }
