--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -9,9 +9,9 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*(1+math.Abs(a)+math.Abs(b)) }
 
-// A known line: the slope, its interval and the interval of one more measurement are
-// those of a textbook (x 1 to 5, y 2, 4, 5, 4, 5).
-func TestFitOfATextbook(t *testing.T) {
+// Checks the fit against a textbook example: slope, confidence interval of the slope and
+// prediction interval.
+func TestFitTextbookExample(t *testing.T) {
 	l, err := Fit([]Point{{1, 2}, {2, 4}, {3, 5}, {4, 4}, {5, 5}})
 	if err != nil {
 		t.Fatal(err)
@@ -21,12 +21,12 @@
 		what      string
 		got, want float64
 	}{
-		{"slope", l.Slope, 0.6}, {"cost of 0", l.Intercept, 2.2},
+		{"slope", l.Slope, 0.6}, {"intercept", l.Intercept, 2.2},
 		{"slope, low", l.SlopeLow, 0.6 - 3.182*math.Sqrt(0.8)/math.Sqrt(10)},
 		{"slope, high", l.SlopeHigh, 0.6 + 3.182*math.Sqrt(0.8)/math.Sqrt(10)},
-		{"one more, low", low, 5.8 - 3.182*math.Sqrt(0.8)*math.Sqrt(1+0.2+0.9)},
-		{"one more, high", high, 5.8 + 3.182*math.Sqrt(0.8)*math.Sqrt(1+0.2+0.9)},
-		{"residual of the third", l.Residuals[2], 1},
+		{"prediction, low", low, 5.8 - 3.182*math.Sqrt(0.8)*math.Sqrt(1+0.2+0.9)},
+		{"prediction, high", high, 5.8 + 3.182*math.Sqrt(0.8)*math.Sqrt(1+0.2+0.9)},
+		{"third residual", l.Residuals[2], 1},
 	} {
 		if !near(x.got, x.want) {
 			t.Errorf("%s: %v, want %v", x.what, x.got, x.want)
@@ -34,8 +34,8 @@
 	}
 }
 
-// What lies on a line is told exactly, at any size; what lies beside it has residuals
-// that sum to nothing.
+// Checks that points on a line are fitted exactly, and that the residuals of other points sum
+// to zero.
 func TestFitProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Float64Range(-100, 100).Draw(t, "at 0"), rapid.Float64Range(-100, 100).Draw(t, "slope")
@@ -48,7 +48,7 @@
 		}
 		l, err := Fit(on)
 		if err != nil || !near(l.Predict(100), a+b*100) || l.SlopeHigh-l.SlopeLow > 1e-6 {
-			t.Fatalf("on a line: %+v, %v", l, err)
+			t.Fatalf("points on a line: got %+v, %v", l, err)
 		}
 		if l, err = Fit(off); err != nil {
 			t.Fatal(err)
@@ -64,28 +64,28 @@
 	})
 }
 
-func TestFitRefusesWhatIsNoLine(t *testing.T) {
+func TestFitRejectsInvalidPoints(t *testing.T) {
 	for _, points := range [][]Point{nil, {{1, 1}}, {{1, 1}, {1, 2}}, {{1, 1}, {2, math.NaN()}}, {{1, 1}, {2, math.Inf(1)}}} {
 		if l, err := Fit(points); err == nil {
-			t.Errorf("%v: %+v", points, l)
+			t.Errorf("%v: got %+v, want an error", points, l)
 		}
 	}
 	l, err := Fit([]Point{{1, 1}, {2, 2}})
 	if err != nil || !math.IsNaN(l.SlopeLow) {
-		t.Errorf("of two points: %+v, %v", l, err)
+		t.Errorf("two points: got %+v, %v, want no interval of the slope", l, err)
 	}
 }
 
-func TestMissOver20PerCentDoesNotHold(t *testing.T) {
+func TestPredictionTolerance(t *testing.T) {
 	for _, x := range []struct {
 		predicted, measured float64
-		holds               bool
+		within              bool
 	}{{100, 100, true}, {120, 100, true}, {81, 100, true}, {79, 100, false}, {121, 100, false}, {0, 0, true}, {1, 0, false}} {
-		if p := (Prediction{Predicted: x.predicted, Measured: x.measured}); p.WithinTolerance() != x.holds {
-			t.Errorf("predicted %v, measured %v: holds %t", x.predicted, x.measured, p.WithinTolerance())
+		if p := (Prediction{Predicted: x.predicted, Measured: x.measured}); p.WithinTolerance() != x.within {
+			t.Errorf("predicted %v, measured %v: got within tolerance %t", x.predicted, x.measured, p.WithinTolerance())
 		}
 	}
 	if SmallerHalf(4) != 2 || SmallerHalf(6) != 3 || SmallerHalf(5) != 2 {
-		t.Error("the smaller half is not half")
+		t.Error("SmallerHalf does not return half of the sizes, rounded down")
 	}
 }
--- a/internal/capacity/inputs.go
+++ b/internal/capacity/inputs.go
@@ -8,15 +8,16 @@
 	"gorselink/internal/tomlfile"
 )
 
-// Fleet is what a fleet has and what is allowed in it.
+// Fleet describes the size of a fleet and the bounds on its costs.
 type Fleet struct {
-	Name string
-	Has  map[string]float64 // by dimension; NaN for what is not told
-	May  map[string]float64 // by bound; one that is missing is not told
+	Name       string
+	Dimensions map[string]float64 // by name; NaN if not specified
+	Bounds     map[string]float64 // by name; absent if not specified
 }
 
-// dims and bounds are what a fleet's file may say, with the words of the page.
-var dims = []struct{ name, words string }{
+// fleetDimensions and fleetBounds are the keys of a fleet in its file, with their labels on
+// the page.
+var fleetDimensions = []struct{ name, label string }{
 	{"sidecars", "endpoints, each with its sidecar"},
 	{"services", "services"},
 	{"calls", "calls a second"},
@@ -28,7 +29,7 @@
 	{"failures", "machines that fail a day"},
 }
 
-var bounds = []struct{ name, words string }{
+var fleetBounds = []struct{ name, label string }{
 	{"added_ms", "ms added to a call, for 99 in 100"},
 	{"within_ms", "ms until a change is in force everywhere"},
 	{"core", "thousandths of a core for control, a sidecar"},
@@ -37,29 +38,28 @@
 	{"machines", "machines set aside for control"},
 }
 
-// Slope is how a cost grew with a dimension in a scale run. Its numbers are written by
-// the run itself.
+// Slope describes how a cost grows with a dimension, as written by a scale experiment.
 type Slope struct {
-	Name                  string // as sidecars.calls
-	By                    string
-	Cost                  string
-	At0, Slope            float64
-	Low, High             float64 // NaN where not known
-	Least, Largest        float64 // sizes
-	Predicted             float64 // of the largest size, from the smaller half; NaN without
-	Measured              float64 // NaN where the machine was the bottleneck
-	PredLow, PredHigh     float64
-	Quiet, MaxBusyPercent float64            // per cent that the machine was busy by, whoever made it so: least and most
-	Base                  map[string]float64 // what else the fleet of the run had
+	Name                           string // the dimension and the cost, for example sidecars.calls
+	Dimension                      string
+	Cost                           string
+	Intercept, Slope               float64
+	SlopeLow, SlopeHigh            float64 // 95% confidence interval; NaN if unknown
+	SmallestSize, LargestSize      float64
+	Predicted                      float64 // cost at the largest size, extrapolated from the smaller half; NaN without a prediction
+	Measured                       float64 // cost at the largest size; NaN if the machine was the bottleneck
+	PredictedLow, PredictedHigh    float64
+	MinBusyPercent, MaxBusyPercent float64            // processor use of the whole machine, other processes included
+	Base                           map[string]float64 // the other dimensions of the experiment's fleet
 }
 
-// prediction is the slope's, if it was put to the test.
+// prediction returns the prediction for the largest size, and whether that size was measured.
 func (s *Slope) prediction() (p Prediction, tested bool) {
-	return Prediction{Size: s.Largest, Predicted: s.Predicted, Measured: s.Measured}, !math.IsNaN(s.Predicted + s.Measured)
+	return Prediction{Size: s.LargestSize, Predicted: s.Predicted, Measured: s.Measured}, !math.IsNaN(s.Predicted + s.Measured)
 }
 
-// used tells whether figures may be reckoned from the slope, and why not.
-func (s *Slope) used() (bool, string) {
+// usable reports whether estimates may use the slope, and if not, the reason.
+func (s *Slope) usable() (bool, string) {
 	p, tested := s.prediction()
 	switch {
 	case !tested:
@@ -70,35 +70,35 @@
 	return true, ""
 }
 
-// Figure is one figure of a scale run.
+// Figure is one measured value of a scale experiment.
 type Figure struct {
-	Name  string // as idle.real-150-0.bytes
+	Name  string // for example idle.real-150-0.bytes
 	Value float64
 }
 
-// Row is a cost of a role.
+// Row is one cost of a role: a slope, a figure or a constant, scaled to a fleet, or a text.
 type Row struct {
-	What  string
-	Of    string   // a slope or a figure
-	Each  float64  // in place of it, from a page that From names
-	Over  []string // dimensions that it is divided by: of a slope the run's, else the fleet's
-	Times []string // dimensions of the fleet that it is multiplied with
-	Scale float64  // its unit
-	Bound string   // of the fleet
-	Fleet string   // "" for all: the only one that it is of
-	Says  string   // in place of a figure: what is not known, or not there
-	From  string
+	Label      string
+	Source     string   // the name of a slope or a figure
+	Constant   float64  // in place of Source, with its origin in Reference; NaN if not set
+	DivideBy   []string // dimensions of the experiment's fleet for a slope, else of the fleet
+	MultiplyBy []string // dimensions of the fleet
+	Scale      float64  // unit conversion factor
+	Bound      string   // the bound of the fleet that applies
+	Fleet      string   // the only fleet that the row applies to; empty for all
+	Text       string   // in place of a value, where none exists
+	Reference  string
 }
 
-// Role is somebody who does something for the fleet.
+// Role is a function that is performed for the fleet, with its costs.
 type Role struct {
-	Name    string
-	Carried string // by what, and where it lives
-	State   string // what it keeps
-	Rows    []Row
+	Name          string
+	ImplementedBy string // packages or programs
+	State         string // what it stores
+	Rows          []Row
 }
 
-// Run is where the slopes and figures come from.
+// Run identifies the scale experiment that produced slopes and figures.
 type Run struct {
 	Experiment, Command string
 	Seed                uint64
@@ -106,7 +106,7 @@
 	Speedup             float64
 }
 
-// Inputs are all that the page is made of.
+// Inputs holds the data from which the page is rendered.
 type Inputs struct {
 	Fleets  []Fleet
 	Runs    []Run
@@ -115,69 +115,70 @@
 	Roles   []Role
 }
 
-const most = 1e15
+const maxValue = 1e15
 
-// ReadFleets reads the file of fleets.
+// ReadFleets reads a fleets file and appends its fleets.
 func (in *Inputs) ReadFleets(file string, text []byte) error {
 	top, err := tomlfile.Parse(file, text)
 	if err != nil {
 		return err
 	}
 	for _, t := range top.TableList("fleets") {
-		f := Fleet{Name: t.Text("name", ""), Has: map[string]float64{}, May: map[string]float64{}}
+		f := Fleet{Name: t.Text("name", ""), Dimensions: map[string]float64{}, Bounds: map[string]float64{}}
 		if f.Name == "" {
-			t.AddError("name", nil, "a name")
+			t.AddError("name", nil, "the name of a fleet")
 		}
-		for _, d := range dims {
-			f.Has[d.name] = t.Number(d.name, math.NaN(), 0, most)
+		for _, d := range fleetDimensions {
+			f.Dimensions[d.name] = t.Number(d.name, math.NaN(), 0, maxValue)
 		}
-		for _, b := range bounds {
+		for _, b := range fleetBounds {
 			if t.Has(b.name) {
-				f.May[b.name] = t.Number(b.name, 0, 0, most)
+				f.Bounds[b.name] = t.Number(b.name, 0, 0, maxValue)
 			}
 		}
 		t.RejectUnknownKeys()
 		in.Fleets = append(in.Fleets, f)
 	}
 	if len(in.Fleets) == 0 {
-		top.AddErrorAt("fleets", "", "one fleet at least, [[fleets]]")
+		top.AddErrorAt("fleets", "", "one or more [[fleets]] tables")
 	}
 	top.RejectUnknownKeys()
 	return top.Err()
 }
 
-// ReadSlopes reads a file that a scale run has written, after those of others.
+// ReadSlopes reads a slopes file written by a scale experiment and appends its contents. It
+// may be called for several files.
 func (in *Inputs) ReadSlopes(file string, text []byte) error {
 	top, err := tomlfile.Parse(file, text)
 	if err != nil {
 		return err
 	}
 	run := top.Table("run")
-	in.Runs = append(in.Runs, Run{Experiment: run.Text("experiment", ""), Command: run.Text("command", ""), Seed: uint64(run.Integer("seed", 0, 0, math.MaxInt64)), Cores: run.Integer("cores", 0, 0, 4096), Speedup: run.Number("faster", 0, 0, most)})
+	in.Runs = append(in.Runs, Run{Experiment: run.Text("experiment", ""), Command: run.Text("command", ""), Seed: uint64(run.Integer("seed", 0, 0, math.MaxInt64)), Cores: run.Integer("cores", 0, 0, 4096), Speedup: run.Number("faster", 0, 0, maxValue)})
 	run.RejectUnknownKeys()
 	for _, t := range top.TableList("slopes") {
-		number := func(key string) float64 { return t.Number(key, math.NaN(), -most, most) }
-		s := Slope{By: t.Text("by", ""), Cost: t.Text("cost", ""), At0: number("at0"), Slope: number("slope"), Low: number("low"), High: number("high"),
-			Least: number("least"), Largest: number("largest"), Predicted: number("predicted"), PredLow: number("predicted_low"), PredHigh: number("predicted_high"), Measured: number("measured"), Quiet: number("busy_least"), MaxBusyPercent: number("busy_most"), Base: map[string]float64{}}
-		s.Name = s.By + "." + s.Cost
+		number := func(key string) float64 { return t.Number(key, math.NaN(), -maxValue, maxValue) }
+		s := Slope{Dimension: t.Text("by", ""), Cost: t.Text("cost", ""), Intercept: number("at0"), Slope: number("slope"), SlopeLow: number("low"), SlopeHigh: number("high"),
+			SmallestSize: number("least"), LargestSize: number("largest"), Predicted: number("predicted"), PredictedLow: number("predicted_low"), PredictedHigh: number("predicted_high"), Measured: number("measured"), MinBusyPercent: number("busy_least"), MaxBusyPercent: number("busy_most"), Base: map[string]float64{}}
+		s.Name = s.Dimension + "." + s.Cost
 		base := t.Table("base")
 		for _, d := range []string{"sidecars", "services", "endpoints", "changes"} {
-			s.Base[d] = base.Number(d, 0, 0, most)
+			s.Base[d] = base.Number(d, 0, 0, maxValue)
 		}
 		base.RejectUnknownKeys()
-		if math.IsNaN(s.At0 + s.Slope) {
-			t.AddError("slope", nil, "a line: at0 and slope")
+		if math.IsNaN(s.Intercept + s.Slope) {
+			t.AddError("slope", nil, "numbers for at0 and slope")
 		}
 		if in.slope(s.Name) != nil {
-			t.AddError("cost", s.Name, "a slope that no other run has")
+			t.AddError("cost", s.Name, "a dimension and cost that no other slope has")
 		}
 		t.RejectUnknownKeys()
 		in.Slopes = append(in.Slopes, s)
 	}
 	for _, t := range top.TableList("figures") {
-		f := Figure{t.Text("name", ""), t.Number("value", math.NaN(), -most, most)}
+		f := Figure{t.Text("name", ""), t.Number("value", math.NaN(), -maxValue, maxValue)}
 		if in.figure(f.Name) != nil {
-			t.AddError("name", f.Name, "a name of its own")
+			t.AddError("name", f.Name, "a name that no other figure has")
 		}
 		in.Figures = append(in.Figures, f)
 		t.RejectUnknownKeys()
@@ -186,14 +187,15 @@
 	return top.Err()
 }
 
-// ReadRoles reads the file of roles, after fleets and slopes: what it names must be there.
+// ReadRoles reads a roles file. It must be called after ReadSlopes, since rows refer to slopes
+// and figures by name.
 func (in *Inputs) ReadRoles(file string, text []byte) error {
 	top, err := tomlfile.Parse(file, text)
 	if err != nil {
 		return err
 	}
 	for _, t := range top.TableList("roles") {
-		r := Role{Name: t.Text("name", ""), Carried: t.Text("carried", "None yet"), State: t.Text("state", "")}
+		r := Role{Name: t.Text("name", ""), ImplementedBy: t.Text("carried", "None yet"), State: t.Text("state", "")}
 		for _, rt := range t.TableList("rows") {
 			r.Rows = append(r.Rows, in.row(rt))
 		}
@@ -205,42 +207,42 @@
 }
 
 func (in *Inputs) row(t *tomlfile.Table) Row {
-	r := Row{What: t.Text("what", ""), Of: t.Text("of", ""), Each: t.Number("each", math.NaN(), -most, most), Over: t.TextList("over"), Times: t.TextList("times"),
-		Scale: t.Number("scale", 1, -most, most), Bound: t.Text("bound", ""), Fleet: t.Text("fleet", ""), Says: t.Text("says", ""), From: t.Text("from", "")}
+	r := Row{Label: t.Text("what", ""), Source: t.Text("of", ""), Constant: t.Number("each", math.NaN(), -maxValue, maxValue), DivideBy: t.TextList("over"), MultiplyBy: t.TextList("times"),
+		Scale: t.Number("scale", 1, -maxValue, maxValue), Bound: t.Text("bound", ""), Fleet: t.Text("fleet", ""), Text: t.Text("says", ""), Reference: t.Text("from", "")}
 	given := 0
-	for _, is := range []bool{r.Of != "", !math.IsNaN(r.Each), r.Says != ""} {
-		if is {
+	for _, set := range []bool{r.Source != "", !math.IsNaN(r.Constant), r.Text != ""} {
+		if set {
 			given++
 		}
 	}
 	if given != 1 {
-		t.AddError("of", r.Of, "one of of, each and says")
+		t.AddError("of", r.Source, "exactly one of the keys of, each and says")
 	}
-	if r.Of != "" && in.slope(r.Of) == nil && in.figure(r.Of) == nil {
-		t.AddError("of", r.Of, "a slope or a figure that the run has written")
+	if r.Source != "" && in.slope(r.Source) == nil && in.figure(r.Source) == nil {
+		t.AddError("of", r.Source, "the name of a slope or a figure in the slopes files")
 	}
-	if !math.IsNaN(r.Each) && r.From == "" {
-		t.AddError("from", nil, "where the figure is from")
+	if !math.IsNaN(r.Constant) && r.Reference == "" {
+		t.AddError("from", nil, "the origin of the value in each")
 	}
-	known := func(key string, names []string, among []struct{ name, words string }) {
+	checkNames := func(key string, names []string, allowed []struct{ name, label string }) {
 		for _, n := range names {
-			if !slices.ContainsFunc(among, func(d struct{ name, words string }) bool { return d.name == n }) {
-				t.AddError(key, n, "a key of a fleet")
+			if !slices.ContainsFunc(allowed, func(d struct{ name, label string }) bool { return d.name == n }) {
+				t.AddError(key, n, "a dimension or bound of a fleet")
 			}
 		}
 	}
-	known("times", r.Times, dims)
+	checkNames("times", r.MultiplyBy, fleetDimensions)
 	if r.Bound != "" {
-		known("bound", []string{r.Bound}, bounds)
+		checkNames("bound", []string{r.Bound}, fleetBounds)
 	}
-	if s := in.slope(r.Of); s != nil {
-		for _, o := range r.Over {
+	if s := in.slope(r.Source); s != nil {
+		for _, o := range r.DivideBy {
 			if s.Base[o] == 0 {
-				t.AddError("over", o, "a dimension of the run's fleet")
+				t.AddError("over", o, "a dimension of the experiment's fleet in the key base of the slope")
 			}
 		}
 	} else {
-		known("over", r.Over, dims)
+		checkNames("over", r.DivideBy, fleetDimensions)
 	}
 	t.RejectUnknownKeys()
 	return r
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -9,22 +9,23 @@
 	"text/template"
 )
 
-// Page fills the text of the page: {{fleets}}, {{roles}} and {{slopes}} are tables,
-// {{figure "NAME"}} is a figure of a run, {{has "NAME"}} whether there is one, {{runs}} tells of them and {{faster}} of the day.
+// Page renders the template of the page. {{fleets}}, {{runs}}, {{slopes}} and {{roles}} insert
+// tables, {{figure "NAME"}} the value of a figure and {{faster}} the speedup of the simulated
+// day; {{has "NAME"}} reports whether a figure exists.
 func (in *Inputs) Page(text string) (string, error) {
 	t, err := template.New("page").Funcs(template.FuncMap{
-		"fleets": in.fleets,
-		"roles":  in.roles,
-		"slopes": in.slopes,
-		"runs":   in.runs,
-		"faster": in.faster,
+		"fleets": in.fleetsTable,
+		"roles":  in.rolesTables,
+		"slopes": in.slopesTable,
+		"runs":   in.runsTable,
+		"faster": in.daySpeedup,
 		"has":    func(name string) bool { return in.figure(name) != nil },
 		"figure": func(name string) (string, error) {
 			f := in.figure(name)
 			if f == nil {
-				return "", fmt.Errorf("figure %q: no run has it", name)
+				return "", fmt.Errorf("figure %q is not in any slopes file", name)
 			}
-			return plain(f.Value), nil
+			return formatNumber(f.Value), nil
 		},
 	}).Parse(text)
 	if err != nil {
@@ -37,31 +38,31 @@
 	return b.String(), nil
 }
 
-// value is a row's figure for a fleet; without one, why not.
-func (in *Inputs) value(r *Row, f *Fleet) (x float64, why string) {
-	if r.Says != "" {
-		return 0, r.Says
+// rowValue returns the value of a row for a fleet, or the text to show in its place.
+func (in *Inputs) rowValue(r *Row, f *Fleet) (x float64, reason string) {
+	if r.Text != "" {
+		return 0, r.Text
 	}
 	if r.Fleet != "" && r.Fleet != f.Name {
 		return 0, "open"
 	}
-	over := f.Has
-	switch s, g := in.slope(r.Of), in.figure(r.Of); {
+	divisors := f.Dimensions
+	switch s, g := in.slope(r.Source), in.figure(r.Source); {
 	case s != nil:
-		if ok, because := s.used(); !ok {
-			return 0, "open: " + because
+		if ok, cause := s.usable(); !ok {
+			return 0, "open: " + cause
 		}
-		x, over = s.Slope, s.Base
+		x, divisors = s.Slope, s.Base
 	case g != nil:
 		x = g.Value
 	default:
-		x = r.Each
+		x = r.Constant
 	}
-	for _, o := range r.Over {
-		x /= over[o]
+	for _, o := range r.DivideBy {
+		x /= divisors[o]
 	}
-	for _, d := range r.Times {
-		x *= f.Has[d]
+	for _, d := range r.MultiplyBy {
+		x *= f.Dimensions[d]
 	}
 	if x *= r.Scale; math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0, "open: the fleet's file does not tell enough"
@@ -69,23 +70,23 @@
 	return x, ""
 }
 
-// how tells whether a figure of a row was measured or reckoned, and from what.
-func (in *Inputs) how(r *Row) string {
-	s := in.slope(r.Of)
+// provenance returns the source of a row's value: measured or derived, and from which input.
+func (in *Inputs) provenance(r *Row) string {
+	s := in.slope(r.Source)
 	switch {
-	case r.Says != "":
-		return r.From
+	case r.Text != "":
+		return r.Reference
 	case s != nil:
-		return join("reckoned from the slope `"+s.Name+"`", r.From)
-	case r.Of != "" && len(r.Times)+len(r.Over) > 0:
-		return join("reckoned from `"+r.Of+"`", r.From)
-	case r.Of != "":
-		return join("measured, `"+r.Of+"`", r.From)
+		return joinReference("reckoned from the slope `"+s.Name+"`", r.Reference)
+	case r.Source != "" && len(r.MultiplyBy)+len(r.DivideBy) > 0:
+		return joinReference("reckoned from `"+r.Source+"`", r.Reference)
+	case r.Source != "":
+		return joinReference("measured, `"+r.Source+"`", r.Reference)
 	}
-	return join("reckoned from", r.From)
+	return joinReference("reckoned from", r.Reference)
 }
 
-func join(a, b string) string {
+func joinReference(a, b string) string {
 	if b == "" {
 		return a
 	}
@@ -96,115 +97,115 @@
 }
 
 func (in *Inputs) cell(r *Row, f *Fleet) string {
-	x, why := in.value(r, f)
-	if why != "" {
-		return why
+	x, reason := in.rowValue(r, f)
+	if reason != "" {
+		return reason
 	}
-	text := plain(x)
-	if may, told := f.May[r.Bound]; told && may > 0 {
-		text += fmt.Sprintf(" (%s of the %s allowed)", times(x/may), plain(may))
+	text := formatNumber(x)
+	if limit, ok := f.Bounds[r.Bound]; ok && limit > 0 {
+		text += fmt.Sprintf(" (%s of the %s allowed)", formatRatio(x/limit), formatNumber(limit))
 	}
 	return text
 }
 
-// times words a ratio.
-func times(x float64) string {
+// formatRatio formats a ratio as a percentage, or as a multiple from about 2 on.
+func formatRatio(x float64) string {
 	if x < 1.995 {
 		return fmt.Sprintf("%.0f%%", 100*x)
 	}
 	return fmt.Sprintf("%.1f times", x)
 }
 
-func (in *Inputs) names() (all []string) {
+func (in *Inputs) fleetNames() (all []string) {
 	for i := range in.Fleets {
 		all = append(all, in.Fleets[i].Name)
 	}
 	return all
 }
 
-func table(b *strings.Builder, head []string, rows [][]string) {
-	line := func(cells []string) { fmt.Fprintf(b, "| %s |\n", strings.Join(cells, " | ")) }
-	line(head)
-	line(strings.Split(strings.Repeat("--- ", len(head)-1)+"---", " "))
+func writeTable(b *strings.Builder, header []string, rows [][]string) {
+	writeRow := func(cells []string) { fmt.Fprintf(b, "| %s |\n", strings.Join(cells, " | ")) }
+	writeRow(header)
+	writeRow(strings.Split(strings.Repeat("--- ", len(header)-1)+"---", " "))
 	for _, r := range rows {
-		line(r)
+		writeRow(r)
 	}
 }
 
-func (in *Inputs) fleets() string {
+func (in *Inputs) fleetsTable() string {
 	var b strings.Builder
 	var rows [][]string
-	for _, d := range dims {
-		row := []string{d.words}
+	for _, d := range fleetDimensions {
+		row := []string{d.label}
 		for i := range in.Fleets {
-			cell := plain(in.Fleets[i].Has[d.name])
-			if math.IsNaN(in.Fleets[i].Has[d.name]) {
+			cell := formatNumber(in.Fleets[i].Dimensions[d.name])
+			if math.IsNaN(in.Fleets[i].Dimensions[d.name]) {
 				cell = "not told"
 			}
 			row = append(row, cell)
 		}
 		rows = append(rows, row)
 	}
-	for _, d := range bounds {
-		row := []string{"at most " + d.words}
+	for _, d := range fleetBounds {
+		row := []string{"at most " + d.label}
 		for i := range in.Fleets {
 			cell := "not told"
-			if x, ok := in.Fleets[i].May[d.name]; ok {
-				cell = plain(x)
+			if x, ok := in.Fleets[i].Bounds[d.name]; ok {
+				cell = formatNumber(x)
 			}
 			row = append(row, cell)
 		}
 		rows = append(rows, row)
 	}
-	table(&b, append([]string{""}, in.names()...), rows)
+	writeTable(&b, append([]string{""}, in.fleetNames()...), rows)
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-func (in *Inputs) roles() string {
+func (in *Inputs) rolesTables() string {
 	var b strings.Builder
 	for i := range in.Roles {
 		r := &in.Roles[i]
 		if i > 0 {
 			b.WriteString("\n")
 		}
-		fmt.Fprintf(&b, "### %s\n\nCarried by: %s.", r.Name, strings.TrimSuffix(r.Carried, "."))
+		fmt.Fprintf(&b, "### %s\n\nCarried by: %s.", r.Name, strings.TrimSuffix(r.ImplementedBy, "."))
 		if r.State != "" {
 			fmt.Fprintf(&b, " State: %s.", strings.TrimSuffix(r.State, "."))
 		}
 		b.WriteString("\n\n")
 		var rows [][]string
 		for k := range r.Rows {
-			row := []string{r.Rows[k].What}
+			row := []string{r.Rows[k].Label}
 			for f := range in.Fleets {
 				row = append(row, in.cell(&r.Rows[k], &in.Fleets[f]))
 			}
-			rows = append(rows, append(row, in.how(&r.Rows[k])))
+			rows = append(rows, append(row, in.provenance(&r.Rows[k])))
 		}
-		table(&b, append(append([]string{""}, in.names()...), "from"), rows)
+		writeTable(&b, append(append([]string{""}, in.fleetNames()...), "from"), rows)
 	}
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-func (in *Inputs) runs() string {
+func (in *Inputs) runsTable() string {
 	var b strings.Builder
 	var rows [][]string
 	for _, r := range in.Runs {
 		rows = append(rows, []string{"`" + r.Command + "`", strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Cores)})
 	}
-	table(&b, []string{"run", "seed", "cores"}, rows)
+	writeTable(&b, []string{"run", "seed", "cores"}, rows)
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-func (in *Inputs) faster() (string, error) {
+func (in *Inputs) daySpeedup() (string, error) {
 	for _, r := range in.Runs {
 		if r.Speedup > 0 {
-			return plain(r.Speedup), nil
+			return formatNumber(r.Speedup), nil
 		}
 	}
-	return "", errors.New("no run has a day")
+	return "", errors.New("no slopes file has a simulated day: the key faster is not set")
 }
 
-func (in *Inputs) slopes() string {
+func (in *Inputs) slopesTable() string {
 	var b strings.Builder
 	var rows [][]string
 	for i := range in.Slopes {
@@ -216,20 +217,21 @@
 				used = "no"
 			}
 		}
-		rows = append(rows, []string{"`" + s.Name + "`", plain(s.Least) + " to " + plain(s.Largest), plain(s.Slope), plain(s.Low) + " to " + plain(s.High),
-			plain(s.Predicted), plain(s.PredLow) + " to " + plain(s.PredHigh), plain(s.Measured), miss, used, plain(s.Quiet) + " to " + plain(s.MaxBusyPercent)})
+		rows = append(rows, []string{"`" + s.Name + "`", formatNumber(s.SmallestSize) + " to " + formatNumber(s.LargestSize), formatNumber(s.Slope), formatNumber(s.SlopeLow) + " to " + formatNumber(s.SlopeHigh),
+			formatNumber(s.Predicted), formatNumber(s.PredictedLow) + " to " + formatNumber(s.PredictedHigh), formatNumber(s.Measured), miss, used, formatNumber(s.MinBusyPercent) + " to " + formatNumber(s.MaxBusyPercent)})
 	}
-	table(&b, []string{"slope", "sizes", "for one more", "interval", "largest, predicted", "interval", "largest, measured", "miss", "used", "machine busy, %"}, rows)
+	writeTable(&b, []string{"slope", "sizes", "for one more", "interval", "largest, predicted", "interval", "largest, measured", "miss", "used", "machine busy, %"}, rows)
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// plain words a number with three digits that count, and none lost before the point.
-func plain(x float64) string {
+// formatNumber formats a number with three significant digits, or as an integer with
+// thousands separators from 100 on.
+func formatNumber(x float64) string {
 	switch {
 	case math.IsNaN(x):
 		return "-"
 	case x != 0 && math.Abs(x) < 100:
-		return strconv.FormatFloat(must3(x), 'f', -1, 64)
+		return strconv.FormatFloat(roundToThreeDigits(x), 'f', -1, 64)
 	}
 	s := strconv.FormatFloat(math.Abs(math.Round(x)), 'f', 0, 64)
 	for i := len(s) - 3; i > 0; i -= 3 {
@@ -241,8 +243,8 @@
 	return s
 }
 
-// must3 is x to three digits that count.
-func must3(x float64) float64 {
+// roundToThreeDigits rounds x to three significant digits.
+func roundToThreeDigits(x float64) float64 {
 	y, err := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 3, 64), 64)
 	if err != nil {
 		return x
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-const folder = "../../experiments/capacity"
+const inputsDir = "../../experiments/capacity"
 
-func read(t *testing.T, path string) []byte {
+func readFile(t *testing.T, path string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -18,8 +18,8 @@
 	return text
 }
 
-// inputs are those of the page, of which one may be another text.
-func inputs(t *testing.T, other map[string]string) *Inputs {
+// loadInputs reads the inputs of the page. Texts in other replace the files of the same name.
+func loadInputs(t *testing.T, other map[string]string) *Inputs {
 	t.Helper()
 	in := &Inputs{}
 	for _, x := range []struct {
@@ -28,7 +28,7 @@
 	}{{"fleets.toml", in.ReadFleets}, {"slopes-beside.toml", in.ReadSlopes}, {"slopes-chain.toml", in.ReadSlopes}, {"slopes-idle.toml", in.ReadSlopes}, {"slopes-scale.toml", in.ReadSlopes}, {"roles.toml", in.ReadRoles}} {
 		text, ok := other[x.name]
 		if !ok {
-			text = string(read(t, filepath.Join(folder, x.name)))
+			text = string(readFile(t, filepath.Join(inputsDir, x.name)))
 		}
 		if err := x.read(x.name, []byte(text)); err != nil {
 			t.Fatal(err)
@@ -37,29 +37,30 @@
 	return in
 }
 
-// The page is what its inputs give, to the letter; inputs with another figure give another.
+// Checks that docs/CAPACITY.md equals the page rendered from its inputs, and that the page
+// changes with its inputs.
 func TestCapacityPageAgrees(t *testing.T) {
-	text := string(read(t, filepath.Join(folder, "page.md")))
-	page, err := inputs(t, nil).Page(text)
+	text := string(readFile(t, filepath.Join(inputsDir, "page.md")))
+	page, err := loadInputs(t, nil).Page(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if kept := string(read(t, "../../docs/CAPACITY.md")); kept != page {
-		a, b := strings.Split(kept, "\n"), strings.Split(page, "\n")
+	if committed := string(readFile(t, "../../docs/CAPACITY.md")); committed != page {
+		a, b := strings.Split(committed, "\n"), strings.Split(page, "\n")
 		for i := range min(len(a), len(b)) {
 			if a[i] != b[i] {
-				t.Fatalf("docs/CAPACITY.md:%d: found\n%s\nwant\n%s\n(bin/prove capacity >docs/CAPACITY.md)", i+1, a[i], b[i])
+				t.Fatalf("docs/CAPACITY.md:%d: got\n%s\nwant\n%s\n(to update: bin/prove capacity >docs/CAPACITY.md)", i+1, a[i], b[i])
 			}
 		}
 		t.Fatalf("docs/CAPACITY.md: %d lines, want %d", len(a), len(b))
 	}
-	fleets := strings.Replace(string(read(t, filepath.Join(folder, "fleets.toml"))), "services = 150", "services = 151", 1)
-	if other, err := inputs(t, map[string]string{"fleets.toml": fleets}).Page(text); err != nil || other == page {
-		t.Errorf("one service more changes nothing, %v", err)
+	fleets := strings.Replace(string(readFile(t, filepath.Join(inputsDir, "fleets.toml"))), "services = 150", "services = 151", 1)
+	if other, err := loadInputs(t, map[string]string{"fleets.toml": fleets}).Page(text); err != nil || other == page {
+		t.Errorf("the page did not change with the number of services; error %v", err)
 	}
 }
 
-const small = `
+const testSlopes = `
 [run]
 experiment = "x"
 command = "prove x"
@@ -97,7 +98,7 @@
 value = 60000
 `
 
-const smallFleets = `
+const testFleets = `
 [[fleets]]
 name = "a"
 sidecars = 100
@@ -108,9 +109,9 @@
 services = 3
 `
 
-// What a table says of a cost: the slope by the run's fleet times this one's, how often
-// the bound goes into it, and why there is no figure where there is none.
-func TestRolesArithmetic(t *testing.T) {
+// Checks the cells of role tables: scaled slopes and figures, ratios to bounds, and the reason
+// where there is no value.
+func TestRoleTables(t *testing.T) {
 	rows := `[[roles]]
 name = "r"
 [[roles.rows]]
@@ -139,7 +140,7 @@
 scale = 1000
 from = "elsewhere"
 `
-	page, err := inputs(t, map[string]string{"fleets.toml": smallFleets, "slopes-beside.toml": small, "slopes-chain.toml": "", "slopes-idle.toml": "", "slopes-scale.toml": "", "roles.toml": rows}).Page("{{roles}}")
+	page, err := loadInputs(t, map[string]string{"fleets.toml": testFleets, "slopes-beside.toml": testSlopes, "slopes-chain.toml": "", "slopes-idle.toml": "", "slopes-scale.toml": "", "roles.toml": rows}).Page("{{roles}}")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,43 +154,43 @@
 		"| w6 | 1,500 | 1,500 | reckoned from elsewhere |",
 	} {
 		if !strings.Contains(page, want) {
-			t.Errorf("not told: %s; told:\n%s", want, page)
+			t.Errorf("missing %s in:\n%s", want, page)
 		}
 	}
 }
 
-// What a file of roles names must be there.
+// Checks that invalid inputs are rejected, such as references to slopes that do not exist.
 func TestInputFaults(t *testing.T) {
 	in := &Inputs{}
-	if err := in.ReadSlopes("s.toml", []byte(small)); err != nil {
+	if err := in.ReadSlopes("s.toml", []byte(testSlopes)); err != nil {
 		t.Fatal(err)
 	}
 	err := in.ReadRoles("r.toml", []byte("[[roles]]\nname = \"r\"\n[[roles.rows]]\nof = \"moons.calls\"\n[[roles.rows]]\neach = 1\n[[roles.rows]]\nof = \"sidecars.calls\"\nsays = \"open\"\ntimes = [\"moons\"]\nover = [\"sidecars\"]\nbound = \"x\"\n"))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid roles: got no error, want one")
 	}
 	for _, want := range []string{"r.toml:4: roles[0].rows[0].of", "roles[0].rows[1].from", "r.toml:8: roles[0].rows[2].of"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("not told: %s; told:\n%v", want, err)
+			t.Errorf("missing %s in:\n%v", want, err)
 		}
 	}
 	for _, want := range []string{".times", ".over", ".bound"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("not told: %s; told:\n%v", want, err)
+			t.Errorf("missing %s in:\n%v", want, err)
 		}
 	}
 	if _, err := in.Page("{{figure \"none\"}}"); err == nil {
-		t.Error("a figure that no run gave")
+		t.Error("a figure that does not exist: got no error, want one")
 	}
 	if err := in.ReadFleets("f.toml", nil); err == nil {
-		t.Error("no fleet")
+		t.Error("a file without fleets: got no error, want one")
 	}
 }
 
-// Numbers keep the digits that count.
-func TestPlain(t *testing.T) {
+// Checks that numbers keep three significant digits, and all digits before the decimal point.
+func TestFormatNumber(t *testing.T) {
 	for x, want := range map[float64]string{0: "0", 0.0012345: "0.00123", 12.345: "12.3", 99.99: "100", 1234567.8: "1,234,568", -1234: "-1,234", 100: "100", 999.6: "1,000"} {
-		if got := plain(x); got != want {
+		if got := formatNumber(x); got != want {
 			t.Errorf("%v: %q, want %q", x, got, want)
 		}
 	}
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,8 +1,7 @@
-// Package hollow runs sidecars for experiments: the program's own code for all that is
-// control (following lists, telling the Balancer, timers, applying configuration), with
-// no callers and no sockets to endpoints. Hundreds share a process. It has nothing of its
-// own to get wrong: a sidecar is what `gorselink serve` starts, and its place, seed and
-// sources come from its own configuration file.
+// Package hollow runs many headless sidecars in one process for experiments. A headless
+// sidecar runs the control plane of `gorselink serve` (discovery, Balancer updates, timers,
+// reloads) from its own configuration file, but serves no callers and opens no connections
+// to endpoints.
 package hollow
 
 import (
@@ -21,25 +20,26 @@
 	"gorselink/internal/nodes"
 )
 
-// Fleet is the sidecars of one process, by number.
+// Sidecars manages the headless sidecars of one process by number. The zero value is ready
+// to use.
 type Sidecars struct {
-	mu  sync.Mutex
-	all map[int]*sidecar
+	mu      sync.Mutex
+	running map[int]*sidecar
 }
 
 type sidecar struct {
-	path  string
-	d     *daemon.Daemon
-	pools []string // names, in order
+	path   string
+	daemon *daemon.Daemon
+	pools  []string // sorted names
 }
 
-// Start starts a sidecar by the file at path.
-func (f *Sidecars) Start(number int, path string) error {
-	f.mu.Lock()
-	_, runs := f.all[number]
-	f.mu.Unlock()
-	if runs {
-		return fmt.Errorf("sidecar %d: runs already", number)
+// Start starts a sidecar with the configuration file at path.
+func (sidecars *Sidecars) Start(number int, path string) error {
+	sidecars.mu.Lock()
+	_, exists := sidecars.running[number]
+	sidecars.mu.Unlock()
+	if exists {
+		return fmt.Errorf("sidecar %d: already running", number)
 	}
 	cfg, err := config.LoadDaemon(path)
 	if err != nil {
@@ -49,12 +49,12 @@
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", number, err)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.all == nil {
-		f.all = map[int]*sidecar{}
+	sidecars.mu.Lock()
+	defer sidecars.mu.Unlock()
+	if sidecars.running == nil {
+		sidecars.running = map[int]*sidecar{}
 	}
-	f.all[number] = &sidecar{path, d, poolNames(cfg)}
+	sidecars.running[number] = &sidecar{path, d, poolNames(cfg)}
 	return nil
 }
 
@@ -66,89 +66,90 @@
 	return names
 }
 
-// Stop ends a sidecar at once, as a machine that fails does.
-func (f *Sidecars) Stop(number int) error {
-	f.mu.Lock()
-	s := f.all[number]
-	delete(f.all, number)
-	f.mu.Unlock()
+// Stop closes a sidecar at once, without draining it, to simulate a machine failure.
+func (sidecars *Sidecars) Stop(number int) error {
+	sidecars.mu.Lock()
+	s := sidecars.running[number]
+	delete(sidecars.running, number)
+	sidecars.mu.Unlock()
 	if s == nil {
-		return fmt.Errorf("sidecar %d: does not run", number)
+		return fmt.Errorf("sidecar %d: not running", number)
 	}
-	s.d.Close()
+	s.daemon.Close()
 	return nil
 }
 
-// Reload has a sidecar read its file again, as SIGHUP does, and tells what has changed.
-func (f *Sidecars) Reload(number int) (changes []string, err error) {
-	f.mu.Lock()
-	s := f.all[number]
-	f.mu.Unlock()
+// Reload makes a sidecar read its configuration file again, as SIGHUP does, and returns the
+// changes that were applied.
+func (sidecars *Sidecars) Reload(number int) (changes []string, err error) {
+	sidecars.mu.Lock()
+	s := sidecars.running[number]
+	sidecars.mu.Unlock()
 	if s == nil {
-		return nil, fmt.Errorf("sidecar %d: does not run", number)
+		return nil, fmt.Errorf("sidecar %d: not running", number)
 	}
 	cfg, err := config.LoadDaemon(s.path)
 	if err == nil {
-		changes, err = s.d.Apply(cfg)
+		changes, err = s.daemon.Apply(cfg)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("sidecar %d: the old configuration stands: %w", number, err)
+		return nil, fmt.Errorf("sidecar %d: reload failed, keeping the old configuration: %w", number, err)
 	}
 	daemon.LogChanges(changes)
-	f.mu.Lock()
+	sidecars.mu.Lock()
 	s.pools = poolNames(cfg)
-	f.mu.Unlock()
+	sidecars.mu.Unlock()
 	return changes, nil
 }
 
-// Close ends all.
-func (f *Sidecars) Close() {
-	for _, n := range f.numbers() {
-		f.Stop(n)
+// Close stops all sidecars.
+func (sidecars *Sidecars) Close() {
+	for _, n := range sidecars.numbers() {
+		sidecars.Stop(n)
 	}
 }
 
-func (f *Sidecars) numbers() []int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Sorted(maps.Keys(f.all))
+func (sidecars *Sidecars) numbers() []int {
+	sidecars.mu.Lock()
+	defer sidecars.mu.Unlock()
+	return slices.Sorted(maps.Keys(sidecars.running))
 }
 
-// Lists are the lists that a sidecar has, by pool; nil if it does not run.
-func (f *Sidecars) Lists(number int) map[string]nodes.List {
-	f.mu.Lock()
-	s := f.all[number]
+// Lists returns the endpoint lists of a sidecar by pool, or nil if it is not running.
+func (sidecars *Sidecars) Lists(number int) map[string]nodes.List {
+	sidecars.mu.Lock()
+	s := sidecars.running[number]
 	var names []string
 	if s != nil {
 		names = s.pools
 	}
-	f.mu.Unlock()
+	sidecars.mu.Unlock()
 	if s == nil {
 		return nil
 	}
 	all := map[string]nodes.List{}
 	for _, name := range names {
-		if p := s.d.Pool(name); p != nil {
+		if p := s.daemon.Pool(name); p != nil {
 			all[name] = p.List()
 		}
 	}
 	return all
 }
 
-// Listed waits until all pools of all sidecars have been told a list.
-func (f *Sidecars) WaitForLists(within time.Duration) error {
-	end := time.Now().Add(within)
-	for _, n := range f.numbers() {
-		f.mu.Lock()
-		s := f.all[n]
-		f.mu.Unlock()
+// WaitForLists waits until every pool of every sidecar has received an endpoint list.
+func (sidecars *Sidecars) WaitForLists(timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	for _, n := range sidecars.numbers() {
+		sidecars.mu.Lock()
+		s := sidecars.running[n]
+		sidecars.mu.Unlock()
 		if s == nil {
 			continue
 		}
 		for _, name := range s.pools {
-			for p := s.d.Pool(name); p != nil && !p.HasList(); {
-				if time.Now().After(end) {
-					return fmt.Errorf("sidecar %d: pool %s has no list after %v", n, name, within)
+			for p := s.daemon.Pool(name); p != nil && !p.HasList(); {
+				if time.Now().After(deadline) {
+					return fmt.Errorf("sidecar %d: pool %s received no endpoint list within %v", n, name, timeout)
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
@@ -157,19 +158,19 @@
 	return nil
 }
 
-// Digests is a short word for the lists of each sidecar: two that have the same have the
-// same word.
-func (f *Sidecars) Digests() map[int]string {
+// Digests returns a digest of the endpoint lists of each sidecar. Sidecars with equal lists
+// have equal digests.
+func (sidecars *Sidecars) Digests() map[int]string {
 	all := map[int]string{}
-	for _, n := range f.numbers() {
-		if lists := f.Lists(n); lists != nil {
+	for _, n := range sidecars.numbers() {
+		if lists := sidecars.Lists(n); lists != nil {
 			all[n] = Digest(lists)
 		}
 	}
 	return all
 }
 
-// Digest is a short word for lists, by pool.
+// Digest returns a short hash of endpoint lists by pool.
 func Digest(lists map[string]nodes.List) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(lists)) {
@@ -182,5 +183,5 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// errNoRole is of a command that a role does not know.
-var errNoRole = errors.New("no such command")
+// errUnknownCommand reports a command that the role does not support.
+var errUnknownCommand = errors.New("unknown command")
--- a/internal/hollow/role.go
+++ b/internal/hollow/role.go
@@ -11,44 +11,45 @@
 	"gorselink/internal/standin"
 )
 
-// The roles of a scale run are processes of their own, so that the processor time and
-// memory of each can be seen from outside. The one that conducts writes a Command a line
-// to a role's input and reads an Answer a line; a role ends with its input.
+// Each role of a scale experiment runs in its own process, so that its processor time and
+// memory can be measured separately. The coordinator writes one JSON Command per line to the
+// standard input of the process and reads one Response per line from its standard output. A
+// role process exits at the end of its input.
 
-// Roles that there are.
+// Roles of a scale experiment.
 const (
 	RoleSidecars = "sidecars"
 	RoleRegistry = "registry"
 )
 
-// Command is one thing that a role is asked for.
+// Command is a request from the coordinator to a role.
 type Command struct {
 	Action string `json:"do"`
 
-	// Of sidecars.
+	// Fields of RoleSidecars.
 	Sidecars   []SidecarSpec `json:"sidecars,omitempty"`
-	IntervalNs int64         `json:"apart_ns,omitempty"` // from one sidecar to the next
+	IntervalNs int64         `json:"apart_ns,omitempty"` // delay from one sidecar to the next
 
-	// Of a registry.
+	// Fields of RoleRegistry.
 	Host      string `json:"host,omitempty"`
 	Services  int    `json:"services,omitempty"`
 	Endpoints int    `json:"endpoints,omitempty"`
 	Edits     []Edit `json:"edits,omitempty"`
 }
 
-// Job is a sidecar and its file.
+// SidecarSpec identifies a sidecar and its configuration file.
 type SidecarSpec struct {
 	Number int    `json:"n"`
 	Path   string `json:"path,omitempty"`
 }
 
-// Edit changes the state of one endpoint of a service: in service, draining, gone, back.
+// Edit advances one endpoint of a service to the next status of its lifecycle.
 type Edit struct {
 	Service  int `json:"service"`
 	Endpoint int `json:"endpoint"`
 }
 
-// Answer is what a role answers.
+// Response is the result of a Command.
 type Response struct {
 	Error      string           `json:"error,omitempty"`
 	Addrs      []string         `json:"addrs,omitempty"`
@@ -59,154 +60,155 @@
 	DurationNs int64            `json:"took_ns,omitempty"`
 }
 
-// Serve plays a role until in ends.
+// Serve executes the commands that it reads from in, as the given role, until in ends.
 func Serve(role string, in io.Reader, out io.Writer) error {
-	var do func(*Command) (*Response, error)
+	var handle func(*Command) (*Response, error)
 	switch role {
 	case RoleSidecars:
-		f := &Sidecars{}
-		defer f.Close()
-		do = f.do
+		sidecars := &Sidecars{}
+		defer sidecars.Close()
+		handle = sidecars.handle
 	case RoleRegistry:
-		b := &book{}
-		defer b.close()
-		do = b.do
+		r := &registryRole{}
+		defer r.close()
+		handle = r.handle
 	default:
 		return fmt.Errorf("role %q: want %s or %s", role, RoleSidecars, RoleRegistry)
 	}
-	lines, answers := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
+	commands, responses := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	for {
 		var c Command
-		if err := lines.Decode(&c); err == io.EOF {
+		if err := commands.Decode(&c); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("role %s: %w", role, err)
 		}
-		a, err := do(&c)
-		if a == nil {
-			a = &Response{}
+		response, err := handle(&c)
+		if response == nil {
+			response = &Response{}
 		}
 		if err != nil {
-			a.Error = fmt.Sprintf("%s: %v", c.Action, err)
+			response.Error = fmt.Sprintf("%s: %v", c.Action, err)
 		}
-		if err := answers.Encode(a); err != nil {
+		if err := responses.Encode(response); err != nil {
 			return fmt.Errorf("role %s: %w", role, err)
 		}
 	}
 }
 
-const listedWithin = 30 * time.Second
+const listTimeout = 30 * time.Second
 
-func (f *Sidecars) do(c *Command) (*Response, error) {
-	begin := time.Now()
-	a := &Response{}
+func (sidecars *Sidecars) handle(c *Command) (*Response, error) {
+	start := time.Now()
+	response := &Response{}
 	switch c.Action {
 	case "start", "stop", "restart", "reload":
-		for i, j := range c.Sidecars {
-			time.Sleep(time.Until(begin.Add(time.Duration(int64(i) * c.IntervalNs))))
+		for i, spec := range c.Sidecars {
+			time.Sleep(time.Until(start.Add(time.Duration(int64(i) * c.IntervalNs))))
 			var err error
 			if c.Action == "stop" || c.Action == "restart" {
-				err = f.Stop(j.Number)
+				err = sidecars.Stop(spec.Number)
 			}
 			if err == nil && (c.Action == "start" || c.Action == "restart") {
-				err = f.Start(j.Number, j.Path)
+				err = sidecars.Start(spec.Number, spec.Path)
 			}
 			if c.Action == "reload" {
-				_, err = f.Reload(j.Number)
+				_, err = sidecars.Reload(spec.Number)
 			}
 			if err != nil {
 				return nil, err
 			}
 		}
 	case "listed":
-		if err := f.WaitForLists(listedWithin); err != nil {
+		if err := sidecars.WaitForLists(listTimeout); err != nil {
 			return nil, err
 		}
 	case "digests":
-		a.Digests = f.Digests()
+		response.Digests = sidecars.Digests()
 	default:
-		return nil, errNoRole
+		return nil, errUnknownCommand
 	}
-	a.DurationNs = time.Since(begin).Nanoseconds()
-	return a, nil
+	response.DurationNs = time.Since(start).Nanoseconds()
+	return response, nil
 }
 
-// book is a registry and the state of its endpoints.
-type book struct {
-	r     *standin.Registry
-	state [][]int // of each endpoint of each service: which of turns it is at
+// registryRole runs a stand-in registry and tracks the lifecycle of its endpoints.
+type registryRole struct {
+	registry *standin.Registry
+	steps    [][]int // by service and endpoint: the number of edits so far
 }
 
-// turns is what an endpoint goes through, one edit after the other.
-var turns = []string{"in_service", "terminating", "terminated"}
+// lifecycle is the sequence of statuses of an endpoint; each edit advances it by one.
+var lifecycle = []string{"in_service", "terminating", "terminated"}
 
-func (b *book) close() {
-	if b.r != nil {
-		b.r.Close()
+func (r *registryRole) close() {
+	if r.registry != nil {
+		r.registry.Close()
 	}
 }
 
-// entryOf is an endpoint as it is told. Nothing ever connects to it.
-func entryOf(service, endpoint, turn int) standin.Entry {
+// registryEntry returns the list entry of an endpoint after a number of edits. Nothing
+// connects to its address.
+func registryEntry(service, endpoint, edits int) standin.Entry {
 	return standin.Entry{
 		Name:    fmt.Sprintf("s%03d-%03d", service, endpoint),
 		Address: fmt.Sprintf("127.%d.%d.%d:9", 200+service/250, 1+service%250, 1+endpoint%250),
-		Zone:    fmt.Sprintf("zone-%d", endpoint%7), Status: turns[turn%len(turns)], SinceMs: int64(1000 * (1 + turn/len(turns))),
+		Zone:    fmt.Sprintf("zone-%d", endpoint%7), Status: lifecycle[edits%len(lifecycle)], SinceMs: int64(1000 * (1 + edits/len(lifecycle))),
 	}
 }
 
-// PoolName is the pool of a service.
+// PoolName returns the name of the pool for a service.
 func PoolName(service int) string { return fmt.Sprintf("s%03d", service) }
 
-func (b *book) do(c *Command) (*Response, error) {
-	a := &Response{}
-	if b.r == nil && c.Action != "serve" {
-		return nil, fmt.Errorf("serves nothing yet")
+func (r *registryRole) handle(c *Command) (*Response, error) {
+	response := &Response{}
+	if r.registry == nil && c.Action != "serve" {
+		return nil, fmt.Errorf("registry is not running: send serve first")
 	}
 	switch c.Action {
 	case "serve":
 		lists := make([][]standin.Entry, c.Services)
-		b.state = make([][]int, c.Services)
+		r.steps = make([][]int, c.Services)
 		for s := range lists {
-			b.state[s] = make([]int, c.Endpoints)
+			r.steps[s] = make([]int, c.Endpoints)
 			for e := range c.Endpoints {
-				lists[s] = append(lists[s], entryOf(s, e, 0))
+				lists[s] = append(lists[s], registryEntry(s, e, 0))
 			}
 		}
-		b.close()
+		r.close()
 		var err error
-		if b.r, err = standin.StartRegistry(c.Host, lists); err != nil {
+		if r.registry, err = standin.StartRegistry(c.Host, lists); err != nil {
 			return nil, err
 		}
-		a.Addrs = b.r.Addrs()
+		response.Addrs = r.registry.Addrs()
 	case "edit":
 		for _, e := range c.Edits {
-			if e.Service >= len(b.state) || e.Endpoint >= len(b.state[e.Service]) {
-				return nil, fmt.Errorf("service %d, endpoint %d: there is none", e.Service, e.Endpoint)
+			if e.Service >= len(r.steps) || e.Endpoint >= len(r.steps[e.Service]) {
+				return nil, fmt.Errorf("service %d, endpoint %d: no such endpoint", e.Service, e.Endpoint)
 			}
-			b.state[e.Service][e.Endpoint]++
-			if _, err := b.r.Update(e.Service, entryOf(e.Service, e.Endpoint, b.state[e.Service][e.Endpoint])); err != nil {
+			r.steps[e.Service][e.Endpoint]++
+			if _, err := r.registry.Update(e.Service, registryEntry(e.Service, e.Endpoint, r.steps[e.Service][e.Endpoint])); err != nil {
 				return nil, err
 			}
 		}
 	case "count":
-		a.Counts = b.r.ResetCounts()
-	case "so far": // what there was so far, without an end of it
-		a.Counts = b.r.Counts()
+		response.Counts = r.registry.ResetCounts()
+	case "so far": // does not reset the counts
+		response.Counts = r.registry.Counts()
 	case "changes":
-		a.Changes = b.r.TakeChanges()
+		response.Changes = r.registry.TakeChanges()
 	case "digest":
 		lists := map[string]nodes.List{}
-		for s := range b.state {
+		for s := range r.steps {
 			var l nodes.List
-			for _, e := range b.r.Entries(s) {
+			for _, e := range r.registry.Entries(s) {
 				l.Endpoints = append(l.Endpoints, nodes.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Status: nodes.Status(e.Status), SinceMs: e.SinceMs})
 			}
 			lists[PoolName(s)] = l
 		}
-		a.Digest = Digest(lists)
+		response.Digest = Digest(lists)
 	default:
-		return nil, errNoRole
+		return nil, errUnknownCommand
 	}
-	return a, nil
+	return response, nil
 }
--- a/scripts/faultinject/main.go
+++ b/scripts/faultinject/main.go
@@ -1,14 +1,14 @@
-// Command faultinject runs `gorselink serve` under strace, which makes some of its system
-// calls fail, and judges by what clients see: no request is lost, no GET is refused, no POST
-// runs twice. For each error of each call it starts the program and stand-in endpoints anew
-// and prints one line.
+// Command faultinject runs `gorselink serve` under strace with injected system call errors
+// and checks the results that clients receive: every request is answered, no GET fails and no
+// POST is executed twice. It starts the program and stand-in endpoints anew for each error of
+// each system call and prints one table row for it.
 //
 //	go build -o bin/ ./cmd/gorselink && go run ./scripts/faultinject -for 5s bin/gorselink
 //
-// strace has to be there (Debian's package of the name), with the right to trace.
+// It needs strace and the permission to trace.
 //
-// EINTR is injected into accept4 alone: a connect that is interrupted goes on by itself, and
-// one that strace interrupts has never begun, which no system does.
+// EINTR is injected only into accept4. The kernel completes an interrupted connect in the
+// background, which strace cannot simulate: it prevents the call.
 package main
 
 import (
@@ -30,93 +30,94 @@
 	"gorselink/internal/standin"
 )
 
-// faults are the errors that each call is made to fail with, and at which of its invocations
-// in a thread: strace counts them by thread, and the first sockets are those of the start.
-var faults = []struct{ call, when, errnos string }{
+// injections lists the errors for each system call and the invocations that fail, in the
+// syntax of strace's when option. strace counts invocations per thread; the first sockets
+// are opened during startup and must succeed.
+var injections = []struct{ call, invocations, errnos string }{
 	{"accept4", "2+5", "ECONNABORTED EMFILE ENFILE ENOBUFS ENOMEM EPROTO ENETDOWN EHOSTDOWN ENONET EHOSTUNREACH EOPNOTSUPP ENETUNREACH EPERM EINTR ETIMEDOUT"},
 	{"connect", "2+5", "ENETUNREACH EHOSTUNREACH ENETDOWN EADDRNOTAVAIL EADDRINUSE EAGAIN EPERM EACCES ENOBUFS ENOMEM ETIMEDOUT"},
 	{"socket", "12+5", "EMFILE ENFILE ENOBUFS ENOMEM EACCES EPERM"},
 }
 
 const (
-	endpoints  = 3
-	work       = 2 * time.Millisecond
-	deadline   = time.Second
-	patience   = 3 * time.Second // of a client: the deadline, and what strace costs
-	startLimit = 20 * time.Second
-	endLimit   = 20 * time.Second
-	pause      = 10 * time.Millisecond // between two requests of a client
+	endpointCount = 3
+	serviceTime   = 2 * time.Millisecond
+	deadline      = time.Second
+	clientTimeout = 3 * time.Second // exceeds deadline, since strace slows the program down
+	startTimeout  = 20 * time.Second
+	stopTimeout   = 20 * time.Second
+	interval      = 10 * time.Millisecond // between requests of a client, and between readiness probes
 )
 
 func main() {
-	span := flag.Duration("for", 5*time.Second, "how long clients ask, for each error")
-	clients := flag.Int("clients", 40, "clients that ask at once")
-	only := flag.String("call", "", "one of accept4, connect, socket; empty for all")
-	when := flag.String("when", "", "which invocations fail, as strace has it; empty for the usual ones of each call")
+	duration := flag.Duration("for", 5*time.Second, "how long clients send requests for each error")
+	clients := flag.Int("clients", 40, "number of concurrent clients")
+	only := flag.String("call", "", "the system call to fail: accept4, connect or socket (default all)")
+	when := flag.String("when", "", "the invocations that fail, in the syntax of strace (default depends on the system call)")
 	flag.Parse()
-	if flag.NArg() != 1 || *span <= 0 || *clients < 1 {
-		fmt.Fprintln(os.Stderr, "usage: faultinject [-for time] [-clients n] [-call name] [-when invocations] PROGRAM")
+	if flag.NArg() != 1 || *duration <= 0 || *clients < 1 {
+		fmt.Fprintln(os.Stderr, "usage: faultinject [-for duration] [-clients n] [-call name] [-when invocations] PROGRAM")
 		os.Exit(2)
 	}
-	fmt.Println("| call | error | injected | requests | lost | GETs refused or failed | POSTs refused or failed | POSTs run twice | longest | verdict |")
+	fmt.Println("| system call | error | injected | requests | unanswered | failed GETs | failed POSTs | repeated POSTs | maximum latency | result |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	good := true
-	for _, f := range faults {
+	passed := true
+	for _, f := range injections {
 		if *only != "" && *only != f.call {
 			continue
 		}
 		if *when != "" {
-			f.when = *when
+			f.invocations = *when
 		}
 		for _, errno := range strings.Fields(f.errnos) {
-			seen, err := trial(flag.Arg(0), f.call, f.when, errno, *span, *clients)
+			result, err := runTrial(flag.Arg(0), f.call, f.invocations, errno, *duration, *clients)
 			if err != nil {
 				fmt.Fprintf(os.Stderr, "faultinject: %s %s: %v\n", f.call, errno, err)
 				os.Exit(1)
 			}
-			fmt.Printf("| %s | %s | %s\n", f.call, errno, seen)
-			good = good && seen.good()
+			fmt.Printf("| %s | %s | %s\n", f.call, errno, result)
+			passed = passed && result.passed()
 		}
 	}
-	if !good {
+	if !passed {
 		os.Exit(1)
 	}
 }
 
-// counts is what clients and endpoints have seen in one trial.
-type counts struct {
-	mu                             sync.Mutex
-	injected, requests, lost       int
-	gets, posts                    int // refused or failed
-	twice                          int
-	longest                        time.Duration
-	posted                         map[string]bool
-	firstLost, firstGet, firstPost string
+// trialResult counts what clients and endpoints observed in one trial.
+type trialResult struct {
+	mu                                         sync.Mutex
+	injected, requests, unanswered             int
+	failedGets, failedPosts                    int // answered with a status other than 200
+	repeatedPosts                              int
+	maxLatency                                 time.Duration
+	postIDs                                    map[string]bool
+	unansweredExample, getExample, postExample string
 }
 
-// good tells whether nothing is broken. A trial without a fault shows nothing.
-func (c *counts) good() bool {
-	return c.injected > 0 && c.requests > 0 && c.lost == 0 && c.gets == 0 && c.twice == 0
+// passed reports whether the trial injected errors and met all conditions.
+func (c *trialResult) passed() bool {
+	return c.injected > 0 && c.requests > 0 && c.unanswered == 0 && c.failedGets == 0 && c.repeatedPosts == 0
 }
 
-func (c *counts) String() string {
-	verdict := "holds"
+func (c *trialResult) String() string {
+	verdict := "pass"
 	switch {
 	case c.injected == 0 || c.requests == 0:
-		verdict = "NOT SHOWN"
-	case !c.good():
-		verdict = "BROKEN"
+		verdict = "INCONCLUSIVE"
+	case !c.passed():
+		verdict = "FAIL"
 	}
-	for _, text := range []string{c.firstLost, c.firstGet, c.firstPost} {
+	for _, text := range []string{c.unansweredExample, c.getExample, c.postExample} {
 		if text != "" {
 			verdict += "; " + text
 		}
 	}
-	return fmt.Sprintf("%d | %d | %d | %d | %d | %d | %v | %s |", c.injected, c.requests, c.lost, c.gets, c.posts, c.twice, c.longest.Round(time.Millisecond), verdict)
+	return fmt.Sprintf("%d | %d | %d | %d | %d | %d | %v | %s |", c.injected, c.requests, c.unanswered, c.failedGets, c.failedPosts, c.repeatedPosts, c.maxLatency.Round(time.Millisecond), verdict)
 }
 
-// trial runs the program with one error injected.
-func trial(program, call, when, errno string, span time.Duration, clients int) (*counts, error) {
+// runTrial runs the program with one injected error.
+func runTrial(program, call, when, errno string, duration time.Duration, clients int) (*trialResult, error) {
 	dir, err := os.MkdirTemp("", "faultinject")
 	if err != nil {
 		return nil, err
@@ -136,10 +137,10 @@
 		return nil, err
 	}
 	path, trace := filepath.Join(dir, "gorselink.toml"), filepath.Join(dir, "trace")
-	if err := os.WriteFile(path, []byte(configuration(addr, nodes)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(configText(addr, nodes)), 0o600); err != nil {
 		return nil, err
 	}
-	// With -D the program is our own child, to be told to end.
+	// With -D the program, not strace, is the child process and receives the signals.
 	cmd := exec.Command("strace", "-D", "-f", "-qq", "-o", trace, "-e", "trace="+call,
 		"-e", fmt.Sprintf("inject=%s:error=%s:when=%s", call, errno, when), program, "serve", "-c", path)
 	var log bytes.Buffer
@@ -147,30 +148,30 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
-	seen := &counts{posted: map[string]bool{}}
-	if err = ready(addr, ended); err == nil {
-		seen.ask(addr, span, clients)
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
+	result := &trialResult{postIDs: map[string]bool{}}
+	if err = waitUntilReady(addr, exited); err == nil {
+		result.sendRequests(addr, duration, clients)
 	}
-	if stop := end(cmd, ended); err == nil {
-		err = stop
+	if stopErr := stop(cmd, exited); err == nil {
+		err = stopErr
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w; its log:\n%s", err, log.String())
+		return nil, fmt.Errorf("%w; log of the program:\n%s", err, log.String())
 	}
 	text, err := os.ReadFile(trace)
 	if err != nil {
 		return nil, err
 	}
-	seen.injected = bytes.Count(text, []byte("(INJECTED)"))
-	seen.judgeRuns(nodes)
-	return seen, nil
+	result.injected = bytes.Count(text, []byte("(INJECTED)"))
+	result.countRepeatedPosts(nodes)
+	return result, nil
 }
 
 func startNodes() (all []*standin.Node, err error) {
-	for i := range endpoints {
-		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("endpoint-", i), Work: work})
+	for i := range endpointCount {
+		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("endpoint-", i), Work: serviceTime})
 		if err != nil {
 			return all, err
 		}
@@ -179,8 +180,9 @@
 	return all, nil
 }
 
-// configuration keeps connections to endpoints for a short time, so that many are made.
-func configuration(addr string, nodes []*standin.Node) string {
+// configText returns the configuration of the program. The short idle timeout makes it open
+// many connections to endpoints.
+func configText(addr string, nodes []*standin.Node) string {
 	var list []string
 	for _, n := range nodes {
 		list = append(list, fmt.Sprintf("%q", n.Addr()))
@@ -199,7 +201,7 @@
 `, addr, deadline, strings.Join(list, ", "))
 }
 
-// freeAddr is an address that nobody listens at just now.
+// freeAddr returns a loopback address with a port that is currently free.
 func freeAddr() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -209,62 +211,64 @@
 	return l.Addr().String(), nil
 }
 
-// ready waits until the program takes connections.
-func ready(addr string, ended <-chan error) error {
-	for end := time.Now().Add(startLimit); time.Now().Before(end); time.Sleep(pause) {
+// waitUntilReady waits until the program accepts connections.
+func waitUntilReady(addr string, exited <-chan error) error {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(interval) {
 		select {
-		case err := <-ended:
-			return fmt.Errorf("ended at the start: %w", errors.Join(err, errors.New("it serves nobody")))
+		case err := <-exited:
+			return fmt.Errorf("program exited during startup: %w", errors.Join(err, errors.New("it accepted no connection")))
 		default:
 		}
 		if c, err := net.Dial("tcp", addr); err == nil {
 			return c.Close()
 		}
 	}
-	return errors.New("not ready in time")
+	return errors.New("program did not accept connections before the start timeout")
 }
 
-// end tells the program to end, and waits until it has.
-func end(cmd *exec.Cmd, ended <-chan error) error {
+// stop sends SIGTERM to the program and waits until it exits. It kills the program after
+// stopTimeout.
+func stop(cmd *exec.Cmd, exited <-chan error) error {
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		return err
-	case <-time.After(endLimit):
+	case <-time.After(stopTimeout):
 		cmd.Process.Kill()
-		<-ended
-		return errors.New("it did not end")
+		<-exited
+		return errors.New("program did not exit before the stop timeout after SIGTERM; killed")
 	}
 }
 
-// ask has clients ask for a while, each request on a connection of its own.
-func (c *counts) ask(addr string, span time.Duration, clients int) {
-	until := time.Now().Add(span)
-	var all sync.WaitGroup
+// sendRequests makes concurrent clients send requests for a time, each request on a new
+// connection.
+func (c *trialResult) sendRequests(addr string, duration time.Duration, clients int) {
+	end := time.Now().Add(duration)
+	var wg sync.WaitGroup
 	for i := range clients {
-		all.Go(func() {
-			client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-			for k := 0; time.Now().Before(until); k++ {
+		wg.Go(func() {
+			client := http.Client{Timeout: clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+			for k := 0; time.Now().Before(end); k++ {
 				method := http.MethodGet
 				if (i+k)%3 == 0 {
 					method = http.MethodPost
 				}
-				c.one(&client, method, addr, fmt.Sprintf("%d-%d", i, k))
-				time.Sleep(pause)
+				c.sendRequest(&client, method, addr, fmt.Sprintf("%d-%d", i, k))
+				time.Sleep(interval)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// one makes one request and books how it ended.
-func (c *counts) one(client *http.Client, method, addr, id string) {
+// sendRequest sends one request and records its result.
+func (c *trialResult) sendRequest(client *http.Client, method, addr, id string) {
 	req, err := http.NewRequest(method, "http://"+addr+"/"+id, nil)
 	if err != nil {
-		panic(err) // by a bad address alone
+		panic(err) // only an invalid address can cause this
 	}
 	req.Header.Set("X-Call-Id", id)
-	began := time.Now()
+	start := time.Now()
 	resp, err := client.Do(req)
 	status := 0
 	if err == nil {
@@ -275,36 +279,36 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests++
-	c.longest = max(c.longest, time.Since(began))
+	c.maxLatency = max(c.maxLatency, time.Since(start))
 	if method == http.MethodPost {
-		c.posted[id] = true
+		c.postIDs[id] = true
 	}
-	text := fmt.Sprintf("%s %s: status %d, %v", method, id, status, err)
+	example := fmt.Sprintf("%s %s: status %d, %v", method, id, status, err)
 	switch {
 	case err != nil:
-		c.lost++
-		c.firstLost = text
+		c.unanswered++
+		c.unansweredExample = example
 	case status == http.StatusOK:
 	case method == http.MethodGet:
-		c.gets++
-		c.firstGet = text
+		c.failedGets++
+		c.getExample = example
 	default:
-		c.posts++
-		c.firstPost = text
+		c.failedPosts++
+		c.postExample = example
 	}
 }
 
-// judgeRuns counts the POSTs that have run more than once.
-func (c *counts) judgeRuns(nodes []*standin.Node) {
+// countRepeatedPosts counts the POSTs that endpoints executed more than once.
+func (c *trialResult) countRepeatedPosts(nodes []*standin.Node) {
 	runs := map[string]int{}
 	for _, n := range nodes {
 		for id, k := range n.RunsByID() {
 			runs[id] += k
 		}
 	}
-	for id := range c.posted {
+	for id := range c.postIDs {
 		if runs[id] > 1 {
-			c.twice++
+			c.repeatedPosts++
 		}
 	}
 }
--- a/scripts/fleetlog/main.go
+++ b/scripts/fleetlog/main.go
@@ -1,10 +1,10 @@
-// Command fleetlog sums the lines that the sidecars of a fleet log each second: attempts
-// over first tries in the worst ten seconds, and the connections that a sidecar has to an
-// endpoint.
+// Command fleetlog summarizes the log lines that the sidecars of a fleet write each second:
+// the ratio of all attempts to first attempts, overall and in the worst ten seconds, and the
+// number of connections per endpoint.
 //
 //	go run ./scripts/fleetlog DIR...
 //
-// Each folder is one fleet, with a file a sidecar, or several where one was started again.
+// Each directory holds the logs of one fleet, with one or more files per sidecar.
 package main
 
 import (
@@ -25,22 +25,22 @@
 		fmt.Fprintln(os.Stderr, "usage: fleetlog DIR...")
 		os.Exit(2)
 	}
-	fmt.Println("| folder | files | first tries | attempts over first tries | in the worst 10 s | at | connections to an endpoint, by sidecar: median | p99 | most | of a sidecar: median | most |")
+	fmt.Println("| directory | files | first attempts | attempts per first attempt | in the worst 10 s | start of the worst 10 s | connections per endpoint of a sidecar: median | p99 of the maxima | maximum | connections per sidecar: median | maximum |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, dir := range os.Args[1:] {
-		if err := sum(dir); err != nil {
+		if err := summarize(dir); err != nil {
 			fmt.Fprintln(os.Stderr, "fleetlog:", err)
 			os.Exit(1)
 		}
 	}
 }
 
-// second is what a fleet did within one.
-type second struct{ first, again int }
+// attemptCounts counts the attempts of a fleet in one second.
+type attemptCounts struct{ firstAttempts, retries int }
 
-func sum(dir string) error {
-	all := map[time.Time]*second{}
-	var each, most, whole []float64
+func summarize(dir string) error {
+	bySecond := map[time.Time]*attemptCounts{}
+	var meanConns, maxConns, totalConns []float64
 	files := 0
 	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -55,21 +55,21 @@
 		lines.Buffer(nil, 1<<20)
 		seen := false
 		for lines.Scan() {
-			at, v, ok := parse(lines.Text())
+			at, values, ok := parseLine(lines.Text())
 			if !ok {
 				continue
 			}
 			seen = true
-			s := all[at]
+			s := bySecond[at]
 			if s == nil {
-				s = &second{}
-				all[at] = s
+				s = &attemptCounts{}
+				bySecond[at] = s
 			}
-			s.first += v["first"]
-			s.again += v["again"]
-			if n := v["endpoints"]; n > 0 {
-				each, most = append(each, float64(v["conns"])/float64(n)), append(most, float64(v["conns_most"]))
-				whole = append(whole, float64(v["conns"]))
+			s.firstAttempts += values["first"]
+			s.retries += values["again"]
+			if n := values["endpoints"]; n > 0 {
+				meanConns, maxConns = append(meanConns, float64(values["conns"])/float64(n)), append(maxConns, float64(values["conns_most"]))
+				totalConns = append(totalConns, float64(values["conns"]))
 			}
 		}
 		if seen {
@@ -80,39 +80,40 @@
 	if err != nil {
 		return err
 	}
-	if len(all) == 0 || len(each) == 0 {
-		return fmt.Errorf("%s: %w", dir, errors.New("no line of a sidecar's second in it"))
+	if len(bySecond) == 0 || len(meanConns) == 0 {
+		return fmt.Errorf("%s: %w", dir, errors.New("found no log line with per-second counts and endpoints"))
 	}
-	times := make([]time.Time, 0, len(all))
-	total := second{}
-	for at, s := range all {
+	times := make([]time.Time, 0, len(bySecond))
+	total := attemptCounts{}
+	for at, s := range bySecond {
 		times = append(times, at)
-		total.first, total.again = total.first+s.first, total.again+s.again
+		total.firstAttempts, total.retries = total.firstAttempts+s.firstAttempts, total.retries+s.retries
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	worst, worstAt := 0.0, times[0]
+	worstRatio, worstStart := 0.0, times[0]
 	for _, from := range times {
-		var w second
+		var window attemptCounts
 		for k := range 10 {
-			if s := all[from.Add(time.Duration(k)*time.Second)]; s != nil {
-				w.first, w.again = w.first+s.first, w.again+s.again
+			if s := bySecond[from.Add(time.Duration(k)*time.Second)]; s != nil {
+				window.firstAttempts, window.retries = window.firstAttempts+s.firstAttempts, window.retries+s.retries
 			}
 		}
-		// At the ends of a run a few requests say nothing.
-		if r := float64(w.first+w.again) / float64(max(w.first, 1)); r > worst && w.first*len(times) > total.first {
-			worst, worstAt = r, from
+		// Windows with few requests, as at the ends of a run, are not representative.
+		if ratio := float64(window.firstAttempts+window.retries) / float64(max(window.firstAttempts, 1)); ratio > worstRatio && window.firstAttempts*len(times) > total.firstAttempts {
+			worstRatio, worstStart = ratio, from
 		}
 	}
-	for _, l := range [][]float64{each, most, whole} {
+	for _, l := range [][]float64{meanConns, maxConns, totalConns} {
 		slices.Sort(l)
 	}
-	fmt.Printf("| %s | %d | %d | %.3f | %.3f | %v | %.2f | %.0f | %.0f | %.0f | %.0f |\n", filepath.Base(dir), files, total.first, float64(total.first+total.again)/float64(max(total.first, 1)),
-		worst, worstAt.Sub(times[0]), each[len(each)/2], most[len(most)*99/100], most[len(most)-1], whole[len(whole)/2], whole[len(whole)-1])
+	fmt.Printf("| %s | %d | %d | %.3f | %.3f | %v | %.2f | %.0f | %.0f | %.0f | %.0f |\n", filepath.Base(dir), files, total.firstAttempts, float64(total.firstAttempts+total.retries)/float64(max(total.firstAttempts, 1)),
+		worstRatio, worstStart.Sub(times[0]), meanConns[len(meanConns)/2], maxConns[len(maxConns)*99/100], maxConns[len(maxConns)-1], totalConns[len(totalConns)/2], totalConns[len(totalConns)-1])
 	return nil
 }
 
-// parse reads a line of a sidecar's second: "2006/01/02 15:04:05 INFO second key=value ...".
-func parse(line string) (at time.Time, v map[string]int, ok bool) {
+// parseLine parses the log line that a sidecar writes each second:
+// "2006/01/02 15:04:05 INFO second key=value ...".
+func parseLine(line string) (at time.Time, values map[string]int, ok bool) {
 	head, rest, ok := strings.Cut(line, " INFO second ")
 	if !ok || len(head) < len(time.DateTime) {
 		return at, nil, false
@@ -121,13 +122,13 @@
 	if err != nil {
 		return at, nil, false
 	}
-	v = map[string]int{}
+	values = map[string]int{}
 	for f := range strings.FieldsSeq(rest) {
 		if key, text, ok := strings.Cut(f, "="); ok {
 			if n, err := strconv.Atoi(text); err == nil {
-				v[key] = n
+				values[key] = n
 			}
 		}
 	}
-	return at, v, true
+	return at, values, true
 }
--- a/scripts/idle/main.go
+++ b/scripts/idle/main.go
@@ -1,6 +1,6 @@
-// Command idle measures what sidecars spend that nobody asks anything: it starts some
-// of the platform's sidecars beside one stand-in discovery and stand-in endpoints, waits
-// until they are ready, and reads from /proc what each has used after a while.
+// Command idle measures the resources that sidecars use without requests. It starts sidecars
+// with the platform's configuration and one stand-in discovery, waits until they are ready,
+// and reads the resource usage of each from /proc after a time.
 //
 //	go run ./scripts/idle -n 20 -for 30s bin/gorselink
 package main
@@ -24,30 +24,30 @@
 )
 
 func main() {
-	n := flag.Int("n", 20, "sidecars")
-	endpoints := flag.Int("endpoints", 60, "endpoints that are listed")
-	span := flag.Duration("for", 30*time.Second, "how long they are watched")
+	n := flag.Int("n", 20, "number of sidecars")
+	endpoints := flag.Int("endpoints", 60, "number of endpoints in the list")
+	duration := flag.Duration("for", 30*time.Second, "duration of the measurement")
 	flag.Parse()
-	if flag.NArg() != 1 || *n < 1 || *endpoints < 0 || *span <= 0 {
-		fmt.Fprintln(os.Stderr, "usage: idle [-n sidecars] [-endpoints n] [-for time] PROGRAM")
+	if flag.NArg() != 1 || *n < 1 || *endpoints < 0 || *duration <= 0 {
+		fmt.Fprintln(os.Stderr, "usage: idle [-n sidecars] [-endpoints n] [-for duration] PROGRAM")
 		os.Exit(2)
 	}
-	if err := measure(flag.Arg(0), *n, *endpoints, *span); err != nil {
+	if err := measure(flag.Arg(0), *n, *endpoints, *duration); err != nil {
 		fmt.Fprintln(os.Stderr, "idle:", err)
 		os.Exit(1)
 	}
 }
 
-// use is what a process has used so far, or holds.
-type use struct {
-	cpu     time.Duration
-	wakes   int // times that a thread of it was switched in after having waited
-	rss     int // bytes
-	files   int
-	threads int
+// usage is the resource usage of a process.
+type usage struct {
+	cpu         time.Duration
+	wakeups     int // voluntary context switches of all threads
+	rss         int // bytes
+	descriptors int
+	threads     int
 }
 
-func measure(program string, n, endpoints int, span time.Duration) (err error) {
+func measure(program string, n, endpoints int, duration time.Duration) (err error) {
 	dir, err := os.MkdirTemp("", "idle")
 	if err != nil {
 		return err
@@ -62,61 +62,61 @@
 		return err
 	}
 	defer agent.Close()
-	var all []*exec.Cmd
+	var cmds []*exec.Cmd
 	defer func() {
-		for _, cmd := range all {
+		for _, cmd := range cmds {
 			cmd.Process.Signal(syscall.SIGTERM)
 		}
-		for _, cmd := range all {
+		for _, cmd := range cmds {
 			err = errors.Join(err, cmd.Wait())
 		}
 	}()
-	var starts []float64
+	var startTimes []float64
 	for i := range n {
-		cmd, took, err := start(program, dir, agent.Addr(), i, n)
+		cmd, elapsed, err := startSidecar(program, dir, agent.Addr(), i, n)
 		if err != nil {
 			return err
 		}
-		all, starts = append(all, cmd), append(starts, float64(took.Microseconds())/1000)
+		cmds, startTimes = append(cmds, cmd), append(startTimes, float64(elapsed.Microseconds())/1000)
 	}
-	time.Sleep(2 * time.Second) // the start itself is not idleness
-	before := make([]use, n)
-	for i, cmd := range all {
-		if before[i], err = read(cmd.Process.Pid); err != nil {
+	time.Sleep(2 * time.Second) // exclude the work of the startup
+	before := make([]usage, n)
+	for i, cmd := range cmds {
+		if before[i], err = readUsage(cmd.Process.Pid); err != nil {
 			return err
 		}
 	}
-	calls, began := agent.Calls(), time.Now()
-	time.Sleep(span)
-	var cpu, wakes, rss, files, threads []float64
-	for i, cmd := range all {
-		after, err := read(cmd.Process.Pid)
+	calls, start := agent.Calls(), time.Now()
+	time.Sleep(duration)
+	var cpu, wakeups, rss, descriptors, threads []float64
+	for i, cmd := range cmds {
+		after, err := readUsage(cmd.Process.Pid)
 		if err != nil {
 			return err
 		}
-		s := time.Since(began).Seconds()
+		s := time.Since(start).Seconds()
 		cpu = append(cpu, (after.cpu-before[i].cpu).Seconds()/s*1000)
-		wakes = append(wakes, float64(after.wakes-before[i].wakes)/s)
+		wakeups = append(wakeups, float64(after.wakeups-before[i].wakeups)/s)
 		rss = append(rss, float64(after.rss)/(1<<20))
-		files, threads = append(files, float64(after.files)), append(threads, float64(after.threads))
+		descriptors, threads = append(descriptors, float64(after.descriptors)), append(threads, float64(after.threads))
 	}
-	fmt.Printf("%d sidecars, %d endpoints, idle for %v\n\n| figure | least | median | most |\n| --- | --- | --- | --- |\n", n, endpoints, span)
+	fmt.Printf("%d sidecars, %d endpoints, idle for %v\n\n| metric | minimum | median | maximum |\n| --- | --- | --- | --- |\n", n, endpoints, duration)
 	for _, f := range []struct {
-		name string
-		all  []float64
+		name   string
+		values []float64
 	}{
-		{"start to ready, ms", starts}, {"processor time, ms a second", cpu}, {"wake-ups a second, all threads", wakes},
-		{"resident, MB", rss}, {"descriptors", files}, {"threads", threads},
+		{"time until ready, ms", startTimes}, {"processor time, ms per second", cpu}, {"wake-ups per second, all threads", wakeups},
+		{"resident memory, MiB", rss}, {"file descriptors", descriptors}, {"threads", threads},
 	} {
-		slices.Sort(f.all)
-		fmt.Printf("| %s | %.4g | %.4g | %.4g |\n", f.name, f.all[0], f.all[len(f.all)/2], f.all[len(f.all)-1])
+		slices.Sort(f.values)
+		fmt.Printf("| %s | %.4g | %.4g | %.4g |\n", f.name, f.values[0], f.values[len(f.values)/2], f.values[len(f.values)-1])
 	}
-	fmt.Printf("\ncalls for lists, each sidecar: %.3f a second\n", float64(agent.Calls()-calls)/time.Since(began).Seconds()/float64(n))
+	fmt.Printf("\nlist requests per sidecar: %.3f per second\n", float64(agent.Calls()-calls)/time.Since(start).Seconds()/float64(n))
 	return nil
 }
 
-// start starts one sidecar and waits until it says that it is ready.
-func start(program, dir, discovery string, i, n int) (*exec.Cmd, time.Duration, error) {
+// startSidecar starts one sidecar and waits until it reports that it is ready.
+func startSidecar(program, dir, discovery string, i, n int) (*exec.Cmd, time.Duration, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, 0, err
@@ -138,15 +138,15 @@
 	}
 	cmd := exec.Command(program)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "TMPDIR="+temp)
-	began := time.Now()
+	start := time.Now()
 	if err := cmd.Start(); err != nil {
 		return nil, 0, err
 	}
-	for time.Since(began) < 10*time.Second {
+	for time.Since(start) < 10*time.Second {
 		if resp, err := http.Get("http://" + address + "/-/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				return cmd, time.Since(began), nil
+				return cmd, time.Since(start), nil
 			}
 		}
 		time.Sleep(200 * time.Microsecond)
@@ -155,9 +155,9 @@
 	return nil, 0, fmt.Errorf("sidecar %d was not ready within 10 s: %w", i, cmd.Wait())
 }
 
-// read reads what a process has used (proc_pid_stat(5), proc_pid_status(5),
-// sched-stats of the kernel's documentation).
-func read(pid int) (u use, err error) {
+// readUsage reads the resource usage of a process. See proc_pid_stat(5),
+// proc_pid_status(5) and the kernel's documentation of sched-stats.
+func readUsage(pid int) (u usage, err error) {
 	dir := fmt.Sprintf("/proc/%d", pid)
 	text, err := os.ReadFile(dir + "/stat")
 	if err != nil {
@@ -169,11 +169,11 @@
 		return u, fmt.Errorf("%s/stat: %w", dir, err)
 	}
 	u.rss = pages * os.Getpagesize()
-	files, err := os.ReadDir(dir + "/fd")
+	descriptors, err := os.ReadDir(dir + "/fd")
 	if err != nil {
 		return u, err
 	}
-	u.files = len(files)
+	u.descriptors = len(descriptors)
 	tasks, err := os.ReadDir(dir + "/task")
 	if err != nil {
 		return u, err
@@ -184,15 +184,15 @@
 		if err != nil {
 			continue // the thread has ended
 		}
-		var ran time.Duration // its time on a processor is the first field
+		var cpu time.Duration // the first field of schedstat, in nanoseconds
 		if sched, err := os.ReadFile(dir + "/task/" + task.Name() + "/schedstat"); err == nil {
-			fmt.Sscan(string(sched), &ran)
+			fmt.Sscan(string(sched), &cpu)
 		}
-		u.cpu += ran
+		u.cpu += cpu
 		for line := range strings.Lines(string(text)) {
 			if rest, ok := strings.CutPrefix(line, "voluntary_ctxt_switches:"); ok {
 				k, _ := strconv.Atoi(strings.TrimSpace(rest))
-				u.wakes += k
+				u.wakeups += k
 			}
 		}
 	}
--- a/scripts/linkage/main_test.go
+++ b/scripts/linkage/main_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A program without cgo packages is static unless the build asks for more.
-func TestDynamic(t *testing.T) {
+// Checks that static programs and files that are not programs are rejected. A program without
+// cgo packages is static unless it is linked externally.
+func TestCheckDynamic(t *testing.T) {
 	dir := t.TempDir()
 	source := filepath.Join(dir, "main.go")
 	if err := os.WriteFile(source, []byte("package main\n\nimport \"C\"\n\nfunc main() {}\n"), 0o600); err != nil {
@@ -29,13 +30,13 @@
 		}
 		return out
 	}
-	if err := dynamic(build(plain, "0")); err == nil || !strings.Contains(err.Error(), "statically") {
-		t.Errorf("a static program: %v, want an error", err)
+	if err := checkDynamic(build(plain, "0")); err == nil || !strings.Contains(err.Error(), "statically") {
+		t.Errorf("a static program: got %v, want an error that contains \"statically\"", err)
 	}
-	if err := dynamic(build(source, "1", "-ldflags=-linkmode=external")); err != nil {
+	if err := checkDynamic(build(source, "1", "-ldflags=-linkmode=external")); err != nil {
 		t.Errorf("a program linked externally: %v", err)
 	}
-	if err := dynamic(source); err == nil {
-		t.Error("a text: want an error")
+	if err := checkDynamic(source); err == nil {
+		t.Error("a source file: got no error, want one")
 	}
 }
--- a/scripts/perf/main.go
+++ b/scripts/perf/main.go
@@ -1,10 +1,11 @@
-// Command perf measures what gorselink costs, on one core unless told otherwise, beside no proxy and
-// beside the standard library's httputil.ReverseProxy over the same nodes. It
-// makes the figures of docs/performance.md; scripts/performance runs it.
+// Command perf compares the latency, processor time and memory use of gorselink,
+// by default on one core, with those of no proxy and of the standard library's
+// httputil.ReverseProxy over the same nodes. It produces the figures of
+// docs/performance.md; scripts/performance runs it.
 //
-// Rounds alternate (none, reverse, gorselink, none, ...), so that a busy moment
-// of the machine meets all alike; a figure is the median of the rounds with
-// their range, an added latency the median of the differences within a round.
+// Rounds alternate (none, reverse, gorselink, none, ...), so that other load on
+// the machine affects all subjects alike. The report shows the median and range
+// of the rounds; added latency is the median of the differences within a round.
 package main
 
 import (
@@ -35,16 +36,16 @@
 )
 
 type options struct {
-	Gorselink string        `required:"" help:"The binary that is measured."`
+	Gorselink string        `required:"" help:"Path of the gorselink binary to measure."`
 	Rounds    int           `default:"5"`
-	For       time.Duration `default:"5s" help:"Of each stretch."`
-	Rate      int           `default:"2000" help:"Requests a second where latency and processor time are measured."`
+	For       time.Duration `default:"5s" help:"Duration of each measurement."`
+	Rate      int           `default:"2000" help:"Requests per second for latency and processor time."`
 	Nodes     int           `default:"24"`
-	Body      int           `default:"256" help:"Bytes of an answer."`
-	Flood     int           `default:"40000" help:"Requests a second that saturate it."`
-	Conns     int           `default:"64" help:"Connections of the callers."`
-	Cores     int           `default:"1" help:"Of either proxy."`
-	Role      string        `hidden:"" help:"What this process is: node or reverse."`
+	Body      int           `default:"256" help:"Response body size in bytes."`
+	Flood     int           `default:"40000" help:"Requests per second for saturation; more than the proxies can serve."`
+	Conns     int           `default:"64" help:"Number of client connections."`
+	Cores     int           `default:"1" help:"Number of cores for each proxy."`
+	Role      string        `hidden:"" help:"Role of this process: node or reverse."`
 	Targets   []string      `hidden:""`
 }
 
@@ -66,13 +67,13 @@
 	}
 }
 
-// untilEnd ends the process with its parent.
-func untilEnd() {
+// exitWithParent exits when the parent closes standard input.
+func exitWithParent() {
 	io.Copy(io.Discard, os.Stdin)
 	os.Exit(0)
 }
 
-// serveNodes is all nodes in one process. It tells their addresses in a line.
+// serveNodes runs all nodes in this process. It prints their addresses on one line.
 func serveNodes(o options) error {
 	body := bytes.Repeat([]byte("x"), o.Body)
 	var addrs []string
@@ -85,12 +86,12 @@
 		go http.Serve(acceptloop.Wrap(l), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write(body) }))
 	}
 	fmt.Println(strings.Join(addrs, ","))
-	untilEnd()
+	exitWithParent()
 	return nil
 }
 
-// serveReverse is the reference: httputil.ReverseProxy as people set it up, each
-// request to a node at random.
+// serveReverse runs the reference proxy: httputil.ReverseProxy in a usual
+// configuration, with a random node for each request. It prints its address.
 func serveReverse(o options) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,18 +107,18 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true},
 		ErrorLog:  log.New(io.Discard, "", 0),
 	})
-	untilEnd()
+	exitWithParent()
 	return nil
 }
 
-// process is one that is measured or measured with.
+// process is a child process: nodes or a proxy.
 type process struct {
 	cmd  *exec.Cmd
 	in   io.Closer
 	addr string
 }
 
-func start(env []string, name string, args ...string) (*process, error) {
+func startProcess(env []string, name string, args ...string) (*process, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Env, cmd.Stderr = append(os.Environ(), env...), os.Stderr
 	in, err := cmd.StdinPipe()
@@ -135,7 +136,7 @@
 	return &process{cmd, in, strings.TrimSpace(line)}, err
 }
 
-func (p *process) end() {
+func (p *process) stop() {
 	if p == nil {
 		return
 	}
@@ -144,9 +145,9 @@
 	p.cmd.Wait()
 }
 
-// startGorselink starts the program before the nodes.
+// startGorselink starts gorselink as a proxy to the nodes and waits until it is ready.
 func (o options) startGorselink(dir string, targets []string) (*process, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a port that is free just now
+	l, err := net.Listen("tcp", "127.0.0.1:0") // finds a free port
 	if err != nil {
 		return nil, err
 	}
@@ -158,8 +159,8 @@
 		return nil, err
 	}
 	cmd := exec.Command(o.Gorselink, "serve", "--config", file)
-	var said bytes.Buffer
-	cmd.Stderr = &said
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -172,12 +173,12 @@
 			}
 		}
 	}
-	p.end()
-	return nil, fmt.Errorf("gorselink does not get ready: %s", said.String())
+	p.stop()
+	return nil, fmt.Errorf("gorselink was not ready within 10 s; its log: %s", stderr.String())
 }
 
-// used is the processor time and the resident memory of a process (proc(5)).
-func (p *process) used() (cpu time.Duration, rss float64, err error) {
+// usage returns the processor time and the resident memory in MB of a process (proc(5)).
+func (p *process) usage() (cpu time.Duration, rss float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0, err
@@ -185,7 +186,7 @@
 	_, after, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(after)
 	if len(f) < 22 {
-		return 0, 0, errors.New("/proc/PID/stat: too short")
+		return 0, 0, errors.New("/proc/PID/stat: fewer than 22 fields after the command name")
 	}
 	var ticks, pages int64
 	for _, i := range []int{11, 12} { // utime and stime
@@ -201,8 +202,8 @@
 	return time.Duration(ticks) * 10 * time.Millisecond, float64(pages) * float64(os.Getpagesize()) / 1e6, nil
 }
 
-// figure is a name and what its rounds gave.
-type figure struct{ subject, what string }
+// metricKey identifies the samples of a metric for one subject.
+type metricKey struct{ subject, metric string }
 
 func (o options) measure(ctx context.Context) error {
 	self, err := os.Executable()
@@ -214,104 +215,104 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	node, err := start(nil, self, "--gorselink=x", "--role=node", fmt.Sprintf("--nodes=%d", o.Nodes), fmt.Sprintf("--body=%d", o.Body))
+	node, err := startProcess(nil, self, "--gorselink=x", "--role=node", fmt.Sprintf("--nodes=%d", o.Nodes), fmt.Sprintf("--body=%d", o.Body))
 	if err != nil {
 		return err
 	}
-	defer node.end()
+	defer node.stop()
 	targets := strings.Split(node.addr, ",")
-	reverse, err := start([]string{fmt.Sprintf("GOMAXPROCS=%d", o.Cores)}, self, "--gorselink=x", "--role=reverse", "--targets="+node.addr)
+	reverse, err := startProcess([]string{fmt.Sprintf("GOMAXPROCS=%d", o.Cores)}, self, "--gorselink=x", "--role=reverse", "--targets="+node.addr)
 	if err != nil {
 		return err
 	}
-	defer reverse.end()
+	defer reverse.stop()
 	gorselink, err := o.startGorselink(dir, targets)
 	if err != nil {
 		return err
 	}
-	defer gorselink.end()
+	defer gorselink.stop()
 	subjects := []struct {
 		name string
 		p    *process
 		addr string
 	}{{"none", nil, targets[0]}, {"reverse", reverse, reverse.addr}, {"gorselink", gorselink, gorselink.addr}}
-	got := map[figure][]float64{}
-	put := func(subject, what string, v float64) {
-		got[figure{subject, what}] = append(got[figure{subject, what}], v)
+	samples := map[metricKey][]float64{}
+	record := func(subject, metric string, v float64) {
+		samples[metricKey{subject, metric}] = append(samples[metricKey{subject, metric}], v)
 	}
 	floor, err := load.MeasureFloor(ctx)
 	if err != nil {
 		return err
 	}
-	// The first round only warms up.
+	// The first round is a warm-up and is not recorded.
 	for round := range o.Rounds + 1 {
 		for _, s := range subjects {
 			var before time.Duration
 			if s.p != nil {
-				if before, _, err = s.p.used(); err != nil {
+				if before, _, err = s.p.usage(); err != nil {
 					return err
 				}
 			}
-			rep, err := o.run(dir, s.addr, o.Rate, "--budget", "2s")
+			report, err := o.runLoad(dir, s.addr, o.Rate, "--budget", "2s")
 			if err != nil {
 				return fmt.Errorf("%s: %w", s.name, err)
 			}
 			if round == 0 {
 				continue
 			}
-			if rep.Outcomes["ok"] != rep.Requests {
-				return fmt.Errorf("%s: outcomes %v", s.name, rep.Outcomes)
+			if report.Outcomes["ok"] != report.Requests {
+				return fmt.Errorf("%s: not all requests succeeded: outcomes %v", s.name, report.Outcomes)
 			}
-			for _, why := range rep.Verdict.Void {
-				fmt.Fprintf(os.Stderr, "round %d, %s: void: %s\n", round, s.name, why)
+			for _, why := range report.Verdict.Void {
+				fmt.Fprintf(os.Stderr, "round %d, %s: void measurement: %s\n", round, s.name, why)
 			}
-			put(s.name, "p50", rep.Latency.P50*1000)
-			put(s.name, "p99", rep.Latency.P99*1000)
-			put(s.name, "p99.9", rep.Latency.P999*1000)
-			put(s.name, "own p99", rep.Schedule.P99*1000)
+			record(s.name, "p50", report.Latency.P50*1000)
+			record(s.name, "p99", report.Latency.P99*1000)
+			record(s.name, "p99.9", report.Latency.P999*1000)
+			record(s.name, "schedule error p99", report.Schedule.P99*1000)
 			if s.p != nil {
-				after, rss, err := s.p.used()
+				after, rss, err := s.p.usage()
 				if err != nil {
 					return err
 				}
-				put(s.name, "cpu", float64((after-before).Microseconds())/float64(rep.Requests))
-				put(s.name, "rss", rss)
+				record(s.name, "cpu", float64((after-before).Microseconds())/float64(report.Requests))
+				record(s.name, "rss", rss)
 			}
 		}
 	}
 	for round := range o.Rounds + 1 {
 		for _, s := range subjects[1:] {
-			before, _, err := s.p.used()
+			before, _, err := s.p.usage()
 			if err != nil {
 				return err
 			}
-			// No caller gives up: all connections are busy all the time.
-			rep, err := o.run(dir, s.addr, o.Flood, "--budget", "0", "--grace", "0s")
+			// Without client timeouts, all connections are busy all the time.
+			report, err := o.runLoad(dir, s.addr, o.Flood, "--budget", "0", "--grace", "0s")
 			if err != nil {
 				return fmt.Errorf("%s: %w", s.name, err)
 			}
 			if round == 0 {
 				continue
 			}
-			after, rss, err := s.p.used()
+			after, rss, err := s.p.usage()
 			if err != nil {
 				return err
 			}
-			put(s.name, "flood", float64(rep.Outcomes["ok"])/rep.Span)
-			put(s.name, "flood cpu", (after-before).Seconds()/rep.Span)
-			put(s.name, "flood rss", rss)
-			for what, n := range rep.Outcomes {
-				if what != "ok" && what != "timed_out" && what != "unanswered" {
-					fmt.Fprintf(os.Stderr, "flood, round %d, %s: %d %s\n", round, s.name, n, what)
+			record(s.name, "saturation throughput", float64(report.Outcomes["ok"])/report.Span)
+			record(s.name, "saturation cpu", (after-before).Seconds()/report.Span)
+			record(s.name, "saturation rss", rss)
+			for outcome, n := range report.Outcomes {
+				if outcome != "ok" && outcome != "timed_out" && outcome != "unanswered" {
+					fmt.Fprintf(os.Stderr, "saturation, round %d, %s: %d requests ended as %s\n", round, s.name, n, outcome)
 				}
 			}
 		}
 	}
-	return o.tell(os.Stdout, got, floor)
+	return o.writeReport(os.Stdout, samples, floor)
 }
 
-// run makes one stretch by gorselink load, a process of its own.
-func (o options) run(dir, addr string, rate int, more ...string) (*load.Report, error) {
+// runLoad runs gorselink load once in its own process and returns its report.
+func (o options) runLoad(dir, addr string, rate int, more ...string) (*load.Report, error) {
 	file := filepath.Join(dir, "report.json")
 	args := []string{"load", "--target", addr, "--shape", fmt.Sprintf("hold %d %v", rate, o.For), "--path", "/receipt/{rand:1-100000}",
 		"--conns", strconv.Itoa(o.Conns), "--quiet", "--json", file}
@@ -319,7 +320,7 @@
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	var exit *exec.ExitError
-	if err := cmd.Run(); err != nil && !(errors.As(err, &exit) && exit.ExitCode() == 3) { // void: told by the caller
+	if err := cmd.Run(); err != nil && !(errors.As(err, &exit) && exit.ExitCode() == 3) { // 3: the run is void; the caller prints the reasons
 		return nil, fmt.Errorf("%w\n%s", err, out.String())
 	}
 	f, err := os.Open(file)
@@ -330,15 +331,15 @@
 	return load.ReadReport(f)
 }
 
-func (o options) tell(w io.Writer, got map[figure][]float64, floor *load.Floor) error {
+func (o options) writeReport(w io.Writer, samples map[metricKey][]float64, floor *load.Floor) error {
 	fmt.Fprintf(w, "%d rounds of %v, alternating; %d nodes in one process, answers of %d bytes, %d connections; proxies on %d cores\n", o.Rounds, o.For, o.Nodes, o.Body, o.Conns, o.Cores)
-	fmt.Fprintf(w, "an echo in the generator's own process: p50 %.0f, p99 %.0f us\n\n", floor.P50*1000, floor.P99*1000)
+	fmt.Fprintf(w, "latency floor of the load generator, an echo in its own process: p50 %.0f, p99 %.0f us\n\n", floor.P50*1000, floor.P99*1000)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\tnone\treverse\tgorselink\tgorselink/reverse\t")
-	line := func(title string, of func(subject string) []float64) {
+	row := func(title string, of func(subject string) []float64) {
 		fmt.Fprintf(t, "%s\t", title)
 		for _, s := range []string{"none", "reverse", "gorselink"} {
-			fmt.Fprintf(t, "%s\t", spread(of(s)))
+			fmt.Fprintf(t, "%s\t", formatRange(of(s)))
 		}
 		a, b := of("gorselink"), of("reverse")
 		var ratios []float64
@@ -352,13 +353,13 @@
 			fmt.Fprintln(t, "\t")
 		}
 	}
-	direct := func(what string) func(string) []float64 {
-		return func(s string) []float64 { return got[figure{s, what}] }
+	direct := func(metric string) func(string) []float64 {
+		return func(s string) []float64 { return samples[metricKey{s, metric}] }
 	}
-	added := func(what string) func(string) []float64 {
+	added := func(metric string) func(string) []float64 {
 		return func(s string) (d []float64) {
-			base := got[figure{"none", what}]
-			for i, v := range got[figure{s, what}] {
+			base := samples[metricKey{"none", metric}]
+			for i, v := range samples[metricKey{s, metric}] {
 				if s != "none" {
 					d = append(d, v-base[i])
 				}
@@ -366,28 +367,28 @@
 			return d
 		}
 	}
-	line(fmt.Sprintf("cpu of a request at %d/s, us", o.Rate), direct("cpu"))
+	row(fmt.Sprintf("processor time per request at %d/s, us", o.Rate), direct("cpu"))
 	for _, p := range []string{"p50", "p99", "p99.9"} {
-		line(p+" since due, us", direct(p))
-		line("added "+p+", us", added(p))
-	}
-	line("generator's own error p99, us", direct("own p99"))
-	line("resident, MB", direct("rss"))
-	line("served at saturation, 1/s", direct("flood"))
-	line("cores used there", direct("flood cpu"))
-	line("resident there, MB", direct("flood rss"))
+		row(p+" since the scheduled time, us", direct(p))
+		row("added "+p+", us", added(p))
+	}
+	row("schedule error of the load generator, p99, us", direct("schedule error p99"))
+	row("resident memory, MB", direct("rss"))
+	row("served at saturation, 1/s", direct("saturation throughput"))
+	row("cores used at saturation", direct("saturation cpu"))
+	row("resident memory at saturation, MB", direct("saturation rss"))
 	return t.Flush()
 }
 
-// spread is the median of some figures and their range.
-func spread(v []float64) string {
-	if len(v) == 0 {
+// formatRange formats the median of values and their range.
+func formatRange(values []float64) string {
+	if len(values) == 0 {
 		return ""
 	}
-	v = slices.Sorted(slices.Values(v))
-	form := "%.0f (%.0f to %.0f)"
-	if v[len(v)/2] < 20 {
-		form = "%.2f (%.2f to %.2f)"
+	values = slices.Sorted(slices.Values(values))
+	format := "%.0f (%.0f to %.0f)"
+	if values[len(values)/2] < 20 {
+		format = "%.2f (%.2f to %.2f)"
 	}
-	return fmt.Sprintf(form, v[len(v)/2], v[0], v[len(v)-1])
+	return fmt.Sprintf(format, values[len(values)/2], values[0], values[len(values)-1])
 }
--- a/scripts/verdict/main.go
+++ b/scripts/verdict/main.go
@@ -1,15 +1,15 @@
-// Command verdict reads the output of go test -json and tells whether it passes.
+// Command verdict reads the output of go test -json and decides whether the run passes.
 //
 //	go test -json ./... | go run ./scripts/verdict KNOWN-RED.txt
 //
-// What packages print is shown where one fails, else only its closing line. A test that
-// the file lists may fail: it is run and printed, and the verdict passes over it. Any other
-// failure fails, and so do a listed test that is not there and a file that cannot be read.
-// A listed test that passes is reported, so that its line goes.
+// It prints the whole output of packages that fail and the last line of all others. The file
+// lists known failures: tests that may fail without failing the run. Any other failure fails
+// the run, and so does a listed test that did not run. A listed test that passes is reported,
+// so that its line can be removed. An invalid file is an error; a missing file lists no tests.
 //
-// A line of the file is the package below the module, the test, a colon, the cause and the
-// issue: "internal/pool TestName: cause; issue 46". There are three at the most. Empty lines
-// and those that begin with # are left out.
+// A line of the file holds the package path below the module, the test, a colon, the cause and
+// the issue: "internal/pool TestName: cause; issue 46". The file lists three tests at most.
+// Empty lines and lines that begin with # are ignored.
 package main
 
 import (
@@ -26,8 +26,8 @@
 )
 
 const (
-	module  = "gorselink/"
-	mostRed = 3 // tests that may be known to fail
+	module           = "gorselink/"
+	maxKnownFailures = 3 // tests that the file may list
 )
 
 func main() {
@@ -40,18 +40,19 @@
 		fmt.Fprintln(os.Stderr, "verdict:", err)
 		os.Exit(2)
 	}
-	known, err := list(string(text))
+	known, err := parseKnownFailures(string(text))
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "verdict: %s: %v\n", os.Args[1], err)
 		os.Exit(2)
 	}
-	if !judge(os.Stdin, os.Stdout, known) {
+	if !evaluate(os.Stdin, os.Stdout, known) {
 		os.Exit(1)
 	}
 }
 
-// list reads the tests that are known to fail, each with its cause.
-func list(text string) (map[string]string, error) {
+// parseKnownFailures parses the list of known failures and returns the cause of each by
+// "package test".
+func parseKnownFailures(text string) (map[string]string, error) {
 	known := map[string]string{}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -59,42 +60,42 @@
 			continue
 		}
 		name, cause, _ := strings.Cut(line, ":")
-		at := strings.Fields(name)
+		fields := strings.Fields(name)
 		switch {
-		case len(at) != 2 || !strings.HasPrefix(at[1], "Test"):
-			return nil, fmt.Errorf("line %d: %q, want a package and a test before the colon", i+1, name)
+		case len(fields) != 2 || !strings.HasPrefix(fields[1], "Test"):
+			return nil, fmt.Errorf("line %d: got %q, want a package and a test before the colon", i+1, name)
 		case !strings.Contains(cause, "issue "):
-			return nil, fmt.Errorf("line %d: want a cause and its issue behind the colon", i+1)
+			return nil, fmt.Errorf("line %d: want a cause and an issue (\"issue N\") after the colon", i+1)
 		}
-		known[at[0]+" "+at[1]] = strings.TrimSpace(cause)
+		known[fields[0]+" "+fields[1]] = strings.TrimSpace(cause)
 	}
-	if len(known) > mostRed {
-		return nil, fmt.Errorf("%d tests, want %d at most", len(known), mostRed)
+	if len(known) > maxKnownFailures {
+		return nil, fmt.Errorf("lists %d tests, want %d at most", len(known), maxKnownFailures)
 	}
 	return known, nil
 }
 
-// event is one of go test -json.
+// event is a line of the output of go test -json.
 type event struct {
 	Action, Package, Test, Output, ImportPath string
 }
 
-// judge tells whether all that failed is known.
-func judge(in io.Reader, out io.Writer, known map[string]string) bool {
+// evaluate reads events from in, prints a summary to out, and reports whether the run passes.
+func evaluate(in io.Reader, out io.Writer, known map[string]string) bool {
 	ok, ran := true, 0
-	output := map[string]*strings.Builder{} // of each package that is not over
-	red := map[string]int{}                 // of each package: its tests that failed and are known
-	failed := map[string]int{}              // and all that failed
-	verdict := map[string]string{}          // of the known ones
+	output := map[string]*strings.Builder{} // by package, until the package ends
+	knownFailed := map[string]int{}         // known failures by package
+	failed := map[string]int{}              // all failed tests by package
+	results := map[string]string{}          // result of each known failure
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 16<<20)
 	for lines.Scan() {
 		var e event
-		if json.Unmarshal(lines.Bytes(), &e) != nil { // what the tool says beside
+		if json.Unmarshal(lines.Bytes(), &e) != nil { // other output of the go command
 			fmt.Fprintln(out, lines.Text())
 			continue
 		}
-		top := e.Test != "" && !strings.Contains(e.Test, "/")
+		topLevel := e.Test != "" && !strings.Contains(e.Test, "/")
 		name := strings.TrimPrefix(e.Package, module) + " " + e.Test
 		switch {
 		case e.Action == "output" || e.Action == "build-output":
@@ -107,17 +108,17 @@
 				fmt.Fprint(out, e.Output)
 			}
 			b.WriteString(e.Output)
-		case top && e.Action == "fail":
+		case topLevel && e.Action == "fail":
 			ran++
 			failed[e.Package]++
-			if _, is := known[name]; is {
-				red[e.Package]++
-				verdict[name] = "fails"
+			if _, listed := known[name]; listed {
+				knownFailed[e.Package]++
+				results[name] = "FAILED as expected"
 			}
-		case top && e.Action == "pass":
+		case topLevel && e.Action == "pass":
 			ran++
-			if _, is := known[name]; is {
-				verdict[name] = "PASSES: take its line out"
+			if _, listed := known[name]; listed {
+				results[name] = "PASSED: remove its line from the list"
 			}
 		case e.Test == "" && (e.Action == "pass" || e.Action == "fail" || e.Action == "skip"):
 			b := output[e.Package]
@@ -126,8 +127,8 @@
 			}
 			if e.Action == "fail" {
 				fmt.Fprint(out, b.String())
-				// A package that fails without a test that did broke off, or was not built.
-				if red[e.Package] == 0 || failed[e.Package] > red[e.Package] {
+				// A package that fails without a failed test crashed or was not built.
+				if knownFailed[e.Package] == 0 || failed[e.Package] > knownFailed[e.Package] {
 					ok = false
 				}
 			} else if text := strings.TrimSpace(b.String()); text != "" {
@@ -143,11 +144,11 @@
 		ok = false
 	}
 	for _, name := range slices.Sorted(maps.Keys(known)) {
-		what := verdict[name]
-		if what == "" {
-			what, ok = "WAS NOT RUN", false
+		result := results[name]
+		if result == "" {
+			result, ok = "DID NOT RUN", false
 		}
-		fmt.Fprintf(out, "known red: %s %s (%s)\n", name, what, known[name])
+		fmt.Fprintf(out, "known failure: %s %s (%s)\n", name, result, known[name])
 	}
 	if ran == 0 {
 		fmt.Fprintln(out, "verdict: no test ran")
