--- a/internal/standin/failing.go
+++ b/internal/standin/failing.go
@@ -7,16 +7,16 @@
 	"syscall"
 )
 
-// AcceptErrors are the errors of accept(2) that say nothing of the listener. Of EAGAIN the
-// Go runtime itself makes a wait.
-var AcceptErrors = []syscall.Errno{
+// TransientAcceptErrors are the errors of accept(2) after which the listener still works.
+// EAGAIN is not among them, as the Go runtime handles it.
+var TransientAcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EPERM, syscall.EINTR, syscall.ETIMEDOUT,
 }
 
-// Failing is a listener some of whose accepts fail, as those of the system do.
-type Failing struct {
+// FailingListener is a listener whose first calls of Accept fail with given errors.
+type FailingListener struct {
 	net.Listener
 
 	mu     sync.Mutex
@@ -24,28 +24,29 @@
 	failed int
 }
 
-// Fail makes the next accepts of l fail with errs, one after another.
-func Fail(l net.Listener, errs ...syscall.Errno) *Failing {
-	return &Failing{Listener: l, errs: errs}
+// NewFailingListener wraps l. Each of the next calls of Accept fails with one of errs, in
+// their order.
+func NewFailingListener(l net.Listener, errs ...syscall.Errno) *FailingListener {
+	return &FailingListener{Listener: l, errs: errs}
 }
 
-// Failed is how many accepts have failed.
-func (f *Failing) Failed() int {
+// FailedAccepts returns the number of failed calls of Accept.
+func (f *FailingListener) FailedAccepts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed
 }
 
 // Accept implements net.Listener.
-func (f *Failing) Accept() (net.Conn, error) {
-	if err := f.next(); err != 0 {
+func (f *FailingListener) Accept() (net.Conn, error) {
+	if err := f.nextError(); err != 0 {
 		return nil, &net.OpError{Op: "accept", Net: f.Addr().Network(), Addr: f.Addr(), Err: os.NewSyscallError("accept4", err)}
 	}
 	return f.Listener.Accept()
 }
 
-// next is the error of this accept, or 0.
-func (f *Failing) next() syscall.Errno {
+// nextError returns the error of this call of Accept, or 0.
+func (f *FailingListener) nextError() syscall.Errno {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.errs) == 0 {
@@ -58,6 +59,6 @@
 }
 
 // SyscallConn implements syscall.Conn.
-func (f *Failing) SyscallConn() (syscall.RawConn, error) {
+func (f *FailingListener) SyscallConn() (syscall.RawConn, error) {
 	return f.Listener.(syscall.Conn).SyscallConn()
 }
