--- a/cmd/gorselink/freeze_test.go
+++ b/cmd/gorselink/freeze_test.go
@@ -81,8 +81,8 @@
 	// at least 13 s and a tenth for at least 26 s.
 	for _, row := range rep.Verdict.Rows {
 		least, ok := map[float64]float64{50: 13000, 90: 26000}[row.Percentile]
-		if ok && (row.SinceDue < least || row.Own < least) {
-			t.Errorf("p%v: since due %.0f ms, own error %.0f ms, want at least %.0f ms", row.Percentile, row.SinceDue, row.Own, least)
+		if ok && (row.Latency < least || row.GeneratorDelay < least) {
+			t.Errorf("p%v: since due %.0f ms, own error %.0f ms, want at least %.0f ms", row.Percentile, row.Latency, row.GeneratorDelay, least)
 		}
 	}
 }
--- a/cmd/gorselink/load.go
+++ b/cmd/gorselink/load.go
@@ -100,8 +100,8 @@
 		return fmt.Errorf("gorselink: load: %w", err)
 	}
 	switch {
-	case rep.Broken != "":
-		return exitError{fmt.Errorf("gorselink: load: %s", rep.Broken), exitAborted}
+	case rep.PlanError != "":
+		return exitError{fmt.Errorf("gorselink: load: %s", rep.PlanError), exitAborted}
 	case len(rep.Verdict.Void) > 0:
 		return exitError{errors.New("gorselink: load: the generator was the bottleneck, the results are invalid"), exitBottleneck}
 	}
@@ -110,13 +110,13 @@
 
 // execute makes the run, in this process or in worker processes.
 func (c *loadRun) execute(env *environment, spec *load.Spec) (*load.Result, error) {
-	skips := load.Skips{To: env.stderr}
-	cfg, err := spec.Config(load.Part{}, skips.Tell)
+	skips := load.SkipReporter{Out: env.stderr}
+	cfg, err := spec.Config(load.WorkerPart{}, skips.Report)
 	if err != nil {
 		return nil, err
 	}
 	if !c.Quiet {
-		cfg.Live = newProgressLine(env.stderr, env.redraw).show
+		cfg.OnProgress = newProgressLine(env.stderr, env.redraw).show
 	}
 	// The configuration is also checked here if workers make the run, so that an error is
 	// reported once.
@@ -131,13 +131,13 @@
 	var res *load.Result
 	if c.Workers == 1 {
 		res = r.Run(env.ctx)
-		skips.End()
+		skips.Summarize()
 	} else {
 		self, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		res, err = load.RunWorkers(env.ctx, c.Workers, spec, cfg.Live, func() *exec.Cmd {
+		res, err = load.RunWorkers(env.ctx, c.Workers, spec, cfg.OnProgress, func() *exec.Cmd {
 			cmd := exec.Command(self, "load", "worker")
 			cmd.Stderr = env.stderr
 			return cmd
@@ -189,7 +189,7 @@
 	spec := load.NewSpec()
 	spec.Target, spec.Anywhere, spec.Seed = c.Target, c.Anywhere, c.Seed
 	spec.Conns, spec.PerConn, spec.Grace = c.Conns, c.PerConn, load.Duration(c.Grace)
-	spec.ClientSpec = load.ClientSpec{Retries: c.Retries, Wait: load.Duration(c.RetryWait), Grow: c.RetryGrow, Honour: &c.Honour, Leave: c.Leave, LeaveAfter: load.Duration(c.LeaveAfter)}
+	spec.Client = load.ClientSpec{Retries: c.Retries, RetryWait: load.Duration(c.RetryWait), RetryGrow: c.RetryGrow, Honour: &c.Honour, Leave: c.Leave, LeaveAfter: load.Duration(c.LeaveAfter)}
 	budget := load.Duration(c.Budget)
 	stream := load.StreamSpec{
 		Name: "load", Shape: c.Shape, Arrivals: c.Arrivals, Method: c.Method, Host: c.Host, Path: c.Path, Class: c.Class, Headers: map[string]string{},
--- a/cmd/gorselink/screen.go
+++ b/cmd/gorselink/screen.go
@@ -55,6 +55,6 @@
 	return &progressLine{textBlock{out: to, redraw: redraw}}
 }
 
-func (l *progressLine) show(v load.Live) {
+func (l *progressLine) show(v load.Progress) {
 	l.textBlock.show(fmt.Sprintf("%5.0f s  %d due  %d ended  %d open\n", v.At.Seconds(), v.Due, v.Ended, v.InFlight))
 }
--- a/internal/load/engine_test.go
+++ b/internal/load/engine_test.go
@@ -69,7 +69,7 @@
 func borneOut(t *testing.T, v Verdict, worst time.Duration) {
 	t.Helper()
 	for _, row := range v.Rows {
-		if own := time.Duration(row.Own * float64(time.Millisecond)); row.Judged && own > worst && row.Own > row.Allowed {
+		if own := time.Duration(row.GeneratorDelay * float64(time.Millisecond)); row.Judged && own > worst && row.GeneratorDelay > row.Allowed {
 			t.Errorf("void at p%v: own error %v, allowed %.3f ms, and nothing else was over %v late", row.Percentile, own, row.Allowed, worst)
 		}
 	}
@@ -207,13 +207,13 @@
 		told := map[uint64]int{}
 		went := make([]int, len(addrs))
 		cfg.Addrs = addrs
-		cfg.Choose = func(_ int, index uint64) int { return int(index*7) % len(addrs) }
-		cfg.Ended = func(e Ending) {
+		cfg.ChooseTarget = func(_ int, index uint64) int { return int(index*7) % len(addrs) }
+		cfg.OnCompletion = func(e Completion) {
 			mu.Lock()
 			defer mu.Unlock()
 			told[e.Index]++
 			went[e.Target]++
-			if e.How != OK || e.Ended < e.Due {
+			if e.Outcome != OK || e.Ended < e.Due {
 				t.Errorf("%+v", e)
 			}
 		}
--- a/internal/load/html.go
+++ b/internal/load/html.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	own, err := rep.Schedule.Decode()
+	own, err := rep.GeneratorDelay.Decode()
 	if err != nil {
 		return err
 	}
--- a/internal/load/lane.go
+++ b/internal/load/lane.go
@@ -62,7 +62,7 @@
 	due    time.Duration
 	stream int
 	index  uint64
-	record *traffic.Ask // nil if the stream says all
+	record *traffic.RecordedRequest // nil if the stream says all
 }
 
 func asked(a traffic.Arrival) ask {
@@ -123,7 +123,7 @@
 	} else {
 		l.shard.first(ended-begin, o)
 	}
-	harmless := o == Refused || o == NoConn || (o == Failed || o == Broken) && (s.Keyed || safe(req.method))
+	harmless := o == Refused || o == NoConn || (o == Failed || o == Broken) && (s.WithIdempotencyKey || safe(req.method))
 	if wait, again := r.cfg.Client.Next(j.retries, harmless, retryAfter, caller.Heeds); again && ended+wait < deadline {
 		j.retries++
 		r.later(j, ended, wait)
@@ -136,7 +136,7 @@
 
 // newRequest is what one try of an arrival of s sends: what the record asks, if
 // there is one, and what the stream says where that is empty.
-func newRequest(s *traffic.Stream, record *traffic.Ask, c traffic.Content) *request {
+func newRequest(s *traffic.Stream, record *traffic.RecordedRequest, c traffic.Content) *request {
 	req := &request{stream: s, host: s.Host, class: s.Class, path: c.Path, key: c.Key}
 	method, body := s.Method, s.Body
 	if record != nil {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -16,33 +16,33 @@
 // Report is a Result as it is written and read again: figures for people, and
 // the histograms whole, so that runs can be compared and merged later.
 type Report struct {
-	Schema   int              `json:"schema"`
-	Span     float64          `json:"span_s"`
-	Requests int64            `json:"requests"`
-	Offered  float64          `json:"offered_per_s"`
-	Served   float64          `json:"served_per_s"`
-	Outcomes map[string]int64 `json:"outcomes"`
-	First    map[string]int64 `json:"first_tries"`
-	Again    map[string]int64 `json:"later_tries"`
-	Latency  Times            `json:"latency"`  // from when a request was due
-	Service  Times            `json:"service"`  // of the first try, from its sending
-	Retries  Times            `json:"retries"`  // of the later tries
-	Schedule Times            `json:"schedule"` // the generator's own error
-	Held     Times            `json:"held"`     // the same with what it has held up behind it
-	Waited   Times            `json:"waited"`   // for a connection
-	Streams  []StreamReport   `json:"streams"`
-	Seconds  []SecondReport   `json:"seconds"`
-	Opened   int64            `json:"connections_opened"`
-	Queued   int64            `json:"waited_for_a_connection"`
-	Conns    int              `json:"connections_at_most"`
-	CPU      float64          `json:"cpu_s"`
-	Cores    int              `json:"cores"`
-	Busy     float64          `json:"machine_busy_s"` // of all processes
-	Machine  float64          `json:"machine_s"`
-	Bytes    int64            `json:"answer_bytes"`
-	Floor    *Floor           `json:"floor"`
-	Verdict  Verdict          `json:"verdict"`
-	Broken   string           `json:"broken_off"` // why the plan did not come to its end; empty if it did
+	Schema         int              `json:"schema"`
+	Span           float64          `json:"span_s"`
+	Requests       int64            `json:"requests"`
+	Offered        float64          `json:"offered_per_s"`
+	Served         float64          `json:"served_per_s"`
+	Outcomes       map[string]int64 `json:"outcomes"`
+	First          map[string]int64 `json:"first_tries"`
+	Again          map[string]int64 `json:"later_tries"`
+	Latency        Times            `json:"latency"`  // from when a request was due
+	Service        Times            `json:"service"`  // of the first try, from its sending
+	Retries        Times            `json:"retries"`  // of the later tries
+	GeneratorDelay Times            `json:"schedule"` // the generator's own error
+	Held           Times            `json:"held"`     // the same with what it has held up behind it
+	Waited         Times            `json:"waited"`   // for a connection
+	Streams        []StreamReport   `json:"streams"`
+	Seconds        []SecondReport   `json:"seconds"`
+	Opened         int64            `json:"connections_opened"`
+	Queued         int64            `json:"waited_for_a_connection"`
+	Conns          int              `json:"connections_at_most"`
+	CPU            float64          `json:"cpu_s"`
+	Cores          int              `json:"cores"`
+	Busy           float64          `json:"machine_busy_s"` // of all processes
+	Machine        float64          `json:"machine_s"`
+	Bytes          int64            `json:"answer_bytes"`
+	Floor          *Floor           `json:"floor"`
+	Verdict        Verdict          `json:"verdict"`
+	PlanError      string           `json:"broken_off"` // why the plan did not come to its end; empty if it did
 }
 
 // schema is the version of Report's form. A later one may add keys.
@@ -120,7 +120,7 @@
 		Floor: r.Floor, Verdict: r.Verdict(),
 	}
 	if r.Err != nil {
-		rep.Broken = r.Err.Error()
+		rep.PlanError = r.Err.Error()
 	}
 	if rep.Span > 0 {
 		rep.Offered = float64(rep.Requests) / rep.Span
@@ -158,7 +158,7 @@
 }
 
 func (rep *Report) times() []*Times {
-	return []*Times{&rep.Latency, &rep.Service, &rep.Retries, &rep.Schedule, &rep.Held, &rep.Waited}
+	return []*Times{&rep.Latency, &rep.Service, &rep.Retries, &rep.GeneratorDelay, &rep.Held, &rep.Waited}
 }
 
 // Result is the Result that the report was made of, but for its Verdict, which
@@ -188,8 +188,8 @@
 	r.Span, r.CPU = seconds(rep.Span), seconds(rep.CPU)
 	r.Opened, r.Queued, r.Conns, r.Cores, r.Bytes, r.Floor = rep.Opened, rep.Queued, rep.Conns, rep.Cores, rep.Bytes, rep.Floor
 	r.Machine = machine{rep.Busy, rep.Machine}
-	if rep.Broken != "" {
-		r.Err = errors.New(rep.Broken)
+	if rep.PlanError != "" {
+		r.Err = errors.New(rep.PlanError)
 	}
 	return r, nil
 }
@@ -269,7 +269,7 @@
 	if rep.Queued > 0 {
 		row("waited", &rep.Waited)
 	}
-	row("own error", &rep.Schedule)
+	row("own error", &rep.GeneratorDelay)
 	t.Flush()
 	fmt.Fprintf(&out, "%d connections opened, %d requests waited for one; %.2f s of processor time, %.0f%% of %d cores\n",
 		rep.Opened, rep.Queued, rep.CPU, 100*rep.CPU/max(rep.Span*float64(rep.Cores), 1e-9), rep.Cores)
@@ -282,8 +282,8 @@
 	for _, why := range rep.Verdict.Void {
 		fmt.Fprintf(&out, "WARNING: the generator was the bottleneck: %s\n", why)
 	}
-	if rep.Broken != "" {
-		fmt.Fprintf(&out, "WARNING: the plan broke off: %s\n", rep.Broken)
+	if rep.PlanError != "" {
+		fmt.Fprintf(&out, "WARNING: the plan broke off: %s\n", rep.PlanError)
 	}
 	_, err := io.WriteString(w, out.String())
 	return err
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -29,34 +29,34 @@
 
 // Config says what a run is.
 type Config struct {
-	Addr    string                             // address:port of the target
-	Addrs   []string                           // of several targets, in place of Addr
-	Choose  func(stream int, index uint64) int // which of Addrs a request goes to; goes with them
-	Streams []traffic.Stream
-	Plan    Plan
-	Seed    uint64
-	Client  traffic.Client
-	Conns   int           // connections at most; requests beyond them wait, ageing
-	PerConn int           // requests on a connection before it is closed; 0 for no bound
-	Open    int           // requests at most that are begun, those between two tries included; 0 for 16 for each connection
-	Span    time.Duration // of the plan; 0 if it is not known
-	Grace   time.Duration // how long answers are awaited after the last request was due
-	Live    func(Live)    // called about once a second; may be nil
-	Ended   func(Ending)  // called with each request at its end; may be nil. It must be safe for concurrent use, and not wait
+	Addr         string                             // address:port of the target
+	Addrs        []string                           // of several targets, in place of Addr
+	ChooseTarget func(stream int, index uint64) int // which of Addrs a request goes to; goes with them
+	Streams      []traffic.Stream
+	Plan         Plan
+	Seed         uint64
+	Client       traffic.Client
+	Conns        int              // connections at most; requests beyond them wait, ageing
+	PerConn      int              // requests on a connection before it is closed; 0 for no bound
+	Open         int              // requests at most that are begun, those between two tries included; 0 for 16 for each connection
+	Span         time.Duration    // of the plan; 0 if it is not known
+	Grace        time.Duration    // how long answers are awaited after the last request was due
+	OnProgress   func(Progress)   // called about once a second; may be nil
+	OnCompletion func(Completion) // called with each request at its end; may be nil. It must be safe for concurrent use, and not wait
 }
 
 // Ending is how a request ended, with all of its tries.
-type Ending struct {
-	Stream int
-	Index  uint64 // in its stream
-	Target int    // of Config.Addrs
-	Due    time.Duration
-	Ended  time.Duration
-	How    Outcome
+type Completion struct {
+	Stream  int
+	Index   uint64 // in its stream
+	Target  int    // of Config.Addrs
+	Due     time.Duration
+	Ended   time.Duration
+	Outcome Outcome
 }
 
 // Live is how a run stands.
-type Live struct {
+type Progress struct {
 	At       time.Duration
 	Due      int64 // requests so far
 	Ended    int64
@@ -72,7 +72,7 @@
 	case c.PerConn < 0 || c.Grace < 0 || c.Open < 0:
 		return errors.New("load: negative bounds")
 	}
-	if (len(c.Addrs) > 0) != (c.Choose != nil) || len(c.Addrs) > 0 && c.Addr != "" {
+	if (len(c.Addrs) > 0) != (c.ChooseTarget != nil) || len(c.Addrs) > 0 && c.Addr != "" {
 		return errors.New("load: want one target, or several and what chooses among them")
 	}
 	for i := range c.Streams {
@@ -338,8 +338,8 @@
 		return j
 	}
 	j = job{ask: asked(r.head), ready: r.head.Due}
-	if r.cfg.Choose != nil {
-		j.target = r.cfg.Choose(r.head.Stream, r.head.Index)
+	if r.cfg.ChooseTarget != nil {
+		j.target = r.cfg.ChooseTarget(r.head.Stream, r.head.Index)
 	}
 	r.last = r.head.Due
 	r.head, r.more = r.cfg.Plan.Next()
@@ -560,14 +560,14 @@
 func (r *Runner) booked(s *shard, j *job, at time.Duration, o Outcome) {
 	s.end(j.ask.stream, j.ask.due, at, o, j.toll)
 	r.ended.Add(1)
-	if r.cfg.Ended != nil {
-		r.cfg.Ended(Ending{Stream: j.ask.stream, Index: j.ask.index, Target: j.target, Due: j.ask.due, Ended: at, How: o})
+	if r.cfg.OnCompletion != nil {
+		r.cfg.OnCompletion(Completion{Stream: j.ask.stream, Index: j.ask.index, Target: j.target, Due: j.ask.due, Ended: at, Outcome: o})
 	}
 }
 
 // live tells how the run stands until ctx ends.
 func (r *Runner) live(ctx context.Context) {
-	if r.cfg.Live == nil {
+	if r.cfg.OnProgress == nil {
 		return
 	}
 	tick := time.NewTicker(time.Second)
@@ -581,7 +581,7 @@
 		r.mu.Lock()
 		open := r.open
 		r.mu.Unlock()
-		r.cfg.Live(Live{At: r.now(), Due: r.due.Load(), Ended: r.ended.Load(), InFlight: open})
+		r.cfg.OnProgress(Progress{At: r.now(), Due: r.due.Load(), Ended: r.ended.Load(), InFlight: open})
 	}
 }
 
--- a/internal/load/skips.go
+++ b/internal/load/skips.go
@@ -12,21 +12,21 @@
 
 // Skips tells of lines of traces that are skipped, and counts those that it does
 // not tell one by one.
-type Skips struct {
-	To io.Writer
-	n  int
+type SkipReporter struct {
+	Out io.Writer
+	n   int
 }
 
 // Tell tells of one line.
-func (s *Skips) Tell(file string, line *trace.BadLine) {
+func (s *SkipReporter) Report(file string, line *trace.BadLine) {
 	if s.n++; s.n <= mostSkips {
-		fmt.Fprintf(s.To, "%s: skipped: %v\n", file, line)
+		fmt.Fprintf(s.Out, "%s: skipped: %v\n", file, line)
 	}
 }
 
 // End tells how many there were, if it has not told them all.
-func (s *Skips) End() {
+func (s *SkipReporter) Summarize() {
 	if s.n > mostSkips {
-		fmt.Fprintf(s.To, "%d lines of traces were skipped in all\n", s.n)
+		fmt.Fprintf(s.Out, "%d lines of traces were skipped in all\n", s.n)
 	}
 }
--- a/internal/load/spec.go
+++ b/internal/load/spec.go
@@ -24,22 +24,22 @@
 // Spec is a run as people write it: in a TOML file, or by flags that fill one.
 // As JSON it is what a worker is told.
 type Spec struct {
-	Target     string       `toml:"target" json:"target"` // address:port
-	Anywhere   bool         `toml:"-" json:"anywhere"`    // the target may be on another machine
-	Seed       uint64       `toml:"seed" json:"seed"`
-	Conns      int          `toml:"connections" json:"connections"`
-	PerConn    int          `toml:"requests_per_connection" json:"requests_per_connection"`
-	Open       int          `toml:"open" json:"open"`
-	Grace      Duration     `toml:"grace" json:"grace"`
-	ClientSpec ClientSpec   `toml:"client" json:"client"`
-	Streams    []StreamSpec `toml:"streams" json:"streams"`
+	Target   string       `toml:"target" json:"target"` // address:port
+	Anywhere bool         `toml:"-" json:"anywhere"`    // the target may be on another machine
+	Seed     uint64       `toml:"seed" json:"seed"`
+	Conns    int          `toml:"connections" json:"connections"`
+	PerConn  int          `toml:"requests_per_connection" json:"requests_per_connection"`
+	Open     int          `toml:"open" json:"open"`
+	Grace    Duration     `toml:"grace" json:"grace"`
+	Client   ClientSpec   `toml:"client" json:"client"`
+	Streams  []StreamSpec `toml:"streams" json:"streams"`
 }
 
 // ClientSpec is how callers behave, see traffic.Client.
 type ClientSpec struct {
 	Retries    int      `toml:"retries" json:"retries"`
-	Wait       Duration `toml:"retry_wait" json:"retry_wait"`
-	Grow       bool     `toml:"retry_grow" json:"retry_grow"`
+	RetryWait  Duration `toml:"retry_wait" json:"retry_wait"`
+	RetryGrow  bool     `toml:"retry_grow" json:"retry_grow"`
 	Honour     *float64 `toml:"honour" json:"honour"` // nil for 1
 	Leave      float64  `toml:"leave" json:"leave"`
 	LeaveAfter Duration `toml:"leave_after" json:"leave_after"`
@@ -135,14 +135,14 @@
 }
 
 // Part is one of several workers' share of a run.
-type Part struct {
+type WorkerPart struct {
 	Index int // from 0
 	Of    int // 0 for 1
 }
 
 // Config returns the run that the Spec describes, or a worker's part of it. Lines
 // of traces that are skipped are told to skipped, which may be nil.
-func (s *Spec) Config(part Part, skipped func(file string, line *trace.BadLine)) (*Config, error) {
+func (s *Spec) Config(part WorkerPart, skipped func(file string, line *trace.BadLine)) (*Config, error) {
 	of := max(part.Of, 1)
 	switch {
 	case part.Index < 0 || part.Index >= of:
@@ -159,10 +159,10 @@
 	if err := checkTarget(s.Target, s.Anywhere); err != nil {
 		return nil, err
 	}
-	c := &s.ClientSpec
+	c := &s.Client
 	cfg := &Config{
 		Addr: s.Target, Seed: s.Seed, Conns: share(s.Conns, part.Index, of), PerConn: s.PerConn, Open: share(s.Open, part.Index, of), Grace: time.Duration(s.Grace),
-		Client: traffic.Client{Retries: c.Retries, Wait: time.Duration(c.Wait), Grow: c.Grow, Honour: 1, Leave: c.Leave, LeaveAfter: time.Duration(c.LeaveAfter)},
+		Client: traffic.Client{Retries: c.Retries, Wait: time.Duration(c.RetryWait), Grow: c.RetryGrow, Honour: 1, Leave: c.Leave, LeaveAfter: time.Duration(c.LeaveAfter)},
 	}
 	if c.Honour != nil {
 		cfg.Client.Honour = *c.Honour
@@ -219,7 +219,7 @@
 func (in *StreamSpec) stream(name string, spec *Spec, skipped func(string, *trace.BadLine)) (*traffic.Stream, traffic.Source, error) {
 	s := &traffic.Stream{
 		Name: name, Method: in.Method, Host: cmp.Or(in.Host, spec.Target), Path: cmp.Or(in.Path, "/"), Class: in.Class,
-		Body: in.Body, Keys: in.Keys, Skew: 1, Keyed: in.Keyed, Budget: DefaultBudget,
+		Body: in.Body, Keys: in.Keys, Skew: 1, WithIdempotencyKey: in.Keyed, Budget: DefaultBudget,
 	}
 	if in.Skew != nil {
 		s.Skew = *in.Skew
--- a/internal/load/spec_test.go
+++ b/internal/load/spec_test.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := s.Config(Part{}, nil)
+	cfg, err := s.Config(WorkerPart{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 	} {
 		s, err := ReadSpec(put(t, "run.toml", c.text))
 		if err == nil {
-			_, err = s.Config(Part{}, nil)
+			_, err = s.Config(WorkerPart{}, nil)
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
@@ -180,13 +180,13 @@
 	}
 	s := NewSpec()
 	s.Target, s.Streams, s.Conns = "127.0.0.1:1", []StreamSpec{{Shape: "hold 1 1s"}}, 2
-	if _, err := s.Config(Part{0, 3}, nil); err == nil {
+	if _, err := s.Config(WorkerPart{0, 3}, nil); err == nil {
 		t.Error("two connections were divided among three workers")
 	}
 	sum := 0
 	for i := range 3 {
 		s.Conns = 8
-		c, err := s.Config(Part{i, 3}, nil)
+		c, err := s.Config(WorkerPart{i, 3}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -213,13 +213,13 @@
 		s := NewSpec()
 		s.Target, s.Streams = n.Addr(), []StreamSpec{{Trace: put(t, "t.jsonl", text.String()), Speed: 1000, BadShare: c.share}}
 		var told bytes.Buffer
-		skips := Skips{To: &told}
-		cfg, err := s.Config(Part{}, skips.Tell)
+		skips := SkipReporter{Out: &told}
+		cfg, err := s.Config(WorkerPart{}, skips.Report)
 		if err != nil {
 			t.Fatal(err)
 		}
 		res := run(t, *cfg)
-		skips.End()
+		skips.Summarize()
 		if !errors.Is(res.Err, c.err) || res.Outcomes[OK] < 100 || res.Requests() != res.Outcomes[OK] {
 			t.Errorf("%v: %v, %v", c.share, res.Err, res.Outcomes)
 		}
@@ -227,8 +227,8 @@
 			t.Errorf("told:\n%s", told.String())
 		}
 		rep, err := res.Report()
-		if err != nil || (rep.Broken != "") != (c.err != nil) {
-			t.Errorf("%q, %v", rep.Broken, err)
+		if err != nil || (rep.PlanError != "") != (c.err != nil) {
+			t.Errorf("%q, %v", rep.PlanError, err)
 		}
 	}
 }
@@ -241,7 +241,7 @@
 	s.Target, s.Conns = n.Addr(), 6
 	s.Streams = []StreamSpec{{Shape: "hold 300 1s", Arrivals: "even", Path: "/{n}"}, {Name: "second", Shape: "hold 100 1s", Arrivals: "even", Path: "/second/{n}"}}
 	var live int
-	res, err := RunWorkers(context.Background(), 3, s, func(Live) { live++ }, workerCommand(t))
+	res, err := RunWorkers(context.Background(), 3, s, func(Progress) { live++ }, workerCommand(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,7 +262,7 @@
 	var started []*exec.Cmd
 	command := workerCommand(t)
 	// Workers are started, and the run is told of, by one goroutine.
-	kill := func(Live) { started[1].Process.Signal(syscall.SIGKILL) }
+	kill := func(Progress) { started[1].Process.Signal(syscall.SIGKILL) }
 	res, err := RunWorkers(context.Background(), 2, s, kill, func() *exec.Cmd {
 		started = append(started, command())
 		return started[len(started)-1]
@@ -301,7 +301,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rep.Broken = "<script>alert(1)</script>"
+	rep.PlanError = "<script>alert(1)</script>"
 	var out bytes.Buffer
 	if err := rep.WriteHTML(&out); err != nil {
 		t.Fatal(err)
--- a/internal/load/verdict.go
+++ b/internal/load/verdict.go
@@ -130,12 +130,12 @@
 // Row is the generator's own error beside what is reported at one percentile, in
 // ms.
 type Row struct {
-	Percentile float64 `json:"percentile"`
-	SinceDue   float64 `json:"since_due_ms"`
-	Own        float64 `json:"own_ms"`     // with what it has held up
-	Waited     float64 `json:"waited_ms"`  // for a connection
-	Allowed    float64 `json:"allowed_ms"` // 5% of since due, or the floor
-	Judged     bool    `json:"judged"`     // enough requests lie beyond it
+	Percentile     float64 `json:"percentile"`
+	Latency        float64 `json:"since_due_ms"`
+	GeneratorDelay float64 `json:"own_ms"`     // with what it has held up
+	Waited         float64 `json:"waited_ms"`  // for a connection
+	Allowed        float64 `json:"allowed_ms"` // 5% of since due, or the floor
+	Judged         bool    `json:"judged"`     // enough requests lie beyond it
 }
 
 // Verdict judges the run by its own error.
@@ -147,11 +147,11 @@
 	at := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	var moved, weak, waited []string
 	for _, q := range judged {
-		row := Row{Percentile: q, SinceDue: at(r.Latency, q), Own: at(r.Held, q), Waited: at(r.Waited, q), Judged: n*(100-q)/100 >= leastBeyond-1e-6}
-		row.Allowed = max(errorShare*row.SinceDue, r.Floor.at(q))
+		row := Row{Percentile: q, Latency: at(r.Latency, q), GeneratorDelay: at(r.Held, q), Waited: at(r.Waited, q), Judged: n*(100-q)/100 >= leastBeyond-1e-6}
+		row.Allowed = max(errorShare*row.Latency, r.Floor.at(q))
 		v.Rows = append(v.Rows, row)
-		if row.Own > row.Allowed {
-			text := fmt.Sprintf("p%v: %.3f of %.3f ms", q, row.Own, row.SinceDue)
+		if row.GeneratorDelay > row.Allowed {
+			text := fmt.Sprintf("p%v: %.3f of %.3f ms", q, row.GeneratorDelay, row.Latency)
 			if row.Judged {
 				moved = append(moved, text)
 			} else {
@@ -159,7 +159,7 @@
 			}
 		}
 		if row.Judged && row.Waited > row.Allowed {
-			waited = append(waited, fmt.Sprintf("p%v: %.3f of %.3f ms", q, row.Waited, row.SinceDue))
+			waited = append(waited, fmt.Sprintf("p%v: %.3f of %.3f ms", q, row.Waited, row.Latency))
 		}
 	}
 	exhausted := r.exhausted()
--- a/internal/load/workers.go
+++ b/internal/load/workers.go
@@ -28,15 +28,15 @@
 //
 // The end of its input is a stop too, so that no worker outlives its parent.
 type order struct {
-	Spec *Spec `json:"spec"`
-	Part Part  `json:"part"`
+	Spec *Spec      `json:"spec"`
+	Part WorkerPart `json:"part"`
 }
 
 type word struct {
-	Ready  bool    `json:"ready,omitempty"`
-	Error  string  `json:"error,omitempty"`
-	Live   *Live   `json:"live,omitempty"`
-	Report *Report `json:"report,omitempty"`
+	Ready  bool      `json:"ready,omitempty"`
+	Error  string    `json:"error,omitempty"`
+	Live   *Progress `json:"live,omitempty"`
+	Report *Report   `json:"report,omitempty"`
 }
 
 const (
@@ -71,8 +71,8 @@
 	if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
 		return fmt.Errorf("load: worker: order: %w", err)
 	}
-	skips := Skips{To: errs}
-	r, err := o.runner(&skips, func(l Live) { say(word{Live: &l}) })
+	skips := SkipReporter{Out: errs}
+	r, err := o.runner(&skips, func(l Progress) { say(word{Live: &l}) })
 	if err != nil {
 		return say(word{Error: err.Error()})
 	}
@@ -87,33 +87,33 @@
 		lines.Scan() // a stop, or the end of the parent
 	}()
 	rep, err := r.Run(ctx).Report()
-	skips.End()
+	skips.Summarize()
 	if err != nil {
 		return err
 	}
 	return say(word{Report: rep})
 }
 
-func (o *order) runner(skips *Skips, live func(Live)) (*Runner, error) {
+func (o *order) runner(skips *SkipReporter, live func(Progress)) (*Runner, error) {
 	if o.Spec == nil {
 		return nil, errors.New("load: worker: an order without a run")
 	}
 	var tell func(string, *trace.BadLine)
 	if o.Part.Index == 0 {
-		tell = skips.Tell
+		tell = skips.Report
 	}
 	cfg, err := o.Spec.Config(o.Part, tell)
 	if err != nil {
 		return nil, err
 	}
-	cfg.Live = live
+	cfg.OnProgress = live
 	return New(*cfg)
 }
 
 // RunWorkers makes a run by several processes at once, each of which command
 // returns, and merges what they have measured, exactly. A worker that dies
 // leaves its part uncounted, which the Result's Err tells.
-func RunWorkers(ctx context.Context, workers int, s *Spec, live func(Live), command func() *exec.Cmd) (*Result, error) {
+func RunWorkers(ctx context.Context, workers int, s *Spec, live func(Progress), command func() *exec.Cmd) (*Result, error) {
 	all := make([]*worker, workers)
 	defer func() {
 		for _, w := range all {
@@ -123,7 +123,7 @@
 		}
 	}()
 	for i := range all {
-		w, err := startWorker(command(), order{s, Part{i, workers}})
+		w, err := startWorker(command(), order{s, WorkerPart{i, workers}})
 		if err != nil {
 			return nil, fmt.Errorf("load: worker %d of %d: %w", i+1, workers, err)
 		}
@@ -163,7 +163,7 @@
 			}
 		case <-tick.C:
 			if live != nil {
-				sum := Live{At: time.Since(begun)}
+				sum := Progress{At: time.Since(begun)}
 				for _, w := range all {
 					if l := w.live.Load(); l != nil {
 						sum.Due, sum.Ended, sum.InFlight = sum.Due+l.Due, sum.Ended+l.Ended, sum.InFlight+l.InFlight
@@ -193,7 +193,7 @@
 	cmd   *exec.Cmd
 	in    io.WriteCloser
 	lines *bufio.Scanner
-	live  atomic.Pointer[Live]
+	live  atomic.Pointer[Progress]
 	res   *Result // once follow has returned
 	err   error
 	ended bool
--- a/internal/proving/beside.go
+++ b/internal/proving/beside.go
@@ -81,13 +81,13 @@
 	var mu sync.Mutex
 	took := make([][]float64, 2*b.Pairs) // latencies in ms by window
 	failed := 0
-	run, err := load.New(load.Config{Addr: listenAddr, Streams: streams, Plan: traffic.NewPlan(streams, s.Seed), Seed: s.Seed, Conns: 200, Span: span, Grace: time.Second, Ended: func(e load.Ending) {
+	run, err := load.New(load.Config{Addr: listenAddr, Streams: streams, Plan: traffic.NewPlan(streams, s.Seed), Seed: s.Seed, Conns: 200, Span: span, Grace: time.Second, OnCompletion: func(e load.Completion) {
 		mu.Lock()
 		defer mu.Unlock()
 		if k := int(e.Due / b.Window); k < len(took) {
 			took[k] = append(took[k], (e.Ended-e.Due).Seconds()*1000)
 		}
-		if e.How != load.OK {
+		if e.Outcome != load.OK {
 			failed++
 		}
 	}})
--- a/internal/proving/experiment.go
+++ b/internal/proving/experiment.go
@@ -272,7 +272,7 @@
 	for i, t := range top.TableList("streams") {
 		s := traffic.Stream{
 			Name: t.Text("name", fmt.Sprintf("stream-%d", i+1)), Method: t.Text("method", "GET"), Host: t.Text("host", "proving"), Path: t.Text("path", "/"),
-			Class: t.Text("class", ""), Body: t.Integer("body", 0, 0, 1<<20), Keyed: t.Bool("keyed", false), Budget: t.Duration("budget", defaultBudget, time.Millisecond), Skew: 1,
+			Class: t.Text("class", ""), Body: t.Integer("body", 0, 0, 1<<20), WithIdempotencyKey: t.Bool("keyed", false), Budget: t.Duration("budget", defaultBudget, time.Millisecond), Skew: 1,
 		}
 		if names[s.Name] {
 			t.AddError("name", s.Name, "a name that no other stream has")
--- a/internal/proving/measure.go
+++ b/internal/proving/measure.go
@@ -89,9 +89,9 @@
 	return c.record.arrivals[from:to]
 }
 
-func (c *selection) endings() (all []load.Ending) {
-	from, _ := slices.BinarySearchFunc(c.record.endings, c.From, func(e load.Ending, at time.Duration) int { return cmp.Compare(e.Due, at) })
-	to, _ := slices.BinarySearchFunc(c.record.endings, c.To, func(e load.Ending, at time.Duration) int { return cmp.Compare(e.Due, at) })
+func (c *selection) endings() (all []load.Completion) {
+	from, _ := slices.BinarySearchFunc(c.record.endings, c.From, func(e load.Completion, at time.Duration) int { return cmp.Compare(e.Due, at) })
+	to, _ := slices.BinarySearchFunc(c.record.endings, c.To, func(e load.Completion, at time.Duration) int { return cmp.Compare(e.Due, at) })
 	if c.stream < 0 && c.instances == nil {
 		return c.record.endings[from:to]
 	}
@@ -209,7 +209,7 @@
 
 func (c *selection) count(matches func(load.Outcome) bool) (n float64) {
 	for _, e := range c.endings() {
-		if matches(e.How) {
+		if matches(e.Outcome) {
 			n++
 		}
 	}
--- a/internal/proving/record.go
+++ b/internal/proving/record.go
@@ -26,7 +26,7 @@
 
 	mu            sync.Mutex
 	arrivals      []arrival // sorted by time at the end
-	endings       []load.Ending
+	endings       []load.Completion
 	executions    map[string]int  // by request ID, over all nodes
 	nonIdempotent map[string]bool // IDs of requests that must not be repeated
 	coldSpans     []nodeSpan      // spans in which a node is cold
@@ -72,7 +72,7 @@
 	}
 }
 
-func (r *Record) recordEnding(e load.Ending) {
+func (r *Record) recordEnding(e load.Completion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.endings = append(r.endings, e)
@@ -140,6 +140,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slices.SortStableFunc(r.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
-	slices.SortStableFunc(r.endings, func(a, b load.Ending) int { return int(a.Due - b.Due) })
+	slices.SortStableFunc(r.endings, func(a, b load.Completion) int { return int(a.Due - b.Due) })
 	return r
 }
--- a/internal/proving/result.go
+++ b/internal/proving/result.go
@@ -84,9 +84,9 @@
 		res.Figures = append(res.Figures, Figure{Name: w.String(), Value: finiteOrNil(r.Value(&w)), Min: finiteOrNil(w.Min), Max: finiteOrNil(w.Max)})
 	}
 	for _, x := range r.endings {
-		res.Outcomes[x.How.String()]++
-		if x.How != load.OK && len(res.Failures) < maxFailures {
-			res.Failures = append(res.Failures, Failure{x.Due.Seconds(), (x.Ended - x.Due).Seconds(), r.experiment.Streams[x.Stream].Name, x.Target, x.How.String()})
+		res.Outcomes[x.Outcome.String()]++
+		if x.Outcome != load.OK && len(res.Failures) < maxFailures {
+			res.Failures = append(res.Failures, Failure{x.Due.Seconds(), (x.Ended - x.Due).Seconds(), r.experiment.Streams[x.Stream].Name, x.Target, x.Outcome.String()})
 		}
 	}
 	for at := time.Duration(0); at+time.Second <= r.experiment.Duration; at += time.Second {
--- a/internal/proving/rig.go
+++ b/internal/proving/rig.go
@@ -347,8 +347,8 @@
 		return r.runWithoutLoad(ctx)
 	}
 	run, err := load.New(load.Config{
-		Addrs: r.callerAddrs, Choose: instanceChooser(e, r.seed), Streams: e.Streams, Plan: traffic.NewPlan(e.Streams, r.seed), Seed: r.seed,
-		Conns: e.MaxConnections, Span: e.Duration, Grace: answerGrace(e), Ended: r.record.recordEnding,
+		Addrs: r.callerAddrs, ChooseTarget: instanceChooser(e, r.seed), Streams: e.Streams, Plan: traffic.NewPlan(e.Streams, r.seed), Seed: r.seed,
+		Conns: e.MaxConnections, Span: e.Duration, Grace: answerGrace(e), OnCompletion: r.record.recordEnding,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/trace/source.go
+++ b/internal/trace/source.go
@@ -22,7 +22,7 @@
 
 // Next returns the next request and its due time. It returns false after the last one
 // and after an error.
-func (s *Source) Next() (time.Duration, *traffic.Ask, bool) {
+func (s *Source) Next() (time.Duration, *traffic.RecordedRequest, bool) {
 	if s.err != nil {
 		return 0, nil, false
 	}
@@ -31,7 +31,7 @@
 		s.err = errors.Join(err, s.schedule.Close())
 		return 0, nil, false
 	}
-	return rec.Due, &traffic.Ask{Method: rec.Method, Host: rec.Host, Path: rec.Path, Class: rec.Class, Body: rec.Body}, true
+	return rec.Due, &traffic.RecordedRequest{Method: rec.Method, Host: rec.Host, Path: rec.Path, Class: rec.Class, Body: rec.Body}, true
 }
 
 // Err returns the error that ended the trace early, or nil.
--- a/scripts/perf/main.go
+++ b/scripts/perf/main.go
@@ -269,7 +269,7 @@
 			record(s.name, "p50", report.Latency.P50*1000)
 			record(s.name, "p99", report.Latency.P99*1000)
 			record(s.name, "p99.9", report.Latency.P999*1000)
-			record(s.name, "schedule error p99", report.Schedule.P99*1000)
+			record(s.name, "schedule error p99", report.GeneratorDelay.P99*1000)
 			if s.p != nil {
 				after, rss, err := s.p.usage()
 				if err != nil {
--- a/traffic/plan.go
+++ b/traffic/plan.go
@@ -12,19 +12,19 @@
 
 // Stream is one kind of requests.
 type Stream struct {
-	Name    string
-	Shape   *Shape
-	Pattern Pattern
-	Method  string // "" for GET
-	Host    string
-	Path    string // a pattern, see Fill
-	Class   string // named to the target, "" for none
-	Headers []Header
-	Body    int     // bytes
-	Keys    int     // how many subjects there are; 0 for none
-	Skew    float64 // exponent of the Zipf distribution over them
-	Keyed   bool    // each request has an Idempotency-Key
-	Budget  time.Duration
+	Name               string
+	Shape              *Shape
+	Pattern            Pattern
+	Method             string // "" for GET
+	Host               string
+	Path               string // a pattern, see Fill
+	Class              string // named to the target, "" for none
+	Headers            []Header
+	Body               int     // bytes
+	Keys               int     // how many subjects there are; 0 for none
+	Skew               float64 // exponent of the Zipf distribution over them
+	WithIdempotencyKey bool    // each request has an Idempotency-Key
+	Budget             time.Duration
 }
 
 // Header is one field.
@@ -32,14 +32,14 @@
 
 // Arrival is one request that is due.
 type Arrival struct {
-	Due    time.Duration // since the begin
-	Stream int           // its place in the Plan's streams
-	Index  uint64        // its number in the stream, from 0
-	Ask    *Ask          // what it asks, where a record says so; nil for what the stream says
+	Due    time.Duration    // since the begin
+	Stream int              // its place in the Plan's streams
+	Index  uint64           // its number in the stream, from 0
+	Ask    *RecordedRequest // what it asks, where a record says so; nil for what the stream says
 }
 
 // Ask is what one recorded request asks. What is empty the stream says.
-type Ask struct {
+type RecordedRequest struct {
 	Method string
 	Host   string
 	Path   string
@@ -50,7 +50,7 @@
 // Source is the sequence of one stream's arrivals, in the order in which they
 // are due. Next is false after the last one and after an error, which Err tells.
 type Source interface {
-	Next() (due time.Duration, ask *Ask, ok bool)
+	Next() (due time.Duration, ask *RecordedRequest, ok bool)
 	Err() error
 }
 
@@ -61,7 +61,7 @@
 
 type shapedSource struct{ Times }
 
-func (s shapedSource) Next() (time.Duration, *Ask, bool) {
+func (s shapedSource) Next() (time.Duration, *RecordedRequest, bool) {
 	at, ok := s.Times.Next()
 	return at, nil, ok
 }
@@ -271,7 +271,7 @@
 	if f.zipf != nil {
 		c.Rank = f.zipf.Draw(f.rng)
 	}
-	if f.s.Keyed {
+	if f.s.WithIdempotencyKey {
 		c.Key = fmt.Sprintf("%016x%016x", f.rng.Uint64(), f.rng.Uint64())
 	}
 	if len(f.bits) == 1 {
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -177,7 +177,7 @@
 
 func twoStreams(t testing.TB) []Stream {
 	return []Stream{
-		{Name: "donate", Shape: shape(t, "hold 300 2s, spike 300 3000 100ms 1s"), Pattern: Poisson, Path: "/pledge/{n}?k={key}&r={rand:1-6}", Keys: 50, Skew: 1, Keyed: true},
+		{Name: "donate", Shape: shape(t, "hold 300 2s, spike 300 3000 100ms 1s"), Pattern: Poisson, Path: "/pledge/{n}?k={key}&r={rand:1-6}", Keys: 50, Skew: 1, WithIdempotencyKey: true},
 		{Name: "receipts", Shape: shape(t, "wave 200 100 1s 3s"), Pattern: Poisson, Path: "/receipt"},
 	}
 }
@@ -299,7 +299,7 @@
 }
 
 func TestContent(t *testing.T) {
-	s := &Stream{Name: "a", Path: "/p/{n}/{key}/{rand:5-6}/x", Keys: 9, Skew: 1, Keyed: true}
+	s := &Stream{Name: "a", Path: "/p/{n}/{key}/{rand:5-6}/x", Keys: 9, Skew: 1, WithIdempotencyKey: true}
 	f, err := NewFiller(s, 3)
 	if err != nil {
 		t.Fatal(err)
