--- a/internal/pool/age_test.go
+++ b/internal/pool/age_test.go
@@ -178,11 +178,11 @@
 func TestTimestampsAfterUndatedList(t *testing.T) {
 	clocks := clock.NewManual(0)
 	p := newManualClockPool(t, clocks, manualClockConfig(clocks))
-	discovery := p.sources[0].Source
+	listSource := p.sources[0].Source
 	p.sources[0].Source = &nodes.File{}
 	p.handleList(p.sources[0], undatedList("127.0.0.1:1", "127.0.0.1:2"))
 	clocks.Advance(time.Minute)
-	p.sources = append(p.sources, &source{Source: discovery, number: 2, cancel: func() {}})
+	p.sources = append(p.sources, &source{Source: listSource, number: 2, cancel: func() {}})
 	sinceMs := timestampAgo(clocks.Clock().Wall(), time.Hour)
 	p.handleList(p.sources[1], nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{endpointSince("127.0.0.1:1", sinceMs), endpointSince("127.0.0.1:2", sinceMs)}})
 	for name, age := range p.balancerAges() {
