--- a/cmd/prove/main.go
+++ b/cmd/prove/main.go
@@ -18,7 +18,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"gorselink/internal/proving"
+	"gorselink/internal/experiment"
 )
 
 // commands holds the subcommands. The default one is play.
@@ -91,7 +91,7 @@
 
 // Run runs the experiment and reports the results.
 func (c *playCommand) Run(env *environment) error {
-	e, scale, err := proving.ReadAny(c.File)
+	e, scale, err := experiment.ReadAny(c.File)
 	if err != nil {
 		return exitError{err, exitUsage}
 	}
@@ -115,15 +115,15 @@
 			return fmt.Errorf("prove: %w", err)
 		}
 	}
-	var results []*proving.Result
+	var results []*experiment.Result
 	for turn := range c.Turns {
 		for i, name := range names {
-			o := proving.Options{Program: programs[i], Turn: uint64(turn)}
+			o := experiment.Options{Program: programs[i], Turn: uint64(turn)}
 			if !c.Quiet {
 				fmt.Fprintf(env.err, "%s, turn %d of %d\n", name, turn+1, c.Turns)
 				o.Log = func(line string) { fmt.Fprintf(env.err, "  %s\n", line) }
 			}
-			rec, err := proving.Run(env.ctx, e, o)
+			rec, err := experiment.Run(env.ctx, e, o)
 			if err != nil {
 				return fmt.Errorf("prove: %s, turn %d: %w", name, turn+1, err)
 			}
@@ -140,7 +140,7 @@
 }
 
 // selectBuilds returns the names and programs to run, in order.
-func (c *playCommand) selectBuilds(e *proving.Experiment) (names, programs []string, err error) {
+func (c *playCommand) selectBuilds(e *experiment.Experiment) (names, programs []string, err error) {
 	for _, b := range c.Build {
 		name, program, ok := strings.Cut(b, "=")
 		if !ok || name == "" || program == "" || strings.ContainsAny(name, "/ ") || slices.Contains(names, name) {
@@ -158,8 +158,8 @@
 }
 
 // report writes the comparison of all runs and returns an error if an expectation is not met.
-func (c *playCommand) report(env *environment, e *proving.Experiment, names []string, results []*proving.Result) error {
-	if err := proving.WriteTable(env.out, names, proving.Compare(names, results)); err != nil {
+func (c *playCommand) report(env *environment, e *experiment.Experiment, names []string, results []*experiment.Result) error {
+	if err := experiment.WriteTable(env.out, names, experiment.Compare(names, results)); err != nil {
 		return err
 	}
 	if c.Out != "" {
@@ -191,13 +191,13 @@
 	return nil
 }
 
-func (c *playCommand) writeFiles(e *proving.Experiment, names []string, results []*proving.Result) error {
+func (c *playCommand) writeFiles(e *experiment.Experiment, names []string, results []*experiment.Result) error {
 	table, err := os.Create(filepath.Join(c.Out, "table.txt"))
 	if err != nil {
 		return err
 	}
 	defer table.Close()
-	if err := proving.WriteTable(table, names, proving.Compare(names, results)); err != nil {
+	if err := experiment.WriteTable(table, names, experiment.Compare(names, results)); err != nil {
 		return err
 	}
 	page, err := os.Create(filepath.Join(c.Out, "page.html"))
@@ -205,5 +205,5 @@
 		return err
 	}
 	defer page.Close()
-	return proving.WritePage(page, e, names, results)
+	return experiment.WritePage(page, e, names, results)
 }
--- a/cmd/prove/scale.go
+++ b/cmd/prove/scale.go
@@ -8,16 +8,16 @@
 	"path/filepath"
 	"strings"
 
+	"gorselink/internal/experiment"
 	"gorselink/internal/hollow"
-	"gorselink/internal/proving"
 )
 
 // runScale runs a scale experiment, writes its result files and reports violations.
-func (c *playCommand) runScale(env *environment, e *proving.ScaleExperiment) error {
+func (c *playCommand) runScale(env *environment, e *experiment.ScaleExperiment) error {
 	if c.Turns != 1 || len(c.Build) > 1 {
 		return exitError{errors.New("prove: a scale experiment runs once, with at most one --build"), exitUsage}
 	}
-	o := proving.ScaleOptions{}
+	o := experiment.ScaleOptions{}
 	if len(c.Build) == 1 {
 		var ok bool
 		if _, o.Program, ok = strings.Cut(c.Build[0], "="); !ok || o.Program == "" {
@@ -40,7 +40,7 @@
 	if !c.Quiet {
 		o.Log = func(line string) { fmt.Fprintln(env.err, line) }
 	}
-	res, err := proving.RunScale(env.ctx, e, o)
+	res, err := experiment.RunScale(env.ctx, e, o)
 	if err != nil {
 		return fmt.Errorf("prove: %w", err)
 	}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func writeScaleFiles(dir, file string, res *proving.ScaleResult) error {
+func writeScaleFiles(dir, file string, res *experiment.ScaleResult) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/internal/proving/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package proving runs experiments against the program: many of its processes in front of
+// Package experiment runs experiments against the program: many of its processes in front of
 // stand-in nodes, with open-loop load, emulated network faults and scheduled events. All
 // measures are taken at the nodes and at the callers.
-package proving
+package experiment
 
 import (
 	"fmt"
--- a/internal/proving/scale.go
+++ b/internal/experiment/scale.go
@@ -1,4 +1,4 @@
-package proving
+package experiment
 
 import (
 	"cmp"
--- a/internal/voter/storm_test.go
+++ b/internal/voter/storm_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/proving"
+	"gorselink/internal/experiment"
 	"gorselink/internal/quorum"
 )
 
@@ -40,13 +40,13 @@
 // newExperiment returns an experiment whose first instances are voters and whose other instances
 // each request one of the leases. Instance N is the group pN, and l-FROM-TO is the link from an
 // instance to a voter.
-func newExperiment(t *testing.T, voters, clients, leases int, length, span time.Duration, events string) *proving.Experiment {
+func newExperiment(t *testing.T, voters, clients, leases int, length, span time.Duration, events string) *experiment.Experiment {
 	t.Helper()
 	return newExperimentWithCommand(t, voters, clients, leases, length, span, events, "sleep 1000")
 }
 
 // newExperimentWithCommand is like newExperiment, but lease holders run the given command.
-func newExperimentWithCommand(t *testing.T, voters, clients, leases int, length, span time.Duration, events, command string) *proving.Experiment {
+func newExperimentWithCommand(t *testing.T, voters, clients, leases int, length, span time.Duration, events, command string) *experiment.Experiment {
 	t.Helper()
 	claimsDir := filepath.Join(t.TempDir(), "claims")
 	if err := os.Mkdir(claimsDir, 0o700); err != nil {
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	e, err := proving.Parse("voter.toml", []byte(config.String()+events))
+	e, err := experiment.Parse("voter.toml", []byte(config.String()+events))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,12 +158,12 @@
 }
 
 // playExperiment runs an experiment and returns its claims and its start on the boot clock.
-func playExperiment(t *testing.T, e *proving.Experiment) (claims []claim, begin int64) {
+func playExperiment(t *testing.T, e *experiment.Experiment) (claims []claim, begin int64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
 	start := int64(0)
-	record, err := proving.Run(ctx, e, proving.Options{Program: "/bin/sh", OnReady: func([]int) { start = int64(quorum.Now()) }})
+	record, err := experiment.Run(ctx, e, experiment.Options{Program: "/bin/sh", OnReady: func([]int) { start = int64(quorum.Now()) }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test.sh
+++ b/test.sh
@@ -32,7 +32,7 @@
 
 # Tests that measure latency or load distribution run alone, so that other tests do not
 # affect their results. The other tests wait most of the time and run in parallel.
-alone='/internal/(load|proving)$'
+alone='/internal/(load|experiment)$'
 # A failed test that KNOWN-RED.txt does not list fails the run (scripts/verdict).
 others=$(go list ./... | grep -vE "$alone")
 selves=$(go list ./... | grep -E "$alone")
