--- a/cmd/voter/main.go
+++ b/cmd/voter/main.go
@@ -13,8 +13,8 @@
 	"github.com/alecthomas/kong"
 
 	"gorselink/internal/config"
+	"gorselink/internal/leaseserver"
 	"gorselink/internal/quorum"
-	"gorselink/internal/voter"
 )
 
 type commands struct {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	return voter.Init(q.Dir, q.Cluster, uint64(q.ID), ids)
+	return leaseserver.Init(q.Dir, q.Cluster, uint64(q.ID), ids)
 }
 
 // Run runs the voter until ctx ends. With --init it first creates the log if there is none.
@@ -76,16 +76,16 @@
 	if err != nil {
 		return err
 	}
-	if c.Init && !voter.HasLog(q.Dir) {
-		if err := voter.Init(q.Dir, q.Cluster, uint64(q.ID), ids); err != nil {
+	if c.Init && !leaseserver.HasLog(q.Dir) {
+		if err := leaseserver.Init(q.Dir, q.Cluster, uint64(q.ID), ids); err != nil {
 			return err
 		}
 	}
-	cfg := voter.Config{Cluster: q.Cluster, ID: uint64(q.ID), Listen: q.Listen, Dir: q.Dir, Tick: q.Tick, Log: slog.Default()}
+	cfg := leaseserver.Config{Cluster: q.Cluster, ID: uint64(q.ID), Listen: q.Listen, Dir: q.Dir, Tick: q.Tick, Log: slog.Default()}
 	for _, v := range q.Voters {
 		cfg.Voters = append(cfg.Voters, quorum.Voter{ID: uint64(v.ID), Address: v.Address})
 	}
-	n, err := voter.Open(cfg)
+	n, err := leaseserver.Open(cfg)
 	if err != nil {
 		return err
 	}
--- a/internal/voter/durable_test.go
+++ b/internal/leaseserver/durable_test.go
@@ -1,4 +1,4 @@
-package voter
+package leaseserver
 
 import (
 	"compress/gzip"
--- a/internal/voter/node.go
+++ b/internal/leaseserver/node.go
@@ -1,7 +1,7 @@
-// Package voter replicates the lease state across a small cluster with etcd's Raft library and
+// Package leaseserver replicates the lease state across a small cluster with etcd's Raft library and
 // serves lease requests of clients. It owns the sockets, the log file and the clock; package
 // lease implements the lease state machine.
-package voter
+package leaseserver
 
 import (
 	"context"
