--- a/cmd/gorselink/claims.go
+++ b/cmd/gorselink/claims.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"gorselink/internal/durable"
-	"gorselink/internal/quorum"
+	"gorselink/internal/leaseclient"
 	"gorselink/lease"
 )
 
@@ -107,7 +107,7 @@
 // appendLine appends a record. It first terminates a truncated line.
 func (c *claimLog) appendLine(event string) error {
 	until, held := c.claimEnd()
-	now := quorum.Now()
+	now := leaseclient.Now()
 	if !held {
 		now = min(now, until)
 	}
--- a/cmd/gorselink/claims_test.go
+++ b/cmd/gorselink/claims_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gorselink/internal/durable"
-	"gorselink/internal/quorum"
+	"gorselink/internal/leaseclient"
 )
 
 // faultyFS is the machine's file system with injected errors.
@@ -74,7 +74,7 @@
 // newTestClaimLog returns a claimLog for a lease that is held for a minute, and its stderr.
 func newTestClaimLog(disk durable.FS, path string) (*claimLog, *bytes.Buffer) {
 	var stderr bytes.Buffer
-	at := quorum.Now() + time.Minute
+	at := leaseclient.Now() + time.Minute
 	return &claimLog{fsys: disk, path: path, lease: "l", epoch: 5, stderr: &stderr, claimEnd: func() (time.Duration, bool) { return at, true }}, &stderr
 }
 
@@ -208,11 +208,11 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	c := &leaseRun{Name: "l", Cmd: []string{filepath.Join(dir, "missing program")}}
-	if err := c.runWithRecord(ended, env, &quorum.Grant{}); err != errLeaseLost {
+	if err := c.runWithRecord(ended, env, &leaseclient.Grant{}); err != errLeaseLost {
 		t.Errorf("claim has ended: %v, want %v", err, errLeaseLost)
 	}
 	c.Claims = dir // a directory cannot be opened for writing
-	if err := c.runWithRecord(context.Background(), env, &quorum.Grant{}); !errors.Is(err, syscall.EISDIR) || !strings.Contains(output.String(), dir) {
+	if err := c.runWithRecord(context.Background(), env, &leaseclient.Grant{}); !errors.Is(err, syscall.EISDIR) || !strings.Contains(output.String(), dir) {
 		t.Errorf("claim cannot be recorded: %v, stderr %q", err, output.String())
 	}
 }
--- a/cmd/gorselink/lease.go
+++ b/cmd/gorselink/lease.go
@@ -20,7 +20,7 @@
 
 	"gorselink/internal/config"
 	"gorselink/internal/durable"
-	"gorselink/internal/quorum"
+	"gorselink/internal/leaseclient"
 	"gorselink/lease"
 )
 
@@ -35,21 +35,21 @@
 }
 
 // newClient returns a client of the quorum in the configuration file.
-func (c *leaseCommand) newClient() (*quorum.Client, *config.Quorum, []quorum.Voter, error) {
+func (c *leaseCommand) newClient() (*leaseclient.Client, *config.Quorum, []leaseclient.Voter, error) {
 	q, err := config.LoadQuorum(c.Config)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	var voters []quorum.Voter
+	var voters []leaseclient.Voter
 	for _, v := range q.Voters {
-		voters = append(voters, quorum.Voter{ID: uint64(v.ID), Address: v.Address})
+		voters = append(voters, leaseclient.Voter{ID: uint64(v.ID), Address: v.Address})
 	}
-	cl, err := quorum.NewClient(q.Cluster, voters)
+	cl, err := leaseclient.NewClient(q.Cluster, voters)
 	return cl, q, voters, err
 }
 
 // listLeases returns a client and the leader's record of all leases.
-func (c *leaseCommand) listLeases(ctx context.Context) (*quorum.Client, map[string]lease.Record, error) {
+func (c *leaseCommand) listLeases(ctx context.Context) (*leaseclient.Client, map[string]lease.Record, error) {
 	cl, _, _, err := c.newClient()
 	if err != nil {
 		return nil, nil, err
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithCancel(env.ctx)
 	defer cancel()
 	var result atomic.Pointer[error]
-	cl.Hold(ctx, cfg, func(ctx context.Context, g *quorum.Grant) {
+	cl.Hold(ctx, cfg, func(ctx context.Context, g *leaseclient.Grant) {
 		err := c.runWithRecord(ctx, env, g)
 		if c.Once || env.ctx.Err() != nil {
 			result.CompareAndSwap(nil, &err)
@@ -118,7 +118,7 @@
 }
 
 // runWithRecord records the claim and runs the program once.
-func (c *leaseRun) runWithRecord(ctx context.Context, env *environment, g *quorum.Grant) error {
+func (c *leaseRun) runWithRecord(ctx context.Context, env *environment, g *leaseclient.Grant) error {
 	stop, err := c.recordClaim(env, g)
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 
 // recordClaim records the claim while it is held, and its end when stop is called. After
 // an error the program must not run, because its claim would not be recorded.
-func (c *leaseRun) recordClaim(env *environment, g *quorum.Grant) (stop func(), err error) {
+func (c *leaseRun) recordClaim(env *environment, g *leaseclient.Grant) (stop func(), err error) {
 	if c.Claims == "" {
 		return func() {}, nil
 	}
@@ -151,7 +151,7 @@
 }
 
 // runProgram runs the program once. It stops the program when the lease is lost.
-func (c *leaseRun) runProgram(ctx context.Context, env *environment, g *quorum.Grant) error {
+func (c *leaseRun) runProgram(ctx context.Context, env *environment, g *leaseclient.Grant) error {
 	cmd := exec.Command(c.Cmd[0], c.Cmd[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, env.stdout, env.stderr
 	cmd.Env = append(os.Environ(), "LEASE_NAME="+c.Name, "LEASE_EPOCH="+strconv.FormatUint(uint64(g.Epoch), 10), "LEASE_VALUE="+string(g.Value))
@@ -290,7 +290,7 @@
 	fmt.Fprintln(tw, "voter\taddress\tleader\tterm\tapplied\tleases\tclients")
 	for _, v := range voters {
 		ctx, cancel := context.WithTimeout(env.ctx, quorumTimeout/5)
-		st, err := quorum.StatusOf(ctx, q.Cluster, v)
+		st, err := leaseclient.StatusOf(ctx, q.Cluster, v)
 		cancel()
 		if err != nil {
 			all[strconv.FormatUint(v.ID, 10)] = map[string]string{"error": err.Error()}
--- a/cmd/voter/main.go
+++ b/cmd/voter/main.go
@@ -13,8 +13,8 @@
 	"github.com/alecthomas/kong"
 
 	"gorselink/internal/config"
+	"gorselink/internal/leaseclient"
 	"gorselink/internal/leaseserver"
-	"gorselink/internal/quorum"
 )
 
 type commands struct {
@@ -83,7 +83,7 @@
 	}
 	cfg := leaseserver.Config{Cluster: q.Cluster, ID: uint64(q.ID), Listen: q.Listen, Dir: q.Dir, Tick: q.Tick, Log: slog.Default()}
 	for _, v := range q.Voters {
-		cfg.Voters = append(cfg.Voters, quorum.Voter{ID: uint64(v.ID), Address: v.Address})
+		cfg.Voters = append(cfg.Voters, leaseclient.Voter{ID: uint64(v.ID), Address: v.Address})
 	}
 	n, err := leaseserver.Open(cfg)
 	if err != nil {
--- a/internal/quorum/frame.go
+++ b/internal/leaseclient/frame.go
@@ -1,7 +1,7 @@
-// Package quorum is the client side of a quorum of voters: the framing of messages on a
+// Package leaseclient is the client side of a quorum of voters: the framing of messages on a
 // connection, a client that finds the leader, and the timers and requests that drive a
 // lease.Holder. The voters are in package voter, which sidecars do not import.
-package quorum
+package leaseclient
 
 import (
 	"bufio"
--- a/internal/quorum/hold.go
+++ b/internal/leaseclient/hold.go
@@ -1,4 +1,4 @@
-package quorum
+package leaseclient
 
 import (
 	"context"
--- a/internal/leaseserver/accept_test.go
+++ b/internal/leaseserver/accept_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"testing"
 
-	"gorselink/internal/quorum"
+	"gorselink/internal/leaseclient"
 	"gorselink/internal/standin"
 )
 
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if peer, err := quorum.NewFrameConn(conn).Handshake(quorum.Hello{Cluster: cluster}); err != nil || peer.Voter != 1 || failingListener.FailedAccepts() != 1 {
+		if peer, err := leaseclient.NewFrameConn(conn).Handshake(leaseclient.Hello{Cluster: cluster}); err != nil || peer.Voter != 1 || failingListener.FailedAccepts() != 1 {
 			t.Errorf("after accept error %v: handshake with voter %d, error %v, %d accepts failed; want voter 1, no error, 1 accept failed", errno, peer.Voter, err, failingListener.FailedAccepts())
 		}
 		conn.Close()
--- a/internal/leaseserver/durable_test.go
+++ b/internal/leaseserver/durable_test.go
@@ -24,7 +24,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"gorselink/internal/durable"
-	"gorselink/internal/quorum"
+	"gorselink/internal/leaseclient"
 	"gorselink/lease"
 )
 
@@ -536,12 +536,12 @@
 }
 
 // startCluster runs one voter per element of disks in this process and returns a client.
-func startCluster(t *testing.T, disks []*diskFaults) *quorum.Client {
+func startCluster(t *testing.T, disks []*diskFaults) *leaseclient.Client {
 	t.Helper()
-	var voters []quorum.Voter
+	var voters []leaseclient.Voter
 	var ids []uint64
 	for i := range disks {
-		voters = append(voters, quorum.Voter{ID: uint64(i + 1), Address: voterAddress(i + 1)})
+		voters = append(voters, leaseclient.Voter{ID: uint64(i + 1), Address: voterAddress(i + 1)})
 		ids = append(ids, uint64(i+1))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -565,7 +565,7 @@
 			}
 		})
 	}
-	client, err := quorum.NewClient("c", voters)
+	client, err := leaseclient.NewClient("c", voters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -574,7 +574,7 @@
 }
 
 // acquireLease requests a lease until the cluster responds or the timeout expires.
-func acquireLease(client *quorum.Client, name string, timeout time.Duration) error {
+func acquireLease(client *leaseclient.Client, name string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for {
@@ -593,7 +593,7 @@
 	var ids []uint64
 	for i := range voters {
 		ids = append(ids, uint64(i+1))
-		cfg.Voters = append(cfg.Voters, quorum.Voter{ID: uint64(i + 1), Address: "127.0.0.1:1"})
+		cfg.Voters = append(cfg.Voters, leaseclient.Voter{ID: uint64(i + 1), Address: "127.0.0.1:1"})
 	}
 	if err := Init(dir, "c", 1, ids); err != nil {
 		t.Fatal(err)
@@ -668,7 +668,7 @@
 	}
 	s := &session{queue: make(chan []byte, maxQueued)}
 	n.sessions[s] = true
-	request := func(req quorum.Request) (response quorum.Response) {
+	request := func(req leaseclient.Request) (response leaseclient.Response) {
 		t.Helper()
 		n.handleRequest(s, &req)
 		n.mustHandleReady(t)
@@ -682,14 +682,14 @@
 		}
 		return response
 	}
-	acquire := quorum.Request{RequestID: 1, Command: &lease.Command{Kind: lease.Acquire, Lease: "a", Client: "me", Length: lease.MaxLength}}
+	acquire := leaseclient.Request{RequestID: 1, Command: &lease.Command{Kind: lease.Acquire, Lease: "a", Client: "me", Length: lease.MaxLength}}
 	f.set(&diskFaults{write: func(diskWrite) (int, error) { return 0, syscall.ENOSPC }})
-	for _, req := range []quorum.Request{acquire, acquire, {RequestID: 2, List: true}, {RequestID: 3, Watch: "a"}} {
+	for _, req := range []leaseclient.Request{acquire, acquire, {RequestID: 2, List: true}, {RequestID: 3, Watch: "a"}} {
 		if response := request(req); !response.NotLeader || response.Leader != 0 || response.RequestID != req.RequestID {
 			t.Errorf("request %+v: response %+v, want not leader and no other leader", req, response)
 		}
 	}
-	if response := request(quorum.Request{RequestID: 4, Status: true}); response.Status == nil || response.Status.ID != 1 {
+	if response := request(leaseclient.Request{RequestID: 4, Status: true}); response.Status == nil || response.Status.ID != 1 {
 		t.Errorf("status request: response %+v, want the status of voter 1", response)
 	}
 	f.set(&diskFaults{})
@@ -732,7 +732,7 @@
 	defer cancel()
 	for {
 		// On a busy machine the loop may still be blocked in a sync.
-		status, err := quorum.StatusOf(ctx, "c", quorum.Voter{ID: 3, Address: voterAddress(3)})
+		status, err := leaseclient.StatusOf(ctx, "c", leaseclient.Voter{ID: 3, Address: voterAddress(3)})
 		if err == nil && status.ID == 3 {
 			break
 		}
--- a/internal/leaseserver/node.go
+++ b/internal/leaseserver/node.go
@@ -22,7 +22,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"gorselink/internal/acceptloop"
-	"gorselink/internal/quorum"
+	"gorselink/internal/leaseclient"
 	"gorselink/lease"
 )
 
@@ -30,7 +30,7 @@
 type Config struct {
 	Cluster string
 	ID      uint64
-	Voters  []quorum.Voter
+	Voters  []leaseclient.Voter
 	Listen  string // listen address; if empty, the voter's address in Voters
 	Dir     string
 	Tick    time.Duration // Raft tick; 0 means DefaultTick. An election starts after at least ten ticks without a leader.
@@ -365,7 +365,7 @@
 	status := n.rawNode.BasicStatus()
 	isLeader := status.RaftState == raft.StateLeader
 	if isLeader && n.expiryTracker == nil && e.GetTerm() == status.HardState.GetTerm() { // all entries of earlier terms are applied
-		n.expiryTracker = lease.NewExpiryTracker(&n.state, quorum.Now())
+		n.expiryTracker = lease.NewExpiryTracker(&n.state, leaseclient.Now())
 	}
 	if e.GetType() != raftpb.EntryNormal || len(e.GetData()) == 0 {
 		return
@@ -379,20 +379,20 @@
 	before, _ := n.state.Get(name)
 	result := n.state.Apply(entry.Command)
 	if n.expiryTracker != nil {
-		n.expiryTracker.CommandApplied(&n.state, name, quorum.Now())
+		n.expiryTracker.CommandApplied(&n.state, name, leaseclient.Now())
 	}
 	if result.Err == nil && (before.Holder != result.Record.Holder || before.Epoch != result.Record.Epoch) {
 		for watcher := range n.watchers[name] {
-			watcher.send(quorum.FrameLeaseChange, quorum.LeaseChange{Lease: name, Record: result.Record})
+			watcher.send(leaseclient.FrameLeaseChange, leaseclient.LeaseChange{Lease: name, Record: result.Record})
 		}
 	}
 	if request, ok := n.pending[entry.Number]; ok && entry.Nonce == n.nonce {
 		delete(n.pending, entry.Number)
-		response := quorum.Response{RequestID: request.requestID, Record: result.Record}
+		response := leaseclient.Response{RequestID: request.requestID, Record: result.Record}
 		if result.Err != nil {
-			response.Error, response.Code = result.Err.Error(), quorum.ErrorCode(result.Err)
+			response.Error, response.Code = result.Err.Error(), leaseclient.ErrorCode(result.Err)
 		}
-		request.session.send(quorum.FrameResponse, response)
+		request.session.send(leaseclient.FrameResponse, response)
 	}
 }
 
@@ -401,12 +401,12 @@
 func (n *Node) failPending() {
 	for number, request := range n.pending {
 		delete(n.pending, number)
-		request.session.send(quorum.FrameResponse, n.notLeaderResponse(request.requestID))
+		request.session.send(leaseclient.FrameResponse, n.notLeaderResponse(request.requestID))
 	}
 }
 
-func (n *Node) notLeaderResponse(requestID uint64) quorum.Response {
-	response := quorum.Response{RequestID: requestID, NotLeader: true, Error: "not the leader"}
+func (n *Node) notLeaderResponse(requestID uint64) leaseclient.Response {
+	response := leaseclient.Response{RequestID: requestID, NotLeader: true, Error: "not the leader"}
 	if leader := n.rawNode.BasicStatus().Lead; leader != n.cfg.ID {
 		response.Leader = leader
 	}
@@ -418,7 +418,7 @@
 	if n.expiryTracker == nil {
 		return
 	}
-	due, _ := n.expiryTracker.Due(&n.state, quorum.Now())
+	due, _ := n.expiryTracker.Due(&n.state, leaseclient.Now())
 	for _, c := range due {
 		if n.propose(logEntry{Command: c}) != nil {
 			n.expiryTracker.ProposalDropped(c.Lease)
@@ -435,21 +435,21 @@
 }
 
 // handleRequest handles a request of a client.
-func (n *Node) handleRequest(s *session, req *quorum.Request) {
+func (n *Node) handleRequest(s *session, req *leaseclient.Request) {
 	if !n.sessions[s] {
 		return
 	}
 	if req.Status {
 		status := n.rawNode.BasicStatus()
 		snap, _ := n.storage.Snapshot()
-		s.send(quorum.FrameResponse, quorum.Response{RequestID: req.RequestID, Status: &quorum.Status{
+		s.send(leaseclient.FrameResponse, leaseclient.Response{RequestID: req.RequestID, Status: &leaseclient.Status{
 			ID: n.cfg.ID, Term: status.HardState.GetTerm(), Leader: status.Lead, AppliedIndex: n.appliedIndex, Leases: len(n.state.Names()), Clients: len(n.sessions),
 			SnapshotIndex: snap.GetMetadata().GetIndex(),
 		}})
 		return
 	}
 	if n.expiryTracker == nil || n.failedWrite != nil { // a new leader first applies all entries of earlier terms
-		s.send(quorum.FrameResponse, n.notLeaderResponse(req.RequestID))
+		s.send(leaseclient.FrameResponse, n.notLeaderResponse(req.RequestID))
 		return
 	}
 	if req.Watch != "" {
@@ -459,7 +459,7 @@
 		n.watchers[req.Watch][s] = true
 		s.watchedLeases = append(s.watchedLeases, req.Watch)
 		record, _ := n.state.Get(req.Watch)
-		s.send(quorum.FrameResponse, quorum.Response{RequestID: req.RequestID, Record: record})
+		s.send(leaseclient.FrameResponse, leaseclient.Response{RequestID: req.RequestID, Record: record})
 		return
 	}
 	if req.List {
@@ -467,24 +467,24 @@
 		for _, name := range n.state.Names() {
 			records[name], _ = n.state.Get(name)
 		}
-		s.send(quorum.FrameResponse, quorum.Response{RequestID: req.RequestID, Leases: records})
+		s.send(leaseclient.FrameResponse, leaseclient.Response{RequestID: req.RequestID, Leases: records})
 		return
 	}
 	if req.Command == nil || req.Command.Kind == lease.Expire { // only the leader itself proposes expirations
-		s.send(quorum.FrameResponse, quorum.Response{RequestID: req.RequestID, Error: "no command", Code: "bounds"})
+		s.send(leaseclient.FrameResponse, leaseclient.Response{RequestID: req.RequestID, Error: "no command", Code: "bounds"})
 		return
 	}
 	n.lastNumber++
 	n.pending[n.lastNumber] = pendingRequest{session: s, requestID: req.RequestID}
 	if err := n.propose(logEntry{n.nonce, n.lastNumber, *req.Command}); err != nil {
 		delete(n.pending, n.lastNumber)
-		s.send(quorum.FrameResponse, n.notLeaderResponse(req.RequestID))
+		s.send(leaseclient.FrameResponse, n.notLeaderResponse(req.RequestID))
 	}
 }
 
 // sendToPeer sends queued Raft messages to another voter and redials after a failure. Each
 // voter uses its own outgoing connection.
-func (n *Node) sendToPeer(ctx context.Context, v quorum.Voter, queue <-chan *raftpb.Message) {
+func (n *Node) sendToPeer(ctx context.Context, v leaseclient.Voter, queue <-chan *raftpb.Message) {
 	delay := minRedialDelay
 	for ctx.Err() == nil {
 		err := n.sendOverConn(ctx, v, queue, func() { delay = minRedialDelay })
@@ -506,16 +506,16 @@
 }
 
 // sendOverConn dials a voter and sends queued messages until the connection fails.
-func (n *Node) sendOverConn(ctx context.Context, v quorum.Voter, queue <-chan *raftpb.Message, onConnected func()) error {
-	dialer := net.Dialer{Timeout: quorum.HandshakeTimeout}
+func (n *Node) sendOverConn(ctx context.Context, v leaseclient.Voter, queue <-chan *raftpb.Message, onConnected func()) error {
+	dialer := net.Dialer{Timeout: leaseclient.HandshakeTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", v.Address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	frames := quorum.NewFrameConn(conn)
-	peer, err := frames.Handshake(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
+	frames := leaseclient.NewFrameConn(conn)
+	peer, err := frames.Handshake(leaseclient.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
 	if err != nil {
 		return err
 	}
@@ -525,7 +525,7 @@
 	onConnected()
 	closed := make(chan error, 1)
 	go func() { // the peer sends at most one frame, to reject the connection
-		_, _, err := frames.ReadFrame(quorum.MaxClientFrameBytes)
+		_, _, err := frames.ReadFrame(leaseclient.MaxClientFrameBytes)
 		closed <- errorOr(err, errors.New("peer sent an unexpected frame"))
 	}()
 	for {
@@ -540,7 +540,7 @@
 				return err
 			}
 			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if err := frames.WriteFrame(quorum.FrameRaftMessage, data); err != nil {
+			if err := frames.WriteFrame(leaseclient.FrameRaftMessage, data); err != nil {
 				return err
 			}
 			if m.GetType() == raftpb.MsgSnap {
@@ -572,14 +572,14 @@
 			defer func() { <-slots }()
 			defer conn.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
-			n.serveConn(quorum.NewFrameConn(conn))
+			n.serveConn(leaseclient.NewFrameConn(conn))
 		})
 	})
 }
 
 // serveConn performs the handshake and serves a voter or a client.
-func (n *Node) serveConn(frames *quorum.FrameConn) {
-	peer, err := frames.Handshake(quorum.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
+func (n *Node) serveConn(frames *leaseclient.FrameConn) {
+	peer, err := frames.Handshake(leaseclient.Hello{Cluster: n.cfg.Cluster, Voter: n.cfg.ID})
 	if err != nil {
 		if !errors.Is(err, io.EOF) {
 			n.log.Warn("handshake failed: connection closed", "from", frames.RemoteAddr(), "error", err)
@@ -594,14 +594,14 @@
 }
 
 // servePeer receives Raft messages from another voter.
-func (n *Node) servePeer(frames *quorum.FrameConn, peerID uint64) {
-	if !slices.ContainsFunc(n.cfg.Voters, func(v quorum.Voter) bool { return v.ID == peerID }) || peerID == n.cfg.ID {
-		frames.WriteJSON(quorum.FrameHello, quorum.Hello{Error: fmt.Sprintf("voter %d is none of ours", peerID)})
+func (n *Node) servePeer(frames *leaseclient.FrameConn, peerID uint64) {
+	if !slices.ContainsFunc(n.cfg.Voters, func(v leaseclient.Voter) bool { return v.ID == peerID }) || peerID == n.cfg.ID {
+		frames.WriteJSON(leaseclient.FrameHello, leaseclient.Hello{Error: fmt.Sprintf("voter %d is none of ours", peerID)})
 		return
 	}
 	for {
-		kind, body, err := frames.ReadFrame(quorum.MaxFrameBytes)
-		if err != nil || kind != quorum.FrameRaftMessage {
+		kind, body, err := frames.ReadFrame(leaseclient.MaxFrameBytes)
+		if err != nil || kind != leaseclient.FrameRaftMessage {
 			return
 		}
 		m := &raftpb.Message{}
@@ -618,7 +618,7 @@
 // session is a client connection with a queue of outgoing frames. A client that reads too
 // slowly is disconnected, so that it does not block the loop.
 type session struct {
-	frames        *quorum.FrameConn
+	frames        *leaseclient.FrameConn
 	queue         chan []byte
 	overflowed    bool // accessed only by the loop
 	watchedLeases []string
@@ -639,7 +639,7 @@
 }
 
 // serveClient queues the requests of a client for the loop and writes the responses.
-func (n *Node) serveClient(frames *quorum.FrameConn) {
+func (n *Node) serveClient(frames *leaseclient.FrameConn) {
 	s := &session{frames: frames, queue: make(chan []byte, maxQueued)}
 	stop := make(chan struct{})
 	var writer sync.WaitGroup
@@ -659,9 +659,9 @@
 	})
 	n.enqueue(func() { n.sessions[s] = true })
 	for {
-		kind, body, err := frames.ReadFrame(quorum.MaxClientFrameBytes)
-		var req quorum.Request
-		if err != nil || kind != quorum.FrameRequest || json.Unmarshal(body, &req) != nil {
+		kind, body, err := frames.ReadFrame(leaseclient.MaxClientFrameBytes)
+		var req leaseclient.Request
+		if err != nil || kind != leaseclient.FrameRequest || json.Unmarshal(body, &req) != nil {
 			break
 		}
 		if !n.enqueue(func() { n.handleRequest(s, &req) }) {
--- a/internal/leaseserver/storm_test.go
+++ b/internal/leaseserver/storm_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"gorselink/internal/experiment"
-	"gorselink/internal/quorum"
+	"gorselink/internal/leaseclient"
 )
 
 // programDir holds the binaries that TestMain builds for the tests that start processes.
@@ -163,7 +163,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
 	start := int64(0)
-	record, err := experiment.Run(ctx, e, experiment.Options{Program: "/bin/sh", OnReady: func([]int) { start = int64(quorum.Now()) }})
+	record, err := experiment.Run(ctx, e, experiment.Options{Program: "/bin/sh", OnReady: func([]int) { start = int64(leaseclient.Now()) }})
 	if err != nil {
 		t.Fatal(err)
 	}
