--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -21,7 +21,7 @@
 // number to one. docs/clocks.md gives the reason for each.
 var wallUses = map[string][]string{
 	"internal/clock/clock.go":        {"Round"},
-	"internal/front/http/callers.go": {"Unix"},
+	"internal/httpserver/callers.go": {"Unix"},
 	"internal/load/lane.go":          {"Unix"},
 	"internal/load/runner.go":        {"Unix"},
 	"internal/nodes/file.go":         {"Parse", "UnixMilli"},
--- a/internal/daemon/accept_test.go
+++ b/internal/daemon/accept_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	httpfront "gorselink/internal/front/http"
+	"gorselink/internal/httpserver"
 	"gorselink/internal/standin"
 )
 
 // A listener keeps accepting connections after each error that accept(2) can return for a
 // single connection.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
-	server := httpfront.NewServer(nil, 8, httpfront.Timeouts{})
+	server := httpserver.NewServer(nil, 8, httpserver.Timeouts{})
 	waitForConns := func(want int) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); server.OpenConns() != want; time.Sleep(time.Millisecond) {
--- a/internal/daemon/apply.go
+++ b/internal/daemon/apply.go
@@ -11,7 +11,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/config"
-	httpfront "gorselink/internal/front/http"
+	"gorselink/internal/httpserver"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 )
@@ -26,12 +26,12 @@
 	replaced     map[string]*managedPool // current pools that have a successor in created, by name
 	reactivated  []*managedPool
 	newListeners []*listener
-	tables       map[string]*httpfront.Table
+	tables       map[string]*httpserver.Table
 	changes      []string
 }
 
 func newTransaction(d *Daemon, cfg *config.Daemon) *transaction {
-	return &transaction{daemon: d, cfg: cfg, pools: map[string]*managedPool{}, replaced: map[string]*managedPool{}, tables: map[string]*httpfront.Table{}}
+	return &transaction{daemon: d, cfg: cfg, pools: map[string]*managedPool{}, replaced: map[string]*managedPool{}, tables: map[string]*httpserver.Table{}}
 }
 
 // prepare creates pools, listening sockets and routing tables. The only change to
@@ -82,10 +82,10 @@
 
 // openListener creates a listener. If a listener that is about to be removed has
 // the same address, its socket is reused, so that the address is always served.
-func (tx *transaction) openListener(c *config.Listener, t *httpfront.Table) error {
+func (tx *transaction) openListener(c *config.Listener, t *httpserver.Table) error {
 	l := &listener{cfg: *c}
-	l.router = httpfront.NewTableRouter(t, c.Form == config.FormPlatform, c.ClassHeader, tx.daemon.keyBindings, tx.daemon.seenIDs)
-	l.server = httpfront.NewServer(l.router, c.Connections, httpfront.Timeouts{Hello: c.HelloTimeout, Request: c.RequestTimeout, Idle: c.IdleTimeout})
+	l.router = httpserver.NewTableRouter(t, c.Form == config.FormPlatform, c.ClassHeader, tx.daemon.keyBindings, tx.daemon.seenIDs)
+	l.server = httpserver.NewServer(l.router, c.Connections, httpserver.Timeouts{Hello: c.HelloTimeout, Request: c.RequestTimeout, Idle: c.IdleTimeout})
 	l.server.ForwardCallerIP = c.Form == config.FormOrdinary
 	if old := tx.listenerAt(c); old != nil {
 		l.acceptor, l.reusesAcceptor = old.acceptor, true
@@ -240,20 +240,20 @@
 }
 
 // buildTable returns the routing table of a listener.
-func (tx *transaction) buildTable(name string) (*httpfront.Table, error) {
+func (tx *transaction) buildTable(name string) (*httpserver.Table, error) {
 	routes, err := tx.cfg.RoutingTable(name)
 	if err != nil {
 		return nil, fmt.Errorf("listeners.%s: %w", name, err)
 	}
-	t := &httpfront.Table{Routes: routes, ClassNames: map[string]bool{}, FindPool: tx.daemon.Pool}
+	t := &httpserver.Table{Routes: routes, ClassNames: map[string]bool{}, FindPool: tx.daemon.Pool}
 	for i := range tx.cfg.Classes {
 		t.ClassNames[tx.cfg.Classes[i].Name] = true
 	}
-	classes := map[string]map[string]*httpfront.Class{} // by pool and class name
+	classes := map[string]map[string]*httpserver.Class{} // by pool and class name
 	for _, r := range tx.cfg.Routes {
 		p := tx.pools[r.Pool]
 		if classes[r.Pool] == nil {
-			classes[r.Pool] = map[string]*httpfront.Class{}
+			classes[r.Pool] = map[string]*httpserver.Class{}
 		}
 		if _, err := tx.poolClass(classes[r.Pool], p.pool, r.Class); err != nil {
 			return nil, err
@@ -265,7 +265,7 @@
 				}
 			}
 		}
-		t.Targets = append(t.Targets, httpfront.Target{
+		t.Targets = append(t.Targets, httpserver.Target{
 			Pool:        p.pool,
 			Class:       classes[r.Pool][r.Class],
 			ClassByName: classes[r.Pool],
@@ -295,12 +295,12 @@
 }
 
 // poolClass returns the class of requests to a pool. Results are cached.
-func (tx *transaction) poolClass(cache map[string]*httpfront.Class, target *pool.Pool, name string) (*httpfront.Class, error) {
+func (tx *transaction) poolClass(cache map[string]*httpserver.Class, target *pool.Pool, name string) (*httpserver.Class, error) {
 	if c := cache[name]; c != nil {
 		return c, nil
 	}
 	class := tx.cfg.Class(name)
-	c := &httpfront.Class{Name: name, ByMethod: class.ByMethod, Variants: classVariants(class)}
+	c := &httpserver.Class{Name: name, ByMethod: class.ByMethod, Variants: classVariants(class)}
 	for i, variant := range c.Variants {
 		var err error
 		if c.Numbers[i], err = target.ClassNumber(variant); err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,7 +16,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/config"
-	httpfront "gorselink/internal/front/http"
+	"gorselink/internal/httpserver"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 )
@@ -25,8 +25,8 @@
 type Daemon struct {
 	ctx         context.Context // ends the background goroutines
 	cancel      context.CancelFunc
-	keyBindings *httpfront.KeyBindings
-	seenIDs     *httpfront.SeenIDs
+	keyBindings *httpserver.KeyBindings
+	seenIDs     *httpserver.SeenIDs
 
 	mu        sync.Mutex
 	cfg       *config.Daemon // the current configuration
@@ -52,8 +52,8 @@
 type listener struct {
 	cfg      config.Listener
 	acceptor *acceptor
-	router   *httpfront.TableRouter
-	server   *httpfront.Server
+	router   *httpserver.TableRouter
+	server   *httpserver.Server
 
 	reusesAcceptor bool // the acceptor belongs to the previous listener at this address
 }
@@ -65,8 +65,8 @@
 	d := &Daemon{
 		ctx:         ctx,
 		cancel:      cancel,
-		keyBindings: httpfront.NewKeyBindings(keyRetention(cfg)),
-		seenIDs:     httpfront.NewSeenIDs(cfg.LongestDeadline()),
+		keyBindings: httpserver.NewKeyBindings(keyRetention(cfg)),
+		seenIDs:     httpserver.NewSeenIDs(cfg.LongestDeadline()),
 		cfg:         &config.Daemon{},
 		pools:       map[string]*managedPool{},
 		listeners:   map[string]*listener{},
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"gorselink/internal/acceptloop"
-	httpfront "gorselink/internal/front/http"
+	"gorselink/internal/httpserver"
 )
 
 // acceptor accepts connections from a listening socket and passes them to a server,
@@ -20,10 +20,10 @@
 	listener net.Listener
 
 	mu     sync.Mutex
-	server *httpfront.Server
+	server *httpserver.Server
 }
 
-func newAcceptor(addr string, server *httpfront.Server) (*acceptor, error) {
+func newAcceptor(addr string, server *httpserver.Server) (*acceptor, error) {
 	l, err := listen(addr)
 	if err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 }
 
 // setServer passes all later connections to server.
-func (a *acceptor) setServer(server *httpfront.Server) {
+func (a *acceptor) setServer(server *httpserver.Server) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.server = server
--- a/internal/front/http/callers.go
+++ b/internal/httpserver/callers.go
@@ -1,7 +1,7 @@
-// Package httpfront accepts HTTP/1.1 connections from callers. It reads and checks
+// Package httpserver accepts HTTP/1.1 connections from callers. It reads and checks
 // requests, forwards each valid one to the pool that a Router selects, and writes
 // exactly one response.
-package httpfront
+package httpserver
 
 import (
 	"bytes"
--- a/internal/front/http/keys.go
+++ b/internal/httpserver/keys.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"hash/maphash"
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -20,7 +20,7 @@
 
 	"gorselink/internal/config"
 	"gorselink/internal/fleet"
-	httpfront "gorselink/internal/front/http"
+	"gorselink/internal/httpserver"
 	"gorselink/internal/nodes"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
@@ -85,8 +85,8 @@
 	listener            net.Listener
 	upstream            *upstream.Pool
 	pool                *pool.Pool
-	router              *httpfront.PlatformRouter
-	server              *httpfront.Server
+	router              *httpserver.PlatformRouter
+	server              *httpserver.Server
 	operatorState       *fleet.OperatorStore
 
 	mu               sync.Mutex
@@ -160,7 +160,7 @@
 		IdleTimeout:        cfg.Balance.IdleConnTimeout,
 		ReuseDelay:         connReuseDelay,
 		LargeResponseBytes: s.memoryBytes() / readAheadDivisor,
-		MaxStreamBytes:     httpfront.PlatformMaxBytes,
+		MaxStreamBytes:     httpserver.PlatformMaxBytes,
 	})
 	defer s.upstream.Close()
 	source := newDiscovery(cfg)
@@ -188,8 +188,8 @@
 	if s.predecessor != nil {
 		s.pool.Restore(inherited.Learned)
 	}
-	s.router = httpfront.NewPlatformRouter(s.pool, routerConfig)
-	s.server = httpfront.NewServer(s.router, 1, httpfront.Timeouts{})
+	s.router = httpserver.NewPlatformRouter(s.pool, routerConfig)
+	s.server = httpserver.NewServer(s.router, 1, httpserver.Timeouts{})
 	s.applyLimits()
 	if s.operatorState, err = fleet.OpenOperatorStore(dir, s.applyOperatorState); err != nil {
 		slog.Error("operator state cannot be stored; refusing operator commands", "error", err)
@@ -367,15 +367,15 @@
 }
 
 // newRouterConfig converts cfg for the router and registers its classes with the pool.
-func (s *Sidecar) newRouterConfig(cfg *config.Platform) (*httpfront.PlatformConfig, error) {
-	routerConfig := &httpfront.PlatformConfig{Classes: map[string]httpfront.PlatformClass{}, Tenants: cfg.Tenants}
+func (s *Sidecar) newRouterConfig(cfg *config.Platform) (*httpserver.PlatformConfig, error) {
+	routerConfig := &httpserver.PlatformConfig{Classes: map[string]httpserver.PlatformClass{}, Tenants: cfg.Tenants}
 	for name, i := range cfg.Classes {
 		class := cfg.Balance.Classes[i]
 		number, err := s.pool.ClassNumber(class)
 		if err != nil {
 			return nil, err
 		}
-		routerConfig.Classes[name] = httpfront.PlatformClass{Class: class, Number: number}
+		routerConfig.Classes[name] = httpserver.PlatformClass{Class: class, Number: number}
 	}
 	return routerConfig, nil
 }
