--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -24,7 +24,7 @@
 	"internal/httpserver/callers.go": {"Unix"},
 	"internal/load/lane.go":          {"Unix"},
 	"internal/load/runner.go":        {"Unix"},
-	"internal/nodes/file.go":         {"Parse", "UnixMilli"},
+	"internal/discovery/file.go":         {"Parse", "UnixMilli"},
 	"internal/pool/age.go":           {"UnixMilli"},
 	"internal/pool/memory.go":        {"UnixMilli", "Wall"},
 	"internal/pool/pool.go":          {"Wall"},
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 	Discovery string
 	Seed      uint64
 	Limits    Limits
-	Known     nodes.List // initial endpoint list, which may be outdated
+	Known     discovery.List // initial endpoint list, which may be outdated
 
 	Tier        int
 	Balance     balance.Config
@@ -158,7 +158,7 @@
 		return nil, err
 	}
 	if len(f.Known) > 0 {
-		if c.Known, err = nodes.Decode(f.Known); err != nil {
+		if c.Known, err = discovery.Decode(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/config/product.go
+++ b/internal/config/product.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/tomlfile"
 	"gorselink/route"
 )
@@ -91,19 +91,19 @@
 // NodeSource specifies where the endpoint list of a pool comes from: a fixed list, a
 // file or a discovery service.
 type NodeSource struct {
-	Fixed     nodes.Fixed
+	Fixed     discovery.Fixed
 	File      string        // path
 	Refresh   time.Duration // interval at which File is read
 	Discovery string        // address:port
 }
 
 // NewSource returns a new source of the endpoint list.
-func (n *NodeSource) NewSource() nodes.Source {
+func (n *NodeSource) NewSource() discovery.Source {
 	switch {
 	case n.File != "":
-		return &nodes.File{Path: n.File, Interval: n.Refresh}
+		return &discovery.File{Path: n.File, Interval: n.Refresh}
 	case n.Discovery != "":
-		return nodes.NewDiscovery(n.Discovery, nodes.LocalAgentTimeouts(0))
+		return discovery.NewDiscovery(n.Discovery, discovery.LocalAgentTimeouts(0))
 	}
 	return n.Fixed
 }
@@ -112,8 +112,8 @@
 func (n *NodeSource) String() string { return n.NewSource().String() }
 
 // InitialList returns the list to use until the source supplies one.
-func (n *NodeSource) InitialList() nodes.List {
-	return nodes.List{Snapshot: true, Undated: true, Endpoints: n.Fixed}
+func (n *NodeSource) InitialList() discovery.List {
+	return discovery.List{Snapshot: true, Undated: true, Endpoints: n.Fixed}
 }
 
 // Route maps the requests that it matches to a pool and a class.
@@ -213,7 +213,7 @@
 	var errs []error
 	for i := range c.Pools {
 		if path := c.Pools[i].NodeSource.File; path != "" {
-			if _, err := nodes.ReadFile(path); err != nil {
+			if _, err := discovery.ReadFile(path); err != nil {
 				errs = append(errs, fmt.Errorf("pools.%s: nodes_file %s: %w", c.Pools[i].Name, path, err))
 			}
 		}
@@ -421,9 +421,9 @@
 		t.AddErrorAt(t.KeyPath("nodes"), found, "exactly one of nodes, nodes_file and discovery")
 	}
 	if list := t.TextList("nodes"); t.Has("nodes") {
-		var fixed nodes.Fixed
+		var fixed discovery.Fixed
 		for i, text := range list {
-			node, err := nodes.ParseEndpoint(strings.Fields(text))
+			node, err := discovery.ParseEndpoint(strings.Fields(text))
 			if err != nil {
 				t.AddErrorAt(tomlfile.ElementPath(t.KeyPath("nodes"), i), tomlfile.FormatValue(text), "a node: "+err.Error())
 				continue
--- a/internal/nodes/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package nodes
+package discovery
 
 import (
 	"context"
--- a/internal/nodes/source.go
+++ b/internal/discovery/source.go
@@ -1,6 +1,6 @@
-// Package nodes provides the endpoint lists of services. Their sources are a list in the
+// Package discovery provides the endpoint lists of services. Their sources are a list in the
 // configuration, a file that is polled, and a discovery service over HTTP.
-package nodes
+package discovery
 
 import (
 	"context"
--- a/internal/experiment/scale_test.go
+++ b/internal/experiment/scale_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"gorselink/internal/capacity"
+	"gorselink/internal/discovery"
 	"gorselink/internal/hollow"
-	"gorselink/internal/nodes"
 	"gorselink/internal/standin"
 	"gorselink/internal/tomlfile"
 )
@@ -263,7 +263,7 @@
 	for s := range services {
 		var known []string
 		for _, e := range hollowLists[hollow.PoolName(s)].Endpoints {
-			if e.Status == nodes.InService {
+			if e.Status == discovery.InService {
 				known = append(known, e.Name)
 			}
 		}
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -17,7 +17,7 @@
 
 	"gorselink/internal/config"
 	"gorselink/internal/daemon"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // Sidecars manages the headless sidecars of one process by number. The zero value is ready
@@ -116,7 +116,7 @@
 }
 
 // Lists returns the endpoint lists of a sidecar by pool, or nil if it is not running.
-func (sidecars *Sidecars) Lists(number int) map[string]nodes.List {
+func (sidecars *Sidecars) Lists(number int) map[string]discovery.List {
 	sidecars.mu.Lock()
 	s := sidecars.running[number]
 	var names []string
@@ -127,7 +127,7 @@
 	if s == nil {
 		return nil
 	}
-	all := map[string]nodes.List{}
+	all := map[string]discovery.List{}
 	for _, name := range names {
 		if p := s.daemon.Pool(name); p != nil {
 			all[name] = p.List()
@@ -171,7 +171,7 @@
 }
 
 // Digest returns a short hash of endpoint lists by pool.
-func Digest(lists map[string]nodes.List) string {
+func Digest(lists map[string]discovery.List) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(lists)) {
 		fmt.Fprintf(&b, "%s\n", name)
--- a/internal/hollow/role.go
+++ b/internal/hollow/role.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/standin"
 )
 
@@ -198,11 +198,11 @@
 	case "changes":
 		response.Changes = r.registry.TakeChanges()
 	case "digest":
-		lists := map[string]nodes.List{}
+		lists := map[string]discovery.List{}
 		for s := range r.steps {
-			var l nodes.List
+			var l discovery.List
 			for _, e := range r.registry.Entries(s) {
-				l.Endpoints = append(l.Endpoints, nodes.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Status: nodes.Status(e.Status), SinceMs: e.SinceMs})
+				l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Status: discovery.Status(e.Status), SinceMs: e.SinceMs})
 			}
 			lists[PoolName(s)] = l
 		}
--- a/internal/httpserver/caller_test.go
+++ b/internal/httpserver/caller_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/pool"
 )
 
@@ -65,8 +65,8 @@
 	})}
 	go srv.Serve(endpoint)
 	if len(cfg.Known.Endpoints) == 0 {
-		cfg.Known.Endpoints = []nodes.Endpoint{
-			{Name: "s-1", Address: endpoint.Addr().String(), Zone: "a", Status: nodes.InService},
+		cfg.Known.Endpoints = []discovery.Endpoint{
+			{Name: "s-1", Address: endpoint.Addr().String(), Zone: "a", Status: discovery.InService},
 		}
 	}
 	r.Pool = newPool(t, cfg)
--- a/internal/httpserver/left_test.go
+++ b/internal/httpserver/left_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/pool"
 	"gorselink/internal/standin"
 	"gorselink/internal/upstream"
@@ -77,13 +77,13 @@
 
 // newDisconnectRig starts a sidecar with these endpoints. Its memory for long bodies is
 // longBodyBytes.
-func newDisconnectRig(t *testing.T, longBodyBytes int64, list ...nodes.Endpoint) *disconnectRig {
+func newDisconnectRig(t *testing.T, longBodyBytes int64, list ...discovery.Endpoint) *disconnectRig {
 	return newDisconnectRigWithReuseDelay(t, longBodyBytes, 0, list...)
 }
 
 // newDisconnectRigWithReuseDelay is newDisconnectRig with a delay before a connection to an
 // endpoint is used again.
-func newDisconnectRigWithReuseDelay(t *testing.T, longBodyBytes int64, reuseDelay time.Duration, list ...nodes.Endpoint) *disconnectRig {
+func newDisconnectRigWithReuseDelay(t *testing.T, longBodyBytes int64, reuseDelay time.Duration, list ...discovery.Endpoint) *disconnectRig {
 	cfg := newTestConfig()
 	for i := range cfg.Balance.Classes {
 		cfg.Balance.Classes[i].Deadline = 4 * testTimeout
@@ -92,7 +92,7 @@
 	conns := upstream.New(upstream.Config{DialTimeout: testTimeout, IdleTimeout: 5 * time.Second, MaxConns: 200, LargeResponseBytes: 1 << 20, MaxStreamBytes: PlatformMaxBytes, ReuseDelay: reuseDelay})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{Name: "test", Zones: map[string]int{"a": 0}, Balance: cfg.Balance,
-		Known: nodes.List{Snapshot: true, Endpoints: list}, Limits: pool.Limits{BodyBytes: 8 << 20, LongBytes: longBodyBytes}}, conns)
+		Known: discovery.List{Snapshot: true, Endpoints: list}, Limits: pool.Limits{BodyBytes: 8 << 20, LongBytes: longBodyBytes}}, conns)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,8 +110,8 @@
 	return d
 }
 
-func inServiceEndpoint(name, addr string) nodes.Endpoint {
-	return nodes.Endpoint{Name: name, Address: addr, Zone: "a", Status: nodes.InService}
+func inServiceEndpoint(name, addr string) discovery.Endpoint {
+	return discovery.Endpoint{Name: name, Address: addr, Zone: "a", Status: discovery.InService}
 }
 
 // A waiting request is withdrawn when its caller disconnects, whatever it waits for, and is not
--- a/internal/httpserver/rig_test.go
+++ b/internal/httpserver/rig_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 )
@@ -16,7 +16,7 @@
 
 // testConfig is the configuration of a rig's pool.
 type testConfig struct {
-	Known   nodes.List
+	Known   discovery.List
 	Balance balance.Config
 }
 
--- a/internal/httpserver/sick_test.go
+++ b/internal/httpserver/sick_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // An endpoint that fails three requests of four faster than the others answer is rarely selected,
@@ -31,8 +31,8 @@
 			fmt.Fprint(w, "good")
 		}))
 		t.Cleanup(srv.Close)
-		cfg.Known.Endpoints = append(cfg.Known.Endpoints, nodes.Endpoint{
-			Name: fmt.Sprintf("s-%d", i), Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService,
+		cfg.Known.Endpoints = append(cfg.Known.Endpoints, discovery.Endpoint{
+			Name: fmt.Sprintf("s-%d", i), Address: srv.Listener.Addr().String(), Zone: "a", Status: discovery.InService,
 		})
 	}
 	r := newRigWithConfig(t, cfg, 64, nil)
--- a/internal/httpserver/stream_test.go
+++ b/internal/httpserver/stream_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 )
@@ -34,7 +34,7 @@
 		DialTimeout: time.Second, IdleTimeout: cfg.Balance.IdleConnTimeout, MaxConns: 32, LargeResponseBytes: readAheadBytes, MaxStreamBytes: PlatformMaxBytes,
 	})
 	t.Cleanup(conns.Close)
-	cfg.Known.Endpoints = []nodes.Endpoint{{Name: "s-1", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService}}
+	cfg.Known.Endpoints = []discovery.Endpoint{{Name: "s-1", Address: srv.Listener.Addr().String(), Zone: "a", Status: discovery.InService}}
 	p, err := pool.New(pool.Config{
 		Name: "test", Zones: map[string]int{"a": 0}, Balance: cfg.Balance, Known: cfg.Known,
 		Limits: pool.Limits{BodyBytes: 8 << 20, LongBytes: longBodyBytes},
--- a/internal/pool/age.go
+++ b/internal/pool/age.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // never is the Balancer time of an event that has not happened. It is earlier than every other time.
@@ -35,13 +35,13 @@
 
 // recordStarts computes the start time of each incarnation in l that is not known yet. In an
 // undated list it also sets the entries' timestamps. The caller holds the mutex.
-func (p *Pool) recordStarts(kind balance.ListKind, l *nodes.List) {
+func (p *Pool) recordStarts(kind balance.ListKind, l *discovery.List) {
 	now := p.now()
 	p.evictDeparted(now)
 	lowerBound := p.startLowerBound(kind, l)
 	for i := range l.Endpoints {
 		e := &l.Endpoints[i]
-		if e.Status == nodes.Terminated {
+		if e.Status == discovery.Terminated {
 			continue
 		}
 		last, known := p.incarnations[e.Name]
@@ -70,7 +70,7 @@
 //
 // The answer that delivers l does not count: an endpoint that appears after an outage of
 // discovery may have started at any time during the outage.
-func (p *Pool) startLowerBound(kind balance.ListKind, l *nodes.List) time.Duration {
+func (p *Pool) startLowerBound(kind balance.ListKind, l *discovery.List) time.Duration {
 	switch {
 	case kind == balance.Cached:
 		return never // the age of a cached list is unknown
@@ -84,14 +84,14 @@
 
 // recordSync records up to which time a list from src confirms the previous list. first
 // reports whether src has just replaced another source. The caller holds the mutex.
-func (p *Pool) recordSync(src *source, first bool, l *nodes.List) {
+func (p *Pool) recordSync(src *source, first bool, l *discovery.List) {
 	if first && l.Snapshot && (l.Undated != p.undated || !p.knowsAny(l)) {
 		p.lastSync = never // endpoints that the other source did not list may be old
 	}
 	if p.lastSync == never {
 		return
 	}
-	_, answers := src.Source.(*nodes.Discovery)
+	_, answers := src.Source.(*discovery.Discovery)
 	switch {
 	case !answers:
 		p.lastSync = p.now() // such a source is read continuously and reports only changes
@@ -101,7 +101,7 @@
 }
 
 // knowsAny reports whether any endpoint of l is known.
-func (p *Pool) knowsAny(l *nodes.List) bool {
+func (p *Pool) knowsAny(l *discovery.List) bool {
 	for i := range l.Endpoints {
 		if _, known := p.known[l.Endpoints[i].Name]; known {
 			return true
--- a/internal/pool/age_test.go
+++ b/internal/pool/age_test.go
@@ -13,7 +13,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/clock"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // manualClockPool is a Pool with manual clocks and one source, whose lists the test delivers.
@@ -37,19 +37,19 @@
 func newManualClockPool(t *testing.T, clocks *clock.Manual, cfg Config) *manualClockPool {
 	t.Helper()
 	p := &manualClockPool{Pool: newPool(t, cfg), t: t, clocks: clocks}
-	p.sources = []*source{{Source: nodes.NewDiscovery("127.0.0.1:1", nodes.LocalAgentTimeouts(0)), number: 1, cancel: func() {}}}
+	p.sources = []*source{{Source: discovery.NewDiscovery("127.0.0.1:1", discovery.LocalAgentTimeouts(0)), number: 1, cancel: func() {}}}
 	return p
 }
 
 // endpointSince returns an endpoint with the given timestamp.
-func endpointSince(name string, sinceMs int64) nodes.Endpoint {
-	return nodes.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: nodes.InService, SinceMs: sinceMs}
+func endpointSince(name string, sinceMs int64) discovery.Endpoint {
+	return discovery.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: discovery.InService, SinceMs: sinceMs}
 }
 
 // receiveList delivers a list from the source: a snapshot, or the changed endpoints only.
-func (p *manualClockPool) receiveList(snapshot bool, list ...nodes.Endpoint) {
+func (p *manualClockPool) receiveList(snapshot bool, list ...discovery.Endpoint) {
 	p.lastIndex++
-	p.handleList(p.sources[0], nodes.List{Index: p.lastIndex, Snapshot: snapshot, Endpoints: list})
+	p.handleList(p.sources[0], discovery.List{Index: p.lastIndex, Snapshot: snapshot, Endpoints: list})
 }
 
 // startOf returns the start time of an endpoint that the Balancer was given.
@@ -97,7 +97,7 @@
 				t.Run(fmt.Sprintf("clock %+v/%s/%s", offset, delivery, name), func(t *testing.T) {
 					clocks := clock.NewManual(offset)
 					p := newManualClockPool(t, clocks, manualClockConfig(clocks))
-					known := []nodes.Endpoint{endpointSince("a", 0), endpointSince("b", timestampAgo(trueNow, 24*time.Hour))}
+					known := []discovery.Endpoint{endpointSince("a", 0), endpointSince("b", timestampAgo(trueNow, 24*time.Hour))}
 					p.receiveList(true, known...)
 					clocks.Advance(time.Minute)
 					if delivery == "restart" {
@@ -157,7 +157,7 @@
 			clocks.Advance(gap)
 			next := &source{Source: p.sources[0].Source, number: 2, cancel: func() {}}
 			p.sources = append(p.sources, next)
-			l := nodes.List{Index: p.lastIndex + 1, Snapshot: c.snapshot}
+			l := discovery.List{Index: p.lastIndex + 1, Snapshot: c.snapshot}
 			for _, name := range c.names {
 				e := endpointSince(name, 0)
 				if name == "new" {
@@ -179,12 +179,12 @@
 	clocks := clock.NewManual(0)
 	p := newManualClockPool(t, clocks, manualClockConfig(clocks))
 	listSource := p.sources[0].Source
-	p.sources[0].Source = &nodes.File{}
+	p.sources[0].Source = &discovery.File{}
 	p.handleList(p.sources[0], undatedList("127.0.0.1:1", "127.0.0.1:2"))
 	clocks.Advance(time.Minute)
 	p.sources = append(p.sources, &source{Source: listSource, number: 2, cancel: func() {}})
 	sinceMs := timestampAgo(clocks.Clock().Wall(), time.Hour)
-	p.handleList(p.sources[1], nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{endpointSince("127.0.0.1:1", sinceMs), endpointSince("127.0.0.1:2", sinceMs)}})
+	p.handleList(p.sources[1], discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{endpointSince("127.0.0.1:1", sinceMs), endpointSince("127.0.0.1:2", sinceMs)}})
 	for name, age := range p.balancerAges() {
 		if age < 59*time.Minute {
 			t.Errorf("%s has the age %v, want an hour", name, age)
@@ -322,7 +322,7 @@
 		fresh := endpointSince("fresh", timestampAgo(clocks.trueWall(), 200*time.Millisecond))
 		p.receiveList(false, fresh)
 		draining := fresh
-		draining.Status = nodes.Terminating
+		draining.Status = discovery.Terminating
 		clocks.Advance(time.Second)
 		p.receiveList(false, draining)
 		step()
@@ -405,7 +405,7 @@
 		step()
 		clocks.Advance(4 * time.Second)
 		p.sources[0].watchOpen = false // the calls have failed
-		list := []nodes.Endpoint{endpointSince("old", 0), endpointSince("dated", timestampAgo(clocks.trueWall(), time.Second))}
+		list := []discovery.Endpoint{endpointSince("old", 0), endpointSince("dated", timestampAgo(clocks.trueWall(), time.Second))}
 		for s := range 9 {
 			list = append(list, endpointSince(fmt.Sprint("new", s), timestampAgo(clocks.trueWall(), time.Duration(s)*time.Second)))
 		}
@@ -426,7 +426,7 @@
 	}},
 	"in a file with timestamps": {0, map[string]time.Duration{"new": time.Second, "wrong": time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
 		p := newSyncedPool(t, clocks)
-		p.sources[0].Source = &nodes.File{}
+		p.sources[0].Source = &discovery.File{}
 		clocks.Advance(time.Hour) // no change
 		step()
 		p.receiveList(true, endpointSince("old", 0), endpointSince("dated", p.known["dated"].SinceMs), endpointSince("new", timestampAgo(clocks.trueWall(), 0)), endpointSince("wrong", timestampAgo(clocks.trueWall(), time.Hour)))
@@ -435,7 +435,7 @@
 	}},
 	"in an undated list": {0, map[string]time.Duration{"one": time.Second, "three": 4 * time.Second, "four": 3 * time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
 		p := newManualClockPool(t, clocks.Manual, manualClockConfig(clocks.Manual))
-		p.sources[0].Source = &nodes.File{}
+		p.sources[0].Source = &discovery.File{}
 		receive := func(names ...string) {
 			l := undatedList(names...)
 			p.handleList(p.sources[0], l)
@@ -528,11 +528,11 @@
 			}))
 			defer server.Close()
 			cfg := testConfig()
-			times := nodes.LocalAgentTimeouts(0)
+			times := discovery.LocalAgentTimeouts(0)
 			if onDemand {
-				cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval, times = true, 400*time.Millisecond, nodes.SharedServiceTimeouts()
+				cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval, times = true, 400*time.Millisecond, discovery.SharedServiceTimeouts()
 			}
-			cfg.Source = nodes.NewDiscovery(server.Listener.Addr().String(), times)
+			cfg.Source = discovery.NewDiscovery(server.Listener.Addr().String(), times)
 			p := newPool(t, cfg)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/standin"
 	"gorselink/internal/upstream"
 )
@@ -44,9 +44,9 @@
 			cfg := testConfig()
 			cfg.Balance.RampTime = 0
 			cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, Worth: 1, Semantics: balance.Keyed, DeduplicationWindow: c.memorySpan}}
-			cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{{Name: "late", Address: late.Addr().String(), Zone: "a", Status: nodes.InService}}}
+			cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{{Name: "late", Address: late.Addr().String(), Zone: "a", Status: discovery.InService}}}
 			if c.isRetry {
-				cfg.Known.Endpoints = append(cfg.Known.Endpoints, nodes.Endpoint{Name: "aborting", Address: aborting.Listener.Addr().String(), Zone: "a", Status: nodes.InService})
+				cfg.Known.Endpoints = append(cfg.Known.Endpoints, discovery.Endpoint{Name: "aborting", Address: aborting.Listener.Addr().String(), Zone: "a", Status: discovery.InService})
 			}
 			conns := upstream.New(upstream.Config{DialTimeout: testTimeout, IdleTimeout: 5 * time.Second, MaxConns: 32})
 			t.Cleanup(conns.Close)
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/standin"
 	"gorselink/internal/upstream"
 )
@@ -51,9 +51,9 @@
 	cfg := testConfig()
 	cfg.Balance.RampTime = 0
 	cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, Worth: 1}, {Deadline: testTimeout, Worth: 1, Semantics: balance.Unsafe}}
-	cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{
-		{Name: "healthy", Address: srv.Listener.Addr().String(), Zone: "a", Status: nodes.InService},
-		{Name: "other", Address: otherAddr, Zone: "a", Status: nodes.InService},
+	cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{
+		{Name: "healthy", Address: srv.Listener.Addr().String(), Zone: "a", Status: discovery.InService},
+		{Name: "other", Address: otherAddr, Zone: "a", Status: discovery.InService},
 	}}
 	conns := upstream.New(upstream.Config{DialTimeout: dialTimeout, IdleTimeout: 5 * time.Second, MaxConns: 64})
 	t.Cleanup(conns.Close)
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"gorselink/balance"
+	"gorselink/internal/discovery"
 	"gorselink/internal/framing"
-	"gorselink/internal/nodes"
 	"gorselink/internal/standin"
 	"gorselink/internal/upstream"
 )
@@ -65,7 +65,7 @@
 	for i := range cfg.Balance.Classes { // long enough for a busy machine
 		cfg.Balance.Classes[i].Deadline, cfg.Balance.Classes[i].LatencyTarget = testTimeout, testTimeout
 	}
-	cfg.Known = nodes.List{Snapshot: true}
+	cfg.Known = discovery.List{Snapshot: true}
 	var servers []*standin.Node
 	for i := range nodeCount {
 		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("s-", i)})
@@ -74,7 +74,7 @@
 		}
 		t.Cleanup(n.Close)
 		servers = append(servers, n)
-		cfg.Known.Endpoints = append(cfg.Known.Endpoints, nodes.Endpoint{Name: n.Name(), Address: n.Addr(), Zone: "a", Status: nodes.InService})
+		cfg.Known.Endpoints = append(cfg.Known.Endpoints, discovery.Endpoint{Name: n.Name(), Address: n.Addr(), Zone: "a", Status: discovery.InService})
 	}
 	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: 5 * time.Second, MaxConns: 32, PassThroughStatus: true, Dialer: d})
 	t.Cleanup(conns.Close)
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/upstream"
 )
 
@@ -32,7 +32,7 @@
 
 // source is a node source that the Pool follows.
 type source struct {
-	nodes.Source
+	discovery.Source
 	number        int           // increases with each new source
 	watchRequests chan struct{} // the Balancer's requests for a watch
 	cancel        context.CancelFunc
@@ -59,7 +59,7 @@
 // SetSource sets the source to follow from now on. The previous source is followed until the
 // new one has delivered its whole list, so that no change is lost if the new one is slow or
 // unreachable. It does nothing if the new source has the name of the one last set.
-func (p *Pool) SetSource(src nodes.Source) {
+func (p *Pool) SetSource(src discovery.Source) {
 	select {
 	case <-p.newSources: // discards a source that Run has not received yet
 	default:
@@ -81,7 +81,7 @@
 }
 
 // startFollowing starts to follow the source to, unless it was the last one set.
-func (p *Pool) startFollowing(ctx context.Context, to nodes.Source) {
+func (p *Pool) startFollowing(ctx context.Context, to discovery.Source) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	number := 1
@@ -117,7 +117,7 @@
 	jitter := rand.New(rand.NewPCG(p.cfg.Seed, uint64(src.number)))
 	for ctx.Err() == nil {
 		src.watchOpen = false
-		err := src.Follow(ctx, func(l nodes.List) {
+		err := src.Follow(ctx, func(l discovery.List) {
 			src.recordSuccess(p.cfg.Name)
 			p.handleList(src, l)
 		})
@@ -126,7 +126,7 @@
 		}
 		src.recordFailure(p.cfg.Name, err)
 		delay := min(pushRetryMin<<min(src.failures-1, 8), pushRetryMax)
-		nodes.Sleep(ctx, delay/2+time.Duration(jitter.Int64N(int64(delay/2))))
+		discovery.Sleep(ctx, delay/2+time.Duration(jitter.Int64N(int64(delay/2))))
 	}
 }
 
@@ -145,7 +145,7 @@
 		}
 		for failures := 0; ; {
 			src.watchOpen = false
-			err := src.Follow(ctx, func(l nodes.List) {
+			err := src.Follow(ctx, func(l discovery.List) {
 				src.recordSuccess(p.cfg.Name)
 				p.handleList(src, l)
 				listReceived, failures = true, 0
@@ -156,18 +156,18 @@
 			src.recordFailure(p.cfg.Name, err)
 			least, most := firstListRetryMin, firstListRetryMax
 			if listReceived || src.number == 1 {
-				if failures++; failures > 1 || !nodes.IsTimeout(err) {
+				if failures++; failures > 1 || !discovery.IsTimeout(err) {
 					break
 				}
 				least, most = silentRetryMin, silentRetryMax
 			}
-			if !nodes.Sleep(ctx, least+time.Duration(jitter.Int64N(int64(most-least)))) {
+			if !discovery.Sleep(ctx, least+time.Duration(jitter.Int64N(int64(most-least)))) {
 				return
 			}
 		}
 		p.mu.Lock()
 		if p.sources[len(p.sources)-1] == src {
-			p.applyList(balance.ListFailed, nodes.List{})
+			p.applyList(balance.ListFailed, discovery.List{})
 		}
 		p.mu.Unlock()
 	}
@@ -175,7 +175,7 @@
 
 // handleList handles a list from a source. The first list of a new source is a whole list; it
 // ends the previous source, whose changes do not apply to that list.
-func (p *Pool) handleList(src *source, l nodes.List) {
+func (p *Pool) handleList(src *source, l discovery.List) {
 	defer func() { src.watchOpen = true }()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,7 +210,7 @@
 
 // applyList applies a list, or reports to the Balancer that fetching one failed. The caller
 // holds the mutex.
-func (p *Pool) applyList(kind balance.ListKind, l nodes.List) {
+func (p *Pool) applyList(kind balance.ListKind, l discovery.List) {
 	if kind != balance.ListFailed {
 		p.recordStarts(kind, &l)
 		p.listVersion, p.undated = l.Index, l.Undated
@@ -223,7 +223,7 @@
 	// Connections accept new endpoints before the Balancer learns of them, and removed ones
 	// until the Balancer has been told of the removal.
 	for _, e := range list {
-		if e.Status != nodes.Terminated {
+		if e.Status != discovery.Terminated {
 			p.conns.Set(e.Name, upstream.Target{Address: e.Address, StartMs: e.SinceMs})
 		}
 	}
@@ -235,10 +235,10 @@
 	whole := kind == balance.Full || kind == balance.Cached
 	previous := p.known
 	if whole {
-		p.known = make(map[string]nodes.Endpoint, len(list))
+		p.known = make(map[string]discovery.Endpoint, len(list))
 	}
 	for _, e := range list {
-		if e.Status != nodes.Terminated {
+		if e.Status != discovery.Terminated {
 			p.known[e.Name] = e
 			continue
 		}
@@ -260,10 +260,10 @@
 }
 
 // List returns the known nodes, sorted by name.
-func (p *Pool) List() nodes.List {
+func (p *Pool) List() discovery.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := nodes.List{Snapshot: true, Undated: p.undated}
+	l := discovery.List{Snapshot: true, Undated: p.undated}
 	for _, name := range p.sortedNames() {
 		l.Endpoints = append(l.Endpoints, p.known[name])
 	}
@@ -275,13 +275,13 @@
 
 // balancerEndpoint converts a listed endpoint for the Balancer. Its Addr is the endpoint's
 // name, which is the same in all sidecars, so that their Balancers agree on the hash ring.
-func (p *Pool) balancerEndpoint(listed *nodes.Endpoint) balance.Endpoint {
+func (p *Pool) balancerEndpoint(listed *discovery.Endpoint) balance.Endpoint {
 	e := p.applyDisabled(*listed)
 	b := balance.Endpoint{Addr: e.Name, Zone: p.zoneNumber(e.Zone), Cell: e.Group, Since: p.effectiveStart(e.Name)}
 	switch e.Status {
-	case nodes.InService:
+	case discovery.InService:
 		b.State = balance.Ready
-	case nodes.Terminating:
+	case discovery.Terminating:
 		b.State = balance.Draining
 	}
 	return b
--- a/internal/pool/members_test.go
+++ b/internal/pool/members_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/upstream"
 )
 
@@ -92,7 +92,7 @@
 	defer next.Close()
 
 	cfg := testConfig()
-	cfg.Source = nodes.NewDiscovery(old.Listener.Addr().String(), nodes.LocalAgentTimeouts(0))
+	cfg.Source = discovery.NewDiscovery(old.Listener.Addr().String(), discovery.LocalAgentTimeouts(0))
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -101,7 +101,7 @@
 		return func() bool { return slices.Equal(p.conns.Names(), want) }
 	}
 	eventually(t, "the first list", namesAre("old-1"))
-	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.LocalAgentTimeouts(0)))
+	p.SetSource(discovery.NewDiscovery(next.Listener.Addr().String(), discovery.LocalAgentTimeouts(0)))
 	changes <- "old-2"
 	eventually(t, "a change from the previous service after the switch", namesAre("old-1", "old-2"))
 	close(sendNewList)
@@ -117,25 +117,25 @@
 // available again. Its changes apply once it has caught up, and its snapshots always do.
 func TestOutdatedListOfNewSourceIsIgnored(t *testing.T) {
 	p := newPool(t, testConfig())
-	oldSource, newSource := &source{Source: nodes.Fixed{}, number: 1, cancel: func() {}}, &source{Source: nodes.Fixed{}, number: 2, cancel: func() {}}
+	oldSource, newSource := &source{Source: discovery.Fixed{}, number: 1, cancel: func() {}}, &source{Source: discovery.Fixed{}, number: 2, cancel: func() {}}
 	p.sources = []*source{oldSource, newSource}
-	entry := func(status nodes.Status) []nodes.Endpoint {
-		return []nodes.Endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "a", Status: status}}
+	entry := func(status discovery.Status) []discovery.Endpoint {
+		return []discovery.Endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "a", Status: status}}
 	}
-	p.handleList(oldSource, nodes.List{Index: 40, Snapshot: true, Endpoints: entry(nodes.InService)})
-	p.handleList(oldSource, nodes.List{Index: 43, Endpoints: entry(nodes.Terminating)})
-	p.handleList(newSource, nodes.List{Index: 42, Endpoints: entry(nodes.InService)}) // older than 43
-	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != nodes.Terminating {
+	p.handleList(oldSource, discovery.List{Index: 40, Snapshot: true, Endpoints: entry(discovery.InService)})
+	p.handleList(oldSource, discovery.List{Index: 43, Endpoints: entry(discovery.Terminating)})
+	p.handleList(newSource, discovery.List{Index: 42, Endpoints: entry(discovery.InService)}) // older than 43
+	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != discovery.Terminating {
 		t.Fatalf("list %+v after an older change, want s-1 draining", l)
 	}
 	if index, known := p.ListVersion(); index != 43 || !known {
 		t.Errorf("version %d, known %t, want 43, true", index, known)
 	}
-	p.handleList(newSource, nodes.List{Index: 44, Endpoints: entry(nodes.InService)})
-	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != nodes.InService {
+	p.handleList(newSource, discovery.List{Index: 44, Endpoints: entry(discovery.InService)})
+	if l := p.List().Endpoints; len(l) != 1 || l[0].Status != discovery.InService {
 		t.Errorf("list %+v after a newer change, want s-1 in service", l)
 	}
-	p.handleList(newSource, nodes.List{Index: 2, Snapshot: true, Endpoints: entry(nodes.Terminating)}) // the versions of this source restarted
+	p.handleList(newSource, discovery.List{Index: 2, Snapshot: true, Endpoints: entry(discovery.Terminating)}) // the versions of this source restarted
 	if index, _ := p.ListVersion(); index != 2 {
 		t.Errorf("version %d after a snapshot, want 2", index)
 	}
--- a/internal/pool/memory_test.go
+++ b/internal/pool/memory_test.go
@@ -7,7 +7,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/clock"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/upstream"
 )
 
@@ -16,13 +16,13 @@
 func TestRestoreMatchesClassesAndEndpoints(t *testing.T) {
 	view := balance.Class{LatencyTarget: time.Second, Deadline: time.Second, Semantics: balance.Safe, Worth: 1}
 	pay := balance.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Semantics: balance.Unsafe, Worth: 1}
-	list := func(names ...string) (l nodes.List) {
+	list := func(names ...string) (l discovery.List) {
 		for _, n := range names {
-			l.Endpoints = append(l.Endpoints, nodes.Endpoint{Name: n, Address: "127.0.0.1:1", Status: nodes.InService})
+			l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: n, Address: "127.0.0.1:1", Status: discovery.InService})
 		}
 		return l
 	}
-	create := func(l nodes.List, classes ...balance.Class) *Pool {
+	create := func(l discovery.List, classes ...balance.Class) *Pool {
 		p, err := New(Config{Name: "test", Known: l, Balance: balance.Config{
 			Instances: 1, AttemptLimit: 3, Multiplex: 1, Entry: true, RampTime: time.Second, Classes: classes,
 		}}, upstream.New(upstream.Config{MaxConns: 1}))
@@ -76,7 +76,7 @@
 	for _, offset := range wallOffsets {
 		clocks := clock.NewManual(offset)
 		cfg := manualClockConfig(clocks)
-		cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{endpointSince("a", 0), endpointSince("b", 0), endpointSince("c", 0)}}
+		cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{endpointSince("a", 0), endpointSince("b", 0), endpointSince("c", 0)}}
 		minuteAgo := clocks.Clock().Wall().Add(-offset - time.Minute).UnixMilli()
 		text, err := json.Marshal(stateWithoutAges{Out: map[string]int64{"a": minuteAgo}, Back: map[string]DisabledPeriod{"b": {minuteAgo, minuteAgo + 1000}}})
 		if err != nil {
--- a/internal/pool/out.go
+++ b/internal/pool/out.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // maxFormerNames bounds the names that are kept of endpoints that left the list, and so the
@@ -96,9 +96,9 @@
 type disabledPeriod struct{ start, end time.Duration }
 
 // applyDisabled returns e as draining if operators have disabled it, and unchanged otherwise.
-func (p *Pool) applyDisabled(e nodes.Endpoint) nodes.Endpoint {
-	if _, disabled := p.disabled[e.Name]; disabled && e.Status == nodes.InService {
-		e.Status = nodes.Terminating
+func (p *Pool) applyDisabled(e discovery.Endpoint) discovery.Endpoint {
+	if _, disabled := p.disabled[e.Name]; disabled && e.Status == discovery.InService {
+		e.Status = discovery.Terminating
 	}
 	return e
 }
--- a/internal/pool/out_test.go
+++ b/internal/pool/out_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // A disabled endpoint drains whatever its listed status is, also when it is listed again. An
@@ -15,7 +15,7 @@
 // after it was disabled.
 func TestDisableAndEnable(t *testing.T) {
 	cfg := testConfig()
-	list := func(sinceMs int64) nodes.List {
+	list := func(sinceMs int64) discovery.List {
 		l := undatedList("127.0.0.1:1", "127.0.0.1:2")
 		l.Undated = false
 		l.Endpoints[0].SinceMs = sinceMs
@@ -23,7 +23,7 @@
 	}
 	cfg.Known = list(0)
 	p := newPool(t, cfg)
-	applyFull := func(l nodes.List) {
+	applyFull := func(l discovery.List) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.applyList(balance.Full, l)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,8 +12,8 @@
 
 	"gorselink/balance"
 	"gorselink/internal/clock"
+	"gorselink/internal/discovery"
 	"gorselink/internal/limit"
-	"gorselink/internal/nodes"
 	"gorselink/internal/upstream"
 )
 
@@ -24,8 +24,8 @@
 	Balance balance.Config
 	Zones   map[string]int // zone numbers by name; nil numbers zones in order of appearance, OwnZone first
 	OwnZone string
-	Known   nodes.List // the last known list, which may be outdated
-	Source  nodes.Source
+	Known   discovery.List // the last known list, which may be outdated
+	Source  discovery.Source
 	Limits  Limits
 
 	Ages  *Ages       // ages of the endpoints in Known, from the previous Pool; nil if there was none
@@ -51,7 +51,7 @@
 	maxRequests  atomic.Int64 // Limits.Requests
 	openRequests atomic.Int64 // requests between Submit and Done
 	meanOpenNs   atomic.Int64 // mean time that a request is open, in ns
-	newSources   chan nodes.Source
+	newSources   chan discovery.Source
 
 	startWall time.Time // wall-clock time at start, for converting the timestamps of lists
 
@@ -63,7 +63,7 @@
 	retired      bool
 	hasList      bool
 	listVersion  uint64 // see nodes.List.Index
-	known        map[string]nodes.Endpoint
+	known        map[string]discovery.Endpoint
 	balancerView map[string]balance.Endpoint    // known endpoints as last given to the Balancer
 	formerNames  []string                       // names of endpoints that left the list, see Knows
 	isFormerName map[string]bool                // the names in formerNames
@@ -155,10 +155,10 @@
 		conns:        conns,
 		clock:        cfg.Clock,
 		start:        cfg.Clock.Now(),
-		newSources:   make(chan nodes.Source, 1),
+		newSources:   make(chan discovery.Source, 1),
 		requests:     map[balance.RequestID]*Request{},
 		classes:      map[balance.Class]int{},
-		known:        map[string]nodes.Endpoint{},
+		known:        map[string]discovery.Endpoint{},
 		balancerView: map[string]balance.Endpoint{},
 		isFormerName: map[string]bool{},
 		disabled:     map[string]time.Duration{},
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -8,16 +8,16 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/standin"
 	"gorselink/internal/upstream"
 )
 
 // undatedList returns a snapshot without start times, in which each address is also the name.
-func undatedList(addrs ...string) (l nodes.List) {
-	l = nodes.List{Snapshot: true, Undated: true}
+func undatedList(addrs ...string) (l discovery.List) {
+	l = discovery.List{Snapshot: true, Undated: true}
 	for _, a := range addrs {
-		l.Endpoints = append(l.Endpoints, nodes.Endpoint{Name: a, Address: a, Status: nodes.InService})
+		l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: a, Address: a, Status: discovery.InService})
 	}
 	return l
 }
@@ -168,7 +168,7 @@
 // Run returns when its context ends.
 func TestRunEndsWithItsContext(t *testing.T) {
 	cfg := testConfig()
-	cfg.Source = nodes.Fixed(undatedList("127.0.0.1:1").Endpoints)
+	cfg.Source = discovery.Fixed(undatedList("127.0.0.1:1").Endpoints)
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/pool/release_test.go
+++ b/internal/pool/release_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/upstream"
 )
 
@@ -120,7 +120,7 @@
 		w.Write(body)
 		answered++
 		for _, c := range list {
-			if _, ok := drainSentAt[c.Name]; !ok && c.Status == string(nodes.Terminating) {
+			if _, ok := drainSentAt[c.Name]; !ok && c.Status == string(discovery.Terminating) {
 				drainSentAt[c.Name] = time.Now()
 			}
 		}
@@ -137,11 +137,11 @@
 		mu.Unlock()
 	}
 	for i := range 6 {
-		addChange(fmt.Sprintf("old-%d", i), string(nodes.InService))
+		addChange(fmt.Sprintf("old-%d", i), string(discovery.InService))
 	}
 	cfg := testConfig()
 	cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
-	cfg.Source = nodes.NewDiscovery(srv.Listener.Addr().String(), nodes.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second})
+	cfg.Source = discovery.NewDiscovery(srv.Listener.Addr().String(), discovery.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second})
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -159,10 +159,10 @@
 	drainAddedAt := map[string]time.Time{}
 	for i := range 3 {
 		time.Sleep(200 * time.Millisecond)
-		addChange(fmt.Sprintf("new-%d", i), string(nodes.InService))
+		addChange(fmt.Sprintf("new-%d", i), string(discovery.InService))
 		name := fmt.Sprintf("old-%d", i)
 		drainAddedAt[name] = time.Now()
-		addChange(name, string(nodes.Terminating))
+		addChange(name, string(discovery.Terminating))
 	}
 	eventually(t, "all drains are delivered", func() bool {
 		mu.Lock()
@@ -200,16 +200,16 @@
 // old one are still kept. No unsafe request fails on these connections.
 func TestAddressIsReusedByAnotherNode(t *testing.T) {
 	first, steady := newCountingNode(t, nil), newCountingNode(t, nil)
-	entry := func(name string, n *countingNode, status nodes.Status, since time.Time) nodes.Endpoint {
-		e := nodes.Endpoint{Name: name, Address: n.address(), Zone: "a", Status: status}
+	entry := func(name string, n *countingNode, status discovery.Status, since time.Time) discovery.Endpoint {
+		e := discovery.Endpoint{Name: name, Address: n.address(), Zone: "a", Status: status}
 		if !since.IsZero() {
 			e.SinceMs = since.UnixMilli()
 		}
 		return e
 	}
 	cfg := testConfig()
-	cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{
-		entry("s-1", first, nodes.InService, time.Time{}), entry("s-0", steady, nodes.InService, time.Time{}),
+	cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{
+		entry("s-1", first, discovery.InService, time.Time{}), entry("s-0", steady, discovery.InService, time.Time{}),
 	}}
 	p := newPool(t, cfg)
 	stop := make(chan struct{})
@@ -244,9 +244,9 @@
 	}
 	second := newCountingNode(t, l)
 	p.mu.Lock()
-	p.applyList(balance.Delta, nodes.List{Endpoints: []nodes.Endpoint{
+	p.applyList(balance.Delta, discovery.List{Endpoints: []discovery.Endpoint{
 		entry("s-1", first, "terminated", time.Time{}),
-		entry("s-2", second, nodes.InService, time.Now().Add(-time.Minute)),
+		entry("s-2", second, discovery.InService, time.Now().Add(-time.Minute)),
 	}})
 	p.mu.Unlock()
 	before := first.requests.Load()
--- a/internal/pool/silent_test.go
+++ b/internal/pool/silent_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // scriptedDiscovery is a discovery service whose answers a test controls.
@@ -83,7 +83,7 @@
 }
 
 // newFollowingPool starts a Pool that follows src and waits for its first list.
-func newFollowingPool(t *testing.T, onDemand bool, src nodes.Source) *Pool {
+func newFollowingPool(t *testing.T, onDemand bool, src discovery.Source) *Pool {
 	cfg := testConfig()
 	cfg.Source = src
 	if onDemand {
@@ -106,7 +106,7 @@
 func drainReceived(p *Pool) func() bool {
 	return func() bool {
 		l := p.List().Endpoints
-		return len(l) == 1 && l[0].Status == nodes.Terminating
+		return len(l) == 1 && l[0].Status == discovery.Terminating
 	}
 }
 
@@ -119,7 +119,7 @@
 		t.Run(fmt.Sprint(calls), func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedDiscovery(t, node.Listener.Addr().String())
-			p := newFollowingPool(t, false, nodes.NewDiscovery(s.Listener.Addr().String(), nodes.LocalAgentTimeouts(2*time.Second)))
+			p := newFollowingPool(t, false, discovery.NewDiscovery(s.Listener.Addr().String(), discovery.LocalAgentTimeouts(2*time.Second)))
 			s.update(func() { s.silentCalls = calls })
 			for range calls {
 				<-s.silentCallReceived
@@ -139,7 +139,7 @@
 // the first one.
 func TestConsecutiveSilentWatches(t *testing.T) {
 	s := newScriptedDiscovery(t, "127.0.0.1:1")
-	p := newFollowingPool(t, false, nodes.NewDiscovery(s.Listener.Addr().String(), nodes.LocalAgentTimeouts(2*time.Second)))
+	p := newFollowingPool(t, false, discovery.NewDiscovery(s.Listener.Addr().String(), discovery.LocalAgentTimeouts(2*time.Second)))
 	s.update(func() { s.silentCalls = 4 })
 	<-s.silentCallReceived
 	began := time.Now()
@@ -158,11 +158,11 @@
 			t.Run(fmt.Sprintf("on demand %t, drain after %v", onDemand, drainDelay), func(t *testing.T) {
 				t.Parallel()
 				s := newScriptedDiscovery(t, "127.0.0.1:1")
-				times := nodes.LocalAgentTimeouts(2 * time.Second)
+				times := discovery.LocalAgentTimeouts(2 * time.Second)
 				if onDemand {
-					times = nodes.SharedServiceTimeouts()
+					times = discovery.SharedServiceTimeouts()
 				}
-				p := newFollowingPool(t, onDemand, nodes.NewDiscovery(s.Listener.Addr().String(), times))
+				p := newFollowingPool(t, onDemand, discovery.NewDiscovery(s.Listener.Addr().String(), times))
 				began := time.Now()
 				s.update(func() {
 					if !onDemand { // on demand, the Balancer chooses the delay after a rejection
@@ -187,8 +187,8 @@
 // received before its grace ends.
 func TestSilentOnDemandWatch(t *testing.T) {
 	s := newScriptedDiscovery(t, "127.0.0.1:1")
-	times := nodes.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second}
-	p := newFollowingPool(t, true, nodes.NewDiscovery(s.Listener.Addr().String(), times))
+	times := discovery.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second}
+	p := newFollowingPool(t, true, discovery.NewDiscovery(s.Listener.Addr().String(), times))
 	s.update(func() { s.silentCalls = 1 })
 	<-s.silentCallReceived
 	began := time.Now()
@@ -205,9 +205,9 @@
 func TestReloadToRejectingDiscovery(t *testing.T) {
 	old, next := newScriptedDiscovery(t, "127.0.0.1:1"), newScriptedDiscovery(t, "127.0.0.1:1")
 	next.status, next.rejectedCalls = "terminating", 2
-	p := newFollowingPool(t, true, nodes.NewDiscovery(old.Listener.Addr().String(), nodes.SharedServiceTimeouts()))
+	p := newFollowingPool(t, true, discovery.NewDiscovery(old.Listener.Addr().String(), discovery.SharedServiceTimeouts()))
 	began := time.Now()
-	p.SetSource(nodes.NewDiscovery(next.Listener.Addr().String(), nodes.SharedServiceTimeouts()))
+	p.SetSource(discovery.NewDiscovery(next.Listener.Addr().String(), discovery.SharedServiceTimeouts()))
 	eventually(t, "the drain is received", drainReceived(p))
 	if took := time.Since(began); took > 4*time.Second+1500*time.Millisecond {
 		t.Errorf("drain received %v after the reload, want at most 4 s and half of a grace of 3 s", took)
@@ -218,19 +218,19 @@
 // within 6 s if lists are pushed, and within 2 s of the end of the watch if it is on demand.
 func TestManySilentWatches(t *testing.T) {
 	const poolCount = 20
-	onDemandTimes := nodes.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second}
+	onDemandTimes := discovery.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second}
 	for _, c := range []struct {
 		name     string
 		onDemand bool
-		times    nodes.Timeouts
+		times    discovery.Timeouts
 		maxDelay time.Duration
-	}{{"push", false, nodes.LocalAgentTimeouts(2 * time.Second), 6 * time.Second}, {"on demand", true, onDemandTimes, onDemandTimes.LongPoll + 2*time.Second}} {
+	}{{"push", false, discovery.LocalAgentTimeouts(2 * time.Second), 6 * time.Second}, {"on demand", true, onDemandTimes, onDemandTimes.LongPoll + 2*time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedDiscovery(t, "127.0.0.1:1")
 			pools := make([]*Pool, poolCount)
 			for i := range pools {
-				pools[i] = newFollowingPool(t, c.onDemand, nodes.NewDiscovery(s.Listener.Addr().String(), c.times))
+				pools[i] = newFollowingPool(t, c.onDemand, discovery.NewDiscovery(s.Listener.Addr().String(), c.times))
 			}
 			s.update(func() { s.silentCalls = poolCount })
 			for range poolCount {
--- a/internal/pool/slow_test.go
+++ b/internal/pool/slow_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // newSlowDiscovery starts a discovery service that sends each answer after answerDelay, in pieces
@@ -18,11 +18,11 @@
 func newSlowDiscovery(t *testing.T, answerDelay, pieceDelay time.Duration, draining *atomic.Bool) *httptest.Server {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(answerDelay)
-		index, status := 7, nodes.InService
+		index, status := 7, discovery.InService
 		wait, _ := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 		for end := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
 			if draining.Load() {
-				index, status = 8, nodes.Terminating
+				index, status = 8, discovery.Terminating
 			}
 			if after := r.URL.Query().Get("after"); after != fmt.Sprint(index) || time.Now().After(end) || r.Context().Err() != nil {
 				break
@@ -60,11 +60,11 @@
 	} {
 		var draining atomic.Bool
 		srv := newSlowDiscovery(t, c.answerDelay, c.pieceDelay, &draining)
-		times := nodes.LocalAgentTimeouts(2 * time.Second)
+		times := discovery.LocalAgentTimeouts(2 * time.Second)
 		if c.onDemand {
-			times = nodes.SharedServiceTimeouts()
+			times = discovery.SharedServiceTimeouts()
 		}
-		p := newFollowingPool(t, c.onDemand, nodes.NewDiscovery(strings.TrimPrefix(srv.URL, "http://"), times))
+		p := newFollowingPool(t, c.onDemand, discovery.NewDiscovery(strings.TrimPrefix(srv.URL, "http://"), times))
 		pending.Go(func() {
 			time.Sleep(200 * time.Millisecond) // until a watch is open
 			began := time.Now()
--- a/internal/pool/spread_test.go
+++ b/internal/pool/spread_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 )
 
 // The calls of many sidecars to a discovery service that rejects all calls are spread over time,
@@ -48,7 +48,7 @@
 		cfg.Seed = uint64(i)
 		cfg.Balance.Index, cfg.Balance.Instances = i, sidecars
 		cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
-		cfg.Source = nodes.NewDiscovery(srv.Listener.Addr().String(), nodes.SharedServiceTimeouts())
+		cfg.Source = discovery.NewDiscovery(srv.Listener.Addr().String(), discovery.SharedServiceTimeouts())
 		pools[i] = newPool(t, cfg)
 		go pools[i].Run(ctx)
 	}
@@ -92,7 +92,7 @@
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	t.Cleanup(func() { slog.SetDefault(previous) })
-	src := &source{Source: nodes.Fixed{}}
+	src := &source{Source: discovery.Fixed{}}
 	for range 50 {
 		src.recordFailure("p", errors.New("refused"))
 	}
--- a/internal/pool/told_test.go
+++ b/internal/pool/told_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/standin"
 	"gorselink/internal/upstream"
 )
@@ -141,10 +141,10 @@
 				semantics = balance.Unsafe
 			}
 			cfg.Balance.Classes = []balance.Class{{Deadline: budget, Worth: 1, Semantics: semantics}}
-			listed := func(name string, l net.Listener) nodes.Endpoint {
-				return nodes.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Status: nodes.InService}
+			listed := func(name string, l net.Listener) discovery.Endpoint {
+				return discovery.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Status: discovery.InService}
 			}
-			cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{listed("recorder", endpoint)}}
+			cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{listed("recorder", endpoint)}}
 			var firstEndedAt time.Time // end of the first attempt, or slightly earlier
 			firstReceived := make(chan struct{})
 			breakFirst := make(chan struct{})
--- a/internal/pool/trail_test.go
+++ b/internal/pool/trail_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/upstream"
 )
 
@@ -38,7 +38,7 @@
 			Instances: 1, AttemptLimit: 2, Multiplex: 1, IdleConnTimeout: time.Second,
 			Classes: []balance.Class{{Deadline: 10 * time.Second, Semantics: balance.Unsafe, Worth: 1}},
 		},
-		Known: nodes.List{Endpoints: []nodes.Endpoint{{Name: "s-1", Address: server.Listener.Addr().String(), Status: nodes.InService}}},
+		Known: discovery.List{Endpoints: []discovery.Endpoint{{Name: "s-1", Address: server.Listener.Addr().String(), Status: discovery.InService}}},
 	}, conns)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/level_test.go
+++ b/internal/sidecar/level_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/standin"
 )
 
@@ -30,7 +30,7 @@
 	for i := range 3 {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { served.Add(1) }))
 		t.Cleanup(node.Close)
-		list = append(list, standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: serverAddr(node), Zone: "a", Status: string(nodes.InService)})
+		list = append(list, standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: serverAddr(node), Zone: "a", Status: string(discovery.InService)})
 	}
 	agent, err := standin.StartAgent(list...)
 	if err != nil {
@@ -72,7 +72,7 @@
 		for i := range endpoints { // replace an endpoint by a new name at the same address
 			e := list[i%len(list)]
 			removed := e
-			removed.Status = string(nodes.Terminated)
+			removed.Status = string(discovery.Terminated)
 			e.Name = fmt.Sprintf("s-%d-%d", lastCallID.Add(1), i)
 			list[i%len(list)] = e
 			agent.Update(e, removed)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -19,9 +19,9 @@
 	"time"
 
 	"gorselink/internal/config"
+	"gorselink/internal/discovery"
 	"gorselink/internal/fleet"
 	"gorselink/internal/httpserver"
-	"gorselink/internal/nodes"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 )
@@ -121,9 +121,9 @@
 
 // handoverState is the state that a process sends to its successor.
 type handoverState struct {
-	Endpoints  []nodes.Endpoint  `json:"nodes"`  // current list
-	KnownNames []string          `json:"listed"` // names of all endpoints that have been listed
-	Learned    pool.LearnedState `json:"memory"`
+	Endpoints  []discovery.Endpoint `json:"nodes"`  // current list
+	KnownNames []string             `json:"listed"` // names of all endpoints that have been listed
+	Learned    pool.LearnedState    `json:"memory"`
 }
 
 func (s *Sidecar) run(ctx context.Context, reload <-chan os.Signal) error {
@@ -359,11 +359,11 @@
 }
 
 // newDiscovery returns the discovery client that the configuration selects.
-func newDiscovery(cfg *config.Platform) *nodes.Discovery {
+func newDiscovery(cfg *config.Platform) *discovery.Discovery {
 	if cfg.Balance.PullDiscovery {
-		return nodes.NewDiscovery(cfg.Discovery, nodes.SharedServiceTimeouts())
+		return discovery.NewDiscovery(cfg.Discovery, discovery.SharedServiceTimeouts())
 	}
-	return nodes.NewDiscovery(cfg.Discovery, nodes.LocalAgentTimeouts(cfg.DrainGrace))
+	return discovery.NewDiscovery(cfg.Discovery, discovery.LocalAgentTimeouts(cfg.DrainGrace))
 }
 
 // newRouterConfig converts cfg for the router and registers its classes with the pool.
