--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -12,8 +12,8 @@
 
 	"gorselink/balance"
 	"gorselink/internal/capture"
+	"gorselink/internal/simproto"
 	"gorselink/internal/upstream"
-	"gorselink/internal/wire"
 )
 
 func main() {
@@ -42,7 +42,7 @@
 // host writes the actions of one instance's balancer to the simulator.
 type host struct {
 	instance    int
-	out         *wire.Writer
+	out         *simproto.Writer
 	balancer    balancer
 	record      *recording // nil without --capture
 	conns       connTracker
@@ -75,7 +75,7 @@
 // run processes events until the end of in. If captureDir is not empty, each start of an
 // instance writes a capture file there.
 func run(in io.Reader, out io.Writer, captureDir string) (err error) {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
+	r, w := simproto.NewReader(in), simproto.NewWriter(out)
 	hosts := map[int]*host{}
 	defer func() {
 		for _, h := range hosts {
@@ -83,7 +83,7 @@
 		}
 	}()
 	starts := 0
-	var e wire.Event
+	var e simproto.Event
 	for {
 		err := r.Next(&e)
 		if errors.Is(err, io.EOF) {
@@ -93,17 +93,17 @@
 			return err
 		}
 		switch e.Kind {
-		case wire.BatchStart:
-		case wire.BatchEnd:
+		case simproto.BatchStart:
+		case simproto.BatchEnd:
 			if err := w.Reply(); err != nil {
 				return err
 			}
-		case wire.InstanceStart:
+		case simproto.InstanceStart:
 			starts++
 			if err := start(hosts, w, &e, captureDir, starts); err != nil {
 				return err
 			}
-		case wire.InstanceStop:
+		case simproto.InstanceStop:
 			if h := hosts[e.Instance]; h != nil {
 				if err := h.record.close(); err != nil {
 					return err
@@ -119,9 +119,9 @@
 }
 
 // start starts an instance. Invalid settings are reported to the simulator as a FAULT.
-func start(hosts map[int]*host, w *wire.Writer, e *wire.Event, captureDir string, number int) error {
+func start(hosts map[int]*host, w *simproto.Writer, e *simproto.Event, captureDir string, number int) error {
 	h := &host{instance: e.Instance, out: w, attempts: map[balance.RequestID]int{}}
-	settings, err := wire.ParseSettings(e.Settings)
+	settings, err := simproto.ParseSettings(e.Settings)
 	var config balance.Config
 	if err == nil {
 		config = settings.BalancerConfig()
@@ -171,23 +171,23 @@
 }
 
 // deliver passes an event to the instance's balancer.
-func deliver(h *host, e *wire.Event) {
+func deliver(h *host, e *simproto.Event) {
 	b, id := h.balancer, balance.RequestID(e.ID)
 	switch e.Kind {
-	case wire.Members:
+	case simproto.Members:
 		b.Members(e.Now, e.ListKind, e.List)
-	case wire.Request:
+	case simproto.Request:
 		b.Request(e.Now, id, e.Class, e.Tenant, e.Budget)
-	case wire.Outcome:
+	case simproto.Outcome:
 		h.conns.ended(e.ID, e.Number)
 		if e.Final {
 			delete(h.attempts, id)
 		}
 		b.Outcome(e.Now, id, e.Number, e.Result, e.Elapsed, e.Final)
-	case wire.Withdrawn:
+	case simproto.Withdrawn:
 		delete(h.attempts, id)
 		b.Withdrawn(e.Now, id)
-	case wire.Timer:
+	case simproto.Timer:
 		if e.ID != sweepToken {
 			b.Timer(e.Now, e.ID)
 		} else if h.conns.sweep(func(addr string) { h.out.Release(h.instance, addr) }) {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -17,7 +17,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/discovery"
-	"gorselink/internal/wire"
+	"gorselink/internal/simproto"
 )
 
 // Platform is the configuration that the platform gives one sidecar.
@@ -200,7 +200,7 @@
 			return err
 		}
 	}
-	s := wire.NewSettings(values)
+	s := simproto.NewSettings(values)
 	c.settings = values
 	c.Balance = s.BalancerConfig()
 	c.Tier = s.Integer("Tier")
@@ -261,7 +261,7 @@
 }
 
 // indexByName returns the index of each name in a list of the settings.
-func indexByName(s *wire.Settings, list, field string) map[string]int {
+func indexByName(s *simproto.Settings, list, field string) map[string]int {
 	indexes := map[string]int{}
 	for i := range s.Integer(list + ".count") {
 		path := list + "." + strconv.Itoa(i) + field
--- a/internal/wire/action.go
+++ b/internal/simproto/action.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"bufio"
--- a/internal/wire/wire.go
+++ b/internal/simproto/wire.go
@@ -1,6 +1,6 @@
-// Package wire implements the text protocol of the simulator: it reads events and
+// Package simproto implements the text protocol of the simulator: it reads events and
 // writes actions. Errors about malformed input contain the line number.
-package wire
+package simproto
 
 import (
 	"bufio"
