--- a/cmd/gorselink/commands_test.go
+++ b/cmd/gorselink/commands_test.go
@@ -19,8 +19,8 @@
 
 	"gorselink/balance"
 	"gorselink/internal/capture"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/sidecar"
-	"gorselink/internal/standin"
 )
 
 // testTimeout bounds each wait in these tests.
@@ -107,7 +107,7 @@
 	}
 }
 
-func writeServeConfig(t *testing.T, path, listen string, nodes ...*standin.Node) {
+func writeServeConfig(t *testing.T, path, listen string, nodes ...*fakeserver.Node) {
 	t.Helper()
 	var text strings.Builder
 	fmt.Fprintf(&text, "[listeners.public]\naddress = %q\n[[routes]]\npool = \"a\"\n[pools.a]\nnodes = [", listen)
@@ -121,9 +121,9 @@
 // serve reloads its configuration file at SIGHUP, keeps the current configuration if the file is
 // invalid, and drains when its context ends.
 func TestServeReloadsAndDrains(t *testing.T) {
-	var nodes []*standin.Node
+	var nodes []*fakeserver.Node
 	for _, name := range []string{"one", "two"} {
-		n, err := standin.StartNode(standin.NodeConfig{Name: name})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: name})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/gorselink/demo.go
+++ b/cmd/gorselink/demo.go
@@ -18,7 +18,7 @@
 	"gorselink/internal/acceptloop"
 	"gorselink/internal/config"
 	"gorselink/internal/daemon"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 type demoCommand struct {
@@ -45,7 +45,7 @@
 type demo struct {
 	out     io.Writer
 	daemon  *daemon.Daemon
-	nodes   map[string][]*standin.Node
+	nodes   map[string][]*fakeserver.Node
 	client  http.Client
 	baseURL string
 
@@ -70,7 +70,7 @@
 	if c.Rate < 1 || c.Rate > demoMaxRate {
 		return fmt.Errorf("gorselink: demo: --rate %d: must be from 1 to %d", c.Rate, demoMaxRate)
 	}
-	d := &demo{out: env.stdout, nodes: map[string][]*standin.Node{}, perSecond: map[string]*demoCounts{}, totals: map[string]*demoCounts{}, modes: map[string]string{}}
+	d := &demo{out: env.stdout, nodes: map[string][]*fakeserver.Node{}, perSecond: map[string]*demoCounts{}, totals: map[string]*demoCounts{}, modes: map[string]string{}}
 	redirected, err := redirectLog()
 	if err != nil {
 		return fmt.Errorf("gorselink: demo: %w", err)
@@ -116,7 +116,7 @@
 	for _, service := range demoServices {
 		fmt.Fprintf(&text, "[[routes]]\nhost = %q\npool = %q\n[pools.%s]\nnodes = [", demoHost(service), service, service)
 		for i := range demoNodes {
-			n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprintf("%s-%d", service, i+1), Work: demoWorkTime, Cores: demoNodeCores})
+			n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprintf("%s-%d", service, i+1), Work: demoWorkTime, Cores: demoNodeCores})
 			if err != nil {
 				return err
 			}
@@ -169,7 +169,7 @@
 
 // setMode sets the mode of all nodes of a service.
 func (d *demo) setMode(service, mode string) error {
-	m, ok := standin.ModesByName[mode]
+	m, ok := fakeserver.ModesByName[mode]
 	if !ok && mode != "vanish" {
 		return fmt.Errorf("unknown mode %q: must be serve, freeze, mute, error, spoil, reset, refuse or vanish", mode)
 	}
--- a/cmd/gorselink/freeze_test.go
+++ b/cmd/gorselink/freeze_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/load"
-	"gorselink/internal/standin"
 )
 
 // runAsCommandEnv is the environment variable that makes the test binary run the command.
@@ -30,7 +30,7 @@
 func TestStoppedGeneratorReportsOwnError(t *testing.T) {
 	t.Parallel()
 	const freeze = 30 * time.Second
-	n, err := standin.StartNode(standin.NodeConfig{})
+	n, err := fakeserver.StartNode(fakeserver.NodeConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gorselink/load_test.go
+++ b/cmd/gorselink/load_test.go
@@ -12,15 +12,15 @@
 	"sync"
 	"testing"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/load"
-	"gorselink/internal/standin"
 )
 
 // load sends the requests that its flags describe and writes a report.
 func TestLoadCommand(t *testing.T) {
 	var mu sync.Mutex
 	var last *http.Request
-	n, err := standin.StartNode(standin.NodeConfig{Observe: func(req *http.Request, body []byte) {
+	n, err := fakeserver.StartNode(fakeserver.NodeConfig{Observe: func(req *http.Request, body []byte) {
 		mu.Lock()
 		defer mu.Unlock()
 		last = req
@@ -99,7 +99,7 @@
 // A file replaces the flags that describe the run; flags that cannot be combined with it are
 // rejected. A malformed trace has its own exit code.
 func TestLoadCommandFile(t *testing.T) {
-	n, err := standin.StartNode(standin.NodeConfig{})
+	n, err := fakeserver.StartNode(fakeserver.NodeConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gorselink/internal/acceptloop"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 func listen(t *testing.T) net.Listener {
@@ -29,8 +29,8 @@
 // A connection is accepted after any transient error, and only closing the listener ends
 // the loop.
 func TestAcceptContinuesAfterTransientErrors(t *testing.T) {
-	for _, errno := range standin.TransientAcceptErrors {
-		l := standin.NewFailingListener(listen(t), errno, errno)
+	for _, errno := range fakeserver.TransientAcceptErrors {
+		l := fakeserver.NewFailingListener(listen(t), errno, errno)
 		accepted, ended := make(chan net.Conn, 1), make(chan error, 1)
 		go func() { ended <- acceptloop.Serve(l, func(c net.Conn) { accepted <- c }) }()
 		c, err := net.Dial("tcp", l.Addr().String())
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -29,7 +29,7 @@
 	"internal/pool/memory.go":        {"UnixMilli", "Wall"},
 	"internal/pool/pool.go":          {"Wall"},
 	"internal/sidecar/sidecar.go":    {"Unix"},
-	"internal/standin/agent.go":      {"UnixMilli"},
+	"internal/fakeserver/agent.go":      {"UnixMilli"},
 	"internal/trace/trace.go":        {"Parse"},
 	"internal/upstream/call.go":      {"Unix"},
 	"internal/upstream/spool.go":     {"Unix"},
--- a/internal/daemon/accept_test.go
+++ b/internal/daemon/accept_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/httpserver"
-	"gorselink/internal/standin"
 )
 
 // A listener keeps accepting connections after each error that accept(2) can return for a
@@ -21,12 +21,12 @@
 			}
 		}
 	}
-	for _, errno := range standin.TransientAcceptErrors {
+	for _, errno := range fakeserver.TransientAcceptErrors {
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := standin.NewFailingListener(tcp, errno)
+		l := fakeserver.NewFailingListener(tcp, errno)
 		a := &acceptor{listener: l, server: server}
 		done := make(chan struct{})
 		go func() { a.serve(); close(done) }()
--- a/internal/daemon/age_test.go
+++ b/internal/daemon/age_test.go
@@ -5,17 +5,17 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // A pool that replaces another on reload takes over the ages of its nodes. It does not compute
 // them from the timestamps of the list, which are wrong if the clock of their writer is.
 func TestReloadCarriesAges(t *testing.T) {
 	const clockLag = time.Hour // of the clock that sets the timestamps
-	entry := func(name string, since time.Time) standin.Entry {
-		return standin.Entry{Name: name, Address: "127.0.0.1:1", Status: "in_service", SinceMs: since.UnixMilli()}
+	entry := func(name string, since time.Time) fakeserver.Entry {
+		return fakeserver.Entry{Name: name, Address: "127.0.0.1:1", Status: "in_service", SinceMs: since.UnixMilli()}
 	}
-	agent, err := standin.StartAgent(entry("n-1", time.Now().Add(-3*clockLag)))
+	agent, err := fakeserver.StartAgent(entry("n-1", time.Now().Add(-3*clockLag)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -12,16 +12,16 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // manyPoolsConfig returns a configuration with n pools, each with its own host and one node.
-func manyPoolsConfig(t testing.TB, n int, node *standin.Node) string {
+func manyPoolsConfig(t testing.TB, n int, node *fakeserver.Node) string {
 	var text strings.Builder
 	text.WriteString(strings.Replace(baseConfig, "128 MiB", "512 MiB", 1))
 	for i := range n {
 		name := fmt.Sprintf("p%d", i)
-		text.WriteString(poolText(name, nodeList([]*standin.Node{node})))
+		text.WriteString(poolText(name, nodeList([]*fakeserver.Node{node})))
 		text.WriteString(routeText(name+".example.org", name))
 	}
 	return text.String()
@@ -40,7 +40,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{1, 50} {
 		b.Run(fmt.Sprintf("pools=%d", n), func(b *testing.B) {
-			node := startNodes(b, "n", 1, standin.NodeConfig{})[0]
+			node := startNodes(b, "n", 1, fakeserver.NodeConfig{})[0]
 			d := startDaemon(b, manyPoolsConfig(b, n, node))
 			conn, err := net.Dial("tcp", d.publicAddr(b))
 			if err != nil {
@@ -74,7 +74,7 @@
 
 // BenchmarkIdlePool measures the memory of an additional pool without requests.
 func BenchmarkIdlePool(b *testing.B) {
-	node := startNodes(b, "n", 1, standin.NodeConfig{})[0]
+	node := startNodes(b, "n", 1, fakeserver.NodeConfig{})[0]
 	measure := func(n int) float64 {
 		d := startDaemon(b, manyPoolsConfig(b, n, node))
 		time.Sleep(50 * time.Millisecond) // until all pools have their node lists
--- a/internal/daemon/bytes_test.go
+++ b/internal/daemon/bytes_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // splitDelay separates two parts of a message, so that they are received separately.
@@ -97,8 +97,8 @@
 // Buffers and connections are reused without leaking data from one caller's request or
 // response to another caller. The callers send paths, fields and bodies of varying lengths.
 func TestNoDataLeaksBetweenCallers(t *testing.T) {
-	nodes := startNodes(t, "n", 3, standin.NodeConfig{Answer: func(req *http.Request, body []byte) standin.Answer {
-		return standin.Answer{
+	nodes := startNodes(t, "n", 3, fakeserver.NodeConfig{Answer: func(req *http.Request, body []byte) fakeserver.Answer {
+		return fakeserver.Answer{
 			Body:   req.URL.Path + "|" + req.Header.Get("X-Mine") + "|" + string(body),
 			Header: http.Header{"X-Yours": {req.Header.Get("X-Mine")}},
 		}
--- a/internal/daemon/client_test.go
+++ b/internal/daemon/client_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"testing"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // An ordinary HTTP client is served without any header fields of the platform: the request id
@@ -15,21 +15,21 @@
 func TestOrdinaryClients(t *testing.T) {
 	var mu sync.Mutex
 	var last *http.Request
-	nodes := startNodes(t, "n", 1, standin.NodeConfig{Answer: func(req *http.Request, body []byte) standin.Answer {
+	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{Answer: func(req *http.Request, body []byte) fakeserver.Answer {
 		mu.Lock()
 		last = req
 		mu.Unlock()
 		switch req.URL.Path {
 		case "/missing":
-			return standin.Answer{Status: 404, Body: "no such receipt"}
+			return fakeserver.Answer{Status: 404, Body: "no such receipt"}
 		case "/moved":
-			return standin.Answer{Status: 302, Header: http.Header{"Location": {"/there"}}}
+			return fakeserver.Answer{Status: 302, Header: http.Header{"Location": {"/there"}}}
 		case "/broken":
-			return standin.Answer{Status: 500, Body: "the ledger is closed", Header: http.Header{"X-Why": {"night"}}}
+			return fakeserver.Answer{Status: 500, Body: "the ledger is closed", Header: http.Header{"X-Why": {"night"}}}
 		case "/nothing":
-			return standin.Answer{Status: 204}
+			return fakeserver.Answer{Status: 204}
 		}
-		return standin.Answer{Body: req.Method + " " + string(body), Header: http.Header{"X-Kind": {"a", "b"}}}
+		return fakeserver.Answer{Body: req.Method + " " + string(body), Header: http.Header{"X-Kind": {"a", "b"}}}
 	}})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(nodes)), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
@@ -76,7 +76,7 @@
 
 // An unsafe request runs once even if the node fails; safe and keyed requests are retried.
 func TestRetriesFollowSemantics(t *testing.T) {
-	nodes := startNodes(t, "n", 2, standin.NodeConfig{})
+	nodes := startNodes(t, "n", 2, fakeserver.NodeConfig{})
 	d := startDaemon(t, baseConfig,
 		"[classes.search]\nsemantics = \"safe\"\n[classes.order]\nsemantics = \"unsafe\"\n[classes.pay]\nsemantics = \"keyed\"\n",
 		poolText("a", nodeList(nodes)), routeText("", "a"),
@@ -84,7 +84,7 @@
 		"[[routes]]\npath = \"/order\"\npool = \"a\"\nclass = \"order\"\n",
 		"[[routes]]\npath = \"/pay\"\npool = \"a\"\nclass = \"pay\"\n")
 	c := newClient(t, d.publicAddr(t))
-	setMode := func(m standin.Mode) {
+	setMode := func(m fakeserver.Mode) {
 		for _, n := range nodes {
 			n.SetMode(m)
 		}
@@ -101,11 +101,11 @@
 		{"GET", "/order", "", false},
 		{"POST", "/pay", "k2", true},
 	} {
-		setMode(standin.ModeServe)
+		setMode(fakeserver.ModeServe)
 		for range 60 { // fills the retry budget, which grows with accepted requests
 			c.get("x", "/")
 		}
-		setMode(standin.ModeError)
+		setMode(fakeserver.ModeError)
 		before := nodes[0].TotalRuns() + nodes[1].TotalRuns()
 		var header []string
 		if q.key != "" {
@@ -125,7 +125,7 @@
 // A listener in the platform's form requires id, method and class as the platform's protocol
 // does. On a listener with a class header field, requests can name their class.
 func TestListenerForms(t *testing.T) {
-	a, b := startNodes(t, "a", 1, standin.NodeConfig{}), startNodes(t, "b", 1, standin.NodeConfig{})
+	a, b := startNodes(t, "a", 1, fakeserver.NodeConfig{}), startNodes(t, "b", 1, fakeserver.NodeConfig{})
 	d := startDaemon(t, strings.Replace(baseConfig, "[listeners.public]", "[listeners.strict]\naddress = \"127.0.0.1:0\"\nform = \"platform\"\n[listeners.public]\nclass_header = \"X-Class\"", 1),
 		"[classes.view]\nsemantics = \"safe\"\n[classes.pay]\nsemantics = \"unsafe\"\n",
 		poolText("a", nodeList(a)), poolText("b", nodeList(b)), routeText("", "a"),
@@ -174,9 +174,9 @@
 			delivered = append(delivered, delivery{node, req.Host, req.RequestURI})
 		}
 	}
-	a := startNodes(t, "a", 1, standin.NodeConfig{Observe: observe("a")})
-	b := startNodes(t, "b", 1, standin.NodeConfig{Observe: observe("b")})
-	w := startNodes(t, "w", 1, standin.NodeConfig{Observe: observe("w")})
+	a := startNodes(t, "a", 1, fakeserver.NodeConfig{Observe: observe("a")})
+	b := startNodes(t, "b", 1, fakeserver.NodeConfig{Observe: observe("b")})
+	w := startNodes(t, "w", 1, fakeserver.NodeConfig{Observe: observe("w")})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(a)), poolText("b", nodeList(b)), poolText("w", nodeList(w)),
 		"[[routes]]\nhost = \"donate.example.org\"\npath = \"/open\"\npool = \"a\"\n",
 		"[[routes]]\nhost = \"donate.example.org\"\npath = \"/closed\"\npool = \"b\"\n",
@@ -250,7 +250,7 @@
 // A duplicate request id is rejected on all listeners in the platform's form, also after a
 // reload that replaced the listener.
 func TestDuplicateIDsRejectedAfterReload(t *testing.T) {
-	nodes := startNodes(t, "n", 1, standin.NodeConfig{})
+	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{})
 	text := func(idle string) string {
 		return "[listeners.one]\naddress = \"127.0.0.1:0\"\nform = \"platform\"\nidle_timeout = \"" + idle + "\"\n[listeners.two]\naddress = \"127.0.0.1:0\"\nform = \"platform\"\n" +
 			"[classes.pay]\nsemantics = \"unsafe\"\n" + poolText("a", nodeList(nodes)) + routeText("", "a")
--- a/internal/daemon/close_test.go
+++ b/internal/daemon/close_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // If a reload removes or replaces a listener, it still serves requests that have been received
@@ -21,7 +21,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			nodes := startNodes(t, "n", 1, standin.NodeConfig{Latency: 300 * time.Millisecond})
+			nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{Latency: 300 * time.Millisecond})
 			addr := freeAddr(t)
 			common := poolText("a", nodeList(nodes)) + routeText("", "a")
 			d := startDaemon(t, baseConfig, "[listeners.inner]\naddress = \""+addr+"\"\n", common)
--- a/internal/daemon/isolation_test.go
+++ b/internal/daemon/isolation_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // isolationClasses are the classes of these tests, and receiptsRoute is the route of the
@@ -31,8 +31,8 @@
 		phase    = 2 * time.Second
 		rate     = 100 // requests per second to the measured service
 	)
-	donate := startNodes(t, "donate", 2, standin.NodeConfig{Work: work, Cores: 1, Queue: 8})
-	receipts := startNodes(t, "receipts", 2, standin.NodeConfig{Latency: 5 * time.Millisecond})
+	donate := startNodes(t, "donate", 2, fakeserver.NodeConfig{Work: work, Cores: 1, Queue: 8})
+	receipts := startNodes(t, "receipts", 2, fakeserver.NodeConfig{Latency: 5 * time.Millisecond})
 	d := startDaemon(t, baseConfig,
 		isolationClasses, poolText("donate", nodeList(donate)), poolText("receipts", nodeList(receipts)),
 		routeText(donateHost, "donate"), receiptsRoute)
@@ -114,28 +114,28 @@
 // A pool without working nodes does not affect another pool, which serves all its requests.
 // The failed pool answers within bounded time and recovers with its nodes.
 func TestFailedPoolDoesNotAffectOther(t *testing.T) {
-	for name, breakNodes := range map[string]func(t *testing.T, nodes []*standin.Node, file string){
-		"refuse": func(t *testing.T, nodes []*standin.Node, _ string) {
+	for name, breakNodes := range map[string]func(t *testing.T, nodes []*fakeserver.Node, file string){
+		"refuse": func(t *testing.T, nodes []*fakeserver.Node, _ string) {
 			for _, n := range nodes {
-				n.SetMode(standin.ModeReject)
+				n.SetMode(fakeserver.ModeReject)
 			}
 		},
-		"vanish": func(t *testing.T, nodes []*standin.Node, _ string) {
+		"vanish": func(t *testing.T, nodes []*fakeserver.Node, _ string) {
 			for _, n := range nodes {
 				n.Crash()
 			}
 		},
-		"silent": func(t *testing.T, nodes []*standin.Node, _ string) {
+		"silent": func(t *testing.T, nodes []*fakeserver.Node, _ string) {
 			for _, n := range nodes {
-				n.SetMode(standin.ModeNoAnswer)
+				n.SetMode(fakeserver.ModeNoAnswer)
 			}
 		},
-		"empty list": func(t *testing.T, _ []*standin.Node, file string) { writeFile(t, file, "# none\n") },
+		"empty list": func(t *testing.T, _ []*fakeserver.Node, file string) { writeFile(t, file, "# none\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			donate := startNodes(t, "donate", 3, standin.NodeConfig{})
-			receipts := startNodes(t, "receipts", 2, standin.NodeConfig{})
+			donate := startNodes(t, "donate", 3, fakeserver.NodeConfig{})
+			receipts := startNodes(t, "receipts", 2, fakeserver.NodeConfig{})
 			file := filepath.Join(t.TempDir(), "nodes")
 			var lines strings.Builder
 			for _, n := range donate {
@@ -181,7 +181,7 @@
 				if err := n.Restart(); err != nil {
 					t.Fatal(err)
 				}
-				n.SetMode(standin.ModeServe)
+				n.SetMode(fakeserver.ModeServe)
 			}
 			writeFile(t, file, lines.String()+"# changed\n")
 			eventually(t, "donate serves again", func() bool { return c.get(donateHost, "/").status == 200 })
@@ -202,10 +202,10 @@
 // A pool at its limit of open requests rejects further ones immediately with Retry-After in
 // whole seconds (RFC 9110, section 10.2.3), and still serves the open ones.
 func TestFullPoolRejectsImmediately(t *testing.T) {
-	nodes := startNodes(t, "n", 1, standin.NodeConfig{})
+	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(nodes)+"requests = 3\n"), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
-	nodes[0].SetMode(standin.ModeFreeze)
+	nodes[0].SetMode(fakeserver.ModeFreeze)
 	statuses := make(chan int, 3)
 	for range 3 {
 		go func() { statuses <- c.get("x", "/").status }()
@@ -224,7 +224,7 @@
 	if n := d.Pool("a").Stats().Full; n != 2 {
 		t.Errorf("%d requests counted as rejected, want 2", n)
 	}
-	nodes[0].SetMode(standin.ModeServe)
+	nodes[0].SetMode(fakeserver.ModeServe)
 	for range 3 {
 		if s := <-statuses; s != 200 {
 			t.Errorf("status %d for an accepted request", s)
--- a/internal/daemon/nodes_test.go
+++ b/internal/daemon/nodes_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // A node that discovery, a file or a reload removes or marks as draining receives no new
@@ -19,18 +19,18 @@
 func TestDrainedNodeGetsNoNewRequests(t *testing.T) {
 	for _, name := range []string{"discovery", "file", "reload"} {
 		t.Run(name, func(t *testing.T) {
-			nodes := startNodes(t, "n", 2, standin.NodeConfig{Latency: 3 * time.Millisecond})
+			nodes := startNodes(t, "n", 2, fakeserver.NodeConfig{Latency: 3 * time.Millisecond})
 			var nodesText string
 			var drain func(d *Daemon)
 			switch name {
 			case "discovery":
-				agent, err := standin.StartAgent(standin.NewEntry(nodes[0], "in_service"), standin.NewEntry(nodes[1], "in_service"))
+				agent, err := fakeserver.StartAgent(fakeserver.NewEntry(nodes[0], "in_service"), fakeserver.NewEntry(nodes[1], "in_service"))
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(agent.Close)
 				nodesText = fmt.Sprintf("discovery = %q\n", agent.Addr())
-				drain = func(*Daemon) { agent.Update(standin.NewEntry(nodes[0], "terminating")) }
+				drain = func(*Daemon) { agent.Update(fakeserver.NewEntry(nodes[0], "terminating")) }
 			case "file":
 				path := filepath.Join(t.TempDir(), "nodes")
 				writeFile(t, path, nodes[0].Addr()+"\n"+nodes[1].Addr()+"\n")
@@ -48,7 +48,7 @@
 				}
 				return nodes[0].TotalRuns() > 0 && nodes[1].TotalRuns() > 0
 			})
-			nodes[0].SetMode(standin.ModeFreeze)
+			nodes[0].SetMode(fakeserver.ModeFreeze)
 			statuses := make(chan int, 100)
 			sent := 0
 			for ; nodes[0].OpenRequests() == 0; sent++ { // until the node to be drained holds a request
@@ -74,7 +74,7 @@
 					t.Errorf("status %d, %v", r.status, r.err)
 				}
 			}
-			nodes[0].SetMode(standin.ModeServe)
+			nodes[0].SetMode(fakeserver.ModeServe)
 			for range sent {
 				if s := <-statuses; s != 200 {
 					t.Errorf("status %d for a request sent before the drain", s)
@@ -90,10 +90,10 @@
 // A full pool whose callers keep opening connections does not prevent callers of another pool
 // from connecting.
 func TestFullPoolLeavesCallerConnections(t *testing.T) {
-	a, b := startNodes(t, "a", 1, standin.NodeConfig{}), startNodes(t, "b", 1, standin.NodeConfig{})
+	a, b := startNodes(t, "a", 1, fakeserver.NodeConfig{}), startNodes(t, "b", 1, fakeserver.NodeConfig{})
 	small := strings.Replace(baseConfig, "descriptors = 1032", "descriptors = 152", 1) // 60 of them for callers
 	d := startDaemon(t, small, poolText("a", nodeList(a)), poolText("b", nodeList(b)), routeText("a", "a"), routeText("b", "b"))
-	a[0].SetMode(standin.ModeFreeze)
+	a[0].SetMode(fakeserver.ModeFreeze)
 	var mu sync.Mutex
 	var conns []net.Conn
 	openConns := func(n int, text string) {
@@ -133,7 +133,7 @@
 // A body that exceeds the pool's whole memory for bodies is rejected as too long, not with a
 // status that suggests a retry.
 func TestBodyLargerThanPoolMemory(t *testing.T) {
-	nodes := startNodes(t, "n", 1, standin.NodeConfig{})
+	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(nodes)+"memory = \"128 KiB\"\n"), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
 	for size, want := range map[int]int{32 << 10: 200, 32<<10 + 1: 413} {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gorselink/internal/config"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // Reloads under load change routes, classes and limits and remove and restore a pool, and some
@@ -21,7 +21,7 @@
 func TestReloadUnderLoad(t *testing.T) {
 	const reloads = 200
 	counter := newRunCounter()
-	cfg := standin.NodeConfig{Latency: 4 * time.Millisecond, Answer: counter.answer}
+	cfg := fakeserver.NodeConfig{Latency: 4 * time.Millisecond, Answer: counter.answer}
 	a, b := startNodes(t, "a", 2, cfg), startNodes(t, "b", 2, cfg)
 	configText := func(i int) string {
 		text := baseConfig + poolText("a", nodeList(a))
@@ -119,7 +119,7 @@
 // A pool that is reused keeps its learned state and its connections when its limits, its node
 // list or other parts of the configuration change.
 func TestReusedPoolKeepsState(t *testing.T) {
-	a, b := startNodes(t, "a", 1, standin.NodeConfig{}), startNodes(t, "b", 1, standin.NodeConfig{})
+	a, b := startNodes(t, "a", 1, fakeserver.NodeConfig{}), startNodes(t, "b", 1, fakeserver.NodeConfig{})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(a)), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
 	c.get("x", "/")
@@ -157,14 +157,14 @@
 
 // A removed pool completes its open requests. If it is added again before that, it is reused.
 func TestRemovedPoolDrains(t *testing.T) {
-	a, b := startNodes(t, "a", 1, standin.NodeConfig{}), startNodes(t, "b", 1, standin.NodeConfig{})
+	a, b := startNodes(t, "a", 1, fakeserver.NodeConfig{}), startNodes(t, "b", 1, fakeserver.NodeConfig{})
 	short := "[classes.default]\nmemory_span = \"50ms\"\n"
 	with := []string{baseConfig, short, poolText("a", nodeList(a)), poolText("b", nodeList(b)), routeText("", "a"), routeText("b.example.org", "b")}
 	without := []string{baseConfig, short, poolText("a", nodeList(a)), routeText("", "a")}
 	d := startDaemon(t, with...)
 	c := newClient(t, d.publicAddr(t))
 	old := d.Pool("b")
-	b[0].SetMode(standin.ModeFreeze)
+	b[0].SetMode(fakeserver.ModeFreeze)
 	done := make(chan response)
 	startRequest := func() {
 		go func() { done <- c.send(http.MethodPost, "b.example.org", "/", "x") }()
@@ -181,7 +181,7 @@
 		t.Errorf("restored while draining: same pool %t, %d retired", d.Pool("b") == old, d.RetiredCount())
 	}
 	applyConfig(t, d, without...)
-	b[0].SetMode(standin.ModeServe)
+	b[0].SetMode(fakeserver.ModeServe)
 	if r := <-done; r.status != 200 || !strings.HasPrefix(r.body, "b-0") {
 		t.Errorf("the open request: %d %q", r.status, r.body)
 	}
@@ -194,7 +194,7 @@
 
 // A host can move to another pool between two requests on one connection.
 func TestHostMovesBetweenRequests(t *testing.T) {
-	a, b := startNodes(t, "a", 1, standin.NodeConfig{}), startNodes(t, "b", 1, standin.NodeConfig{})
+	a, b := startNodes(t, "a", 1, fakeserver.NodeConfig{}), startNodes(t, "b", 1, fakeserver.NodeConfig{})
 	pools := poolText("a", nodeList(a)) + poolText("b", nodeList(b))
 	d := startDaemon(t, baseConfig, pools, routeText("x", "a"))
 	conn, err := net.Dial("tcp", d.publicAddr(t))
@@ -223,9 +223,9 @@
 // request may have run there.
 func TestKeyedRepeatsStayInTheirPool(t *testing.T) {
 	counter := newRunCounter()
-	cfg := standin.NodeConfig{Answer: func(req *http.Request, body []byte) standin.Answer {
+	cfg := fakeserver.NodeConfig{Answer: func(req *http.Request, body []byte) fakeserver.Answer {
 		counter.answer(req, body)
-		return standin.Answer{Body: req.Host}
+		return fakeserver.Answer{Body: req.Host}
 	}}
 	a, b := startNodes(t, "a", 1, cfg), startNodes(t, "b", 1, cfg)
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(a)), poolText("b", nodeList(b)), routeText("x", "a"))
@@ -274,11 +274,11 @@
 // All pools together never exceed the connection limit for nodes, also while retired pools
 // still have open connections.
 func TestReplacedPoolsShareConnectionLimit(t *testing.T) {
-	a, b := startNodes(t, "a", 1, standin.NodeConfig{}), startNodes(t, "b", 1, standin.NodeConfig{})
+	a, b := startNodes(t, "a", 1, fakeserver.NodeConfig{}), startNodes(t, "b", 1, fakeserver.NodeConfig{})
 	small := strings.Replace(baseConfig, "descriptors = 1032", "descriptors = 152", 1) // 60 each for callers and nodes
 	d := startDaemon(t, small, poolText("a", nodeList(a)), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
-	a[0].SetMode(standin.ModeFreeze)
+	a[0].SetMode(fakeserver.ModeFreeze)
 	done := make(chan int, 40)
 	for range 40 {
 		go func() { done <- c.get("x", "/").status }()
@@ -291,7 +291,7 @@
 	if r := c.get("x", "/"); r.status != 200 {
 		t.Errorf("status %d from the new pool", r.status)
 	}
-	a[0].SetMode(standin.ModeServe)
+	a[0].SetMode(fakeserver.ModeServe)
 	for range 40 {
 		if s := <-done; s != 200 {
 			t.Errorf("status %d for an open request", s)
@@ -303,7 +303,7 @@
 // Adding, removing and replacing listeners neither interrupts service at their address nor
 // closes a connection with an open request.
 func TestListenerChanges(t *testing.T) {
-	nodes := startNodes(t, "n", 1, standin.NodeConfig{Latency: 2 * time.Millisecond})
+	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{Latency: 2 * time.Millisecond})
 	addr := freeAddr(t)
 	text := func(more string) string {
 		return "[listeners.public]\naddress = \"" + addr + "\"\n" + more + poolText("a", nodeList(nodes)) + routeText("", "a")
@@ -360,7 +360,7 @@
 
 // A drain reports not ready, answers all accepted requests and ends.
 func TestDrainServesOpenRequests(t *testing.T) {
-	nodes := startNodes(t, "n", 1, standin.NodeConfig{Latency: 150 * time.Millisecond})
+	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{Latency: 150 * time.Millisecond})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(nodes)), routeText("", "a"))
 	addr := d.publicAddr(t)
 	c := newClient(t, addr)
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"gorselink/internal/config"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // testTimeout bounds each wait in these tests.
@@ -29,11 +29,11 @@
 )
 
 // startNodes starts n nodes named name-0, name-1 and so on.
-func startNodes(t testing.TB, name string, n int, cfg standin.NodeConfig) (all []*standin.Node) {
+func startNodes(t testing.TB, name string, n int, cfg fakeserver.NodeConfig) (all []*fakeserver.Node) {
 	t.Helper()
 	for i := range n {
 		cfg.Name = fmt.Sprintf("%s-%d", name, i)
-		node, err := standin.StartNode(cfg)
+		node, err := fakeserver.StartNode(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 }
 
 // nodeList returns the nodes as a key of a configuration file.
-func nodeList(nodes []*standin.Node) string {
+func nodeList(nodes []*fakeserver.Node) string {
 	var s strings.Builder
 	for _, n := range nodes {
 		fmt.Fprintf(&s, "%q,", n.Addr())
@@ -233,13 +233,13 @@
 func newRunCounter() *runCounter { return &runCounter{runs: map[string]int{}} }
 
 // answer is a NodeConfig.Answer that counts a run and returns the token.
-func (c *runCounter) answer(req *http.Request, body []byte) standin.Answer {
+func (c *runCounter) answer(req *http.Request, body []byte) fakeserver.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if token := req.Header.Get("X-Token"); token != "" {
 		c.runs[token]++
 	}
-	return standin.Answer{Body: req.Header.Get("X-Token")}
+	return fakeserver.Answer{Body: req.Header.Get("X-Token")}
 }
 
 // count returns the number of runs with a token.
--- a/internal/experiment/beside.go
+++ b/internal/experiment/beside.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/load"
-	"gorselink/internal/standin"
 	"gorselink/internal/tomlfile"
 	"gorselink/traffic"
 )
@@ -50,7 +50,7 @@
 	defer lock.Close()
 	var addrs []string
 	for i := range 4 {
-		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprintf("n%d", i), Cores: 8, Work: time.Millisecond})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprintf("n%d", i), Cores: 8, Work: time.Millisecond})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -13,7 +13,7 @@
 	"text/template"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/tomlfile"
 	"gorselink/traffic"
 )
@@ -397,7 +397,7 @@
 
 func (e *Experiment) parseEvents(top *tomlfile.Table) {
 	modes := slices.Clone(nodeActions)
-	for m := range standin.ModesByName {
+	for m := range fakeserver.ModesByName {
 		modes = append(modes, m)
 	}
 	slices.Sort(modes)
--- a/internal/experiment/rig.go
+++ b/internal/experiment/rig.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/load"
-	"gorselink/internal/standin"
 	"gorselink/traffic"
 )
 
@@ -61,7 +61,7 @@
 	block           int
 	blockLock       net.Listener
 	spawner         *processSpawner
-	nodes           []*standin.Node
+	nodes           []*fakeserver.Node
 	instances       []*instance
 	netPaths        map[partyPair]*netPath
 	pathsByLink     map[string][]*netPath // by link name
@@ -94,7 +94,7 @@
 	r.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range e.Nodes.Count {
 		rng, mu := rand.New(rand.NewPCG(r.seed, uint64(i))), new(sync.Mutex)
-		cfg := standin.NodeConfig{
+		cfg := fakeserver.NodeConfig{
 			Name: fmt.Sprintf("n%03d", i), Work: e.Nodes.Work, Cores: e.Nodes.Cores, Queue: e.Nodes.Queue, WarmUp: e.Nodes.WarmUp, ColdShare: e.Nodes.ColdShare,
 			Observe: func(req *http.Request, _ []byte) { r.record.recordArrival(i, req) },
 		}
@@ -105,7 +105,7 @@
 				return rng.ExpFloat64()
 			}
 		}
-		n, err := standin.StartNode(cfg)
+		n, err := fakeserver.StartNode(cfg)
 		if err != nil {
 			return err
 		}
@@ -544,7 +544,7 @@
 			r.mu.Unlock()
 			r.record.recordListChange(d.party, ev.Action == "join")
 		default:
-			n.SetMode(standin.ModesByName[ev.Action])
+			n.SetMode(fakeserver.ModesByName[ev.Action])
 		}
 		return nil
 	}
--- a/internal/experiment/scale_rig.go
+++ b/internal/experiment/scale_rig.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/hollow"
-	"gorselink/internal/standin"
 )
 
 // ScaleOptions configures a scale run.
@@ -560,7 +560,7 @@
 
 // recordPerEvent stores, for each disruptive event, the propagation times of the changes made
 // while it lasted.
-func (d *Day) recordPerEvent(m *Measured, changes []standin.Change, dayStart time.Time) {
+func (d *Day) recordPerEvent(m *Measured, changes []fakeserver.Change, dayStart time.Time) {
 	for i, e := range d.Events {
 		if e.Action == "heal" || e.Action == "start" {
 			continue
@@ -572,7 +572,7 @@
 			}
 		}
 		part := Measured{Costs: map[string]float64{}}
-		var in []standin.Change
+		var in []fakeserver.Change
 		for k := range changes {
 			if hour := 24 * changes[k].At.Sub(dayStart).Seconds() / d.Duration.Seconds(); hour >= d.Events[i].Hour && hour < to {
 				in = append(in, changes[k])
@@ -587,7 +587,7 @@
 
 // recordChangeTimes stores how long changes took to reach 50, 99 and 100 per cent of the
 // subscribers: the median over all changes, and the maximum.
-func (m *Measured) recordChangeTimes(changes []standin.Change) {
+func (m *Measured) recordChangeTimes(changes []fakeserver.Change) {
 	shares := map[string]float64{"force50": 0.5, "force99": 0.99, "force100": 1}
 	times := map[string][]float64{}
 	for i := range changes {
--- a/internal/experiment/scale_test.go
+++ b/internal/experiment/scale_test.go
@@ -17,8 +17,8 @@
 
 	"gorselink/internal/capacity"
 	"gorselink/internal/discovery"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/hollow"
-	"gorselink/internal/standin"
 	"gorselink/internal/tomlfile"
 )
 
@@ -63,13 +63,13 @@
 
 // testSidecar is a real or a hollow sidecar with its own registry.
 type testSidecar struct {
-	registry *standin.Registry
+	registry *fakeserver.Registry
 	path     string
 	addrs    *strings.Replacer // replaces the registry's addresses with names that both sidecars share
 }
 
-func newTestSidecar(t *testing.T, name string, lists [][]standin.Entry) *testSidecar {
-	r, err := standin.StartRegistry("127.0.0.1", lists)
+func newTestSidecar(t *testing.T, name string, lists [][]fakeserver.Entry) *testSidecar {
+	r, err := fakeserver.StartRegistry("127.0.0.1", lists)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,18 +122,18 @@
 	t.Parallel()
 	const services = 3
 	path := buildProgram(t)
-	var endpoints [services][]*standin.Node
-	lists := make([][]standin.Entry, services)
+	var endpoints [services][]*fakeserver.Node
+	lists := make([][]fakeserver.Entry, services)
 	for s := range services {
 		for e := range 4 {
-			n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprintf("s%d-%d", s, e), Cores: 8})
+			n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprintf("s%d-%d", s, e), Cores: 8})
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(n.Close)
 			endpoints[s] = append(endpoints[s], n)
 			if e < 3 {
-				lists[s] = append(lists[s], standin.NewEntry(n, "in_service"))
+				lists[s] = append(lists[s], fakeserver.NewEntry(n, "in_service"))
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 		index := 0
 		for _, w := range sidecars {
 			var err error
-			if index, err = w.registry.Update(list, standin.NewEntry(endpoints[list][node], status)); err != nil {
+			if index, err = w.registry.Update(list, fakeserver.NewEntry(endpoints[list][node], status)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -447,9 +447,9 @@
 		{Hour: 3, Action: "stop", Location: "zone-1"}, {Hour: 6, Action: "start", Location: "zone-1"}, {Hour: 20, Action: "weather", Location: "zone-2"},
 	}}
 	dayStart := time.Unix(1000, 0)
-	var changes []standin.Change
+	var changes []fakeserver.Change
 	for hour, ms := range map[int]int{1: 900, 2: 20, 3: 30, 4: 40, 5: 50, 6: 800, 23: 7} {
-		changes = append(changes, standin.Change{At: dayStart.Add(time.Duration(hour) * time.Second), Delays: []time.Duration{time.Millisecond, time.Duration(ms) * time.Millisecond}})
+		changes = append(changes, fakeserver.Change{At: dayStart.Add(time.Duration(hour) * time.Second), Delays: []time.Duration{time.Millisecond, time.Duration(ms) * time.Millisecond}})
 	}
 	m := &Measured{Costs: map[string]float64{}}
 	d.recordPerEvent(m, changes, dayStart)
--- a/internal/standin/node.go
+++ b/internal/fakeserver/node.go
@@ -1,7 +1,7 @@
-// Package standin has fakes of the systems that the program talks to: nodes with
+// Package fakeserver has fakes of the systems that the program talks to: nodes with
 // configurable failures, discovery servers and listeners. They listen on loopback
 // addresses, unless a Registry is started on another host.
-package standin
+package fakeserver
 
 import (
 	"bufio"
--- a/internal/standin/standin_test.go
+++ b/internal/fakeserver/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"encoding/json"
--- a/internal/fleet/accept_test.go
+++ b/internal/fleet/accept_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"gorselink/internal/acceptloop"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // readyController is a Controller that is ready and supports no other operation.
@@ -20,8 +20,8 @@
 
 // The console answers a request after any transient error of accept.
 func TestConsoleAcceptContinuesAfterTransientErrors(t *testing.T) {
-	for _, errno := range standin.TransientAcceptErrors {
-		l := standin.NewFailingListener(listen(t), errno)
+	for _, errno := range fakeserver.TransientAcceptErrors {
+		l := fakeserver.NewFailingListener(listen(t), errno)
 		s := NewConsole(readyController{})
 		ended := make(chan error, 1)
 		go func() { ended <- s.Serve(NewLimitedListener(l)) }()
@@ -45,13 +45,13 @@
 // A successor can take over after any transient error of accept.
 func TestSuccessorAcceptContinuesAfterTransientErrors(t *testing.T) {
 	front := listen(t).(*net.TCPListener)
-	for _, errno := range standin.TransientAcceptErrors {
+	for _, errno := range fakeserver.TransientAcceptErrors {
 		dir := t.TempDir()
 		inner, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: filepath.Join(dir, socketName), Net: "unixpacket"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := standin.NewFailingListener(inner, errno)
+		l := fakeserver.NewFailingListener(inner, errno)
 		s := &SuccessorListener{listener: acceptloop.Wrap(l), done: make(chan struct{})}
 		ended := make(chan struct{})
 		go func() {
--- a/internal/hollow/role.go
+++ b/internal/hollow/role.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gorselink/internal/discovery"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // Each role of a scale experiment runs in its own process, so that its processor time and
@@ -51,13 +51,13 @@
 
 // Response is the result of a Command.
 type Response struct {
-	Error      string           `json:"error,omitempty"`
-	Addrs      []string         `json:"addrs,omitempty"`
-	Digests    map[int]string   `json:"digests,omitempty"`
-	Digest     string           `json:"digest,omitempty"`
-	Counts     standin.Counts   `json:"counts"`
-	Changes    []standin.Change `json:"changes,omitempty"`
-	DurationNs int64            `json:"took_ns,omitempty"`
+	Error      string              `json:"error,omitempty"`
+	Addrs      []string            `json:"addrs,omitempty"`
+	Digests    map[int]string      `json:"digests,omitempty"`
+	Digest     string              `json:"digest,omitempty"`
+	Counts     fakeserver.Counts   `json:"counts"`
+	Changes    []fakeserver.Change `json:"changes,omitempty"`
+	DurationNs int64               `json:"took_ns,omitempty"`
 }
 
 // Serve executes the commands that it reads from in, as the given role, until in ends.
@@ -134,7 +134,7 @@
 
 // registryRole runs a stand-in registry and tracks the lifecycle of its endpoints.
 type registryRole struct {
-	registry *standin.Registry
+	registry *fakeserver.Registry
 	steps    [][]int // by service and endpoint: the number of edits so far
 }
 
@@ -149,8 +149,8 @@
 
 // registryEntry returns the list entry of an endpoint after a number of edits. Nothing
 // connects to its address.
-func registryEntry(service, endpoint, edits int) standin.Entry {
-	return standin.Entry{
+func registryEntry(service, endpoint, edits int) fakeserver.Entry {
+	return fakeserver.Entry{
 		Name:    fmt.Sprintf("s%03d-%03d", service, endpoint),
 		Address: fmt.Sprintf("127.%d.%d.%d:9", 200+service/250, 1+service%250, 1+endpoint%250),
 		Zone:    fmt.Sprintf("zone-%d", endpoint%7), Status: lifecycle[edits%len(lifecycle)], SinceMs: int64(1000 * (1 + edits/len(lifecycle))),
@@ -167,7 +167,7 @@
 	}
 	switch c.Action {
 	case "serve":
-		lists := make([][]standin.Entry, c.Services)
+		lists := make([][]fakeserver.Entry, c.Services)
 		r.steps = make([][]int, c.Services)
 		for s := range lists {
 			r.steps[s] = make([]int, c.Endpoints)
@@ -177,7 +177,7 @@
 		}
 		r.close()
 		var err error
-		if r.registry, err = standin.StartRegistry(c.Host, lists); err != nil {
+		if r.registry, err = fakeserver.StartRegistry(c.Host, lists); err != nil {
 			return nil, err
 		}
 		response.Addrs = r.registry.Addrs()
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -5,18 +5,18 @@
 	"net"
 	"testing"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // The server accepts a connection after each error that accept can fail with.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
 	server := NewServer(nil, 8, Timeouts{})
-	for _, errno := range standin.TransientAcceptErrors {
+	for _, errno := range fakeserver.TransientAcceptErrors {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		listener := standin.NewFailingListener(inner, errno)
+		listener := fakeserver.NewFailingListener(inner, errno)
 		serveErr := make(chan error, 1)
 		go func() { serveErr <- server.Serve(listener) }()
 		conn, err := net.Dial("tcp", listener.Addr().String())
--- a/internal/httpserver/begin_test.go
+++ b/internal/httpserver/begin_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // blockAfterReadConn is a connection whose n-th read that returns data does not return
@@ -58,7 +58,7 @@
 	}
 	dialing := func(longBodyBytes int64) func(*testing.T) *disconnectRig {
 		return func(t *testing.T) *disconnectRig {
-			l, err := standin.ListenFull()
+			l, err := fakeserver.ListenFull()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/httpserver/gone_test.go
+++ b/internal/httpserver/gone_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/framing"
 	"gorselink/internal/sock"
-	"gorselink/internal/standin"
 )
 
 // attemptCutoff is how long after the disconnect of its client an attempt may still start.
@@ -201,7 +201,7 @@
 // dialingRig returns a rig whose endpoint accepts connections only once unblock is called.
 func dialingRig(longBodyBytes int64) func(*testing.T) *disconnectRig {
 	return func(t *testing.T) *disconnectRig {
-		l, err := standin.ListenFull()
+		l, err := fakeserver.ListenFull()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -257,7 +257,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(srv.Close)
-	lateListener, err := standin.ListenFull()
+	lateListener, err := fakeserver.ListenFull()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpserver/left_test.go
+++ b/internal/httpserver/left_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"gorselink/internal/discovery"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/pool"
-	"gorselink/internal/standin"
 	"gorselink/internal/upstream"
 )
 
@@ -137,7 +137,7 @@
 		return d
 	}
 	dialing := func(t *testing.T, longBodyBytes int64) *disconnectRig {
-		l, err := standin.ListenFull()
+		l, err := fakeserver.ListenFull()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/httpserver/told_test.go
+++ b/internal/httpserver/told_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/pool"
-	"gorselink/internal/standin"
 )
 
 // A streamed request is forwarded with the caller's whole time limit while part of its body has not
@@ -45,10 +45,10 @@
 				io.Copy(io.Discard, r.Body)
 				io.WriteString(w, "ok")
 			}))
-			var lateListener *standin.FullListener
+			var lateListener *fakeserver.FullListener
 			if c.delayed {
 				var err error
-				if lateListener, err = standin.ListenFull(); err != nil {
+				if lateListener, err = fakeserver.ListenFull(); err != nil {
 					t.Fatal(err)
 				}
 				srv.Listener.Close()
--- a/internal/leaseserver/accept_test.go
+++ b/internal/leaseserver/accept_test.go
@@ -7,19 +7,19 @@
 	"sync"
 	"testing"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/leaseclient"
-	"gorselink/internal/standin"
 )
 
 // The accept loop must continue after every transient accept error.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
 	const cluster = "test"
-	for _, errno := range standin.TransientAcceptErrors {
+	for _, errno := range fakeserver.TransientAcceptErrors {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		failingListener := standin.NewFailingListener(listener, errno)
+		failingListener := fakeserver.NewFailingListener(listener, errno)
 		n := &Node{cfg: Config{ID: 1, Cluster: cluster}, listener: failingListener, log: slog.Default(), done: make(chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // BenchmarkRun runs for two seconds against a stand-in node in the same process. It
@@ -15,7 +15,7 @@
 func BenchmarkRun(b *testing.B) {
 	for _, rate := range []int{1000, 5000, 20000} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			n := startNode(b, standin.NodeConfig{})
+			n := startNode(b, fakeserver.NodeConfig{})
 			var res *Result
 			for b.Loop() {
 				s := testStream(b, fmt.Sprintf("hold %d 2s", rate))
--- a/internal/load/engine_test.go
+++ b/internal/load/engine_test.go
@@ -12,7 +12,7 @@
 	"time"
 	"unsafe"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/traffic"
 )
 
@@ -79,7 +79,7 @@
 func TestWallClockStep(t *testing.T) {
 	for name, step := range map[string]time.Duration{"forward": time.Hour, "backward": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			n := startNode(t, standin.NodeConfig{})
+			n := startNode(t, fakeserver.NodeConfig{})
 			cfg := testConfig(n.Addr(), testStream(t, "hold 200 1s"))
 			cfg.Grace = 2 * time.Second
 			r, err := New(cfg)
@@ -193,9 +193,9 @@
 // and its completion is reported once.
 func TestSeveralTargets(t *testing.T) {
 	var addrs []string
-	var nodes []*standin.Node
+	var nodes []*fakeserver.Node
 	for range 5 {
-		n := startNode(t, standin.NodeConfig{})
+		n := startNode(t, fakeserver.NodeConfig{})
 		nodes, addrs = append(nodes, n), append(addrs, n.Addr())
 	}
 	for _, conns := range []int{3, 50} {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/traffic"
 )
 
@@ -49,9 +49,9 @@
 	return r.Run(context.Background())
 }
 
-func startNode(t testing.TB, cfg standin.NodeConfig) *standin.Node {
+func startNode(t testing.TB, cfg fakeserver.NodeConfig) *fakeserver.Node {
 	t.Helper()
-	n, err := standin.StartNode(cfg)
+	n, err := fakeserver.StartNode(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 // same rate sees only one slow request.
 func TestPauseAppearsInTailLatency(t *testing.T) {
 	const rate, pause = 500, time.Second
-	n := startNode(t, standin.NodeConfig{})
+	n := startNode(t, fakeserver.NodeConfig{})
 	s := testStream(t, "hold 500 4s")
 	var closed []time.Duration
 	var wg sync.WaitGroup
@@ -136,8 +136,8 @@
 		}
 	})
 	start := time.Now()
-	time.AfterFunc(1500*ms, func() { n.SetMode(standin.ModeFreeze) })
-	time.AfterFunc(1500*ms+pause, func() { n.SetMode(standin.ModeServe) })
+	time.AfterFunc(1500*ms, func() { n.SetMode(fakeserver.ModeFreeze) })
+	time.AfterFunc(1500*ms+pause, func() { n.SetMode(fakeserver.ModeServe) })
 	res := runLoad(t, testConfig(n.Addr(), s))
 	wg.Wait()
 	if took := time.Since(start); took > testTimeout/2 {
@@ -192,8 +192,8 @@
 // A target that freezes for good stops neither the schedule nor the run, and costs no
 // memory, because due requests wait in the plan.
 func TestStalledTargetMemory(t *testing.T) {
-	n := startNode(t, standin.NodeConfig{})
-	n.SetMode(standin.ModeFreeze)
+	n := startNode(t, fakeserver.NodeConfig{})
+	n.SetMode(fakeserver.ModeFreeze)
 	s := testStream(t, "hold 50000 4s")
 	s.Budget = 0
 	cfg := testConfig(n.Addr(), s)
@@ -233,10 +233,10 @@
 
 // Each kind of failure has its own outcome, and the run ends.
 func TestOutcomes(t *testing.T) {
-	refusing := startNode(t, standin.NodeConfig{})
+	refusing := startNode(t, fakeserver.NodeConfig{})
 	refusing.Crash()
-	silent := startNode(t, standin.NodeConfig{})
-	silent.SetMode(standin.ModeFreeze)
+	silent := startNode(t, fakeserver.NodeConfig{})
+	silent.SetMode(fakeserver.ModeFreeze)
 	for name, c := range map[string]struct {
 		addr string
 		want Outcome
@@ -318,14 +318,14 @@
 
 // Callers that disconnect are counted, and connections are closed after PerConn requests.
 func TestCallersLeaveAndConnectionLimit(t *testing.T) {
-	n := startNode(t, standin.NodeConfig{Latency: 100 * ms})
+	n := startNode(t, fakeserver.NodeConfig{Latency: 100 * ms})
 	cfg := testConfig(n.Addr(), testStream(t, "hold 200 500ms"))
 	cfg.Client = traffic.Client{LeaveShare: 0.5, LeaveAfter: 20 * ms}
 	res := runLoad(t, cfg)
 	if left := res.Outcomes[LeftEarly]; left < 25 || left > 75 || left+res.Outcomes[OK] != 100 {
 		t.Errorf("outcomes %v, want about half left early", res.Outcomes)
 	}
-	quick := startNode(t, standin.NodeConfig{})
+	quick := startNode(t, fakeserver.NodeConfig{})
 	cfg = testConfig(quick.Addr(), testStream(t, "hold 200 500ms"))
 	cfg.PerConn = 4
 	if res = runLoad(t, cfg); res.Outcomes[OK] != 100 || res.Opened < 25 {
@@ -335,14 +335,14 @@
 
 // A cancelled run returns the results of the requests that were due by then.
 func TestCancelledRunReports(t *testing.T) {
-	n := startNode(t, standin.NodeConfig{})
+	n := startNode(t, fakeserver.NodeConfig{})
 	r, err := New(testConfig(n.Addr(), testStream(t, "hold 200 60s")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 600*ms)
 	defer cancel()
-	freeze := time.AfterFunc(300*ms, func() { n.SetMode(standin.ModeFreeze) })
+	freeze := time.AfterFunc(300*ms, func() { n.SetMode(fakeserver.ModeFreeze) })
 	defer freeze.Stop()
 	res := r.Run(ctx)
 	if res.Outcomes[OK] < 20 || res.Outcomes[Unanswered] < 20 || res.Requests() > 200 {
--- a/internal/load/spec_test.go
+++ b/internal/load/spec_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/trace"
 )
 
@@ -66,9 +66,9 @@
 	n    int
 }
 
-func startObservedNode(t *testing.T) (*standin.Node, *observedRequests) {
+func startObservedNode(t *testing.T) (*fakeserver.Node, *observedRequests) {
 	s := &observedRequests{reqs: map[string]*http.Request{}, body: map[string]int{}, ids: map[string]bool{}}
-	return startNode(t, standin.NodeConfig{Observe: func(req *http.Request, body []byte) {
+	return startNode(t, fakeserver.NodeConfig{Observe: func(req *http.Request, body []byte) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.n++
--- a/internal/load/verdict_test.go
+++ b/internal/load/verdict_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/traffic"
 )
 
@@ -22,11 +22,11 @@
 	}
 	for _, conns := range []int{10, 100} {
 		t.Run(fmt.Sprint(conns), func(t *testing.T) {
-			n := startNode(t, standin.NodeConfig{})
+			n := startNode(t, fakeserver.NodeConfig{})
 			cfg := testConfig(n.Addr(), testStream(t, "hold 500 3s"))
 			cfg.Conns = conns
-			time.AfterFunc(1000*ms, func() { n.SetMode(standin.ModeFreeze) })
-			time.AfterFunc(2000*ms, func() { n.SetMode(standin.ModeServe) })
+			time.AfterFunc(1000*ms, func() { n.SetMode(fakeserver.ModeFreeze) })
+			time.AfterFunc(2000*ms, func() { n.SetMode(fakeserver.ModeServe) })
 			probe := startLatencyProbe()
 			res := runLoad(t, cfg)
 			worst := probe.stopAndWorst()
@@ -66,7 +66,7 @@
 func TestDispatcherStallIsGeneratorDelay(t *testing.T) {
 	for _, conns := range []int{4, 200} {
 		t.Run(fmt.Sprint(conns), func(t *testing.T) {
-			n := startNode(t, standin.NodeConfig{Latency: 5 * ms})
+			n := startNode(t, fakeserver.NodeConfig{Latency: 5 * ms})
 			cfg := testConfig(n.Addr(), testStream(t, "hold 500 1s"))
 			cfg.Conns = conns
 			cfg.Plan = &delayedPlan{Plan: cfg.Plan, delayAt: 200, delay: 300 * ms}
@@ -114,7 +114,7 @@
 			t.Errorf("seed %d: void: %q", seed, v.Void)
 		}
 	}
-	n := startNode(t, standin.NodeConfig{})
+	n := startNode(t, fakeserver.NodeConfig{})
 	for i := range 20 {
 		floor, err := MeasureFloor(context.Background())
 		if err != nil {
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -9,7 +9,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/discovery"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/upstream"
 )
 
@@ -30,7 +30,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			late, err := standin.ListenFull()
+			late, err := fakeserver.ListenFull()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -13,7 +13,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/discovery"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/upstream"
 )
 
@@ -91,7 +91,7 @@
 // Requests whose connection times out are sent once to the other endpoint, including unsafe ones.
 // The first endpoint receives none of them when it accepts connections later.
 func TestConnectTimeoutFailsOver(t *testing.T) {
-	late, err := standin.ListenFull()
+	late, err := fakeserver.ListenFull()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -12,8 +12,8 @@
 
 	"gorselink/balance"
 	"gorselink/internal/discovery"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/framing"
-	"gorselink/internal/standin"
 	"gorselink/internal/upstream"
 )
 
@@ -59,16 +59,16 @@
 }
 
 // newDialerPool starts nodeCount nodes and returns a Pool that connects to them with d.
-func newDialerPool(t *testing.T, d *faultyDialer, nodeCount int) (*Pool, []*standin.Node) {
+func newDialerPool(t *testing.T, d *faultyDialer, nodeCount int) (*Pool, []*fakeserver.Node) {
 	t.Helper()
 	cfg := testConfig()
 	for i := range cfg.Balance.Classes { // long enough for a busy machine
 		cfg.Balance.Classes[i].Deadline, cfg.Balance.Classes[i].LatencyTarget = testTimeout, testTimeout
 	}
 	cfg.Known = discovery.List{Snapshot: true}
-	var servers []*standin.Node
+	var servers []*fakeserver.Node
 	for i := range nodeCount {
-		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("s-", i)})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprint("s-", i)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -9,7 +9,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/discovery"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/upstream"
 )
 
@@ -77,7 +77,7 @@
 // A retired pool accepts only resubmitted requests, until it is reactivated; a full one
 // accepts none.
 func TestSubmitErrors(t *testing.T) {
-	n, err := standin.StartNode(standin.NodeConfig{})
+	n, err := fakeserver.StartNode(fakeserver.NodeConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 	p.Reactivate()
 	check(false, nil)
 	p.SetLimits(Limits{Requests: 1, BodyBytes: 1})
-	n.SetMode(standin.ModeFreeze)
+	n.SetMode(fakeserver.ModeFreeze)
 	done := make(chan Answer)
 	go func() { a, _ := doRequest(t, p, false); done <- a }()
 	// The node also has an idle connection, so the limit of the Pool is reached first.
@@ -112,7 +112,7 @@
 	if after := p.RetryAfter(); after < minRetryAfter || after > maxRetryAfter {
 		t.Errorf("RetryAfter is %v, want it within its bounds", after)
 	}
-	n.SetMode(standin.ModeServe)
+	n.SetMode(fakeserver.ModeServe)
 	if a := <-done; a.Verdict != Served {
 		t.Errorf("answer %+v, want Served", a)
 	}
@@ -125,14 +125,14 @@
 // responses are released.
 func TestNodeErrorIsPassedThrough(t *testing.T) {
 	cfg := testConfig()
-	var servers []*standin.Node
+	var servers []*fakeserver.Node
 	for i := range 2 {
-		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("n-", i)})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprint("n-", i)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
-		n.SetMode(standin.ModeError)
+		n.SetMode(fakeserver.ModeError)
 		servers = append(servers, n)
 		cfg.Known.Endpoints = append(cfg.Known.Endpoints, undatedList(n.Addr()).Endpoints...)
 	}
--- a/internal/pool/told_test.go
+++ b/internal/pool/told_test.go
@@ -14,7 +14,7 @@
 
 	"gorselink/balance"
 	"gorselink/internal/discovery"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/upstream"
 )
 
@@ -123,10 +123,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var endpoint *budgetRecorder
-			var late *standin.FullListener
+			var late *fakeserver.FullListener
 			if c.slowConnect {
 				var err error
-				if late, err = standin.ListenFull(); err != nil {
+				if late, err = fakeserver.ListenFull(); err != nil {
 					t.Fatal(err)
 				}
 				endpoint = newBudgetRecorder(t, late)
@@ -163,7 +163,7 @@
 				}()
 			}
 			if c.retryAfterDialTimeout {
-				other, err := standin.ListenFull()
+				other, err := fakeserver.ListenFull()
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/sidecar/age_test.go
+++ b/internal/sidecar/age_test.go
@@ -5,17 +5,17 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // A successor takes the age of an endpoint from the handover, not from the endpoint's
 // timestamp, whose clock may be wrong.
 func TestHandoverPreservesEndpointAges(t *testing.T) {
 	const clockLag = time.Hour // of the clock behind the timestamps
-	entry := func(name string, since time.Time) standin.Entry {
-		return standin.Entry{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: "in_service", SinceMs: since.UnixMilli()}
+	entry := func(name string, since time.Time) fakeserver.Entry {
+		return fakeserver.Entry{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: "in_service", SinceMs: since.UnixMilli()}
 	}
-	agent, err := standin.StartAgent(entry("s-1", time.Now().Add(-3*clockLag)))
+	agent, err := fakeserver.StartAgent(entry("s-1", time.Now().Add(-3*clockLag)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/answers_test.go
+++ b/internal/sidecar/answers_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"gorselink/internal/config"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // responseSlack is how long after its budget a request's final response may arrive before
@@ -270,7 +270,7 @@
 	configPath   string
 	sidecar      *sidecarInstance
 	endpoints    []*faultyEndpoint
-	agent        *standin.Agent
+	agent        *fakeserver.Agent
 	stop         chan struct{}          // closed at the end of the test
 	clientsDone  chan struct{}          // closed once all clients have finished
 	bodyPadding  string                 // follows the id in response bodies
@@ -338,7 +338,7 @@
 
 // newScenario starts healthy endpoints and a discovery agent that lists them. The first
 // endpoints use the listeners in late, which accept no connections until they are opened.
-func newScenario(t *testing.T, name string, late ...*standin.FullListener) *scenario {
+func newScenario(t *testing.T, name string, late ...*fakeserver.FullListener) *scenario {
 	t.Helper()
 	lag, err := machineLag()
 	if err != nil {
@@ -346,7 +346,7 @@
 	}
 	s := &scenario{t: t, name: name, lag: lag, stop: make(chan struct{}), clientsDone: make(chan struct{}), runCounts: map[string]int{}, maxBudgets: map[string]time.Duration{}}
 	t.Cleanup(func() { close(s.stop) })
-	var list []standin.Entry
+	var list []fakeserver.Entry
 	for i := range scenarioEndpoints {
 		var e *faultyEndpoint
 		if i < len(late) { // accepting here would let connections complete
@@ -360,9 +360,9 @@
 		}
 		t.Cleanup(func() { e.Close() })
 		s.endpoints = append(s.endpoints, e)
-		list = append(list, standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: e.Addr().String(), Zone: "a", Status: "in_service"})
+		list = append(list, fakeserver.Entry{Name: fmt.Sprintf("s-%d", i), Address: e.Addr().String(), Zone: "a", Status: "in_service"})
 	}
-	if s.agent, err = standin.StartAgent(list...); err != nil {
+	if s.agent, err = fakeserver.StartAgent(list...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.agent.Close)
@@ -418,14 +418,14 @@
 }
 
 // entry returns the discovery entry of endpoint i.
-func (s *scenario) entry(i int, status string) standin.Entry {
-	return standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: s.endpoints[i].Addr().String(), Zone: "a", Status: status}
+func (s *scenario) entry(i int, status string) fakeserver.Entry {
+	return fakeserver.Entry{Name: fmt.Sprintf("s-%d", i), Address: s.endpoints[i].Addr().String(), Zone: "a", Status: status}
 }
 
 // openLateEndpoint lets the late endpoint i accept connections.
 func (s *scenario) openLateEndpoint(i int) {
 	e := s.endpoints[i]
-	if err := e.Listener.(*standin.FullListener).Unblock(); err != nil {
+	if err := e.Listener.(*fakeserver.FullListener).Unblock(); err != nil {
 		s.t.Errorf("%s: %v", s.name, err)
 	}
 	go e.accept()
--- a/internal/sidecar/everyanswer_test.go
+++ b/internal/sidecar/everyanswer_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // faultCase is a fault to inject while the clients of a scenario send requests.
@@ -177,17 +177,17 @@
 }
 
 // lateListeners opens the late listeners of all cases concurrently, because each takes a while.
-func lateListeners(t *testing.T, all []faultCase) [][]*standin.FullListener {
+func lateListeners(t *testing.T, all []faultCase) [][]*fakeserver.FullListener {
 	t.Helper()
-	listeners := make([][]*standin.FullListener, len(all))
+	listeners := make([][]*fakeserver.FullListener, len(all))
 	errs := make(chan error, len(all)*scenarioEndpoints)
 	var opening sync.WaitGroup
 	for i, tr := range all {
-		listeners[i] = make([]*standin.FullListener, tr.lateEndpoints)
+		listeners[i] = make([]*fakeserver.FullListener, tr.lateEndpoints)
 		for k := range listeners[i] {
 			opening.Go(func() {
 				var err error
-				if listeners[i][k], err = standin.ListenFull(); err != nil {
+				if listeners[i][k], err = fakeserver.ListenFull(); err != nil {
 					errs <- err
 				}
 			})
--- a/internal/sidecar/growth_test.go
+++ b/internal/sidecar/growth_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // resourceUsage is the resource usage of one sidecar during a test run.
@@ -66,23 +66,23 @@
 func measureSidecar(t *testing.T, endpoints, sidecars int) (usage resourceUsage) {
 	t.Helper()
 	const processes, duration, changes = 16, 1200 * time.Millisecond, 8
-	var nodes []*standin.Node
+	var nodes []*fakeserver.Node
 	for range processes {
-		n, err := standin.StartNode(standin.NodeConfig{Latency: 5 * time.Millisecond})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Latency: 5 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
 		nodes = append(nodes, n)
 	}
-	entry := func(i int) standin.Entry {
-		return standin.Entry{Name: fmt.Sprintf("s-%08x", i), Address: nodes[i%processes].Addr(), Zone: "a", Group: i / 8, Status: "in_service"}
+	entry := func(i int) fakeserver.Entry {
+		return fakeserver.Entry{Name: fmt.Sprintf("s-%08x", i), Address: nodes[i%processes].Addr(), Zone: "a", Group: i / 8, Status: "in_service"}
 	}
-	var list []standin.Entry
+	var list []fakeserver.Entry
 	for i := range endpoints {
 		list = append(list, entry(i))
 	}
-	registry, err := standin.StartRegistry("127.0.0.1", [][]standin.Entry{list})
+	registry, err := fakeserver.StartRegistry("127.0.0.1", [][]fakeserver.Entry{list})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/level_test.go
+++ b/internal/sidecar/level_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"gorselink/internal/discovery"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // The memory of a sidecar stays bounded while ids, connections, endpoints and classes change
@@ -26,13 +26,13 @@
 // garbage. A leak of connection buffers or request bodies would exceed this.
 func TestMemoryBoundedUnderChurn(t *testing.T) {
 	var served atomic.Int64 // unlike standin.Node, does not store request ids
-	var list []standin.Entry
+	var list []fakeserver.Entry
 	for i := range 3 {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { served.Add(1) }))
 		t.Cleanup(node.Close)
-		list = append(list, standin.Entry{Name: fmt.Sprintf("s-%d", i), Address: serverAddr(node), Zone: "a", Status: string(discovery.InService)})
+		list = append(list, fakeserver.Entry{Name: fmt.Sprintf("s-%d", i), Address: serverAddr(node), Zone: "a", Status: string(discovery.InService)})
 	}
-	agent, err := standin.StartAgent(list...)
+	agent, err := fakeserver.StartAgent(list...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/production_test.go
+++ b/internal/sidecar/production_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/fleet"
-	"gorselink/internal/standin"
 )
 
 // startClients starts n clients of all classes in the group all. They send requests with the
@@ -189,14 +189,14 @@
 	t.Parallel()
 	s := newScenario(t, "rapid reloads")
 	s.startSidecar(0)
-	agents := []*standin.Agent{s.agent}
+	agents := []*fakeserver.Agent{s.agent}
 	for _, status := range []string{"in_service", "terminating"} {
-		var list []standin.Entry
+		var list []fakeserver.Entry
 		for i := range s.endpoints {
 			list = append(list, s.entry(i, "in_service"))
 		}
 		list[0].Status = status
-		a, err := standin.StartAgent(list...)
+		a, err := fakeserver.StartAgent(list...)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/refused_test.go
+++ b/internal/sidecar/refused_test.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // filteredChildEnv makes the test binary run as a sidecar with a system call filter.
@@ -88,7 +88,7 @@
 // process can take over from it.
 func TestServesWithFilteredSyscalls(t *testing.T) {
 	long := string(bytes.Repeat([]byte("x"), 3<<20))
-	node, err := standin.StartNode(standin.NodeConfig{Name: "s-1"})
+	node, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: "s-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/thrift_test.go
+++ b/internal/sidecar/thrift_test.go
@@ -8,14 +8,14 @@
 	"time"
 
 	"gorselink/internal/config"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/upstream"
 )
 
 // A burst opens many connections to an endpoint. Connections that are idle afterwards are closed
 // before the configured idle timeout, because other sidecars need the endpoint's capacity.
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	node, err := standin.StartNode(standin.NodeConfig{Name: "s-1", Latency: 100 * time.Millisecond})
+	node, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: "s-1", Latency: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/broken_test.go
+++ b/internal/upstream/broken_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // failingConn is a connection with short reads that fails after some reads or writes.
@@ -94,8 +94,8 @@
 	}
 	resourceErrnos := []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
 	bytesInHead, bytesInBody := len("HTTP/1.1 200"), 1000
-	node, err := standin.StartNode(standin.NodeConfig{Answer: func(*http.Request, []byte) standin.Answer {
-		return standin.Answer{Body: strings.Repeat("x", 2*bytesInBody)}
+	node, err := fakeserver.StartNode(fakeserver.NodeConfig{Answer: func(*http.Request, []byte) fakeserver.Answer {
+		return fakeserver.Answer{Body: strings.Repeat("x", 2*bytesInBody)}
 	}})
 	if err != nil {
 		t.Fatal(err)
--- a/scripts/faultinject/main.go
+++ b/scripts/faultinject/main.go
@@ -27,7 +27,7 @@
 	"syscall"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 // injections lists the errors for each system call and the invocations that fail, in the
@@ -169,9 +169,9 @@
 	return result, nil
 }
 
-func startNodes() (all []*standin.Node, err error) {
+func startNodes() (all []*fakeserver.Node, err error) {
 	for i := range endpointCount {
-		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("endpoint-", i), Work: serviceTime})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprint("endpoint-", i), Work: serviceTime})
 		if err != nil {
 			return all, err
 		}
@@ -182,7 +182,7 @@
 
 // configText returns the configuration of the program. The short idle timeout makes it open
 // many connections to endpoints.
-func configText(addr string, nodes []*standin.Node) string {
+func configText(addr string, nodes []*fakeserver.Node) string {
 	var list []string
 	for _, n := range nodes {
 		list = append(list, fmt.Sprintf("%q", n.Addr()))
@@ -299,7 +299,7 @@
 }
 
 // countRepeatedPosts counts the POSTs that endpoints executed more than once.
-func (c *trialResult) countRepeatedPosts(nodes []*standin.Node) {
+func (c *trialResult) countRepeatedPosts(nodes []*fakeserver.Node) {
 	runs := map[string]int{}
 	for _, n := range nodes {
 		for id, k := range n.RunsByID() {
--- a/scripts/idle/main.go
+++ b/scripts/idle/main.go
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 )
 
 func main() {
@@ -53,11 +53,11 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var list []standin.Entry
+	var list []fakeserver.Entry
 	for i := range endpoints {
-		list = append(list, standin.Entry{Name: fmt.Sprint("e", i), Address: "127.0.0.1:1", Zone: "a", Status: "in_service"})
+		list = append(list, fakeserver.Entry{Name: fmt.Sprint("e", i), Address: "127.0.0.1:1", Zone: "a", Status: "in_service"})
 	}
-	agent, err := standin.StartAgent(list...)
+	agent, err := fakeserver.StartAgent(list...)
 	if err != nil {
 		return err
 	}
