--- a/internal/httpserver/body.go
+++ b/internal/httpserver/body.go
@@ -9,7 +9,7 @@
 
 	"gorselink/internal/framing"
 	"gorselink/internal/limit"
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 )
 
 var (
@@ -210,9 +210,9 @@
 	}
 	state := b.conn.peer.State()
 	switch {
-	case state == sock.Closed:
+	case state == socketstate.Closed:
 		return 0, errCallerLeft
-	case b.rest.complete(err) && (state == sock.DataPending || b.conn.in.Buffered() > 0):
+	case b.rest.complete(err) && (state == socketstate.DataPending || b.conn.in.Buffered() > 0):
 		// Unexpected bytes may hide that the caller has closed its connection.
 		return 0, errUnexpectedBytes
 	}
--- a/internal/httpserver/caller.go
+++ b/internal/httpserver/caller.go
@@ -18,7 +18,7 @@
 	"gorselink/internal/framing"
 	"gorselink/internal/pool"
 	"gorselink/internal/ring"
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 	"gorselink/internal/upstream"
 )
 
@@ -79,8 +79,8 @@
 	conn            net.Conn
 	paced           pacedReader   // reads from conn
 	in              *bufio.Reader // reads from paced
-	socket          *sock.Peeker
-	peer            *sock.Poller
+	socket          *socketstate.Peeker
+	peer            *socketstate.Poller
 	acceptedAt      time.Time
 	closeSignal     chan struct{} // receives a value when the connection is asked to close
 	rejectionsInRow int           // since a pool last took a request
@@ -125,8 +125,8 @@
 		req:         Request{CallerIP: callerIP},
 		server:      s,
 		conn:        nc,
-		socket:      sock.NewPeeker(nc),
-		peer:        sock.NewPoller(nc),
+		socket:      socketstate.NewPeeker(nc),
+		peer:        socketstate.NewPoller(nc),
 		acceptedAt:  time.Now(),
 		closeSignal: make(chan struct{}, 1),
 		callerLeft:  make(chan bool, 1),
@@ -193,7 +193,7 @@
 	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if resp.write(c.conn, c.req.Method, false) == nil {
 		closeWrite(c.conn)
-		sock.Discard(c.conn, make([]byte, 4<<10)) // unread input would make the close a reset
+		socketstate.Discard(c.conn, make([]byte, 4<<10)) // unread input would make the close a reset
 	}
 }
 
@@ -228,7 +228,7 @@
 			// A request may have arrived just before the deadline. It must be served,
 			// but a read after the deadline does not return it.
 			c.conn.SetReadDeadline(time.Now().Add(finalReadTimeout))
-			if !sock.HasPendingData(c.conn) {
+			if !socketstate.HasPendingData(c.conn) {
 				return false
 			}
 			_, err := c.in.Peek(1)
@@ -382,7 +382,7 @@
 		left = <-c.callerLeft
 	}
 	c.watchStarted = false
-	if unwatched && c.socket.State() == sock.DataPending {
+	if unwatched && c.socket.State() == socketstate.DataPending {
 		c.earlyBytes.Store(true)
 	}
 	c.pool, c.request = nil, nil // an idle connection holds no body
@@ -468,9 +468,9 @@
 // Left implements pool.Caller.
 func (c *callerConn) Disconnected() bool {
 	switch c.peer.State() {
-	case sock.Closed:
+	case socketstate.Closed:
 		return true
-	case sock.DataPending:
+	case socketstate.DataPending:
 		return !c.streamsBody && c.leftAfterEarlyBytes()
 	}
 	return false
@@ -491,7 +491,7 @@
 func (c *callerConn) leftAfterEarlyBytes() bool {
 	for range maxDiscardRounds {
 		discarded, requestOpen := c.discardEarlyBytes()
-		if !requestOpen || c.peer.State() == sock.Closed {
+		if !requestOpen || c.peer.State() == socketstate.Closed {
 			return true
 		}
 		if discarded < closeVisibleBytes {
@@ -512,7 +512,7 @@
 	}
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
-	if discarded = sock.Discard(c.conn, *buf); discarded > 0 {
+	if discarded = socketstate.Discard(c.conn, *buf); discarded > 0 {
 		c.earlyBytes.Store(true)
 	}
 	return discarded, true
@@ -541,7 +541,7 @@
 			return
 		case <-tick.C:
 		}
-		if c.peer.State() == sock.Closed {
+		if c.peer.State() == socketstate.Closed {
 			r.Outgoing.Upload.Abort()
 			p.Withdraw(r)
 			return
@@ -552,7 +552,7 @@
 // bodyEndPending reports whether the end of the body has certainly not arrived, because
 // no unread input is waiting. Unread input could include the end.
 func (c *callerConn) bodyEndPending() bool {
-	return c.in.Buffered() == 0 && !sock.HasPendingData(c.conn)
+	return c.in.Buffered() == 0 && !socketstate.HasPendingData(c.conn)
 }
 
 // maxReroutes bounds how often a request is routed again because its pool was replaced
@@ -660,7 +660,7 @@
 		k, err := c.in.Read(*buf)
 		n += k
 		if err != nil {
-			sock.Discard(c.conn, *buf) // unread input would make the close a reset and lose the response
+			socketstate.Discard(c.conn, *buf) // unread input would make the close a reset and lose the response
 			return
 		}
 	}
@@ -674,7 +674,7 @@
 // lose the response.
 func (c *callerConn) respond(req *Request, resp response, keepAlive bool) bool {
 	keepAlive = keepAlive && !req.Close && req.Minor > 0 && c.in.Buffered() == 0 && !c.shouldCloseIdle()
-	early := !keepAlive && (c.earlyBytes.Load() || c.in.Buffered() > 0 || c.peer.State() == sock.DataPending)
+	early := !keepAlive && (c.earlyBytes.Load() || c.in.Buffered() > 0 || c.peer.State() == socketstate.DataPending)
 	if c.write(resp, req.Method, keepAlive) != nil {
 		return false
 	}
--- a/internal/httpserver/callers.go
+++ b/internal/httpserver/callers.go
@@ -14,7 +14,7 @@
 
 	"gorselink/internal/acceptloop"
 	"gorselink/internal/ring"
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 )
 
 // Server holds the connections of callers, up to a maximum. At the maximum it closes a
@@ -124,7 +124,7 @@
 func (s *Server) evictionCandidate() *callerConn {
 	for st := range stateActive {
 		for e := s.conns[st].Front(); e != nil; e = s.conns[st].Next(e) {
-			if !e.Value.closeRequested && (st == stateRejected || st == stateReading || !sock.HasPendingData(e.Value.conn)) {
+			if !e.Value.closeRequested && (st == stateRejected || st == stateReading || !socketstate.HasPendingData(e.Value.conn)) {
 				return e.Value
 			}
 		}
@@ -152,7 +152,7 @@
 	unavailable := response{status: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter}
 	if unavailable.write(nc, "", false) == nil {
 		closeWrite(nc)
-		sock.Discard(nc, *buf) // unread input would make the close a reset and lose the response
+		socketstate.Discard(nc, *buf) // unread input would make the close a reset and lose the response
 	}
 }
 
--- a/internal/httpserver/close_test.go
+++ b/internal/httpserver/close_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 )
 
 // Whatever closes a connection, a request that has been read gets a complete response. A caller
@@ -247,7 +247,7 @@
 // as with a slow caller, so a reset would lose the response.
 func awaitPeerClose(t *testing.T, conn net.Conn) net.Conn {
 	t.Helper()
-	eventually(t, "the server closes the connection", func() bool { return sock.NewPoller(conn).State() == sock.Closed })
+	eventually(t, "the server closes the connection", func() bool { return socketstate.NewPoller(conn).State() == socketstate.Closed })
 	return conn
 }
 
--- a/internal/httpserver/crossing_test.go
+++ b/internal/httpserver/crossing_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 )
 
 // blockBeforeReadConn is a connection whose n-th read does not start until release is closed. It
@@ -60,7 +60,7 @@
 	g.readErr = os.ErrDeadlineExceeded
 	<-g.blocked
 	io.WriteString(c, viewRequest(""))
-	eventually(t, "the request is pending", func() bool { return sock.HasPendingData(g.TCPConn) })
+	eventually(t, "the request is pending", func() bool { return socketstate.HasPendingData(g.TCPConn) })
 	close(g.release)
 	if status, _, err := readResponse(bufio.NewReader(c)); status != 200 {
 		t.Errorf("status %d, error %v, want 200", status, err)
@@ -98,7 +98,7 @@
 			if c.blockAtRead == 0 {
 				<-routing
 			} else if c.rest != "" {
-				eventually(t, "the rest of the request is pending", func() bool { return sock.HasPendingData(g.TCPConn) })
+				eventually(t, "the rest of the request is pending", func() bool { return socketstate.HasPendingData(g.TCPConn) })
 			}
 			second := r.dial(t)
 			if c.want == 200 { // no connection is evicted, and the new one is refused
@@ -151,7 +151,7 @@
 	eventually(t, "the rest of the request is pending and the others are being read", func() bool {
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
-		return sock.HasPendingData(g.TCPConn) && r.server.conns[stateReading].Len() == 3
+		return socketstate.HasPendingData(g.TCPConn) && r.server.conns[stateReading].Len() == 3
 	})
 	start := time.Now()
 	r.server.StopReading()
--- a/internal/httpserver/gone_test.go
+++ b/internal/httpserver/gone_test.go
@@ -15,7 +15,7 @@
 
 	"gorselink/internal/fakeserver"
 	"gorselink/internal/framing"
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 )
 
 // attemptCutoff is how long after the disconnect of its client an attempt may still start.
@@ -335,7 +335,7 @@
 			caller.in.Discard(len(head))
 			if c.disconnects {
 				client.Close()
-				eventually(t, "the disconnect is visible", func() bool { return caller.peer.State() == sock.Closed })
+				eventually(t, "the disconnect is visible", func() bool { return caller.peer.State() == socketstate.Closed })
 			}
 			body := &checkedBody{caller, &bodyReader{in: caller.in, head: &caller.req.Head, maxBytes: 1 << 20}}
 			if got, err := io.ReadAll(body); !errors.Is(err, c.want) || err == nil && string(got) != "body" {
--- a/internal/sidecar/crossing_test.go
+++ b/internal/sidecar/crossing_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 )
 
 // startWithHungEndpoint starts a sidecar with the given deadline and an endpoint that does not
@@ -97,7 +97,7 @@
 	eventually(t, "both connections are accepted", func() bool { return p.server.OpenConns() == len(conns) })
 	p.finish(t)
 	for i, c := range conns {
-		if !sock.HasPendingData(c) { // must be sent before the exit
+		if !socketstate.HasPendingData(c) { // must be sent before the exit
 			t.Errorf("partial request %d: no response before the process exited", i)
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/sock/look.go
+++ b/internal/socketstate/look.go
@@ -1,5 +1,5 @@
-// Package sock checks the state of sockets without blocking.
-package sock
+// Package socketstate checks the state of sockets without blocking.
+package socketstate
 
 import (
 	"net"
--- a/internal/sock/presence.go
+++ b/internal/socketstate/presence.go
@@ -1,4 +1,4 @@
-package sock
+package socketstate
 
 import (
 	"net"
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -7,7 +7,7 @@
 
 	"gorselink/internal/framing"
 	"gorselink/internal/ring"
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 )
 
 // conn is a connection to an endpoint.
@@ -20,7 +20,7 @@
 	idleSince       time.Time        // of the last check-in; zero before
 	idleLink        ring.Link[*conn] // element of Pool.idle
 	responseHead    framing.Head     // last head; a Response may keep its fields
-	peeker          *sock.Peeker
+	peeker          *socketstate.Peeker
 
 	// While a response is being received, each read extends the read deadline to stallTimeout
 	// from now, at most to responseDeadline. 0 disables this.
@@ -44,7 +44,7 @@
 	c := &conn{
 		Conn:   netConn,
 		target: t,
-		peeker: sock.NewPeeker(netConn),
+		peeker: socketstate.NewPeeker(netConn),
 	}
 	c.reader = bufio.NewReaderSize(c, framing.MaxHeadBytes)
 	c.idleLink.Value = c
@@ -64,5 +64,5 @@
 // reusable reports whether an idle connection is open and has received nothing. A closed
 // connection would reset the next request, and stray data would be read as its response.
 func (c *conn) reusable() bool {
-	return c.reader.Buffered() == 0 && c.peeker.State() == sock.Idle
+	return c.reader.Buffered() == 0 && c.peeker.State() == socketstate.Idle
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -14,7 +14,7 @@
 
 	"gorselink/internal/limit"
 	"gorselink/internal/ring"
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 )
 
 // Config holds the settings of a Pool.
@@ -273,7 +273,7 @@
 
 // noteStrayData records stray data on an idle connection that is given up. p.mu must be held.
 func (p *Pool) noteStrayData(c *conn) {
-	if p.cfg.ReuseDelay > 0 && (c.reader.Buffered() > 0 || c.peeker.State() == sock.DataPending) {
+	if p.cfg.ReuseDelay > 0 && (c.reader.Buffered() > 0 || c.peeker.State() == socketstate.DataPending) {
 		p.strayUntil = time.Now().Add(strayDataPeriod)
 	}
 }
