--- a/internal/httpserver/caller.go
+++ b/internal/httpserver/caller.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"gorselink/internal/framing"
+	"gorselink/internal/linkedlist"
 	"gorselink/internal/pool"
-	"gorselink/internal/ring"
 	"gorselink/internal/socketstate"
 	"gorselink/internal/upstream"
 )
@@ -105,7 +105,7 @@
 	reply        chan pool.Answer
 
 	state connState // guarded by server.mu, as are the fields below
-	entry ring.Link[*callerConn]
+	entry linkedlist.Link[*callerConn]
 
 	// closeRequested is set by requestClose; closeHandled is closed when the state
 	// changes.
--- a/internal/httpserver/callers.go
+++ b/internal/httpserver/callers.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gorselink/internal/acceptloop"
-	"gorselink/internal/ring"
+	"gorselink/internal/linkedlist"
 	"gorselink/internal/socketstate"
 )
 
@@ -29,13 +29,13 @@
 	mu               sync.Mutex
 	maxConns         int
 	openConns        int
-	conns            [stateCount]ring.List[*callerConn] // by state, the longest in that state first
-	draining         bool                               // connections close once no request is open on them
-	closeIdle        bool                               // connections that have served a request close when idle
-	handover         Handover                           // takes over connections without an open request; nil for none
-	responseDeadline time.Time                          // every response is due by then; zero for none
-	readingStopped   bool                               // no further requests are read
-	drained          chan struct{}                      // receives a value when draining and no connection is left
+	conns            [stateCount]linkedlist.List[*callerConn] // by state, the longest in that state first
+	draining         bool                                     // connections close once no request is open on them
+	closeIdle        bool                                     // connections that have served a request close when idle
+	handover         Handover                                 // takes over connections without an open request; nil for none
+	responseDeadline time.Time                                // every response is due by then; zero for none
+	readingStopped   bool                                     // no further requests are read
+	drained          chan struct{}                            // receives a value when draining and no connection is left
 }
 
 // connState is what a caller's connection is used for.
--- a/internal/ring/ring.go
+++ b/internal/linkedlist/ring.go
@@ -1,6 +1,6 @@
-// Package ring provides intrusive doubly linked lists: the links are part of the elements. Unlike
+// Package linkedlist provides intrusive doubly linked lists: the links are part of the elements. Unlike
 // container/list, adding an element does not allocate.
-package ring
+package linkedlist
 
 // Link is an element's position in a list. It can be in one list at a time. The owner of the
 // element sets Value once.
--- a/internal/ring/ring_test.go
+++ b/internal/linkedlist/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package linkedlist
 
 import (
 	"math/rand/v2"
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"gorselink/internal/framing"
-	"gorselink/internal/ring"
+	"gorselink/internal/linkedlist"
 	"gorselink/internal/socketstate"
 )
 
@@ -15,11 +15,11 @@
 	net.Conn
 	target          *target
 	reader          *bufio.Reader
-	writeBuf        []byte           // request being sent
-	responseStarted bool             // the response to the current request has started
-	idleSince       time.Time        // of the last check-in; zero before
-	idleLink        ring.Link[*conn] // element of Pool.idle
-	responseHead    framing.Head     // last head; a Response may keep its fields
+	writeBuf        []byte                 // request being sent
+	responseStarted bool                   // the response to the current request has started
+	idleSince       time.Time              // of the last check-in; zero before
+	idleLink        linkedlist.Link[*conn] // element of Pool.idle
+	responseHead    framing.Head           // last head; a Response may keep its fields
 	peeker          *socketstate.Peeker
 
 	// While a response is being received, each read extends the read deadline to stallTimeout
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gorselink/internal/limit"
-	"gorselink/internal/ring"
+	"gorselink/internal/linkedlist"
 	"gorselink/internal/socketstate"
 )
 
@@ -90,8 +90,8 @@
 	reuseWaits atomic.Int64 // attempts that waited for the reuse delay
 	mu         sync.Mutex
 	targets    map[string]*target
-	idle       ring.List[*conn] // least recently used first
-	open       int              // connections, including those being dialled
+	idle       linkedlist.List[*conn] // least recently used first
+	open       int                    // connections, including those being dialled
 	closed     bool
 	strayUntil time.Time // until then endpoints are known to send stray data
 	staleUntil time.Time // until then idle connections may have been closed unnoticed
