--- a/internal/framing/framing.go
+++ b/internal/http1/framing.go
@@ -1,11 +1,11 @@
-// Package framing parses the heads of HTTP/1.1 messages and rejects every head that can
+// Package http1 parses the heads of HTTP/1.1 messages and rejects every head that can
 // be read in two ways.
 //
 // net/http repairs ambiguous heads, for example by ignoring Content-Length beside
 // Transfer-Encoding. If two programs repair a message differently, one message can hide
 // in the body of another (request smuggling). Heads of requests and responses are
 // therefore parsed strictly, and what is forwarded is what was checked.
-package framing
+package http1
 
 import (
 	"bufio"
--- a/internal/framing/head_test.go
+++ b/internal/http1/head_test.go
@@ -1,4 +1,4 @@
-package framing
+package http1
 
 import (
 	"bufio"
--- a/internal/httpserver/body.go
+++ b/internal/httpserver/body.go
@@ -7,7 +7,7 @@
 	"io"
 	"net/http/httputil"
 
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/limit"
 	"gorselink/internal/socketstate"
 )
@@ -74,7 +74,7 @@
 // which there is no memory is left to be streamed if memory.canStream is set, and is an
 // error otherwise. Short bodies have a budget of their own, which long ones cannot
 // exhaust.
-func readBody(in *bufio.Reader, head *framing.Head, memory bodyMemory, maxBytes int64) (*requestBody, error) {
+func readBody(in *bufio.Reader, head *http1.Head, memory bodyMemory, maxBytes int64) (*requestBody, error) {
 	if !memory.canStream {
 		maxBytes = min(maxBytes, memory.maxHeld())
 	}
@@ -152,7 +152,7 @@
 // bodyReader reads the body announced by head while it arrives.
 type bodyReader struct {
 	in       *bufio.Reader
-	head     *framing.Head
+	head     *http1.Head
 	maxBytes int64
 	chunked  io.Reader
 	received int64 // bytes
@@ -178,7 +178,7 @@
 			return 0, fmt.Errorf("%w: more than %d bytes", errBodyTooLong, r.maxBytes)
 		}
 		if err == io.EOF {
-			if err = framing.SkipTrailers(r.in); err == nil {
+			if err = http1.SkipTrailers(r.in); err == nil {
 				return n, io.EOF
 			}
 		}
--- a/internal/httpserver/caller.go
+++ b/internal/httpserver/caller.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/linkedlist"
 	"gorselink/internal/pool"
 	"gorselink/internal/socketstate"
@@ -133,7 +133,7 @@
 		reply:       make(chan pool.Answer, 1),
 	}
 	c.paced.conn = nc
-	c.in = bufio.NewReaderSize(&c.paced, framing.MaxHeadBytes)
+	c.in = bufio.NewReaderSize(&c.paced, http1.MaxHeadBytes)
 	c.entry.Value = c
 	c.watchTimer = time.AfterFunc(time.Hour, c.watchCaller)
 	c.watchTimer.Stop()
@@ -245,10 +245,10 @@
 func (c *callerConn) serveRequest(deadline time.Time) (served, keepAlive bool) {
 	c.setState(stateReading, deadline)
 	c.mayHaveRun = false
-	head, err := framing.PeekHead(c.in)
+	head, err := http1.PeekHead(c.in)
 	if err != nil {
 		switch {
-		case errors.Is(err, framing.ErrHeadTooLong):
+		case errors.Is(err, http1.ErrHeadTooLong):
 			c.reject(http.StatusRequestHeaderFieldsTooLarge, err)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.reject(http.StatusRequestTimeout, errors.New("the request head did not arrive in time"))
--- a/internal/httpserver/gone_test.go
+++ b/internal/httpserver/gone_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"gorselink/internal/fakeserver"
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/socketstate"
 )
 
@@ -325,7 +325,7 @@
 			defer serverConn.Close()
 			caller := newCallerConn(NewServer(nil, 1, Timeouts{}), serverConn)
 			fmt.Fprintf(client, "POST /pay HTTP/1.1\r\nHost: x\r\n%s\r\n\r\n%s%s", c.framingField, c.text, c.extra)
-			head, err := framing.PeekHead(caller.in)
+			head, err := http1.PeekHead(caller.in)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/httpserver/judge.go
+++ b/internal/httpserver/judge.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 )
@@ -19,7 +19,7 @@
 
 // Request is the head of a request and the address of its caller.
 type Request struct {
-	framing.Head
+	http1.Head
 	CallerIP string // empty unless it is forwarded
 }
 
--- a/internal/httpserver/platform.go
+++ b/internal/httpserver/platform.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 )
@@ -152,7 +152,7 @@
 		Method:        req.Method,
 		URI:           uri,
 		Host:          host,
-		Fields:        make(framing.Fields, 0, len(req.Fields)+extraFields),
+		Fields:        make(http1.Fields, 0, len(req.Fields)+extraFields),
 		NonIdempotent: semantics == balance.Unsafe,
 	}
 	for _, f := range req.Fields {
--- a/internal/httpserver/routed.go
+++ b/internal/httpserver/routed.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/pool"
 	"gorselink/route"
 )
@@ -217,11 +217,11 @@
 	p.Upstream = outgoingRequest(rr.req, rr.uri, rr.host, semantics, 2)
 	if !rr.PlatformForm {
 		// The id is generated here: one from outside could be another request's.
-		p.Upstream.Fields = slices.DeleteFunc(p.Upstream.Fields, func(f framing.Field) bool { return strings.EqualFold(f.Name, "X-Call-Id") })
+		p.Upstream.Fields = slices.DeleteFunc(p.Upstream.Fields, func(f http1.Field) bool { return strings.EqualFold(f.Name, "X-Call-Id") })
 		p.callID, p.generatedID = newCallID(), true
-		p.Upstream.Fields = append(p.Upstream.Fields, framing.Field{Name: "X-Call-Id", Value: p.callID})
+		p.Upstream.Fields = append(p.Upstream.Fields, http1.Field{Name: "X-Call-Id", Value: p.callID})
 		if addr := rr.req.CallerIP; addr != "" {
-			p.Upstream.Fields = append(p.Upstream.Fields, framing.Field{Name: "X-Forwarded-For", Value: addr})
+			p.Upstream.Fields = append(p.Upstream.Fields, http1.Field{Name: "X-Forwarded-For", Value: addr})
 		}
 	}
 	return p, nil
--- a/internal/httpserver/routed_test.go
+++ b/internal/httpserver/routed_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/limit"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
@@ -46,7 +46,7 @@
 }
 
 func parseHead(text string) (*Request, error) {
-	raw, err := framing.PeekHead(bufio.NewReaderSize(strings.NewReader(text), framing.MaxHeadBytes))
+	raw, err := http1.PeekHead(bufio.NewReaderSize(strings.NewReader(text), http1.MaxHeadBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -181,12 +181,12 @@
 		{"many chunks, no memory left", 100 + 128<<10, 1 << 20, "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("c", 4096)+"\r\n", 60) + "0\r\n\r\n", "", errNoBodyMemory},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			in := bufio.NewReaderSize(strings.NewReader("POST / HTTP/1.1\r\nHost: x\r\n"+c.text), framing.MaxHeadBytes)
-			raw, err := framing.PeekHead(in)
+			in := bufio.NewReaderSize(strings.NewReader("POST / HTTP/1.1\r\nHost: x\r\n"+c.text), http1.MaxHeadBytes)
+			raw, err := http1.PeekHead(in)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var h framing.Head
+			var h http1.Head
 			if err := h.ParseRequest(raw); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/load/lane.go
+++ b/internal/load/lane.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/traffic"
 )
 
@@ -27,7 +27,7 @@
 	conn      net.Conn
 	reader    *bufio.Reader
 	head      []byte // head of the current request
-	response  framing.Head
+	response  http1.Head
 	requests  int           // requests sent on this connection
 	reusable  bool          // the last response allows another request on the connection
 	idleSince time.Duration // when the last attempt ended
@@ -247,7 +247,7 @@
 	s.conn, s.requests = c, 0
 	s.r.opened.Add(1)
 	if s.reader == nil {
-		s.reader = bufio.NewReaderSize(c, framing.MaxHeadBytes)
+		s.reader = bufio.NewReaderSize(c, http1.MaxHeadBytes)
 	} else {
 		s.reader.Reset(c)
 	}
@@ -279,7 +279,7 @@
 		s.conn.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	}
 	for interim := 0; ; interim++ {
-		raw, headErr := framing.PeekHead(s.reader)
+		raw, headErr := http1.PeekHead(s.reader)
 		if headErr != nil {
 			if err != nil {
 				headErr = err
@@ -306,7 +306,7 @@
 }
 
 // readBody reads a response body and reports whether the connection ended with it.
-func (s *sender) readBody(h *framing.Head, method string) (n int64, connEnded bool, err error) {
+func (s *sender) readBody(h *http1.Head, method string) (n int64, connEnded bool, err error) {
 	if method == http.MethodHead || h.Status == http.StatusNoContent || h.Status == http.StatusNotModified {
 		return 0, false, nil
 	}
@@ -324,7 +324,7 @@
 	case n > maxResponseBytes:
 		return n, false, errors.New("response body over 64 MiB")
 	case h.Chunked:
-		return n, false, framing.SkipTrailers(s.reader)
+		return n, false, http1.SkipTrailers(s.reader)
 	case h.Length >= 0 && n < h.Length:
 		return n, false, io.ErrUnexpectedEOF
 	}
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -13,7 +13,7 @@
 	"gorselink/balance"
 	"gorselink/internal/discovery"
 	"gorselink/internal/fakeserver"
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/upstream"
 )
 
@@ -93,7 +93,7 @@
 	}
 	r := &Request{
 		Class: class, Tenant: -1, Budget: testTimeout,
-		Outgoing: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: framing.Fields{{Name: "X-Call-Id", Value: callID}}},
+		Outgoing: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: http1.Fields{{Name: "X-Call-Id", Value: callID}}},
 	}
 	if err := p.Submit(r); err != nil {
 		t.Error(err)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/limit"
 )
 
@@ -24,7 +24,7 @@
 	Method        string
 	URI           string // path and query as received from the caller
 	Host          string
-	Fields        framing.Fields // hop-by-hop fields are not sent; never modified
+	Fields        http1.Fields // hop-by-hop fields are not sent; never modified
 	Body          []byte
 	Upload        *Upload // replaces Body if it is not nil
 	NonIdempotent bool    // must not be executed twice, so it cannot be retried after a reset
@@ -43,7 +43,7 @@
 // receive. Whoever gets a Response must release it.
 type Response struct {
 	Status    int
-	Fields    framing.Fields
+	Fields    http1.Fields
 	Body      []byte
 	Remaining *BodyStream // nil if Body is complete
 
@@ -334,7 +334,7 @@
 type invalidResponseError struct{ error }
 
 // readHead reads the head of the final response and skips interim responses.
-func (c *conn) readHead(deadline time.Time) (*framing.Head, error) {
+func (c *conn) readHead(deadline time.Time) (*http1.Head, error) {
 	c.responseStarted = false
 	for range maxInterimResponses + 1 {
 		if _, err := c.reader.Peek(1); err != nil {
@@ -347,8 +347,8 @@
 		if b, err := c.reader.Peek(len(protocolPrefix)); err == nil && string(b) != protocolPrefix {
 			return nil, invalidResponseError{fmt.Errorf("invalid response: starts with %q, want an HTTP/1 status line", b)}
 		}
-		raw, err := framing.PeekHead(c.reader)
-		if errors.Is(err, framing.ErrHeadTooLong) {
+		raw, err := http1.PeekHead(c.reader)
+		if errors.Is(err, http1.ErrHeadTooLong) {
 			return nil, invalidResponseError{err}
 		}
 		if err != nil {
@@ -383,7 +383,7 @@
 }
 
 // isRejection reports whether the endpoint rejected the request without executing it.
-func isRejection(h *framing.Head) bool {
+func isRejection(h *http1.Head) bool {
 	return (h.Status == http.StatusServiceUnavailable || h.Status == http.StatusGatewayTimeout) &&
 		h.Fields.Get("X-Rejected") == "1"
 }
@@ -424,13 +424,13 @@
 
 // hasNoBody reports whether a response has no body regardless of its length fields (RFC 9112,
 // section 6.3).
-func hasNoBody(h *framing.Head, method string) bool {
+func hasNoBody(h *http1.Head, method string) bool {
 	return method == http.MethodHead || h.Status == http.StatusNoContent || h.Status == http.StatusNotModified
 }
 
 // readBody reads the complete body of a response. The caller must release memory, also after
 // an error.
-func (c *conn) readBody(h *framing.Head, method string) (data []byte, memory limit.Reservation, err error) {
+func (c *conn) readBody(h *http1.Head, method string) (data []byte, memory limit.Reservation, err error) {
 	if h.Length == 0 || hasNoBody(h, method) {
 		return nil, memory, nil
 	}
@@ -466,7 +466,7 @@
 	read := func(sizeLimit int) error {
 		_, err := body.ReadFrom(io.LimitReader(in, int64(sizeLimit+1-body.Len())))
 		if err == nil && body.Len() <= sizeLimit && chunked {
-			err = framing.SkipTrailers(c.reader)
+			err = http1.SkipTrailers(c.reader)
 		}
 		if err != nil {
 			return unsizedBodyError(err, chunked)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 	"gorselink/internal/linkedlist"
 	"gorselink/internal/socketstate"
 )
@@ -19,7 +19,7 @@
 	responseStarted bool                   // the response to the current request has started
 	idleSince       time.Time              // of the last check-in; zero before
 	idleLink        linkedlist.Link[*conn] // element of Pool.idle
-	responseHead    framing.Head           // last head; a Response may keep its fields
+	responseHead    http1.Head             // last head; a Response may keep its fields
 	peeker          *socketstate.Peeker
 
 	// While a response is being received, each read extends the read deadline to stallTimeout
@@ -46,7 +46,7 @@
 		target: t,
 		peeker: socketstate.NewPeeker(netConn),
 	}
-	c.reader = bufio.NewReaderSize(c, framing.MaxHeadBytes)
+	c.reader = bufio.NewReaderSize(c, http1.MaxHeadBytes)
 	c.idleLink.Value = c
 	return c
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
 )
 
 // streamStallTimeout bounds a pause inside a streamed response. It is long, because a streamed
@@ -36,7 +36,7 @@
 // startStream returns a response whose body is too long to be buffered as a stream. For a body
 // of known length up to SmallResponseBytes it reads nothing and returns nil; a shorter one of
 // unknown length is returned complete.
-func (c *conn) startStream(h *framing.Head) (resp *Response, reusable bool, err error) {
+func (c *conn) startStream(h *http1.Head) (resp *Response, reusable bool, err error) {
 	maxBytes := c.target.pool.cfg.MaxStreamBytes
 	if h.Length > maxBytes {
 		return nil, false, invalidResponseError{fmt.Errorf("response body too long: %d bytes, limit %d", h.Length, maxBytes)}
@@ -63,7 +63,7 @@
 		n, err := s.reader.Read(body[len(body):min(cap(body), SmallResponseBytes)])
 		body = body[:len(body)+n]
 		if err == io.EOF && h.Chunked {
-			if err = framing.SkipTrailers(c.reader); err == nil {
+			if err = http1.SkipTrailers(c.reader); err == nil {
 				err = io.EOF
 			}
 		}
@@ -119,7 +119,7 @@
 	case s.Length >= 0:
 		err = io.ErrUnexpectedEOF // the connection was closed inside the body
 	case s.chunked:
-		if err = framing.SkipTrailers(s.conn.reader); err == nil {
+		if err = http1.SkipTrailers(s.conn.reader); err == nil {
 			s.complete, err = true, io.EOF
 		}
 	default:
