--- a/internal/limit/bytes.go
+++ b/internal/bytebudget/bytes.go
@@ -1,5 +1,5 @@
-// Package limit bounds the memory that is in use at once.
-package limit
+// Package bytebudget bounds the memory that is in use at once.
+package bytebudget
 
 import "sync/atomic"
 
--- a/internal/limit/bytes_test.go
+++ b/internal/bytebudget/bytes_test.go
@@ -1,4 +1,4 @@
-package limit
+package bytebudget
 
 import (
 	"sync"
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"gorselink/balance"
+	"gorselink/internal/bytebudget"
 	"gorselink/internal/clock"
 	"gorselink/internal/discovery"
-	"gorselink/internal/limit"
 	"gorselink/internal/upstream"
 )
 
@@ -45,8 +45,8 @@
 	conns      *upstream.Pool
 	clock      clock.Clock
 	start      time.Time // Balancer time 0
-	bodies     limit.Bytes
-	longBodies limit.Bytes
+	bodies     bytebudget.Bytes
+	longBodies bytebudget.Bytes
 
 	maxRequests  atomic.Int64 // Limits.Requests
 	openRequests atomic.Int64 // requests between Submit and Done
@@ -195,11 +195,11 @@
 func (p *Pool) Conns() *upstream.Pool { return p.conns }
 
 // Bodies returns the memory budget for request bodies.
-func (p *Pool) Bodies() *limit.Bytes { return &p.bodies }
+func (p *Pool) Bodies() *bytebudget.Bytes { return &p.bodies }
 
 // LongBodies returns the memory budget for request bodies over 64 KiB. If its total is 0 they
 // share the budget of Bodies.
-func (p *Pool) LongBodies() *limit.Bytes { return &p.longBodies }
+func (p *Pool) LongBodies() *bytebudget.Bytes { return &p.longBodies }
 
 // Streams reports whether a body that does not fit into the memory budget is streamed to the
 // node.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"gorselink/balance"
+	"gorselink/internal/bytebudget"
 	"gorselink/internal/http1"
-	"gorselink/internal/limit"
 )
 
 // Request is the request that an attempt sends to an endpoint.
@@ -51,7 +51,7 @@
 	// attempt. It is not the endpoint's latency.
 	LocalDelay time.Duration
 
-	memory limit.Reservation
+	memory bytebudget.Reservation
 }
 
 // Release frees the memory of the response. If the rest of the body was still being received,
@@ -430,7 +430,7 @@
 
 // readBody reads the complete body of a response. The caller must release memory, also after
 // an error.
-func (c *conn) readBody(h *http1.Head, method string) (data []byte, memory limit.Reservation, err error) {
+func (c *conn) readBody(h *http1.Head, method string) (data []byte, memory bytebudget.Reservation, err error) {
 	if h.Length == 0 || hasNoBody(h, method) {
 		return nil, memory, nil
 	}
@@ -457,7 +457,7 @@
 }
 
 // readUnsizedBody reads a body whose length is known only at its end.
-func (c *conn) readUnsizedBody(chunked bool, maxBytes int) (data []byte, memory limit.Reservation, err error) {
+func (c *conn) readUnsizedBody(chunked bool, maxBytes int) (data []byte, memory bytebudget.Reservation, err error) {
 	var body bytes.Buffer
 	var in io.Reader = c.reader
 	if chunked {
--- a/internal/upstream/spool.go
+++ b/internal/upstream/spool.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"gorselink/internal/limit"
+	"gorselink/internal/bytebudget"
 )
 
 // chunkSize is the unit in which read-ahead memory is allocated, in bytes.
@@ -52,7 +52,7 @@
 // it is reserved chunk by chunk, and reading waits for the caller if there is none.
 type readAhead struct {
 	stream *BodyStream
-	memory limit.Reservation
+	memory bytebudget.Reservation
 
 	mu          sync.Mutex
 	changed     sync.Cond // signals data read, data consumed, or an end
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"gorselink/internal/limit"
+	"gorselink/internal/bytebudget"
 	"gorselink/internal/linkedlist"
 	"gorselink/internal/socketstate"
 )
@@ -84,7 +84,7 @@
 type Pool struct {
 	cfg            Config
 	now            func() time.Time // clock for the budgets told to endpoints
-	responseMemory limit.Bytes
+	responseMemory bytebudget.Bytes
 	chunks         chunkPool // for read-ahead and uploads
 
 	reuseWaits atomic.Int64 // attempts that waited for the reuse delay
