--- a/balance/ask_test.go
+++ b/balance/ask_test.go
@@ -7,107 +7,106 @@
 	"time"
 )
 
-// asked is a discovery in virtual time that answers all Balancers of a fleet in turn, and
-// turns a call away that would have to wait for over 2 s.
-type asked struct {
-	f     *fleet
-	each  time.Duration // that a call takes
-	up    func() bool
-	hangs func() bool // while it is down, a call is not refused but given up after 2 s
-	free  time.Duration
-	calls []time.Duration
-	told  []time.Duration // when each Balancer first heard of what is new, 0 before
+// pullDiscovery simulates a discovery service of limited capacity in virtual time. It
+// handles the calls of all Balancers one at a time, and rejects a call that would wait
+// for over 2 s.
+type pullDiscovery struct {
+	fleet         *fleet
+	callDuration  time.Duration // of one call
+	isUp          func() bool
+	hangsWhenDown func() bool // while down, a call times out after 2 s instead of failing at once
+	freeAt        time.Duration
+	calls         []time.Duration
+	notifiedAt    []time.Duration // when each Balancer first received the change; 0 means not yet
 }
 
-// call is one of a Balancer that asks for what is new.
-func (a *asked) call(i int) {
+// call handles a Watch call of Balancer i.
+func (d *pullDiscovery) call(i int) {
 	const limit = 2 * time.Second
-	f := a.f
-	a.calls = append(a.calls, f.now)
-	b := f.at[i]
-	fails := func(after time.Duration) { f.after(after, func() { b.Members(f.now, ListFailed, nil) }) }
+	f := d.fleet
+	d.calls = append(d.calls, f.now)
+	b := f.balancers[i]
+	failAfter := func(after time.Duration) { f.after(after, func() { b.Members(f.now, ListFailed, nil) }) }
 	switch {
-	case !a.up() && a.hangs():
-		fails(limit)
-	case !a.up(), max(a.free, f.now)+a.each > f.now+limit:
-		fails(ms)
+	case !d.isUp() && d.hangsWhenDown():
+		failAfter(limit)
+	case !d.isUp(), max(d.freeAt, f.now)+d.callDuration > f.now+limit:
+		failAfter(ms)
 	default:
-		a.free = max(a.free, f.now) + a.each
-		f.after(a.free-f.now, func() {
-			if a.told[i] == 0 {
-				a.told[i] = f.now
+		d.freeAt = max(d.freeAt, f.now) + d.callDuration
+		f.after(d.freeAt-f.now, func() {
+			if d.notifiedAt[i] == 0 {
+				d.notifiedAt[i] = f.now
 			}
-			b.Members(f.now, Delta, nil) // and watches on
+			b.Members(f.now, Delta, nil)
 		})
 	}
 }
 
-// askedDay plays n Balancers through a discovery that is down, from before they start until
-// a moment that nobody knows, and has room for one call of each in 3 s. A change is there
-// right at its return. It tells when the last of them has heard of it, and the most calls
-// within 100 ms.
-func askedDay(t *testing.T, n int, within time.Duration, seed uint64) (latest time.Duration, calls, most int) {
+// simulateStartWithoutDiscovery starts n Balancers while discovery is down. Once it is
+// up, it has a change for all of them, and capacity for n calls in 3 s. The results are
+// the time until the last Balancer has the change, the number of calls, and the most
+// calls within 100 ms.
+func simulateStartWithoutDiscovery(t *testing.T, n int, watchInterval time.Duration, seed uint64) (latest time.Duration, calls, maxCalls int) {
 	cfg := fleetConfig()
-	cfg.PullDiscovery, cfg.MaxWatchInterval = true, within
+	cfg.PullDiscovery, cfg.MaxWatchInterval = true, watchInterval
 	rng := rand.New(rand.NewPCG(seed, 9))
-	back := 12*time.Second + time.Duration(rng.Int64N(int64(3*time.Second)))
+	upAt := 12*time.Second + time.Duration(rng.Int64N(int64(3*time.Second)))
 	f := newFleet(t, cfg, n, seed)
-	a := &asked{f: f, each: 3 * time.Second / time.Duration(n), told: make([]time.Duration, n)}
-	a.up = func() bool { return f.now >= back }
-	a.hangs = func() bool { return seed%2 == 1 }
-	f.watch = a.call
-	for _, b := range f.at { // as processes start, within a second
-		f.after(time.Duration(rng.Int64N(int64(time.Second))), func() { b.Members(f.now, Cached, ready("w", 3)) })
+	d := &pullDiscovery{fleet: f, callDuration: 3 * time.Second / time.Duration(n), notifiedAt: make([]time.Duration, n)}
+	d.isUp = func() bool { return f.now >= upAt }
+	d.hangsWhenDown = func() bool { return seed%2 == 1 }
+	f.onWatch = d.call
+	for _, b := range f.balancers { // the processes start within a second
+		f.after(time.Duration(rng.Int64N(int64(time.Second))), func() { b.Members(f.now, Cached, readyEndpoints("w", 3)) })
 	}
-	for len(f.events) > 0 && f.events[0].at < back+20*time.Second {
+	for len(f.events) > 0 && f.events[0].at < upAt+20*time.Second {
 		e := heap.Pop(&f.events).(event)
 		f.now = e.at
-		e.do()
+		e.run()
 	}
-	for i, at := range a.told {
+	for i, at := range d.notifiedAt {
 		if at == 0 {
-			t.Fatalf("%d Balancers, seed %d: number %d has not heard 20 s after the return", n, seed, i)
+			t.Fatalf("%d Balancers, seed %d: Balancer %d has not received the change 20 s after the end of the outage", n, seed, i)
 		}
-		latest = max(latest, at-back)
+		latest = max(latest, at-upAt)
 	}
 	first := 0
-	for k, at := range a.calls {
-		for at-a.calls[first] >= 100*ms {
+	for k, at := range d.calls {
+		for at-d.calls[first] >= 100*ms {
 			first++
 		}
-		most = max(most, k-first+1)
+		maxCalls = max(maxCalls, k-first+1)
 	}
-	return latest, len(a.calls), most
+	return latest, len(d.calls), maxCalls
 }
 
-// What discovery has to tell counts as told 6 s after it can be had, whatever call failed
-// before, and at any time by which the settings want a Balancer to ask. Seen to fail where
-// one waited for half of that time after a failure: 17 s later, and more.
-func TestAskedChangeIsToldInSixSeconds(t *testing.T) {
-	const slack = 800 * ms // for a process that does not get to run
+// A change must arrive within 6 s of the end of an outage of discovery, whatever
+// MaxWatchInterval is. A retry delay of half of MaxWatchInterval would exceed that.
+func TestChangeArrivesWithinSixSeconds(t *testing.T) {
+	const slack = 800 * ms // for scheduling delays
 	for _, n := range []int{30, 300} {
-		for _, within := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, time.Hour} {
+		for _, watchInterval := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, time.Hour} {
 			for seed := range uint64(6) {
-				latest, calls, _ := askedDay(t, n, within, seed)
-				t.Logf("%d Balancers, MaxWatchInterval %v, seed %d: %v, %d calls", n, within, seed, latest.Round(ms), calls)
+				latest, calls, _ := simulateStartWithoutDiscovery(t, n, watchInterval, seed)
+				t.Logf("%d Balancers, MaxWatchInterval %v, seed %d: change received %v after the outage, %d calls", n, watchInterval, seed, latest.Round(ms), calls)
 				if latest > 6*time.Second-slack {
-					t.Errorf("%d Balancers, MaxWatchInterval %v, seed %d: told %v after the return, want 6 s less %v", n, within, seed, latest, slack)
+					t.Errorf("%d Balancers, MaxWatchInterval %v, seed %d: change received %v after the outage, want at most 6 s less %v", n, watchInterval, seed, latest, slack)
 				}
 			}
 		}
 	}
 }
 
-// A storm of calls is how a discovery of fixed capacity is kept down. Spread evenly over the
-// longest wait, the calls of n Balancers are n/20 in 100 ms; start and return are all of
-// them at once.
-func TestAskedCallsStaySpread(t *testing.T) {
-	for _, c := range []struct{ n, most int }{{30, 14}, {300, 42}} {
+// Synchronized calls could keep an overloaded discovery service down. The bounds lie
+// between evenly spread calls, n/20 in 100 ms, and all n calls at once.
+func TestDiscoveryCallsAreSpread(t *testing.T) {
+	for _, c := range []struct{ n, maxCalls int }{{30, 14}, {300, 42}} {
 		for seed := range uint64(6) {
-			if _, calls, most := askedDay(t, c.n, 10*time.Second, seed); most > c.most {
-				t.Errorf("%d Balancers, seed %d: %d of %d calls in 100 ms, want %d at most", c.n, seed, most, calls, c.most)
+			if _, calls, got := simulateStartWithoutDiscovery(t, c.n, 10*time.Second, seed); got > c.maxCalls {
+				t.Errorf("%d Balancers, seed %d: %d of %d calls in 100 ms, want at most %d", c.n, seed, got, calls, c.maxCalls)
 			} else {
-				t.Logf("%d Balancers, seed %d: %d of %d calls in 100 ms", c.n, seed, most, calls)
+				t.Logf("%d Balancers, seed %d: %d of %d calls in 100 ms", c.n, seed, got, calls)
 			}
 		}
 	}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,8 +7,7 @@
 	"gorselink/balance"
 )
 
-// printer is the smallest Host: a sidecar would open connections and set
-// timers here.
+// printer is a minimal Host. A sidecar would open connections and set timers here.
 type printer struct{}
 
 func (printer) Send(id balance.RequestID, addr string, timeout time.Duration) {
@@ -35,10 +34,10 @@
 	b.Outcome(30*time.Millisecond, 1, 0, balance.OK, 20*time.Millisecond, true)
 
 	b.Members(40*time.Millisecond, balance.Delta, []balance.Endpoint{{Addr: "10.0.0.1:80", State: balance.Draining}})
-	b.Request(50*time.Millisecond, 2, 0, 0, time.Second) // nothing is ready: held
-	b.Timer(550*time.Millisecond, 2<<3|1)                // the sidecar hands back each token of After
+	b.Request(50*time.Millisecond, 2, 0, 0, time.Second) // held, as no endpoint is ready
+	b.Timer(550*time.Millisecond, 2<<3|1)                // the sidecar returns the token passed to After
 	b.Request(600*time.Millisecond, 1<<59, 0, 0, time.Second)
-	b.Withdrawn(700*time.Millisecond, 1<<59) // the client left: no answer is owed
+	b.Withdrawn(700*time.Millisecond, 1<<59) // the client has left and gets no answer
 	// Output:
 	// send 1 to 10.0.0.1:80 within 1s
 	// refuse 2
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -8,89 +8,87 @@
 	"time"
 )
 
-// chainOf is a chain of tiers that a seed draws: what clients and servers are like, not how
-// much there is of them. Streams are thin, so that most calls need a new connection, which
-// costs a server a third of what a call does.
-func chainOf(t testing.TB, tiers, calls int, seed uint64) *chain {
+// randomChain returns a chain of tiers with random properties of clients and nodes.
+// Request rates are low, so that most calls need a new connection, which costs a node 0.3
+// times as much as a call.
+func randomChain(t testing.TB, tiers, calls int, seed uint64) *tierChain {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	set := chainSettings{
-		fronts: 8, servers: []int{30, 44, 44}[:tiers], calls: calls,
-		thrash: 0.02 * rng.Float64(),
-		again:  1 + rng.IntN(2), honour: 0.3 + 0.5*rng.Float64(), patience: 0.45 + 0.35*rng.Float64(),
+	settings := chainSettings{
+		entryBalancers: 8, nodes: []int{30, 44, 44}[:tiers], calls: calls,
+		slowdownPerTask: 0.02 * rng.Float64(),
+		clientRepeats:   1 + rng.IntN(2), retryAfterShare: 0.3 + 0.5*rng.Float64(), tryTimeoutShare: 0.45 + 0.35*rng.Float64(),
 		classes: []Class{
 			{LatencyTarget: 1750 * ms, Deadline: 3500 * ms, Semantics: Safe, Worth: 1, LateWorth: 0.3},
 			{LatencyTarget: 6 * time.Second, Deadline: 12 * time.Second, Semantics: Keyed, DeduplicationWindow: 15 * time.Second, Scope: ScopeCell, Worth: 4, LateWorth: 0.2},
 			{LatencyTarget: 9800 * ms, Deadline: 19600 * ms, Semantics: Unsafe, Worth: 6, LateWorth: 0.2},
 		},
-		shares: []float64{0.55, 0.3, 0.15},
+		classShares: []float64{0.55, 0.3, 0.15},
 	}
 	perCall := 0.05
 	for range tiers {
-		set.work = append(set.work, perCall)
+		settings.work = append(settings.work, perCall)
 		perCall /= float64(calls)
 	}
-	set.handshake = 0.3 * set.work[tiers-1]
-	return newChain(t, set, seed)
+	settings.handshake = 0.3 * settings.work[tiers-1]
+	return newTierChain(t, settings, seed)
 }
 
-// troubles are what may begin an overload; each is over after so long.
-const troubleFor = 6 * time.Second
+const faultDuration = 6 * time.Second
 
-var troubles = []struct {
+// faults are the possible causes of an overload. Each lasts for faultDuration.
+var faults = []struct {
 	name  string
-	begin func(c *chain, at time.Duration)
+	begin func(c *tierChain, at time.Duration)
 }{
-	{"the last tier is slow", func(c *chain, at time.Duration) {
-		for _, s := range c.tiers[len(c.tiers)-1] {
-			c.front.after(at, func() { s.setCores(0.3) })
-			c.front.after(at+troubleFor, func() { s.setCores(1) })
+	{"the last tier is slow", func(c *tierChain, at time.Duration) {
+		for _, n := range c.tiers[len(c.tiers)-1] {
+			c.entry.after(at, func() { n.setCores(0.3) })
+			c.entry.after(at+faultDuration, func() { n.setCores(1) })
 		}
 	}},
-	{"two in three of the last tier stand still", func(c *chain, at time.Duration) {
-		for i, s := range c.tiers[len(c.tiers)-1] {
+	{"two in three nodes of the last tier stop", func(c *tierChain, at time.Duration) {
+		for i, n := range c.tiers[len(c.tiers)-1] {
 			if i%3 > 0 {
-				c.front.after(at, func() { s.setCores(0) })
-				c.front.after(at+troubleFor, func() { s.setCores(1) })
+				c.entry.after(at, func() { n.setCores(0) })
+				c.entry.after(at+faultDuration, func() { n.setCores(1) })
 			}
 		}
 	}},
-	{"clients ask three times as much", func(c *chain, at time.Duration) {
-		c.front.after(at, func() { c.offered *= 3 })
-		c.front.after(at+troubleFor, func() { c.offered /= 3 })
+	{"clients send three times as many requests", func(c *tierChain, at time.Duration) {
+		c.entry.after(at, func() { c.offeredRate *= 3 })
+		c.entry.after(at+faultDuration, func() { c.offeredRate /= 3 })
 	}},
 }
 
-// A fleet is used to half of what it can do. Something takes that from it for 6 s. Once the
-// cause is over, nine tenths of what was served in calm are served again within 5 s, and
-// in no two seconds of the trouble does a client's request cost over half as many attempts again
-// as in calm. Seen on a day: from the first wave of a release on nothing was served to the
-// day's end, with 8 to 10 attempts a request; see docs/overload.md.
-func TestOverloadEndsByItself(t *testing.T) {
+// An overload must end with its cause: retries must not sustain it. Within 5 s, the
+// served share must return to 0.9 of the share before the fault, and in no 2 s of the
+// fault may there be over 1.5 times the usual attempts per request.
+func TestOverloadEndsWithItsCause(t *testing.T) {
 	const at = 8 * time.Second
 	for _, tiers := range []int{2, 3} {
-		for k, trouble := range troubles {
+		for k, fault := range faults {
 			for _, calls := range []int{1, 2} {
-				t.Run(fmt.Sprintf("%d tiers, %d calls, %s", tiers, calls, trouble.name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d tiers, %d calls, %s", tiers, calls, fault.name), func(t *testing.T) {
 					t.Parallel()
 					for seed := range uint64(4 - tiers) {
-						c := chainOf(t, tiers, calls, seed+10*uint64(k))
-						c.offered = 0.5 * c.capacity()
-						trouble.begin(c, at)
-						c.run(at + troubleFor + 9*time.Second)
-						begin, end := int(at/time.Second), int((at+troubleFor)/time.Second)
-						calm := sum(&c.served, 3, begin) / sum(&c.fresh, 3, begin)
-						after := sum(&c.served, end+5, end+8) / sum(&c.fresh, end+5, end+8)
-						usual, most := sum(&c.attempts, 3, begin)/sum(&c.fresh, 3, begin), 0.0
+						c := randomChain(t, tiers, calls, seed+10*uint64(k))
+						c.offeredRate = 0.5 * c.capacity()
+						fault.begin(c, at)
+						c.run(at + faultDuration + 9*time.Second)
+						begin, end := int(at/time.Second), int((at+faultDuration)/time.Second)
+						before := sumSeconds(&c.served, 3, begin) / sumSeconds(&c.requests, 3, begin)
+						after := sumSeconds(&c.served, end+5, end+8) / sumSeconds(&c.requests, end+5, end+8)
+						usualAttempts, maxAttempts := sumSeconds(&c.attempts, 3, begin)/sumSeconds(&c.requests, 3, begin), 0.0
 						for s := begin; s < end+5; s++ {
-							most = max(most, sum(&c.attempts, s, s+2)/sum(&c.fresh, s, s+2))
+							maxAttempts = max(maxAttempts, sumSeconds(&c.attempts, s, s+2)/sumSeconds(&c.requests, s, s+2))
 						}
-						t.Logf("seed %d: served %.3f in calm, %.3f in trouble, %.3f after; %.2f attempts a request in calm, %.2f in the worst two seconds",
-							seed, calm, sum(&c.served, begin, end)/sum(&c.fresh, begin, end), after, usual, most)
-						if after < 0.9*calm {
-							t.Errorf("seed %d: %.3f served 5 s after the end, want 0.9 of %.3f", seed, after, calm)
+						t.Logf("seed %d: served %.3f before the fault, %.3f during it, %.3f after it; %.2f attempts per request before, at most %.2f in 2 s",
+							seed, before, sumSeconds(&c.served, begin, end)/sumSeconds(&c.requests, begin, end), after, usualAttempts, maxAttempts)
+						if after < 0.9*before {
+							t.Errorf("seed %d: served %.3f from 5 s after the fault, want at least 0.9 of %.3f", seed, after, before)
 						}
-						if most > 1.5*usual {
-							t.Errorf("seed %d: %.2f attempts a request in the worst two seconds, want 1.5 times %.2f at most", seed, most, usual)
+						if maxAttempts > 1.5*usualAttempts {
+							t.Errorf("seed %d: %.2f attempts per request in 2 s, want at most 1.5 times %.2f", seed, maxAttempts, usualAttempts)
 						}
 					}
 				})
@@ -99,28 +97,28 @@
 	}
 }
 
-// Asked for one to four times what they can do from some moment on, tiers serve 0.8 of it. What
-// they can do is reckoned with a new connection for each call.
+// At one to four times their capacity, the tiers must serve 0.8 of it. The capacity
+// assumes a new connection for each call.
 func TestGoodputInOverload(t *testing.T) {
 	for _, tiers := range []int{2, 3} {
 		for _, calls := range []int{1, 2} {
-			for _, times := range []float64{1, 4} {
-				t.Run(fmt.Sprintf("%d tiers, %d calls, %v times", tiers, calls, times), func(t *testing.T) {
+			for _, factor := range []float64{1, 4} {
+				t.Run(fmt.Sprintf("%d tiers, %d calls, %v times the capacity", tiers, calls, factor), func(t *testing.T) {
 					t.Parallel()
 					for seed := range uint64(4 - tiers) {
-						c := chainOf(t, tiers, calls, seed)
-						able, each := math.Inf(1), 1.0
-						for k, n := range c.set.servers {
-							able = min(able, float64(n)/(each*(c.set.work[k]+c.set.handshake)))
-							each *= float64(calls)
+						c := randomChain(t, tiers, calls, seed)
+						capacity, callsPerRequest := math.Inf(1), 1.0
+						for k, n := range c.settings.nodes {
+							capacity = min(capacity, float64(n)/(callsPerRequest*(c.settings.work[k]+c.settings.handshake)))
+							callsPerRequest *= float64(calls)
 						}
-						c.offered = 0.4 * able
-						c.front.after(4*time.Second, func() { c.offered = times * able })
+						c.offeredRate = 0.4 * capacity
+						c.entry.after(4*time.Second, func() { c.offeredRate = factor * capacity })
 						c.run(18 * time.Second)
-						served := sum(&c.served, 8, 16) / 8
-						t.Logf("seed %d: %.0f of %.0f a second served", seed, served, able)
-						if served < 0.8*able {
-							t.Errorf("seed %d: %.0f a second served, want 0.8 of %.0f", seed, served, able)
+						served := sumSeconds(&c.served, 8, 16) / 8
+						t.Logf("seed %d: served %.0f per second at a capacity of %.0f", seed, served, capacity)
+						if served < 0.8*capacity {
+							t.Errorf("seed %d: served %.0f per second, want at least 0.8 of %.0f", seed, served, capacity)
 						}
 					}
 				})
@@ -129,79 +127,78 @@
 	}
 }
 
-// Retries are a share of what is served. Where all attempts fail, in whatever way that may
-// have cost an endpoint anything, a fleet makes no more of them than it had saved up.
-func TestRetriesStayInBounds(t *testing.T) {
+// While all attempts fail, a fleet makes at most as many retries as its Balancers have
+// saved.
+func TestRetriesBoundedByBudget(t *testing.T) {
 	const fleet, perSecond, begin, end = 60, 900.0, 6, 12
 	for _, result := range []Result{Error, Overloaded, Reset, Timeout} {
 		for seed := range uint64(2) {
 			f := newFleet(t, fleetConfig(), fleet, seed)
-			var first, again [chainSpan]int
+			var firstAttempts, retries [maxChainSeconds]int
 			f.answer = func(string, int) (Result, time.Duration) {
 				if f.now >= begin*time.Second && f.now < end*time.Second {
 					return result, 20 * ms
 				}
 				return OK, 60 * ms
 			}
-			f.sent = func(_ string, number int) {
+			f.onSend = func(_ string, number int) {
 				if s := f.now / time.Second; number == 0 {
-					first[s]++
+					firstAttempts[s]++
 				} else {
-					again[s]++
+					retries[s]++
 				}
 			}
-			f.list(Full, ready("w", 60))
+			f.sendList(Full, readyEndpoints("w", 60))
 			f.run(16*time.Second, perSecond, 0, 1500*ms)
 			saved := fleet * max(minRetryBurst, perSecond/fleet*retryBurstWindow.Seconds())
-			t.Logf("result %d, seed %d: %.0f retries of %.0f first tries while all fail, %.0f saved up", result, seed, sum(&again, begin, end), sum(&first, begin, end), saved)
-			if n := sum(&again, begin, end); n > saved {
-				t.Errorf("result %d, seed %d: %.0f retries while nothing is served, want the %.0f that were saved up at most", result, seed, n, saved)
+			t.Logf("result %d, seed %d: %.0f retries of %.0f requests while all attempts fail, %.0f saved", result, seed, sumSeconds(&retries, begin, end), sumSeconds(&firstAttempts, begin, end), saved)
+			if n := sumSeconds(&retries, begin, end); n > saved {
+				t.Errorf("result %d, seed %d: %.0f retries while all attempts fail, want at most the %.0f saved", result, seed, n, saved)
 			}
-			if n := sum(&again, begin, end); result != Timeout && n == 0 {
-				t.Errorf("result %d, seed %d: no retry", result, seed)
+			if n := sumSeconds(&retries, begin, end); result != Timeout && n == 0 {
+				t.Errorf("result %d, seed %d: no retries, want some", result, seed)
 			}
 		}
 	}
 }
 
-// Endpoints that fail by themselves are no overload: one of eight that answers with errors, a
-// tier of which each answer is an error with a chance of two in five, and one whose every
-// answer is an error for a while. Next to no client is turned away at the door for it, though
-// nothing is lost by that in the last case, and all is served right after the end.
-func TestBadEndpointsAreNoOverload(t *testing.T) {
+// Failures without overload must not make the entry refuse requests: one of eight nodes
+// returns errors, 40% of all answers are errors, or all are. After the failures, the
+// served share must return to normal.
+func TestFailingEndpointsAreNotOverload(t *testing.T) {
 	const begin, end = 8, 16
 	for _, c := range []struct {
-		name  string
-		bad   func(c *chain, i int) bool
-		least float64 // of those taken in calm, that come to an attempt in trouble
-		after float64 // served from two seconds after the end on, of what was served in calm
-		load  float64 // of what the tiers can do; clients who come again twice make three of it
+		name         string
+		isFailing    func(c *tierChain, i int) bool
+		minAttempted float64 // lowest share of tries that get an attempt during the failures
+		after        float64 // lowest served share from 2 s after the failures, relative to before
+		load         float64 // relative to the capacity; clients that repeat twice triple it
 	}{
-		{"one of eight", func(_ *chain, i int) bool { return i%8 == 0 }, 0.99, 0.99, 0.4},
-		{"two in five answers", func(c *chain, _ int) bool { return c.front.rng.Float64() < 0.4 }, 0.97, 0.99, 0.3},
-		{"all", func(*chain, int) bool { return true }, 0.9, 0.97, 0.2},
+		{"errors of one node in eight", func(_ *tierChain, i int) bool { return i%8 == 0 }, 0.99, 0.99, 0.4},
+		{"errors in two of five answers", func(c *tierChain, _ int) bool { return c.entry.rng.Float64() < 0.4 }, 0.97, 0.99, 0.3},
+		{"errors in all answers", func(*tierChain, int) bool { return true }, 0.9, 0.97, 0.2},
 	} {
 		for _, tier := range []int{0, 1} {
 			t.Run(fmt.Sprintf("%s, tier %d", c.name, tier), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(3) {
-					w := chainOf(t, 2, 1, seed)
-					w.offered = c.load * w.capacity()
-					for i, s := range w.tiers[tier] {
-						s.bad = func() bool {
-							return w.front.now >= begin*time.Second && w.front.now < end*time.Second && c.bad(w, i)
+					chain := randomChain(t, 2, 1, seed)
+					chain.offeredRate = c.load * chain.capacity()
+					for i, n := range chain.tiers[tier] {
+						n.failing = func() bool {
+							return chain.entry.now >= begin*time.Second && chain.entry.now < end*time.Second && c.isFailing(chain, i)
 						}
 					}
-					w.run((end + 8) * time.Second)
-					refused := sum(&w.refused, begin, end) / sum(&w.tries, begin, end)
-					calm := sum(&w.served, 3, begin) / sum(&w.fresh, 3, begin)
-					after := sum(&w.served, end+2, end+6) / sum(&w.fresh, end+2, end+6)
-					t.Logf("seed %d: %.4f of tries turned away unsent, served %.3f in calm, %.3f in trouble, %.3f after", seed, refused, calm, sum(&w.served, begin, end)/sum(&w.fresh, begin, end), after)
-					if refused > 1-c.least {
-						t.Errorf("seed %d: %.4f of tries turned away unsent, want %.2f at most", seed, refused, 1-c.least)
+					chain.run((end + 8) * time.Second)
+					refused := sumSeconds(&chain.refusedUnsent, begin, end) / sumSeconds(&chain.tries, begin, end)
+					before := sumSeconds(&chain.served, 3, begin) / sumSeconds(&chain.requests, 3, begin)
+					after := sumSeconds(&chain.served, end+2, end+6) / sumSeconds(&chain.requests, end+2, end+6)
+					t.Logf("seed %d: %.4f of tries refused unsent, served %.3f before the failures, %.3f during them, %.3f after them", seed, refused, before, sumSeconds(&chain.served, begin, end)/sumSeconds(&chain.requests, begin, end), after)
+					if refused > 1-c.minAttempted {
+						t.Errorf("seed %d: %.4f of tries refused unsent, want at most %.2f", seed, refused, 1-c.minAttempted)
 					}
-					if after < c.after*calm {
-						t.Errorf("seed %d: %.3f served after the end, want %.2f of %.3f", seed, after, c.after, calm)
+					if after < c.after*before {
+						t.Errorf("seed %d: served %.3f after the failures, want at least %.2f of %.3f", seed, after, c.after, before)
 					}
 				}
 			})
--- a/balance/quiet_test.go
+++ b/balance/quiet_test.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// afterQuiet is what came of a fleet's requests in the seconds after a fault began.
-type afterQuiet struct{ asked, served, attempts int }
+// requestCounts counts requests from the start of a fault on.
+type requestCounts struct{ requests, served, attempts int }
 
-// quietDay plays 20 Balancers before 12 endpoints: traffic, then none at all for quiet, and
-// then traffic again, with which a fault at a third of the endpoints begins. It tells what
-// came of the requests of the 5 s from there on.
-func quietDay(t *testing.T, quiet time.Duration, fault func(addr string) (Result, time.Duration), list []Endpoint, seed uint64) (came afterQuiet) {
-	const warm, after, perSecond, took = 20 * time.Second, 5 * time.Second, 300, 20 * ms
+// simulateIdlePeriod runs 20 Balancers and 12 endpoints with traffic, then idle, then
+// with traffic again. When traffic resumes, a third of the endpoints begins to fail, or
+// the list changes. The result counts the requests of the next 5 s.
+func simulateIdlePeriod(t *testing.T, idle time.Duration, fault func(addr string) (Result, time.Duration), list []Endpoint, seed uint64) (counts requestCounts) {
+	const busyBefore, busyAfter, perSecond, took = 20 * time.Second, 5 * time.Second, 300, 20 * ms
 	f := newFleet(t, fleetConfig(), 20, seed)
-	began, bad := warm+quiet, map[string]bool{"a0": true, "a3": true, "a6": true, "a9": true}
+	faultAt, faulty := busyBefore+idle, map[string]bool{"a0": true, "a3": true, "a6": true, "a9": true}
 	f.answer = func(addr string, _ int) (Result, time.Duration) {
-		if f.now >= began && bad[addr] && fault != nil {
+		if f.now >= faultAt && faulty[addr] && fault != nil {
 			return fault(addr)
 		}
 		return OK, took
 	}
-	f.sent = func(string, int) {
-		if f.now >= began {
-			came.attempts++
+	f.onSend = func(string, int) {
+		if f.now >= faultAt {
+			counts.attempts++
 		}
 	}
-	first := RequestID(0) // of those that are counted
-	f.endedID = func(id RequestID, served bool) {
-		if first > 0 && id >= first && served {
-			came.served++
+	firstCounted := RequestID(0) // first request that is counted
+	f.onEndID = func(id RequestID, served bool) {
+		if firstCounted > 0 && id >= firstCounted && served {
+			counts.served++
 		}
 	}
-	for _, b := range f.at {
-		b.Members(0, Full, ready("a", 12))
+	for _, b := range f.balancers {
+		b.Members(0, Full, readyEndpoints("a", 12))
 	}
 	arrivals := func(from, until time.Duration) {
 		var arrive func()
@@ -44,51 +44,50 @@
 				return
 			}
 			f.lastID++
-			if f.now >= began {
-				came.asked++
-				first = f.lastID - RequestID(came.asked-1)
+			if f.now >= faultAt {
+				counts.requests++
+				firstCounted = f.lastID - RequestID(counts.requests-1)
 			}
-			f.at[f.rng.IntN(len(f.at))].Request(f.now, f.lastID, 0, -1, time.Second)
+			f.balancers[f.rng.IntN(len(f.balancers))].Request(f.now, f.lastID, 0, -1, time.Second)
 			f.after(time.Duration(f.rng.ExpFloat64()/perSecond*float64(time.Second)), arrive)
 		}
 		f.after(from, arrive)
 	}
-	arrivals(0, warm)
-	arrivals(began, began+after)
+	arrivals(0, busyBefore)
+	arrivals(faultAt, faultAt+busyAfter)
 	if list != nil {
-		f.after(began-ms, func() {
+		f.after(faultAt-ms, func() {
 			for i := range list {
 				if list[i].Since != 0 {
 					list[i].Since = f.now
 				}
 			}
-			for _, b := range f.at {
+			for _, b := range f.balancers {
 				b.Members(f.now, Delta, list)
 			}
 		})
 	}
-	for len(f.events) > 0 && f.events[0].at < began+after+2*time.Second {
+	for len(f.events) > 0 && f.events[0].at < faultAt+busyAfter+2*time.Second {
 		e := heap.Pop(&f.events).(event)
 		f.now = e.at
-		e.do()
+		e.run()
 	}
-	return came
+	return counts
 }
 
-// A fault that begins after an hour in which nothing was asked, when all that was learnt has
-// aged, is borne as one in the midst of traffic: as many requests are served, with as few
-// attempts.
-func TestQuietHourBeforeTheFault(t *testing.T) {
+// After an idle hour all measurements are outdated. A fault that begins then must not
+// cost more requests or attempts than one under constant traffic.
+func TestFaultAfterIdleHour(t *testing.T) {
 	answers := func(result Result, took time.Duration) func(string) (Result, time.Duration) {
 		return func(string) (Result, time.Duration) { return result, took }
 	}
-	gone := ready("a", 12)[:4]
-	for i := range gone {
-		gone[i].State = Draining
+	draining := readyEndpoints("a", 12)[:4]
+	for i := range draining {
+		draining[i].State = Draining
 	}
-	fresh := ready("b", 6)
-	for i := range fresh {
-		fresh[i].Since = 1 // as it comes
+	added := readyEndpoints("b", 6)
+	for i := range added {
+		added[i].Since = 1 // replaced by the time of the change
 	}
 	for _, c := range []struct {
 		name  string
@@ -98,29 +97,29 @@
 		{"no fault", nil, nil},
 		{"errors", answers(Error, 5*ms), nil},
 		{"resets", answers(Reset, 5*ms), nil},
-		{"refuses", answers(ConnectError, ms), nil},
-		{"never comes up", answers(ConnectError, 400*ms), nil},
-		{"rejects", answers(Overloaded, ms), nil},
+		{"refuses connections", answers(ConnectError, ms), nil},
+		{"connect timeouts", answers(ConnectError, 400*ms), nil},
+		{"rejects requests", answers(Overloaded, ms), nil},
 		{"hangs", answers(Timeout, time.Hour), nil},
 		{"slow", answers(OK, 200*ms), nil},
-		{"drains", nil, gone},
-		{"new ones join", nil, fresh},
+		{"endpoints drain", nil, draining},
+		{"endpoints are added", nil, added},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			var rested, busy afterQuiet
+			var afterIdle, afterTraffic requestCounts
 			for seed := range uint64(4) {
-				for quiet, sum := range map[time.Duration]*afterQuiet{time.Hour: &rested, 0: &busy} {
-					came := quietDay(t, quiet, c.fault, append([]Endpoint(nil), c.list...), seed)
-					sum.asked, sum.served, sum.attempts = sum.asked+came.asked, sum.served+came.served, sum.attempts+came.attempts
+				for idle, sum := range map[time.Duration]*requestCounts{time.Hour: &afterIdle, 0: &afterTraffic} {
+					counts := simulateIdlePeriod(t, idle, c.fault, append([]Endpoint(nil), c.list...), seed)
+					sum.requests, sum.served, sum.attempts = sum.requests+counts.requests, sum.served+counts.served, sum.attempts+counts.attempts
 				}
 			}
-			share := func(a afterQuiet) float64 { return float64(a.served) / float64(a.asked) }
-			each := func(a afterQuiet) float64 { return float64(a.attempts) / float64(a.asked) }
-			told := fmt.Sprintf("served %.3f after the quiet hour and %.3f without, attempts a request %.3f and %.3f", share(rested), share(busy), each(rested), each(busy))
-			t.Log(told)
-			if share(rested) < share(busy)-0.03 || each(rested) > each(busy)+0.1 {
-				t.Error(told)
+			share := func(a requestCounts) float64 { return float64(a.served) / float64(a.requests) }
+			attemptsPerRequest := func(a requestCounts) float64 { return float64(a.attempts) / float64(a.requests) }
+			message := fmt.Sprintf("served %.3f after the idle hour and %.3f without it, %.3f and %.3f attempts per request (want at most 0.03 less served and 0.1 more attempts)", share(afterIdle), share(afterTraffic), attemptsPerRequest(afterIdle), attemptsPerRequest(afterTraffic))
+			t.Log(message)
+			if share(afterIdle) < share(afterTraffic)-0.03 || attemptsPerRequest(afterIdle) > attemptsPerRequest(afterTraffic)+0.1 {
+				t.Error(message)
 			}
 		})
 	}
--- a/balance/random_test.go
+++ b/balance/random_test.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// checker is a Host that plays servers at random and judges rules 1 to 3 from
-// the actions alone, without looking into the Balancer.
+// checker is a Host that simulates endpoints with random results. It checks the rules for
+// attempts and answers from the calls alone, without access to the state of the Balancer.
 type checker struct {
-	t      *testing.T
-	now    time.Duration
-	rng    *rand.Rand
-	cfg    Config
-	list   map[string]Endpoint
-	reqs   map[RequestID]*watched
-	timers map[uint64]time.Duration
-	trace  []string
+	t         *testing.T
+	now       time.Duration
+	rng       *rand.Rand
+	cfg       Config
+	endpoints map[string]Endpoint
+	requests  map[RequestID]*requestState
+	timers    map[uint64]time.Duration
+	trace     []string
 }
 
-type watched struct {
+// requestState is what the checker knows of a request.
+type requestState struct {
 	class    int
 	deadline time.Duration
 	answered bool
-	tries    []try
+	attempts []attemptState
 }
 
-type try struct {
+type attemptState struct {
 	addr   string
 	sent   time.Duration
-	due    time.Duration
+	endsAt time.Duration
 	done   bool
 	result Result
 }
@@ -42,40 +43,41 @@
 
 func (c *checker) Send(id RequestID, addr string, timeout time.Duration) {
 	c.trace = append(c.trace, fmt.Sprint(c.now, " send ", id, addr))
-	w := c.reqs[id]
+	w := c.requests[id]
 	if w.answered || c.now >= w.deadline {
-		c.errorf("send for ended request %d", id)
+		c.errorf("request %d: attempt sent after its answer or deadline", id)
 	}
-	if c.list[addr].State != Ready {
-		c.errorf("send to %s, which is not ready", addr)
+	if c.endpoints[addr].State != Ready {
+		c.errorf("attempt sent to %s, which is not ready", addr)
 	}
-	if len(w.tries) >= c.cfg.AttemptLimit {
-		c.errorf("request %d: over the attempt limit", id)
+	if len(w.attempts) >= c.cfg.AttemptLimit {
+		c.errorf("request %d: more attempts than AttemptLimit", id)
 	}
 	class := c.cfg.Classes[w.class]
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		if t.done && (t.result == Overloaded || t.result == ConnectError || t.result == NotSent) {
 			continue
 		}
 		if !t.done && !c.cfg.AllowConcurrentAttempts || class.Semantics == Unsafe {
-			c.errorf("request %d: repeated while an attempt may have run", id)
+			c.errorf("request %d: retried although an attempt may have run", id)
 		}
-		if class.Semantics == Keyed && (c.list[t.addr].Cell != c.list[addr].Cell || c.now-t.sent >= class.DeduplicationWindow) {
-			c.errorf("request %d: keyed repeat outside the group or its memory", id)
+		if class.Semantics == Keyed && (c.endpoints[t.addr].Cell != c.endpoints[addr].Cell || c.now-t.sent >= class.DeduplicationWindow) {
+			c.errorf("request %d: keyed retry outside its cell or the deduplication window", id)
 		}
 	}
 	due := c.now + min(timeout, time.Duration(c.rng.IntN(1200))*ms)
-	w.tries = append(w.tries, try{addr: addr, sent: c.now, due: due})
+	w.attempts = append(w.attempts, attemptState{addr: addr, sent: c.now, endsAt: due})
 }
 
-func (c *checker) answer(id RequestID, what string) *watched {
+// answer records the answer to a request.
+func (c *checker) answer(id RequestID, what string) *requestState {
 	c.trace = append(c.trace, fmt.Sprint(c.now, what, id))
-	w := c.reqs[id]
+	w := c.requests[id]
 	if w.answered {
 		c.errorf("request %d: answered twice", id)
 	}
 	if c.now > w.deadline+2*ms {
-		c.errorf("request %d: answered late", id)
+		c.errorf("request %d: answered after its deadline", id)
 	}
 	w.answered = true
 	return w
@@ -83,10 +85,10 @@
 
 func (c *checker) Refuse(id RequestID, _ time.Duration) {
 	w := c.answer(id, " refuse ")
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		ran := !t.done || t.result != Overloaded && t.result != ConnectError && t.result != NotSent
 		if ran && c.cfg.Classes[w.class].Semantics != Safe {
-			c.errorf("request %d: refused though it may have run", id)
+			c.errorf("request %d: refused although it may have run", id)
 		}
 	}
 }
@@ -97,13 +99,13 @@
 	c.timers[token] = c.now + d
 }
 
-// step delivers what is due, in a fixed order.
+// step delivers the results and timers that are due, in a fixed order.
 func (c *checker) step(b *Balancer, last RequestID) {
 	for id := RequestID(1); id <= last; id++ {
-		w := c.reqs[id]
-		for k := range w.tries {
-			t := &w.tries[k]
-			if t.done || t.due > c.now {
+		w := c.requests[id]
+		for k := range w.attempts {
+			t := &w.attempts[k]
+			if t.done || t.endsAt > c.now {
 				continue
 			}
 			t.done = true
@@ -123,12 +125,12 @@
 	}
 }
 
-func randomRun(t *testing.T, seed uint64) []string {
+func runRandomEvents(t *testing.T, seed uint64) []string {
 	cfg := testConfig()
 	cfg.AttemptLimit = 1 + int(seed%3)
 	cfg.Entry = seed%2 == 0
 	cfg.AllowConcurrentAttempts = seed%3 != 0
-	c := &checker{t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, list: map[string]Endpoint{}, reqs: map[RequestID]*watched{}, timers: map[uint64]time.Duration{}}
+	c := &checker{t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: cfg, endpoints: map[string]Endpoint{}, requests: map[RequestID]*requestState{}, timers: map[uint64]time.Duration{}}
 	b, err := New(cfg, seed, c)
 	if err != nil {
 		t.Fatal(err)
@@ -145,17 +147,17 @@
 			if c.rng.IntN(2) == 0 {
 				e.State, e.Since = Ready, c.now
 			}
-			c.list[e.Addr] = e
+			c.endpoints[e.Addr] = e
 			b.Members(c.now, Delta, []Endpoint{e})
 		}
 		if c.rng.IntN(10) == 0 && id > 3 {
-			gone := id - 1 - RequestID(c.rng.IntN(3))
-			c.reqs[gone].answered = true
-			b.Withdrawn(c.now, gone)
+			withdrawn := id - 1 - RequestID(c.rng.IntN(3))
+			c.requests[withdrawn].answered = true
+			b.Withdrawn(c.now, withdrawn)
 		}
 		budget := time.Duration(1+c.rng.IntN(900)) * ms
-		w := &watched{class: c.rng.IntN(len(cfg.Classes)), deadline: c.now + budget}
-		c.reqs[id] = w
+		w := &requestState{class: c.rng.IntN(len(cfg.Classes)), deadline: c.now + budget}
+		c.requests[id] = w
 		b.Request(c.now, id, w.class, 0, budget)
 	}
 	for range 1000 {
@@ -163,19 +165,19 @@
 		c.step(b, requests)
 	}
 	for id := RequestID(1); id <= requests; id++ {
-		if !c.reqs[id].answered {
-			c.errorf("request %d was never answered", id)
+		if !c.requests[id].answered {
+			c.errorf("request %d: no answer", id)
 		}
 	}
 	if len(b.requests) != 0 || b.inFlight != 0 {
-		c.errorf("%d requests and %d attempts left behind", len(b.requests), b.inFlight)
+		c.errorf("%d requests and %d attempts left after the last answer, want none", len(b.requests), b.inFlight)
 	}
 	return c.trace
 }
 
-func TestRandomEventsKeepTheRules(t *testing.T) {
+func TestRandomEventsKeepRules(t *testing.T) {
 	for seed := range uint64(20) {
-		randomRun(t, seed)
+		runRandomEvents(t, seed)
 	}
 }
 
@@ -183,19 +185,19 @@
 	for seed := range uint64(4) {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, seed uint64) { randomRun(t, seed) })
+	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed) })
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a, b := randomRun(t, 7), randomRun(t, 7)
+	a, b := runRandomEvents(t, 7), runRandomEvents(t, 7)
 	if len(a) == 0 || fmt.Sprint(a) != fmt.Sprint(b) {
-		t.Error("two runs of the same events differ")
+		t.Error("two runs with the same events and seed made different calls")
 	}
 }
 
 func benchmarkRequest(b *testing.B, n int) {
 	cfg := testConfig()
-	bal, err := New(cfg, 1, discard{})
+	bal, err := New(cfg, 1, discardHost{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -215,10 +217,10 @@
 func BenchmarkRequest20(b *testing.B)  { benchmarkRequest(b, 20) }
 func BenchmarkRequest500(b *testing.B) { benchmarkRequest(b, 500) }
 
-type discard struct{}
+type discardHost struct{}
 
-func (discard) Send(RequestID, string, time.Duration) {}
-func (discard) Refuse(RequestID, time.Duration)       {}
-func (discard) Fail(RequestID)                        {}
-func (discard) After(time.Duration, uint64)           {}
-func (discard) Watch()                                {}
+func (discardHost) Send(RequestID, string, time.Duration) {}
+func (discardHost) Refuse(RequestID, time.Duration)       {}
+func (discardHost) Fail(RequestID)                        {}
+func (discardHost) After(time.Duration, uint64)           {}
+func (discardHost) Watch()                                {}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -8,149 +8,153 @@
 	"time"
 )
 
-// slowStartSize is a fleet of Balancers before endpoints that warm up.
+// slowStartSize is the size of a fleet.
 type slowStartSize struct {
 	balancers, endpoints int
-	perBalancer          float64 // requests a second, at the peak
-	seeds                uint64
+	perBalancer          float64 // requests per second, after the increase
+	seeds                uint64  // number of runs
 }
 
-// slowStartScenario is what happens to a fleet of any size.
+// slowStartScenario holds the changes and faults of a run, for a fleet of any size. The
+// numbers of endpoints and Balancers are shares of all.
 type slowStartScenario struct {
-	name      string
-	coldShare float64
-	joined    float64 // new endpoints, as a part of those at the beginning
-	replaced  float64 // endpoints that new ones take the place of
-	returned  float64 // endpoints that vanish for some seconds and come back cold at their old names
-	within    time.Duration
-	restarted float64       // Balancers that start from nothing meanwhile
-	listLate  time.Duration // how much later than a new Balancer its first current list comes, at most
-	retuned   bool          // all other Balancers take up settings and a whole list, half of them as a process that takes over
-	clients   bool          // they leave early, and come again as soon as they are rejected; connections break
-	connLate  time.Duration // a third of the attempts arrive later, by as much at most
+	name              string
+	coldShare         float64
+	added             float64       // endpoints added
+	replaced          float64       // endpoints replaced by new ones
+	returned          float64       // endpoints that are unreachable for some seconds and return cold at the same address
+	within            time.Duration // period of the changes
+	restarted         float64       // Balancers that restart without measurements during that period
+	listDelay         time.Duration // longest time from a restart until the current list arrives
+	reconfigured      bool          // all other Balancers get settings and a full list, half of them after Restore in a new process
+	unreliableClients bool          // clients leave early and repeat refused requests at once, and connections are reset
+	connectDelay      time.Duration // longest delay of a connection, for a third of the attempts
 }
 
 const (
-	slowStartBegan = 6 * time.Second
-	slowStartEnd   = 13 * time.Second
-	slowStartRise  = 1.5 // what the traffic rises by as the first endpoint comes
-	slowStartLeave = 0.2 // clients that close their connection within 150 ms
-	slowStartAgain = 4   // times that a client asks again for one request
+	slowStartChangesAt     = 6 * time.Second
+	slowStartEnd           = 13 * time.Second
+	slowStartRateIncrease  = 1.5 // factor on the request rate at slowStartChangesAt
+	slowStartLeaveShare    = 0.2 // share of clients that leave within 150 ms
+	slowStartClientRepeats = 4   // most repeats of a client request
 )
 
-// slowStartServer is an endpoint as it really is: a rate that it can serve, which ramps
-// evenly from the cold share, a bound on what waits, and a count of what arrived.
-type slowStartServer struct {
-	since    time.Duration // its last start, 0 for long ago
-	rate     float64       // requests of mean work a second, when warm
-	free     time.Duration // when all that it accepted is done
-	away     bool          // nobody reaches it
-	arrivals []slowStartArrival
+// slowStartNode simulates an endpoint whose service rate ramps up linearly after a
+// start, with a bounded queue. It records all arrivals.
+type slowStartNode struct {
+	since       time.Duration // last start; 0 means long ago
+	warmRate    float64       // requests per second when warm
+	idleAt      time.Duration // when all accepted requests are completed
+	unreachable bool
+	arrivals    []slowStartArrival
 }
 
 type slowStartArrival struct {
-	at   time.Duration
-	told bool // sent by a Balancer that had been told of the start
+	at       time.Duration
+	informed bool // the Balancer had been informed of the start when it sent the attempt
 }
 
-// share is what a server that warms up has of its capacity.
-func slowStartShare(cfg Config, since, now time.Duration) float64 {
+// slowStartCapacityShare is the share of its capacity that an endpoint has.
+func slowStartCapacityShare(cfg Config, since, now time.Duration) float64 {
 	if since == 0 {
 		return 1
 	}
 	return min(1, cfg.ColdShare+(1-cfg.ColdShare)*(now-since).Seconds()/cfg.RampTime.Seconds())
 }
 
-// slowStartRun is one play of a scenario, and what came of it.
+// slowStartRun is one run of a scenario, with its results.
 type slowStartRun struct {
-	fleet    *fleet
-	cfg      Config
-	set      slowStartScenario
-	size     slowStartSize
-	servers  map[string]*slowStartServer
-	names    []string // of servers, in the order in which they came
-	list     []Endpoint
-	toldAt   map[string][]time.Duration // by address: when each Balancer's agent had the last start
-	messages []slowStartMessage         // by Balancer
-	pending  map[RequestID]func(Result)
-	served   float64 // requests from the first cold endpoint on
-	able     float64 // what all endpoints together could have served of what was asked
-	worst    float64 // arrivals over what makes one fall, where over two thirds had been told
-	what     string
+	fleet      *fleet
+	cfg        Config
+	scenario   slowStartScenario
+	size       slowStartSize
+	nodes      map[string]*slowStartNode
+	names      []string // of nodes, in order of creation
+	list       []Endpoint
+	informedAt map[string][]time.Duration // by address: when each Balancer is informed of the last start
+	updates    []slowStartUpdate          // next update of each Balancer
+	pending    map[RequestID]func(Result) // callbacks of the attempts in flight
+	served     float64                    // requests served from slowStartChangesAt on
+	servable   float64                    // requests that all endpoints together could have served
+	worstRatio float64                    // highest ratio of arrivals to slowStartMaxRequests, see findWorstRatio
+	worstCase  string
 }
 
-func newSlowStartRun(t *testing.T, size slowStartSize, set slowStartScenario, seed uint64) *slowStartRun {
+func newSlowStartRun(t *testing.T, size slowStartSize, scenario slowStartScenario, seed uint64) *slowStartRun {
 	cfg := fleetConfig()
-	cfg.ColdShare = set.coldShare
+	cfg.ColdShare = scenario.coldShare
 	r := &slowStartRun{
-		fleet: newFleet(t, cfg, size.balancers, seed), cfg: cfg, set: set, size: size,
-		servers: map[string]*slowStartServer{}, toldAt: map[string][]time.Duration{}, pending: map[RequestID]func(Result){},
+		fleet: newFleet(t, cfg, size.balancers, seed), cfg: cfg, scenario: scenario, size: size,
+		nodes: map[string]*slowStartNode{}, informedAt: map[string][]time.Duration{}, pending: map[RequestID]func(Result){},
 	}
-	r.messages = make([]slowStartMessage, size.balancers)
-	r.list = ready("w", size.endpoints)
+	r.updates = make([]slowStartUpdate, size.balancers)
+	r.list = readyEndpoints("w", size.endpoints)
 	for i := range r.list {
-		r.add(r.list[i].Addr, i)
+		r.addNode(r.list[i].Addr, i)
 	}
-	r.traffic()
-	r.fleet.callFrom = r.call
-	for _, b := range r.fleet.at {
+	r.setUpTraffic()
+	r.fleet.serveFrom = r.deliver
+	for _, b := range r.fleet.balancers {
 		b.Members(0, Full, r.list)
 	}
 	return r
 }
 
-// rate is what an endpoint of the mean size can do: all of them are asked for it at the peak.
-func (r *slowStartRun) rate() float64 {
+// meanRate is the capacity of an endpoint of mean size. After the increase of the request
+// rate, all warm endpoints are fully used.
+func (r *slowStartRun) meanRate() float64 {
 	return r.size.perBalancer * float64(r.size.balancers) / float64(r.size.endpoints)
 }
 
-func (r *slowStartRun) add(addr string, i int) {
+func (r *slowStartRun) addNode(addr string, i int) {
 	size := []float64{1.1, 1.1, 0.8}[i%3]
-	r.servers[addr] = &slowStartServer{rate: r.rate() * size}
+	r.nodes[addr] = &slowStartNode{warmRate: r.meanRate() * size}
 	r.names = append(r.names, addr)
 }
 
-// traffic is uneven: densities from a half of the mean to over three times, and a rise.
-func (r *slowStartRun) traffic() {
+// setUpTraffic sets the request rates, from half to over three times the mean, and the
+// behaviour of clients.
+func (r *slowStartRun) setUpTraffic() {
 	f, n := r.fleet, r.size.balancers
 	shuffled, chosen := f.rng.Perm(n), 0
-	f.choose = func() int {
+	f.chooseBalancer = func() int {
 		x := f.rng.Float64()
 		chosen = shuffled[int(float64(n)*x*(0.3+0.7*x))]
 		return chosen
 	}
-	f.surge = func() float64 {
-		if f.now < slowStartBegan {
-			return 1 / slowStartRise
+	f.rateFactor = func() float64 {
+		if f.now < slowStartChangesAt {
+			return 1 / slowStartRateIncrease
 		}
 		return 1
 	}
-	again := map[RequestID]int{}
-	f.begun = func(id RequestID) {
-		if r.set.clients && f.rng.Float64() < slowStartLeave {
+	repeats := map[RequestID]int{}
+	f.onBegin = func(id RequestID) {
+		if r.scenario.unreliableClients && f.rng.Float64() < slowStartLeaveShare {
 			from := chosen
-			f.after(time.Duration(f.rng.Int64N(int64(150*ms))), func() { r.leave(from, id) })
+			f.after(time.Duration(f.rng.Int64N(int64(150*ms))), func() { r.withdraw(from, id) })
 		}
 	}
-	f.endedID = func(id RequestID, served bool) {
-		if served && f.now >= slowStartBegan {
+	f.onEndID = func(id RequestID, served bool) {
+		if served && f.now >= slowStartChangesAt {
 			r.served++
 		}
-		tries := again[id]
-		delete(again, id)
-		if r.set.clients && !served && tries < slowStartAgain {
+		number := repeats[id]
+		delete(repeats, id)
+		if r.scenario.unreliableClients && !served && number < slowStartClientRepeats {
 			f.after(10*ms, func() {
 				f.lastID++
-				again[f.lastID] = tries + 1
-				f.at[f.choose()].Request(f.now, f.lastID, 0, -1, 1500*ms)
+				repeats[f.lastID] = number + 1
+				f.balancers[f.chooseBalancer()].Request(f.now, f.lastID, 0, -1, 1500*ms)
 			})
 		}
 	}
 }
 
-// leave closes a client's connection: what is out for it is cancelled.
-func (r *slowStartRun) leave(from int, id RequestID) {
-	if b := r.fleet.at[from]; b.requests[id] != nil {
+// withdraw simulates a client that leaves: its request is withdrawn and the attempt in
+// flight is cancelled.
+func (r *slowStartRun) withdraw(from int, id RequestID) {
+	if b := r.fleet.balancers[from]; b.requests[id] != nil {
 		b.Withdrawn(r.fleet.now, id)
 	}
 	if done := r.pending[id]; done != nil {
@@ -158,9 +162,9 @@
 	}
 }
 
-// call carries an attempt to its server. It counts from the moment in which it began.
-func (r *slowStartRun) call(from int, id RequestID, addr string, timeout time.Duration, done func(Result)) {
-	f, s := r.fleet, r.servers[addr]
+// deliver carries an attempt to its node, where it is recorded as an arrival.
+func (r *slowStartRun) deliver(from int, id RequestID, addr string, timeout time.Duration, done func(Result)) {
+	f, s := r.fleet, r.nodes[addr]
 	sent := f.now
 	ended := false
 	end := func(result Result) {
@@ -172,234 +176,240 @@
 	}
 	r.pending[id] = end
 	f.after(timeout, func() { end(Timeout) })
-	if s.away {
+	if s.unreachable {
 		f.after(150*ms, func() { end(ConnectError) })
 		return
 	}
-	told := s.since == 0 || r.toldAt[addr][from] <= sent
-	late := time.Duration(0)
-	if r.set.connLate > 0 && f.rng.IntN(3) == 0 {
-		late = time.Duration(f.rng.Int64N(int64(r.set.connLate)))
+	informed := s.since == 0 || r.informedAt[addr][from] <= sent
+	delay := time.Duration(0)
+	if r.scenario.connectDelay > 0 && f.rng.IntN(3) == 0 {
+		delay = time.Duration(f.rng.Int64N(int64(r.scenario.connectDelay)))
 	}
-	f.after(late, func() {
-		s.arrivals = append(s.arrivals, slowStartArrival{f.now, told})
+	f.after(delay, func() {
+		s.arrivals = append(s.arrivals, slowStartArrival{f.now, informed})
 		r.serve(s, end)
 	})
 }
 
 const (
-	slowStartSlots = 3        // requests that a server works on side by side
-	slowStartQueue = 400 * ms // of work that may wait at a server
-	slowStartBase  = 40 * ms  // of a request at an idle server
+	slowStartConcurrency  = 3        // requests that a node processes at once
+	slowStartMaxWait      = 400 * ms // longest wait in the queue of a node
+	slowStartBaseDuration = 40 * ms  // duration of a request at an idle node
 )
 
-func (r *slowStartRun) serve(s *slowStartServer, end func(Result)) {
+func (r *slowStartRun) serve(s *slowStartNode, end func(Result)) {
 	f := r.fleet
-	each := time.Duration(float64(time.Second) / (s.rate * slowStartShare(r.cfg, s.since, f.now)))
-	s.free = max(s.free, f.now-slowStartSlots*each) + each
-	waits := max(0, s.free-f.now)
+	duration := time.Duration(float64(time.Second) / (s.warmRate * slowStartCapacityShare(r.cfg, s.since, f.now)))
+	s.idleAt = max(s.idleAt, f.now-slowStartConcurrency*duration) + duration
+	wait := max(0, s.idleAt-f.now)
 	switch {
-	case r.set.clients && f.rng.IntN(20) == 0:
+	case r.scenario.unreliableClients && f.rng.IntN(20) == 0:
 		f.after(2*ms, func() { end(Reset) })
-	case waits > slowStartQueue:
-		s.free -= each
+	case wait > slowStartMaxWait:
+		s.idleAt -= duration
 		f.after(2*ms, func() { end(Overloaded) })
 	default:
-		f.after(slowStartBase+waits, func() { end(OK) })
+		f.after(slowStartBaseDuration+wait, func() { end(OK) })
 	}
 }
 
-// starts makes an endpoint come up cold at a moment, and be told of within a second.
-func (r *slowStartRun) starts(e Endpoint, at time.Duration, gone ...Endpoint) {
+// scheduleStart schedules the cold start of an endpoint. All Balancers are informed
+// within a second.
+func (r *slowStartRun) scheduleStart(e Endpoint, at time.Duration, gone ...Endpoint) {
 	f := r.fleet
 	e.Since = at
 	f.after(at-f.now, func() {
-		s := r.servers[e.Addr]
-		*s = slowStartServer{since: at, rate: s.rate}
+		s := r.nodes[e.Addr]
+		*s = slowStartNode{since: at, warmRate: s.warmRate}
 		r.list = append(slices.DeleteFunc(r.list, func(old Endpoint) bool { return old.Addr == e.Addr }), e)
-		told := make([]time.Duration, len(f.at))
-		for i := range f.at {
-			told[i] = r.tell(i, append(gone, e)...)
+		informed := make([]time.Duration, len(f.balancers))
+		for i := range f.balancers {
+			informed[i] = r.notify(i, append(gone, e)...)
 		}
-		r.toldAt[e.Addr] = told
+		r.informedAt[e.Addr] = informed
 	})
 }
 
-// tell takes changes to a Balancer with its next message, and returns when that comes:
-// within a second, and all that has changed by then in one.
-func (r *slowStartRun) tell(i int, changes ...Endpoint) time.Duration {
-	f, m := r.fleet, &r.messages[i]
+// notify adds changes to the next update of a Balancer, which arrives within a second,
+// and returns the time of its arrival.
+func (r *slowStartRun) notify(i int, changes ...Endpoint) time.Duration {
+	f, m := r.fleet, &r.updates[i]
 	m.changes = append(m.changes, changes...)
 	if len(m.changes) > len(changes) {
 		return m.due
 	}
 	m.due = f.now + time.Duration(f.rng.Int64N(int64(time.Second)))
 	f.after(m.due-f.now, func() {
-		f.at[i].Members(f.now, Delta, m.changes)
+		f.balancers[i].Members(f.now, Delta, m.changes)
 		m.changes = nil
 	})
 	return m.due
 }
 
-// slowStartMessage is what a Balancer will be told of next.
-type slowStartMessage struct {
+// slowStartUpdate holds the changes of the list that a Balancer gets next.
+type slowStartUpdate struct {
 	due     time.Duration
 	changes []Endpoint
 }
 
-func (r *slowStartRun) events() {
+// scheduleEvents schedules the changes of the scenario, and the sum of the capacity.
+func (r *slowStartRun) scheduleEvents() {
 	f, n := r.fleet, r.size.endpoints
-	part := func(x float64) int { return int(math.Ceil(x * float64(n))) }
-	moment := func(i, n int) time.Duration { return slowStartBegan + time.Duration(i)*r.set.within/time.Duration(n) }
-	place := 0
-	fresh := func(i, n int, gone ...Endpoint) {
-		e := Endpoint{Addr: fmt.Sprint("c", place), State: Ready, Zone: place % 3}
-		r.add(e.Addr, place)
-		place++
-		r.starts(e, moment(i, n), gone...)
+	count := func(x float64) int { return int(math.Ceil(x * float64(n))) }
+	startAt := func(i, n int) time.Duration {
+		return slowStartChangesAt + time.Duration(i)*r.scenario.within/time.Duration(n)
+	}
+	number := 0
+	addEndpoint := func(i, n int, gone ...Endpoint) {
+		e := Endpoint{Addr: fmt.Sprint("c", number), State: Ready, Zone: number % 3}
+		r.addNode(e.Addr, number)
+		number++
+		r.scheduleStart(e, startAt(i, n), gone...)
 	}
 	old := slices.Clone(r.list)
-	for i := range part(r.set.joined) {
-		fresh(i, part(r.set.joined))
+	for i := range count(r.scenario.added) {
+		addEndpoint(i, count(r.scenario.added))
 	}
-	for i := range part(r.set.replaced) {
+	for i := range count(r.scenario.replaced) {
 		gone := old[0]
 		old = old[1:]
 		gone.State = Gone
-		fresh(i, part(r.set.replaced), gone)
-		f.after(moment(i, part(r.set.replaced)), func() {
+		addEndpoint(i, count(r.scenario.replaced), gone)
+		f.after(startAt(i, count(r.scenario.replaced)), func() {
 			r.list = slices.DeleteFunc(r.list, func(e Endpoint) bool { return e.Addr == gone.Addr })
 		})
 	}
-	for i := range min(part(r.set.returned), len(old)) {
+	for i := range min(count(r.scenario.returned), len(old)) {
 		e := old[i]
-		f.after(slowStartBegan-3*time.Second, func() { r.servers[e.Addr].away = true })
-		r.starts(e, moment(i, part(r.set.returned)))
+		f.after(slowStartChangesAt-3*time.Second, func() { r.nodes[e.Addr].unreachable = true })
+		r.scheduleStart(e, startAt(i, count(r.scenario.returned)))
 	}
-	whole := func() []Endpoint { return slices.Clone(r.list) }
-	for i := range f.at {
-		at := slowStartBegan + time.Duration(f.rng.Int64N(int64(r.set.within+4*time.Second)))
+	currentList := func() []Endpoint { return slices.Clone(r.list) }
+	for i := range f.balancers {
+		at := slowStartChangesAt + time.Duration(f.rng.Int64N(int64(r.scenario.within+4*time.Second)))
 		switch x := f.rng.Float64(); {
-		case x < r.set.restarted:
-			outdated := whole()
-			f.after(at-time.Second, func() { outdated = whole() })
+		case x < r.scenario.restarted:
+			outdated := currentList()
+			f.after(at-time.Second, func() { outdated = currentList() })
 			f.after(at, func() {
 				f.restart(i, r.cfg, outdated)
-				f.after(time.Duration(f.rng.Float64()*float64(r.set.listLate)), func() { f.at[i].Members(f.now, Full, whole()) })
+				f.after(time.Duration(f.rng.Float64()*float64(r.scenario.listDelay)), func() { f.balancers[i].Members(f.now, Full, currentList()) })
 			})
-		case r.set.retuned:
+		case r.scenario.reconfigured:
 			f.after(at, func() {
 				c := r.cfg
-				c.Index, c.Instances, c.AttemptLimit = i, len(f.at), 4
-				if x < (1+r.set.restarted)/2 {
-					learnt := f.at[i].Snapshot(f.now)
-					f.restart(i, r.cfg, whole())
-					f.at[i].Restore(f.now, learnt)
+				c.Index, c.Instances, c.AttemptLimit = i, len(f.balancers), 4
+				if x < (1+r.scenario.restarted)/2 {
+					snapshot := f.balancers[i].Snapshot(f.now)
+					f.restart(i, r.cfg, currentList())
+					f.balancers[i].Restore(f.now, snapshot)
 				}
-				if err := f.at[i].Reconfigure(c); err != nil {
+				if err := f.balancers[i].Reconfigure(c); err != nil {
 					f.t.Error(err)
 				}
-				f.at[i].Members(f.now, Full, whole())
+				f.balancers[i].Members(f.now, Full, currentList())
 			})
 		}
 	}
-	for at := slowStartBegan; at < slowStartEnd; at += 100 * ms {
+	for at := slowStartChangesAt; at < slowStartEnd; at += 100 * ms {
 		f.after(at, func() {
 			sum := 0.0
 			for _, e := range r.list {
-				if s := r.servers[e.Addr]; !s.away {
-					sum += s.rate * slowStartShare(r.cfg, s.since, f.now)
+				if s := r.nodes[e.Addr]; !s.unreachable {
+					sum += s.warmRate * slowStartCapacityShare(r.cfg, s.since, f.now)
 				}
 			}
-			asked := r.size.perBalancer * float64(r.size.balancers)
-			if r.set.clients {
-				asked *= 1 - slowStartLeave
+			requested := r.size.perBalancer * float64(r.size.balancers)
+			if r.scenario.unreliableClients {
+				requested *= 1 - slowStartLeaveShare
 			}
-			r.able += min(sum, asked) / 10
+			r.servable += min(sum, requested) / 10
 		})
 	}
 }
 
-// judge looks at every span of the settings' length that ends with an arrival.
-func (r *slowStartRun) judge() {
+// findWorstRatio compares the arrivals in each OverloadWindow with the number that
+// overloads a cold endpoint. It ignores windows in which a third or more came from
+// Balancers that had not been informed of the start.
+func (r *slowStartRun) findWorstRatio() {
 	for _, name := range r.names {
-		s := r.servers[name]
+		s := r.nodes[name]
 		if s.since == 0 {
 			continue
 		}
-		first, told := 0, 0
+		first, informed := 0, 0
 		for k, a := range s.arrivals {
-			if a.told {
-				told++
+			if a.informed {
+				informed++
 			}
 			for a.at-s.arrivals[first].at >= r.cfg.OverloadWindow {
-				if s.arrivals[first].told {
-					told--
+				if s.arrivals[first].informed {
+					informed--
 				}
 				first++
 			}
 			from := s.arrivals[first].at
 			count := k - first + 1
-			if a.at-s.since >= r.cfg.RampTime || 3*told <= 2*count { // it is warm, or it is no break
+			if a.at-s.since >= r.cfg.RampTime || 3*informed <= 2*count { // warm, or too many were sent without information of the start
 				continue
 			}
-			n := r.cfg.OverloadFactor * s.rate * slowStartShare(r.cfg, s.since, from) * r.cfg.OverloadWindow.Seconds()
-			if ratio := float64(count) / slowStartBound(n); ratio > r.worst {
-				r.worst, r.what = ratio, fmt.Sprintf("%s: %d arrivals from %v after its start, N %.1f", name, count, from-s.since, n)
+			n := r.cfg.OverloadFactor * s.warmRate * slowStartCapacityShare(r.cfg, s.since, from) * r.cfg.OverloadWindow.Seconds()
+			if ratio := float64(count) / slowStartMaxRequests(n); ratio > r.worstRatio {
+				r.worstRatio, r.worstCase = ratio, fmt.Sprintf("%s: %d arrivals from %v after its start, n = %.1f", name, count, from-s.since, n)
 			}
 		}
 	}
 }
 
-// slowStartBound is what an endpoint bears that the settings allow n requests.
-func slowStartBound(n float64) float64 {
+// slowStartMaxRequests is the most requests that an endpoint withstands if the settings
+// allow n: n plus two standard deviations of a Poisson count, or three for a small n.
+func slowStartMaxRequests(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-func (r *slowStartRun) play() {
-	r.events()
+func (r *slowStartRun) run() {
+	r.scheduleEvents()
 	r.fleet.run(slowStartEnd, r.size.perBalancer*float64(r.size.balancers), 0, 1500*ms)
-	r.judge()
+	r.findWorstRatio()
 }
 
-// An endpoint that warms up is never sent more than it bears, however many Balancers there
-// are: it falls when within the time of the settings it gets more than N + 2 root N + 2
-// requests (N under 30: N + 3 root N + 3), N being the settings' multiple of what it can do
-// as that time begins. A fall of which over two thirds came from Balancers that had been
-// told of the start breaks the rule. Each attempt counts that began, whatever becomes of it.
+// All Balancers together must not overload a cold endpoint, whatever the size of the
+// fleet: within OverloadWindow it gets at most slowStartMaxRequests attempts, where n is
+// OverloadFactor times its capacity at the start of the window. Each attempt counts,
+// whatever its result.
 //
-// The endpoints are asked at the peak for all that they can do when warm; a third of them
-// is smaller than the mean. Some Balancers have several times the mean of the traffic.
-func TestSlowStartBudgetHoldsForAnyFleet(t *testing.T) {
+// The warm endpoints are fully used after the increase of the request rate, and the rates
+// of the Balancers differ.
+func TestSlowStartBudgetForAnyFleetSize(t *testing.T) {
 	sizes := []slowStartSize{
 		{1, 2, 20, 3}, {1, 4, 60, 2}, {1, 12, 8, 3}, {2, 6, 40, 2}, {5, 8, 30, 2}, {20, 14, 10, 2}, {20, 320, 8, 1}, {80, 40, 8, 1}, {300, 40, 2.5, 1}, {900, 60, 1, 1}, {2, 4, 150, 1},
 	}
 	scenarios := []slowStartScenario{
-		{name: "some join", coldShare: 0.31, joined: 0.3, within: 4 * time.Second},
-		{name: "six in ten replaced", coldShare: 0.31, replaced: 0.6, within: 7 * time.Second},
-		{name: "a colder start", coldShare: 0.1, replaced: 0.6, within: 4 * time.Second, connLate: time.Second},
-		{name: "a third returns beside new ones", coldShare: 0.31, joined: 0.1, returned: 0.33, within: time.Second, clients: true},
-		{name: "Balancers start", coldShare: 0.31, joined: 0.2, returned: 0.2, within: 4 * time.Second, restarted: 0.7, listLate: time.Second},
-		{name: "Balancers reload", coldShare: 0.2, replaced: 0.5, within: 2 * time.Second, restarted: 0.2, retuned: true, clients: true},
-		{name: "first lists come late", coldShare: 0.2, joined: 0.1, returned: 0.4, within: 2 * time.Second, restarted: 0.7, listLate: 2 * time.Second},
-		{name: "all are cold", coldShare: 0.2, replaced: 1, within: 100 * ms, clients: true},
-		{name: "all start", coldShare: 0.2, replaced: 1, within: 100 * ms, restarted: 1, clients: true},
-	}
-	for _, set := range scenarios {
+		{name: "endpoints added", coldShare: 0.31, added: 0.3, within: 4 * time.Second},
+		{name: "60% replaced", coldShare: 0.31, replaced: 0.6, within: 7 * time.Second},
+		{name: "low cold share", coldShare: 0.1, replaced: 0.6, within: 4 * time.Second, connectDelay: time.Second},
+		{name: "a third returns while others are added", coldShare: 0.31, added: 0.1, returned: 0.33, within: time.Second, unreliableClients: true},
+		{name: "Balancers restart", coldShare: 0.31, added: 0.2, returned: 0.2, within: 4 * time.Second, restarted: 0.7, listDelay: time.Second},
+		{name: "Balancers are reconfigured", coldShare: 0.2, replaced: 0.5, within: 2 * time.Second, restarted: 0.2, reconfigured: true, unreliableClients: true},
+		{name: "first lists are late", coldShare: 0.2, added: 0.1, returned: 0.4, within: 2 * time.Second, restarted: 0.7, listDelay: 2 * time.Second},
+		{name: "all endpoints are replaced", coldShare: 0.2, replaced: 1, within: 100 * ms, unreliableClients: true},
+		{name: "all endpoints and Balancers are replaced", coldShare: 0.2, replaced: 1, within: 100 * ms, restarted: 1, unreliableClients: true},
+	}
+	for _, scenario := range scenarios {
 		for _, size := range sizes {
-			t.Run(fmt.Sprintf("%s/%d before %d", set.name, size.balancers, size.endpoints), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d Balancers to %d", scenario.name, size.balancers, size.endpoints), func(t *testing.T) {
 				for seed := range size.seeds {
-					r := newSlowStartRun(t, size, set, seed)
-					r.play()
-					t.Logf("seed %d: %.2f of what makes one fall (%s); %.2f of what could be served", seed, r.worst, r.what, r.served/r.able)
-					if r.worst > 1 {
-						t.Errorf("seed %d: %.2f times what makes an endpoint fall: %s", seed, r.worst, r.what)
+					r := newSlowStartRun(t, size, scenario, seed)
+					r.run()
+					t.Logf("seed %d: cold endpoints got at most %.2f times the attempts that they withstand (%s); served %.2f of the capacity", seed, r.worstRatio, r.worstCase, r.served/r.servable)
+					if r.worstRatio > 1 {
+						t.Errorf("seed %d: a cold endpoint got %.2f times the attempts that it withstands, want at most 1: %s", seed, r.worstRatio, r.worstCase)
 					}
-					if r.served < r.able/2 {
-						t.Errorf("seed %d: %.2f of what could be served, want half at least", seed, r.served/r.able)
+					if r.served < r.servable/2 {
+						t.Errorf("seed %d: served %.2f of the capacity, want at least 0.5", seed, r.served/r.servable)
 					}
 				}
 			})
@@ -407,23 +417,22 @@
 	}
 }
 
-// Each attempt at an endpoint that warms up counts, however it ends: none is given back.
-// Four warm endpoints serve 100 requests a second; then the list has one that is cold in
-// the place of all of them.
+// Each attempt at a cold endpoint counts against its cold budget, whatever its result. A
+// cold endpoint replaces four warm ones that have served 100 requests per second.
 func TestSlowStartCountsEveryAttempt(t *testing.T) {
-	const began, each, perEndpoint = 8 * time.Second, 10 * ms, 25.0
+	const coldAt, interval, perEndpoint = 8 * time.Second, 10 * ms, 25.0
 	for result := OK; result <= NotSent; result++ {
 		cfg := fleetConfig()
 		cfg.Instances = 1
-		b, h := newTest(t, cfg, "a", "b", "c", "d")
+		b, h := newTestBalancer(t, cfg, "a", "b", "c", "d")
 		sends := 0
-		for now := time.Duration(0); now < began+cfg.OverloadWindow; now += each {
-			if now == began {
+		for now := time.Duration(0); now < coldAt+cfg.OverloadWindow; now += interval {
+			if now == coldAt {
 				b.Members(now, Full, []Endpoint{{Addr: "cold", State: Ready, Since: now}})
 			}
-			id, first := RequestID(now/each)+1, len(h.sends)
+			id, first := RequestID(now/interval)+1, len(h.sends)
 			b.Request(now, id, 0, 0, 1500*ms)
-			for k := first; k < len(h.sends); k++ { // further attempts are made as one ends
+			for k := first; k < len(h.sends); k++ { // an outcome may cause another attempt
 				if h.sends[k].addr != "cold" {
 					b.Outcome(now, id, k-first, OK, 20*ms, true)
 					continue
@@ -436,27 +445,27 @@
 			}
 		}
 		n := cfg.OverloadFactor * perEndpoint * cfg.ColdShare * cfg.OverloadWindow.Seconds()
-		if sends == 0 || float64(sends) > slowStartBound(n) {
-			t.Errorf("result %d: %d attempts at the cold endpoint in %v, want some and %.0f at most", result, sends, cfg.OverloadWindow, slowStartBound(n))
+		if sends == 0 || float64(sends) > slowStartMaxRequests(n) {
+			t.Errorf("result %d: %d attempts at the cold endpoint in %v, want 1 to %.0f", result, sends, cfg.OverloadWindow, slowStartMaxRequests(n))
 		}
 	}
 }
 
-// A process that takes over from one whose fleet was warm, and finds it cold as a whole,
-// does not give what that one served to the tenth of the capacity that there is now.
-func TestRecallOfAWarmFleetKeepsColdBudget(t *testing.T) {
-	const now, each, served = time.Hour, 10 * ms, 100.0
+// A Balancer that restores the measurements of a warm fleet, and finds all endpoints
+// cold, must not send them the rate that the warm fleet served.
+func TestRestoreFromWarmFleetKeepsColdBudget(t *testing.T) {
+	const now, interval, served = time.Hour, 10 * ms, 100.0
 	cfg := fleetConfig()
 	cfg.Instances, cfg.ColdShare = 1, 0.1
-	b, h := newTest(t, cfg)
-	list := ready("e", 5)
+	b, h := newTestBalancer(t, cfg)
+	list := readyEndpoints("e", 5)
 	for i := range list {
 		list[i].Since = now
 	}
 	b.Members(now, Cached, list)
 	b.Restore(now, Snapshot{Served: served, InAim: served})
-	for id := RequestID(1); id <= RequestID(cfg.OverloadWindow/each); id++ {
-		at, first := now+time.Duration(id)*each, len(h.sends)
+	for id := RequestID(1); id <= RequestID(cfg.OverloadWindow/interval); id++ {
+		at, first := now+time.Duration(id)*interval, len(h.sends)
 		b.Request(at, id, 0, 0, 1500*ms)
 		if len(h.sends) > first {
 			b.Outcome(at, id, 0, OK, 20*ms, true)
@@ -468,8 +477,8 @@
 	}
 	n := cfg.OverloadFactor * served / 5 * cfg.ColdShare * cfg.OverloadWindow.Seconds()
 	for _, e := range list {
-		if got := float64(sends[e.Addr]); got == 0 || got > slowStartBound(n) {
-			t.Errorf("%s got %.0f requests in %v, want some and %.0f at most", e.Addr, got, cfg.OverloadWindow, slowStartBound(n))
+		if got := float64(sends[e.Addr]); got == 0 || got > slowStartMaxRequests(n) {
+			t.Errorf("%s got %.0f requests in %v, want 1 to %.0f", e.Addr, got, cfg.OverloadWindow, slowStartMaxRequests(n))
 		}
 	}
 }
--- a/balance/tiers_test.go
+++ b/balance/tiers_test.go
@@ -7,387 +7,392 @@
 	"time"
 )
 
-// chain is a model of tiers in virtual time: clients that come again, Balancers where they
-// enter, servers with cores, slots and a queue, and beside each server of a tier but the
-// last a Balancer for its calls to the next. What a caller has given up on runs on; only
-// what still waits is dropped.
-type chain struct {
-	t      testing.TB
-	front  *fleet
-	below  []*fleet // below[k] makes the calls of tier k
-	tiers  [][]*station
-	set    chainSettings
-	calls  []map[RequestID]func(served bool) // open calls of each tier
-	client map[RequestID]func(served bool, refused bool, retryAfter time.Duration)
+// tierChain simulates a chain of tiers in virtual time: clients that repeat requests,
+// Balancers at the entry, and nodes. Each node of a tier except the last has a Balancer
+// for its calls to the next tier. Nodes complete the work that they have begun even if
+// the caller has given up.
+type tierChain struct {
+	t        testing.TB
+	entry    *fleet
+	inner    []*fleet // inner[k] makes the calls of tier k
+	tiers    [][]*node
+	settings chainSettings
+	calls    []map[RequestID]func(served bool)                                       // callbacks of the open calls of each tier
+	clients  map[RequestID]func(served bool, refused bool, retryAfter time.Duration) // callbacks of the open tries
 
-	sent    map[RequestID]bool // requests of clients that have had an attempt
-	offered float64            // requests of clients a second, without those that come again
+	attempted   map[RequestID]bool // tries with at least one attempt
+	offeredRate float64            // client requests per second, without repeats
 
-	fresh    [chainSpan]int // requests of clients, by second of their beginning
-	served   [chainSpan]int // of them served while the client waited
-	inAim    [chainSpan]int
-	tries    [chainSpan]int // what reaches the door, with those that come again
-	attempts [chainSpan]int // at all tiers, by second
-	last     [chainSpan]int // at the last tier
-	full     [chainSpan]int // attempts that were turned away
-	refused  [chainSpan]int // tries for which nothing was sent
+	requests         [maxChainSeconds]int // client requests, by the second of their start, as are served and inTarget
+	served           [maxChainSeconds]int // before the client gave up
+	inTarget         [maxChainSeconds]int // within the latency target
+	tries            [maxChainSeconds]int // client requests and their repeats, by second
+	attempts         [maxChainSeconds]int // at all tiers
+	lastTierAttempts [maxChainSeconds]int // at the last tier
+	rejected         [maxChainSeconds]int // attempts rejected by nodes
+	refusedUnsent    [maxChainSeconds]int // tries refused without an attempt
 }
 
-const chainSpan = 60 // seconds at the most
+const maxChainSeconds = 60 // longest simulation in seconds
 
-// chainSettings are of one run.
+// chainSettings are the properties of a tierChain.
 type chainSettings struct {
-	fronts    int
-	servers   []int     // of each tier
-	work      []float64 // seconds of a core for one call, in the mean
-	handshake float64   // of a core, for a new connection
-	thrash    float64   // of its speed that a server loses by each that it holds beyond four
-	calls     int       // that each server makes to the next tier, in sequence
-	again     int       // times that a client comes again
-	honour    float64   // share of clients that heed Retry-After
-	classes   []Class
-	shares    []float64 // of requests, by class
-	patience  float64   // share of the deadline after which a client gives up a try
+	entryBalancers  int
+	nodes           []int     // number in each tier
+	work            []float64 // mean core seconds of a call, by tier
+	handshake       float64   // core seconds of a new connection
+	slowdownPerTask float64   // relative slowdown of a node for each running task beyond four
+	calls           int       // that a node makes to the next tier per request, in sequence
+	clientRepeats   int       // most repeats of a client request
+	retryAfterShare float64   // share of clients that honour Retry-After
+	classes         []Class
+	classShares     []float64 // of requests, by class
+	tryTimeoutShare float64   // timeout of a try, as a share of the deadline
 }
 
-// station is one server.
-type station struct {
-	c     *chain
-	tier  int
-	name  string
-	cores float64 // by now: less while it is cold or in trouble
-	slots int
-	queue int
-	bad   func() (fails bool) // answers with an error of its own at once
+// node is a simulated server process.
+type node struct {
+	c           *tierChain
+	tier        int
+	name        string
+	cores       float64 // current capacity; less than 1 during a fault
+	concurrency int
+	queueLength int
+	failing     func() (fails bool) // answers immediately with an error if true; may be nil
 
-	coming  int // new connections that are not up yet
-	busy    int // slots in use
-	waiting []*visit
-	running visits  // sharing the cores evenly
-	done    float64 // seconds of core time that each that runs has had since the beginning
-	at      time.Duration
-	round   int                     // of the next end; older ones are void
-	idle    map[int][]time.Duration // when connections of each caller's became idle
+	connecting      int // connections being established
+	busy            int // calls being processed
+	waiting         []*task
+	running         taskHeap                // tasks that share the cores evenly
+	coreSeconds     float64                 // core seconds received by a task that has run since the start
+	updatedAt       time.Duration           // when coreSeconds was last updated
+	scheduleVersion int                     // invalidates older timers of scheduleNextEnd
+	idleConns       map[int][]time.Duration // when each caller's idle connections became idle
 }
 
-// visit is a piece of work that runs, or a call that waits.
-type visit struct {
-	until float64 // value of done at its end
-	then  func()
-	call  *visitor
+// task is work that is running, or a call that waits for processing.
+type task struct {
+	endAt float64 // value of coreSeconds at its end
+	onEnd func()
+	call  *nodeCall
 }
 
-// visitor is an attempt at a station.
-type visitor struct {
+// nodeCall is an attempt at a node.
+type nodeCall struct {
 	deadline time.Duration
 	class    int
 	done     func(Result)
 }
 
-type visits []*visit
+// taskHeap orders tasks by their end.
+type taskHeap []*task
 
-func (v visits) Len() int           { return len(v) }
-func (v visits) Less(i, k int) bool { return v[i].until < v[k].until }
-func (v visits) Swap(i, k int)      { v[i], v[k] = v[k], v[i] }
-func (v *visits) Push(x any)        { *v = append(*v, x.(*visit)) }
-func (v *visits) Pop() any {
-	last := len(*v) - 1
-	x := (*v)[last]
-	*v = (*v)[:last]
+func (h taskHeap) Len() int           { return len(h) }
+func (h taskHeap) Less(i, k int) bool { return h[i].endAt < h[k].endAt }
+func (h taskHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h *taskHeap) Push(x any)        { *h = append(*h, x.(*task)) }
+func (h *taskHeap) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	*h = (*h)[:last]
 	return x
 }
 
 const (
-	chainIdle     = 250 * time.Millisecond // that connections are kept
-	stationPlaces = 60                     // for connections in use
+	chainIdleConnTimeout = 250 * time.Millisecond // after which idle connections are closed
+	nodeMaxConns         = 60                     // limit on connections that are not idle
 )
 
-// share is how much of a core each that runs gets: holding many costs some of it.
-func (s *station) share() float64 {
-	n := float64(len(s.running))
-	return min(1, s.cores/n) / (1 + s.c.set.thrash*max(0, n-4))
+// coreShare is the share of a core that each running task gets. It falls with the number
+// of tasks.
+func (n *node) coreShare() float64 {
+	running := float64(len(n.running))
+	return min(1, n.cores/running) / (1 + n.c.settings.slowdownPerTask*max(0, running-4))
 }
 
-// advance books the core time that has passed.
-func (s *station) advance() {
-	now := s.c.front.now
-	if len(s.running) > 0 {
-		s.done += (now - s.at).Seconds() * s.share()
+// advance updates coreSeconds to the current time.
+func (n *node) advance() {
+	now := n.c.entry.now
+	if len(n.running) > 0 {
+		n.coreSeconds += (now - n.updatedAt).Seconds() * n.coreShare()
 	}
-	s.at = now
+	n.updatedAt = now
 }
 
-// plan asks for the next end.
-func (s *station) plan() {
-	s.round++
-	round := s.round
-	if len(s.running) == 0 || s.cores <= 0 {
+// scheduleNextEnd sets a timer for the end of the next task.
+func (n *node) scheduleNextEnd() {
+	n.scheduleVersion++
+	version := n.scheduleVersion
+	if len(n.running) == 0 || n.cores <= 0 {
 		return
 	}
-	left := max(0, s.running[0].until-s.done) / s.share()
-	s.c.front.after(time.Duration(left*float64(time.Second))+1, func() {
-		if s.round != round {
+	left := max(0, n.running[0].endAt-n.coreSeconds) / n.coreShare()
+	n.c.entry.after(time.Duration(left*float64(time.Second))+1, func() {
+		if n.scheduleVersion != version {
 			return
 		}
-		s.advance()
-		var over []*visit
-		for len(s.running) > 0 && s.running[0].until <= s.done+1e-12 {
-			over = append(over, heap.Pop(&s.running).(*visit))
+		n.advance()
+		var ended []*task
+		for len(n.running) > 0 && n.running[0].endAt <= n.coreSeconds+1e-12 {
+			ended = append(ended, heap.Pop(&n.running).(*task))
 		}
-		s.plan()
-		for _, v := range over {
-			v.then()
+		n.scheduleNextEnd()
+		for _, t := range ended {
+			t.onEnd()
 		}
 	})
 }
 
-// setCores changes what it can do.
-func (s *station) setCores(cores float64) {
-	s.advance()
-	s.cores = cores
-	s.plan()
+func (n *node) setCores(cores float64) {
+	n.advance()
+	n.cores = cores
+	n.scheduleNextEnd()
 }
 
-func (s *station) run(work float64, then func()) {
-	s.advance()
-	heap.Push(&s.running, &visit{until: s.done + work, then: then})
-	s.plan()
+// run starts a task that needs the given core seconds, and calls then at its end.
+func (n *node) run(work float64, then func()) {
+	n.advance()
+	heap.Push(&n.running, &task{endAt: n.coreSeconds + work, onEnd: then})
+	n.scheduleNextEnd()
 }
 
-// arrive takes an attempt of a caller.
-func (s *station) arrive(from int, v *visitor) {
-	now := s.c.front.now
-	idle := s.idle[from]
-	for len(idle) > 0 && now-idle[0] > chainIdle {
+// arrive accepts an attempt of a caller, on an idle connection if there is one.
+func (n *node) arrive(from int, call *nodeCall) {
+	now := n.c.entry.now
+	idle := n.idleConns[from]
+	for len(idle) > 0 && now-idle[0] > chainIdleConnTimeout {
 		idle = idle[1:]
 	}
-	done := v.done
-	v.done = func(r Result) {
-		s.idle[from] = append(s.idle[from], s.c.front.now)
+	done := call.done
+	call.done = func(r Result) {
+		n.idleConns[from] = append(n.idleConns[from], n.c.entry.now)
 		done(r)
 	}
-	if n := len(idle); n > 0 {
-		s.idle[from] = idle[:n-1]
-		s.admit(v)
+	if count := len(idle); count > 0 {
+		n.idleConns[from] = idle[:count-1]
+		n.admit(call)
 		return
 	}
-	s.idle[from] = idle
-	if s.coming+s.busy+len(s.waiting) >= stationPlaces {
-		s.c.full[s.c.second()]++
-		v.done(Overloaded) // its connection table is full
+	n.idleConns[from] = idle
+	if n.connecting+n.busy+len(n.waiting) >= nodeMaxConns {
+		n.c.rejected[n.c.currentSecond()]++
+		call.done(Overloaded) // the connection table is full
 		return
 	}
-	s.coming++
-	s.run(s.c.set.handshake, func() {
-		s.coming--
-		s.admit(v)
+	n.connecting++
+	n.run(n.c.settings.handshake, func() {
+		n.connecting--
+		n.admit(call)
 	})
 }
 
-func (s *station) admit(v *visitor) {
+// admit processes, queues or rejects an attempt that has a connection.
+func (n *node) admit(call *nodeCall) {
 	switch {
-	case s.c.front.now >= v.deadline, s.busy >= s.slots && len(s.waiting) >= s.queue:
-		s.c.full[s.c.second()]++
-		v.done(Overloaded)
-	case s.bad != nil && s.bad():
-		v.done(Error)
-	case s.busy >= s.slots:
-		s.waiting = append(s.waiting, &visit{call: v})
+	case n.c.entry.now >= call.deadline, n.busy >= n.concurrency && len(n.waiting) >= n.queueLength:
+		n.c.rejected[n.c.currentSecond()]++
+		call.done(Overloaded)
+	case n.failing != nil && n.failing():
+		call.done(Error)
+	case n.busy >= n.concurrency:
+		n.waiting = append(n.waiting, &task{call: call})
 	default:
-		s.begin(v)
+		n.begin(call)
 	}
 }
 
-func (s *station) begin(v *visitor) {
-	s.busy++
+// begin processes an attempt, with calls to the next tier in the middle of its work.
+func (n *node) begin(call *nodeCall) {
+	n.busy++
 	finish := func(r Result) {
-		s.busy--
-		v.done(r)
-		for len(s.waiting) > 0 && s.busy < s.slots {
-			next := s.waiting[0].call
-			s.waiting = s.waiting[1:]
-			if s.c.front.now >= next.deadline {
-				next.done(Overloaded) // dropped, and nobody waits for it
+		n.busy--
+		call.done(r)
+		for len(n.waiting) > 0 && n.busy < n.concurrency {
+			next := n.waiting[0].call
+			n.waiting = n.waiting[1:]
+			if n.c.entry.now >= next.deadline {
+				next.done(Overloaded) // its caller has given up
 				continue
 			}
-			s.begin(next)
+			n.begin(next)
 		}
 	}
-	work := s.c.set.work[s.tier] * s.c.front.rng.ExpFloat64()
-	if s.tier == len(s.c.tiers)-1 {
-		s.run(work, func() { finish(OK) })
+	work := n.c.settings.work[n.tier] * n.c.entry.rng.ExpFloat64()
+	if n.tier == len(n.c.tiers)-1 {
+		n.run(work, func() { finish(OK) })
 		return
 	}
-	b := s.c.below[s.tier]
+	b := n.c.inner[n.tier]
 	var own int
-	fmt.Sscanf(s.name, "s%d", &own)
+	fmt.Sscanf(n.name, "s%d", &own)
 	var next func(left int)
 	next = func(left int) {
 		if left == 0 {
-			s.run(work/2, func() { finish(OK) })
+			n.run(work/2, func() { finish(OK) })
 			return
 		}
 		b.lastID++
-		s.c.calls[s.tier][b.lastID] = func(ok bool) {
+		n.c.calls[n.tier][b.lastID] = func(ok bool) {
 			if !ok {
 				finish(Error)
 				return
 			}
 			next(left - 1)
 		}
-		b.at[own].Request(s.c.front.now, b.lastID, v.class, -1, v.deadline-s.c.front.now)
+		b.balancers[own].Request(n.c.entry.now, b.lastID, call.class, -1, call.deadline-n.c.entry.now)
 	}
-	s.run(work/2, func() { next(s.c.set.calls) })
+	n.run(work/2, func() { next(n.c.settings.calls) })
 }
 
-func (c *chain) second() int { return min(int(c.front.now/time.Second), chainSpan-1) }
+func (c *tierChain) currentSecond() int { return min(int(c.entry.now/time.Second), maxChainSeconds-1) }
 
-func newChain(t testing.TB, set chainSettings, seed uint64) *chain {
-	c := &chain{t: t, set: set, client: map[RequestID]func(bool, bool, time.Duration){}, sent: map[RequestID]bool{}}
+func newTierChain(t testing.TB, settings chainSettings, seed uint64) *tierChain {
+	c := &tierChain{t: t, settings: settings, clients: map[RequestID]func(bool, bool, time.Duration){}, attempted: map[RequestID]bool{}}
 	cfg := fleetConfig()
-	cfg.Classes = set.classes
-	cfg.AttemptLimit, cfg.AllowConcurrentAttempts, cfg.IdleConnTimeout = 4, false, chainIdle
-	entry := cfg
-	entry.Entry = true
-	c.front = newFleet(t, entry, set.fronts, seed)
-	c.front.sentID = func(id RequestID) { c.sent[id] = true }
-	c.front.refused = func(id RequestID, retryAfter time.Duration) {
-		if !c.sent[id] {
-			c.refused[c.second()]++
+	cfg.Classes = settings.classes
+	cfg.AttemptLimit, cfg.AllowConcurrentAttempts, cfg.IdleConnTimeout = 4, false, chainIdleConnTimeout
+	entryConfig := cfg
+	entryConfig.Entry = true
+	c.entry = newFleet(t, entryConfig, settings.entryBalancers, seed)
+	c.entry.onSendID = func(id RequestID) { c.attempted[id] = true }
+	c.entry.onRefuse = func(id RequestID, retryAfter time.Duration) {
+		if !c.attempted[id] {
+			c.refusedUnsent[c.currentSecond()]++
 		}
-		delete(c.sent, id)
-		if answer := c.client[id]; answer != nil {
-			delete(c.client, id)
+		delete(c.attempted, id)
+		if answer := c.clients[id]; answer != nil {
+			delete(c.clients, id)
 			answer(false, true, retryAfter)
 		}
 	}
-	c.front.endedID = func(id RequestID, served bool) {
-		if answer := c.client[id]; answer != nil {
-			delete(c.client, id)
+	c.entry.onEndID = func(id RequestID, served bool) {
+		if answer := c.clients[id]; answer != nil {
+			delete(c.clients, id)
 			answer(served, false, 0)
 		}
 	}
-	above := c.front
-	for k, n := range set.servers {
-		stations := make([]*station, n)
-		for i := range stations {
-			stations[i] = &station{c: c, tier: k, name: fmt.Sprint("s", i), cores: 1, slots: []int{30, 6, 6}[k], queue: 4, idle: map[int][]time.Duration{}}
+	above := c.entry
+	for k, n := range settings.nodes {
+		nodes := make([]*node, n)
+		for i := range nodes {
+			nodes[i] = &node{c: c, tier: k, name: fmt.Sprint("s", i), cores: 1, concurrency: []int{30, 6, 6}[k], queueLength: 4, idleConns: map[int][]time.Duration{}}
 		}
-		c.tiers = append(c.tiers, stations)
+		c.tiers = append(c.tiers, nodes)
 		caller := above
-		above.callFrom = func(from int, id RequestID, addr string, timeout time.Duration, done func(Result)) {
-			c.attempts[c.second()]++
-			if k == len(set.servers)-1 {
-				c.last[c.second()]++
+		above.serveFrom = func(from int, id RequestID, addr string, timeout time.Duration, done func(Result)) {
+			c.attempts[c.currentSecond()]++
+			if k == len(settings.nodes)-1 {
+				c.lastTierAttempts[c.currentSecond()]++
 			}
 			var at int
 			fmt.Sscanf(addr, "s%d", &at)
-			over := false
+			ended := false
 			finish := func(r Result) {
-				if !over {
-					over = true
+				if !ended {
+					ended = true
 					done(r)
 				}
 			}
-			c.front.after(timeout, func() { finish(Timeout) })
-			stations[at].arrive(from, &visitor{deadline: c.front.now + timeout, class: caller.at[from].requests[id].class, done: finish})
+			c.entry.after(timeout, func() { finish(Timeout) })
+			nodes[at].arrive(from, &nodeCall{deadline: c.entry.now + timeout, class: caller.balancers[from].requests[id].class, done: finish})
 		}
-		above.list(Full, ready("s", n))
-		if k == len(set.servers)-1 {
+		above.sendList(Full, readyEndpoints("s", n))
+		if k == len(settings.nodes)-1 {
 			break
 		}
 		calls := map[RequestID]func(bool){}
 		c.calls = append(c.calls, calls)
 		next := newFleet(t, cfg, n, seed+100*uint64(k+1))
-		next.clock = c.front
-		next.endedID = func(id RequestID, served bool) {
+		next.clock = c.entry
+		next.onEndID = func(id RequestID, served bool) {
 			if answer := calls[id]; answer != nil {
 				delete(calls, id)
 				answer(served)
 			}
 		}
-		c.below = append(c.below, next)
+		c.inner = append(c.inner, next)
 		above = next
 	}
 	return c
 }
 
-// capacity is how many requests a second the tiers can serve, connections aside.
-func (c *chain) capacity() float64 {
+// capacity is the number of requests per second that the tiers can serve, without the
+// cost of connections.
+func (c *tierChain) capacity() float64 {
 	least, calls := 1e9, 1.0
-	for k, n := range c.set.servers {
-		least = min(least, float64(n)/(c.set.work[k]*calls))
-		calls *= float64(c.set.calls)
+	for k, n := range c.settings.nodes {
+		least = min(least, float64(n)/(c.settings.work[k]*calls))
+		calls *= float64(c.settings.calls)
 	}
 	return least
 }
 
-// arrive is one request of a client, and those with which it comes again.
-func (c *chain) arrive() {
+// arrive starts a client request, with its repeats.
+func (c *tierChain) arrive() {
 	number := 0
-	for x := c.front.rng.Float64(); number < len(c.set.shares)-1 && x >= c.set.shares[number]; number++ {
-		x -= c.set.shares[number]
+	for x := c.entry.rng.Float64(); number < len(c.settings.classShares)-1 && x >= c.settings.classShares[number]; number++ {
+		x -= c.settings.classShares[number]
 	}
-	class := &c.set.classes[number]
-	begun, end := c.second(), c.front.now+class.Deadline
-	c.fresh[begun]++
-	start := c.front.now
-	heeds := c.front.rng.Float64() < c.set.honour
+	class := &c.settings.classes[number]
+	startSecond, end := c.currentSecond(), c.entry.now+class.Deadline
+	c.requests[startSecond]++
+	start := c.entry.now
+	honoursRetryAfter := c.entry.rng.Float64() < c.settings.retryAfterShare
 	var try func(left int)
 	try = func(left int) {
-		now := c.front.now
-		budget := min(time.Duration(c.set.patience*float64(class.Deadline)), end-now)
+		now := c.entry.now
+		budget := min(time.Duration(c.settings.tryTimeoutShare*float64(class.Deadline)), end-now)
 		if budget <= 0 {
 			return
 		}
-		c.tries[c.second()]++
-		c.front.lastID++
-		id := c.front.lastID
-		c.client[id] = func(served, refused bool, retryAfter time.Duration) {
+		c.tries[c.currentSecond()]++
+		c.entry.lastID++
+		id := c.entry.lastID
+		c.clients[id] = func(served, refused bool, retryAfter time.Duration) {
 			if served {
-				c.served[begun]++
-				if c.front.now-start <= class.LatencyTarget {
-					c.inAim[begun]++
+				c.served[startSecond]++
+				if c.entry.now-start <= class.LatencyTarget {
+					c.inTarget[startSecond]++
 				}
 				return
 			}
 			if left == 0 || !refused && class.Semantics == Unsafe {
 				return
 			}
-			wait := time.Duration(10+c.front.rng.IntN(80)) * ms
-			if refused && heeds {
+			wait := time.Duration(10+c.entry.rng.IntN(80)) * ms
+			if refused && honoursRetryAfter {
 				wait = max(wait, min(retryAfter, 800*ms))
 			}
-			c.front.after(wait, func() { try(left - 1) })
+			c.entry.after(wait, func() { try(left - 1) })
 		}
-		c.front.at[c.front.rng.IntN(len(c.front.at))].Request(now, id, number, -1, budget)
+		c.entry.balancers[c.entry.rng.IntN(len(c.entry.balancers))].Request(now, id, number, -1, budget)
 	}
-	try(c.set.again)
+	try(c.settings.clientRepeats)
 }
 
-// run plays until then.
-func (c *chain) run(until time.Duration) {
-	f := c.front
+// run simulates Poisson arrivals until the given time.
+func (c *tierChain) run(until time.Duration) {
+	f := c.entry
 	var next func()
 	next = func() {
-		if c.offered > 0 {
+		if c.offeredRate > 0 {
 			c.arrive()
 		}
-		f.after(time.Duration(f.rng.ExpFloat64()/max(c.offered, 1)*float64(time.Second)), next)
+		f.after(time.Duration(f.rng.ExpFloat64()/max(c.offeredRate, 1)*float64(time.Second)), next)
 	}
 	f.after(0, next)
 	for len(f.events) > 0 && f.events[0].at < until {
 		e := heap.Pop(&f.events).(event)
 		f.now = e.at
-		e.do()
+		e.run()
 	}
 	f.now = until
 }
 
-// sum adds the seconds from, to excluded.
-func sum(of *[chainSpan]int, from, to int) float64 {
+// sumSeconds returns the sum over the seconds from (included) to (excluded).
+func sumSeconds(counts *[maxChainSeconds]int, from, to int) float64 {
 	n := 0
-	for _, x := range of[from:to] {
+	for _, x := range counts[from:to] {
 		n += x
 	}
 	return float64(n)
