--- a/balance/admission.go
+++ b/balance/admission.go
@@ -119,7 +119,7 @@
 func (b *Balancer) admit(now time.Duration, r *request, tenant int) bool {
 	worthLeft := 1.0
 	if b.earlierWait(r) >= b.cfg.Classes[r.class].LatencyTarget {
-		worthLeft = b.cfg.Classes[r.class].LateWorth
+		worthLeft = b.cfg.Classes[r.class].LateWeight
 	}
 	if !b.admission.admits(b.priority(now, r.class, tenant), worthLeft, b.inFlight) {
 		return false
@@ -159,7 +159,7 @@
 	for i := range b.classes {
 		k := &b.classes[i]
 		total += k.requested
-		worth += k.requested * b.cfg.Classes[i].Worth
+		worth += k.requested * b.cfg.Classes[i].PriorityWeight
 		w := &b.classes[worst]
 		if k.servedInTarget*w.requested < w.servedInTarget*k.requested {
 			worst = i
@@ -171,7 +171,7 @@
 			b.classes[i].servedInTarget /= 2
 		}
 	}
-	gain := (1 - b.cfg.WorstClassWeight) * b.cfg.Classes[class].Worth
+	gain := (1 - b.cfg.WorstClassWeight) * b.cfg.Classes[class].PriorityWeight
 	if worth > 0 {
 		gain *= total / worth
 	}
@@ -179,7 +179,7 @@
 		gain += b.cfg.WorstClassWeight * total / c.requested
 	}
 	if tenant >= 0 && tenant < len(b.admission.quotas) && !b.admission.quotas[tenant].hasToken(now) {
-		gain *= b.cfg.OverQuotaWorth
+		gain *= b.cfg.OverQuotaWeight
 	}
 	return gain / math.Pow(b.durationRatio(class), 2)
 }
--- a/balance/all_cold_test.go
+++ b/balance/all_cold_test.go
@@ -27,7 +27,7 @@
 			list[i].Since = ms
 		}
 		for _, b := range f.balancers {
-			b.Members(ms, Full, list)
+			b.UpdateEndpoints(ms, Full, list)
 		}
 		var arrive func()
 		arrive = func() {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -23,32 +23,32 @@
 type RequestID uint64
 
 // Semantics tells whether a request may be repeated.
-type Semantics int
+type Idempotency int
 
 const (
-	Safe   Semantics = iota // may be repeated any number of times
-	Keyed                   // a group of endpoints deduplicates repeats for a limited time
-	Unsafe                  // must not run twice
+	Idempotent      Idempotency = iota // may be repeated any number of times
+	IdempotentByKey                    // a group of endpoints deduplicates repeats for a limited time
+	NonIdempotent                      // must not run twice
 )
 
 // Scope is the group of endpoints that deduplicates the repeats of a Keyed request.
-type Scope int
+type DeduplicationScope int
 
 const (
-	ScopeAll Scope = iota
+	ScopeAll DeduplicationScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class holds the settings of one class of requests.
 type Class struct {
-	LatencyTarget       time.Duration `json:"Aim"`      // an answer within it earns full Worth; 0 means Deadline
-	Deadline            time.Duration `json:"Deadline"` // total time that the client waits
-	Semantics           Semantics     `json:"Semantics"`
-	Scope               Scope         `json:"Scope"`
-	DeduplicationWindow time.Duration `json:"MemorySpan"` // how long repeats of a Keyed request are deduplicated
-	Worth               float64       `json:"Worth"`
-	LateWorth           float64       `json:"LateWorth"` // part of Worth that an answer after LatencyTarget earns
+	LatencyTarget       time.Duration      `json:"Aim"`      // an answer within it earns full Worth; 0 means Deadline
+	Deadline            time.Duration      `json:"Deadline"` // total time that the client waits
+	Idempotency         Idempotency        `json:"Semantics"`
+	DeduplicationScope  DeduplicationScope `json:"Scope"`
+	DeduplicationWindow time.Duration      `json:"MemorySpan"` // how long repeats of a Keyed request are deduplicated
+	PriorityWeight      float64            `json:"Worth"`
+	LateWeight          float64            `json:"LateWorth"` // part of Worth that an answer after LatencyTarget earns
 }
 
 // Config holds the settings of a Balancer.
@@ -64,12 +64,12 @@
 
 	CrossZonePrice   float64 `json:"CrossZonePrice"`   // part of the objective (0 to 1) lost per request to another zone
 	WorstClassWeight float64 `json:"WorstClassWeight"` // weight of the worst served class in the objective, 0 to 1
-	OverQuotaWorth   float64 `json:"OverShareWorth"`   // factor on the priority of a request over its tenant's quota
+	OverQuotaWeight  float64 `json:"OverShareWorth"`   // factor on the priority of a request over its tenant's quota
 
-	ColdShare      float64       `json:"ColdShare"`    // least share of its capacity that an endpoint starts with
-	RampTime       time.Duration `json:"RampTime"`     // time until an endpoint has its full capacity
-	OverloadWindow time.Duration `json:"OverloadFor"`  // period of sustained load that overloads a cold endpoint
-	OverloadFactor float64       `json:"FallMultiple"` // multiple of its capacity that does so; 0 means unknown
+	SlowStartInitialShare float64       `json:"ColdShare"`    // least share of its capacity that an endpoint starts with
+	SlowStartWindow       time.Duration `json:"RampTime"`     // time until an endpoint has its full capacity
+	OverloadWindow        time.Duration `json:"OverloadFor"`  // period of sustained load that overloads a cold endpoint
+	OverloadFactor        float64       `json:"FallMultiple"` // multiple of its capacity that does so; 0 means unknown
 
 	IdleConnTimeout time.Duration `json:"ConnIdle"`  // after which idle connections are closed
 	Multiplex       int           `json:"Multiplex"` // concurrent attempts per connection
@@ -86,9 +86,9 @@
 		return fmt.Errorf("balance: Instances, AttemptLimit, Multiplex: %d, %d, %d, want 1 or more", c.Instances, c.AttemptLimit, c.Multiplex)
 	case c.Index < 0 || c.Index >= c.Instances:
 		return fmt.Errorf("balance: Index: %d, want 0 to Instances-1", c.Index)
-	case min(c.WorstClassWeight, c.ColdShare) < 0 || max(c.WorstClassWeight, c.ColdShare) > 1:
-		return fmt.Errorf("balance: WorstClassWeight, ColdShare: %v, %v, want 0 to 1", c.WorstClassWeight, c.ColdShare)
-	case c.RampTime < 0 || c.OverloadWindow < 0 || c.OverloadFactor < 0:
+	case min(c.WorstClassWeight, c.SlowStartInitialShare) < 0 || max(c.WorstClassWeight, c.SlowStartInitialShare) > 1:
+		return fmt.Errorf("balance: WorstClassWeight, ColdShare: %v, %v, want 0 to 1", c.WorstClassWeight, c.SlowStartInitialShare)
+	case c.SlowStartWindow < 0 || c.OverloadWindow < 0 || c.OverloadFactor < 0:
 		return errors.New("balance: RampTime, OverloadWindow, OverloadFactor: want 0 or more")
 	case c.PullDiscovery && c.MaxWatchInterval <= 0:
 		return errors.New("balance: MaxWatchInterval: want more than 0 with PullDiscovery")
@@ -97,12 +97,12 @@
 }
 
 // Host carries out a Balancer's actions. Its methods must not call the Balancer.
-type Host interface {
+type Actions interface {
 	// Send starts the request's next attempt; attempts are numbered from 0. The timeout
 	// is the request's remaining time, as a shorter one would add retries under high load.
 	Send(id RequestID, addr string, timeout time.Duration)
 	// Refuse ends the request and tells the client that it may safely be repeated.
-	Refuse(id RequestID, retryAfter time.Duration)
+	Reject(id RequestID, retryAfter time.Duration)
 	// Fail ends the request with an error; it may or may not have run.
 	Fail(id RequestID)
 	// After requests a Timer event with this token after d.
@@ -130,13 +130,13 @@
 }
 
 // ListKind tells how the list of a Members event is to be applied.
-type ListKind int
+type UpdateKind int
 
 const (
-	Delta      ListKind = iota // changed entries only
-	Full                       // all entries; missing endpoints are gone
-	Cached                     // all entries, possibly outdated
-	ListFailed                 // discovery failed; the previous list stays in use
+	Delta      UpdateKind = iota // changed entries only
+	Full                         // all entries; missing endpoints are gone
+	Cached                       // all entries, possibly outdated
+	ListFailed                   // discovery failed; the previous list stays in use
 )
 
 // Result is the outcome of an attempt.
@@ -201,7 +201,7 @@
 // Balancer makes the decisions for one caller. Use New to create one.
 type Balancer struct {
 	cfg  Config
-	host Host
+	host Actions
 	rng  *rand.Rand
 
 	endpoints         []endpoint
@@ -250,7 +250,7 @@
 )
 
 // New returns a Balancer for cfg whose random numbers are derived from seed.
-func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
+func New(cfg Config, seed uint64, host Actions) (*Balancer, error) {
 	if host == nil {
 		return nil, errors.New("balance: nil Host")
 	}
@@ -335,7 +335,7 @@
 	switch {
 	case c.Deadline <= 0 || c.LatencyTarget < 0:
 		return 0, fmt.Errorf("balance: Classes[%d]: Deadline %v, LatencyTarget %v, want a Deadline above 0 and a LatencyTarget of 0 or more", i, c.Deadline, c.LatencyTarget)
-	case c.Semantics < Safe || c.Semantics > Unsafe || c.Scope < ScopeAll || c.Scope > ScopeCell:
+	case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent || c.DeduplicationScope < ScopeAll || c.DeduplicationScope > ScopeCell:
 		return 0, fmt.Errorf("balance: Classes[%d]: unknown Semantics or Scope", i)
 	case c.LatencyTarget == 0:
 		c.LatencyTarget = c.Deadline
@@ -345,7 +345,7 @@
 }
 
 // Members applies an endpoint list, or the failure to obtain one.
-func (b *Balancer) Members(now time.Duration, kind ListKind, list []Endpoint) {
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, list []Endpoint) {
 	if kind == ListFailed {
 		b.watchFailures++
 		b.scheduleWatch()
@@ -519,12 +519,12 @@
 // mayRepeat reports whether the semantics of r allow another attempt, at e.
 func (b *Balancer) mayRepeat(r *request, e *endpoint, now time.Duration) bool {
 	c, a := &b.cfg.Classes[r.class], r.firstMaybeRun()
-	if c.Semantics == Safe || a == nil {
+	if c.Idempotency == Idempotent || a == nil {
 		return true
 	}
 	previous := &b.endpoints[a.endpoint]
-	return c.Semantics == Keyed && now-a.sent < c.DeduplicationWindow &&
-		(c.Scope != ScopeZone || e.Zone == previous.Zone) && (c.Scope != ScopeCell || e.Cell == previous.Cell)
+	return c.Idempotency == IdempotentByKey && now-a.sent < c.DeduplicationWindow &&
+		(c.DeduplicationScope != ScopeZone || e.Zone == previous.Zone) && (c.DeduplicationScope != ScopeCell || e.Cell == previous.Cell)
 }
 
 // send starts an attempt if maySend permits it. No other code starts attempts.
@@ -562,11 +562,11 @@
 // No other code refuses requests.
 func (b *Balancer) refuse(r *request, now time.Duration) bool {
 	c := &b.cfg.Classes[r.class]
-	harmless := c.Semantics == Safe || c.Semantics == Keyed && c.Scope == ScopeAll || r.firstMaybeRun() == nil
+	harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DeduplicationScope == ScopeAll || r.firstMaybeRun() == nil
 	if r.closed || !harmless {
 		return false
 	}
-	b.host.Refuse(r.id, b.retryAfter(r, now))
+	b.host.Reject(r.id, b.retryAfter(r, now))
 	b.closeRequest(r)
 	return true
 }
@@ -695,7 +695,7 @@
 }
 
 // Withdrawn closes a request whose client has left.
-func (b *Balancer) Withdrawn(_ time.Duration, id RequestID) {
+func (b *Balancer) Cancelled(_ time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.closed {
 		b.closeRequest(r)
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -28,7 +28,7 @@
 func (h *recorder) Send(id RequestID, addr string, timeout time.Duration) {
 	h.sends = append(h.sends, sentAttempt{id, addr, timeout})
 }
-func (h *recorder) Refuse(id RequestID, _ time.Duration) { h.refused = append(h.refused, id) }
+func (h *recorder) Reject(id RequestID, _ time.Duration) { h.refused = append(h.refused, id) }
 func (h *recorder) Fail(id RequestID)                    { h.failed = append(h.failed, id) }
 func (h *recorder) Watch()                               { h.watches++ }
 func (h *recorder) After(d time.Duration, token uint64) {
@@ -41,11 +41,11 @@
 func testConfig() Config {
 	return Config{
 		Instances: 1, AttemptLimit: 3, AllowConcurrentAttempts: true, Multiplex: 1, IdleConnTimeout: 5 * time.Second,
-		ColdShare: 0.2, RampTime: 10 * time.Second, OverloadWindow: 2 * time.Second,
+		SlowStartInitialShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadWindow: 2 * time.Second,
 		Classes: []Class{
-			{LatencyTarget: 500 * ms, Deadline: time.Second, Semantics: Safe, Worth: 1},
-			{LatencyTarget: 500 * ms, Deadline: time.Second, Semantics: Unsafe, Worth: 1},
-			{LatencyTarget: 500 * ms, Deadline: time.Second, Semantics: Keyed, Scope: ScopeCell, DeduplicationWindow: 300 * ms, Worth: 1},
+			{LatencyTarget: 500 * ms, Deadline: time.Second, Idempotency: Idempotent, PriorityWeight: 1},
+			{LatencyTarget: 500 * ms, Deadline: time.Second, Idempotency: NonIdempotent, PriorityWeight: 1},
+			{LatencyTarget: 500 * ms, Deadline: time.Second, Idempotency: IdempotentByKey, DeduplicationScope: ScopeCell, DeduplicationWindow: 300 * ms, PriorityWeight: 1},
 		},
 	}
 }
@@ -61,7 +61,7 @@
 	for i, a := range addrs {
 		list = append(list, Endpoint{Addr: a, State: Ready, Cell: i / 2})
 	}
-	b.Members(0, Full, list)
+	b.UpdateEndpoints(0, Full, list)
 	return b, h
 }
 
@@ -206,12 +206,12 @@
 
 func TestNoSendToDrainingOrGone(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a", "b")
-	b.Members(0, Delta, []Endpoint{{Addr: "a", State: Draining}, {Addr: "b", State: Gone}})
+	b.UpdateEndpoints(0, Delta, []Endpoint{{Addr: "a", State: Draining}, {Addr: "b", State: Gone}})
 	b.Request(0, 1, 0, 0, time.Second)
 	if len(h.sends) != 0 {
 		t.Fatalf("sent to %v", h.sends)
 	}
-	b.Members(ms, Delta, []Endpoint{{Addr: "c", State: Ready}})
+	b.UpdateEndpoints(ms, Delta, []Endpoint{{Addr: "c", State: Ready}})
 	if len(h.sends) != 1 || h.sends[0].addr != "c" {
 		t.Errorf("held request: got sends %v, want one to c", h.sends)
 	}
@@ -231,7 +231,7 @@
 func TestColdBudgetLimitsToEvenShare(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a", "b", "c", "d")
 	now := 100 * time.Second
-	b.Members(now, Delta, []Endpoint{{Addr: "d", State: Ready, Since: now}})
+	b.UpdateEndpoints(now, Delta, []Endpoint{{Addr: "d", State: Ready, Since: now}})
 	cold := 0
 	for i := range RequestID(4000) { // 1000 per second for the first 4 s
 		now += ms
@@ -259,7 +259,7 @@
 		"WorstClassWeight": func(c *Config) { c.WorstClassWeight = 2 },
 		"AttemptLimit":     func(c *Config) { c.AttemptLimit = 0 },
 		"OverloadFactor":   func(c *Config) { c.OverloadFactor = -1 },
-		"ColdShare":        func(c *Config) { c.ColdShare = 2 },
+		"ColdShare":        func(c *Config) { c.SlowStartInitialShare = 2 },
 		"Deadline":         func(c *Config) { c.Classes[0].Deadline = 0 },
 		"Multiplex":        func(c *Config) { c.Multiplex = 0 },
 		"MaxWatchInterval": func(c *Config) { c.PullDiscovery = true },
@@ -295,15 +295,15 @@
 		b, _ := newTestBalancer(t, testConfig(), "a", "b", "c")
 		b.Request(0, 1, class, 0, time.Second)
 		if !b.Confirm(20*ms, 1, 0) {
-			t.Errorf("semantics %d: first attempt not confirmed after 20 ms", c.Semantics)
+			t.Errorf("semantics %d: first attempt not confirmed after 20 ms", c.Idempotency)
 		}
 		b.Outcome(30*ms, 1, 0, ConnectError, 10*ms, false)
 		if r := b.requests[1]; r == nil || len(r.attempts) != 2 || !b.Confirm(60*ms, 1, 1) {
-			t.Fatalf("semantics %d: second attempt not confirmed although the first never ran", c.Semantics)
+			t.Fatalf("semantics %d: second attempt not confirmed although the first never ran", c.Idempotency)
 		}
 		b.endpoints[b.requests[1].attempts[1].endpoint].State = Draining
 		if b.Confirm(70*ms, 1, 1) {
-			t.Errorf("semantics %d: attempt at a draining endpoint confirmed", c.Semantics)
+			t.Errorf("semantics %d: attempt at a draining endpoint confirmed", c.Idempotency)
 		}
 	}
 }
@@ -381,7 +381,7 @@
 func TestAdmissionRefusesLowWorthFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Entry = true
-	cfg.Classes[0].Worth = 10
+	cfg.Classes[0].PriorityWeight = 10
 	b, h := newTestBalancer(t, cfg, "a", "b")
 	refused := [2]int{}
 	for i := range RequestID(4000) {
@@ -421,7 +421,7 @@
 
 func TestTenantOverQuotaHasLowerPriority(t *testing.T) {
 	cfg := testConfig()
-	cfg.TenantQuotas, cfg.OverQuotaWorth = []float64{10, 0}, 0.1
+	cfg.TenantQuotas, cfg.OverQuotaWeight = []float64{10, 0}, 0.1
 	b, _ := newTestBalancer(t, cfg, "a")
 	overQuota := 0
 	for i := range 1000 {
@@ -499,7 +499,7 @@
 	for i := range 8 {
 		list = append(list, Endpoint{Addr: fmt.Sprint("e", i), State: Ready, Zone: i % 2})
 	}
-	b.Members(0, Full, list)
+	b.UpdateEndpoints(0, Full, list)
 	for _, i := range []int{1, 3, 5, 1} {
 		b.recordOutcome(0, &request{}, &attempt{endpoint: i, durationRatio: 1}, 0, Timeout, ms)
 	}
@@ -515,7 +515,7 @@
 // WorstClassWeight prevents starvation of the class with the least worth.
 func TestWorstClassWeightRaisesPriority(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].Worth = 10
+	cfg.Classes[0].PriorityWeight = 10
 	b, _ := newTestBalancer(t, cfg, "a")
 	b.classes[0] = classStats{requested: 100, servedInTarget: 90}
 	b.classes[1] = classStats{requested: 100, servedInTarget: 10}
@@ -533,7 +533,7 @@
 	cfg := testConfig()
 	cfg.CrossZonePrice = 0.01
 	b, _ := newTestBalancer(t, cfg)
-	b.Members(0, Full, []Endpoint{{Addr: "near", State: Ready, Zone: 0}, {Addr: "far", State: Ready, Zone: 1}})
+	b.UpdateEndpoints(0, Full, []Endpoint{{Addr: "near", State: Ready, Zone: 0}, {Addr: "far", State: Ready, Zone: 1}})
 	b.endpoints[0].addSample(0, 0.010)
 	b.endpoints[1].addSample(0, 0.010)
 	checkNear(t, "far, with twice the mean", pickShares(b, 0, 100000)["far"], 1.0/9)
@@ -646,7 +646,7 @@
 	if before < 0.9 {
 		t.Fatalf("the fast endpoint got share %.2f, want at least 0.9", before)
 	}
-	class, err := b.AddClass(Class{Deadline: 2 * time.Second, Semantics: Unsafe, Worth: 5})
+	class, err := b.AddClass(Class{Deadline: 2 * time.Second, Idempotency: NonIdempotent, PriorityWeight: 5})
 	if err != nil || class != 3 {
 		t.Fatalf("AddClass: got class %d, error %v, want class 3", class, err)
 	}
@@ -682,7 +682,7 @@
 	if len(h.sends) != 1 || len(h.refused)+len(h.failed) != 1 {
 		t.Errorf("%d attempts, %d refused or failed, want one of each", len(h.sends), len(h.refused)+len(h.failed))
 	}
-	i, err := b.AddClass(Class{Deadline: time.Second, Semantics: Unsafe, Worth: 1})
+	i, err := b.AddClass(Class{Deadline: time.Second, Idempotency: NonIdempotent, PriorityWeight: 1})
 	if err != nil || i != len(cfg.Classes) {
 		t.Fatalf("AddClass: got class %d, error %v, want class 3", i, err)
 	}
@@ -708,7 +708,7 @@
 	b.Request(0, 2, 1, -1, time.Second)
 	b.Request(0, 3, 1, -1, time.Second)
 	b.Outcome(10*ms, 3, 0, OK, 10*ms, true)
-	b.Members(20*ms, Full, nil)
+	b.UpdateEndpoints(20*ms, Full, nil)
 	b.Request(20*ms, 4, 1, -1, time.Second) // held, never sent
 	b.Close(30 * ms)
 	b.Close(40 * ms)
--- a/balance/cold_budget_test.go
+++ b/balance/cold_budget_test.go
@@ -77,7 +77,7 @@
 			f.run(26*time.Second, perSecond, 0, 1500*ms)
 			capacity := float64(endpoints - returned)
 			for _, at := range since {
-				capacity += cfg.ColdShare + (1-cfg.ColdShare)*min(1, (startAt+startSpan-at).Seconds()/cfg.RampTime.Seconds())
+				capacity += cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*min(1, (startAt+startSpan-at).Seconds()/cfg.SlowStartWindow.Seconds())
 			}
 			perWindow := rateIncrease * perSecond / capacity * cfg.OverloadWindow.Seconds()
 			worstRatio, worstCase := 0.0, ""
@@ -87,10 +87,10 @@
 					for at-times[first] >= cfg.OverloadWindow {
 						first++
 					}
-					if times[first] < start || at >= start+cfg.RampTime {
+					if times[first] < start || at >= start+cfg.SlowStartWindow {
 						continue // sent before its last start, or it is warm
 					}
-					capacityShare := min(1, cfg.ColdShare+(1-cfg.ColdShare)*(times[first]-start).Seconds()/cfg.RampTime.Seconds())
+					capacityShare := min(1, cfg.SlowStartInitialShare+(1-cfg.SlowStartInitialShare)*(times[first]-start).Seconds()/cfg.SlowStartWindow.Seconds())
 					n := cfg.OverloadFactor * perWindow * capacityShare
 					if got := float64(k-first+1) / (n + 2*math.Sqrt(n) + 2); got > worstRatio {
 						worstRatio, worstCase = got, fmt.Sprintf("%s: %d requests within %v from %v after its start", addr, k-first+1, cfg.OverloadWindow, times[first]-start)
--- a/balance/discovery_outage_test.go
+++ b/balance/discovery_outage_test.go
@@ -33,8 +33,8 @@
 					}
 				}
 				for _, b := range f.balancers {
-					b.Members(0, Full, readyEndpoints("w", 3))
-					f.after(downAt+time.Duration(rng.Int64N(int64(100*ms))), func() { b.Members(f.now, ListFailed, nil) }) // the subscriptions end
+					b.UpdateEndpoints(0, Full, readyEndpoints("w", 3))
+					f.after(downAt+time.Duration(rng.Int64N(int64(100*ms))), func() { b.UpdateEndpoints(f.now, ListFailed, nil) }) // the subscriptions end
 				}
 				var arrive func()
 				arrive = func() {
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -26,7 +26,7 @@
 	f := d.fleet
 	d.calls = append(d.calls, f.now)
 	b := f.balancers[i]
-	failAfter := func(after time.Duration) { f.after(after, func() { b.Members(f.now, ListFailed, nil) }) }
+	failAfter := func(after time.Duration) { f.after(after, func() { b.UpdateEndpoints(f.now, ListFailed, nil) }) }
 	switch {
 	case !d.isUp() && d.hangsWhenDown():
 		failAfter(limit)
@@ -38,7 +38,7 @@
 			if d.notifiedAt[i] == 0 {
 				d.notifiedAt[i] = f.now
 			}
-			b.Members(f.now, Delta, nil)
+			b.UpdateEndpoints(f.now, Delta, nil)
 		})
 	}
 }
@@ -58,7 +58,7 @@
 	d.hangsWhenDown = func() bool { return seed%2 == 1 }
 	f.onWatch = d.call
 	for _, b := range f.balancers { // the processes start within a second
-		f.after(time.Duration(rng.Int64N(int64(time.Second))), func() { b.Members(f.now, Cached, readyEndpoints("w", 3)) })
+		f.after(time.Duration(rng.Int64N(int64(time.Second))), func() { b.UpdateEndpoints(f.now, Cached, readyEndpoints("w", 3)) })
 	}
 	for len(f.events) > 0 && f.events[0].at < upAt+20*time.Second {
 		e := heap.Pop(&f.events).(event)
--- a/balance/distribution_test.go
+++ b/balance/distribution_test.go
@@ -130,7 +130,7 @@
 
 func distributionConfig() Config {
 	c := fleetConfig()
-	c.Classes = []Class{{LatencyTarget: 2 * time.Second, Deadline: 10 * time.Second, Semantics: Safe, Worth: 1, LateWorth: 0.5}}
+	c.Classes = []Class{{LatencyTarget: 2 * time.Second, Deadline: 10 * time.Second, Idempotency: Idempotent, PriorityWeight: 1, LateWeight: 0.5}}
 	c.AttemptLimit = 3
 	c.AllowConcurrentAttempts = false
 	return c
@@ -310,7 +310,7 @@
 	for class := range probes {
 		cfg := distributionConfig()
 		cfg.Classes = append(cfg.Classes, cfg.Classes[0])
-		cfg.Classes[1].Semantics = Unsafe
+		cfg.Classes[1].Idempotency = NonIdempotent
 		r := newDistributionSimulation(t, cfg, 200, 60, 1)
 		eighth := func(n int) bool { return n%8 == 4 }
 		r.result = func(n int) Result {
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -183,10 +183,10 @@
 // starts at ColdShare and grows linearly over RampTime.
 func (b *Balancer) capacityShare(e *endpoint, now time.Duration) float64 {
 	age := now - e.Since
-	if e.Since == 0 || age >= b.cfg.RampTime {
+	if e.Since == 0 || age >= b.cfg.SlowStartWindow {
 		return 1
 	}
-	return b.cfg.ColdShare + (1-b.cfg.ColdShare)*float64(max(age, 0))/float64(b.cfg.RampTime)
+	return b.cfg.SlowStartInitialShare + (1-b.cfg.SlowStartInitialShare)*float64(max(age, 0))/float64(b.cfg.SlowStartWindow)
 }
 
 const (
@@ -304,7 +304,7 @@
 	if math.IsInf(best, 1) {
 		best = 1 // no candidate has samples
 	}
-	unsafe := b.cfg.Classes[r.class].Semantics == Unsafe
+	unsafe := b.cfg.Classes[r.class].Idempotency == NonIdempotent
 	for k := range b.candidates {
 		c := &b.candidates[k]
 		e, n := &b.endpoints[c.index], float64(b.endpoints[c.index].sampleCount)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -77,7 +77,7 @@
 	}
 	f.balancers[i] = b
 	if known != nil {
-		b.Members(f.now, Cached, known)
+		b.UpdateEndpoints(f.now, Cached, known)
 	}
 }
 
@@ -92,9 +92,9 @@
 }
 
 // sendList sends a list to all Balancers, to each with a random delay of up to 1 s.
-func (f *fleet) sendList(kind ListKind, list []Endpoint) {
+func (f *fleet) sendList(kind UpdateKind, list []Endpoint) {
 	for _, b := range f.balancers {
-		f.after(time.Duration(f.rng.Int64N(int64(time.Second))), func() { b.Members(f.now, kind, list) })
+		f.after(time.Duration(f.rng.Int64N(int64(time.Second))), func() { b.UpdateEndpoints(f.now, kind, list) })
 	}
 }
 
@@ -189,7 +189,7 @@
 	}
 }
 
-func (h *fleetHost) Refuse(id RequestID, retryAfter time.Duration) {
+func (h *fleetHost) Reject(id RequestID, retryAfter time.Duration) {
 	if h.fleet.onRefuse != nil {
 		h.fleet.onRefuse(id, retryAfter)
 	}
@@ -211,10 +211,10 @@
 func fleetConfig() Config {
 	return Config{
 		AttemptLimit: 6, AllowConcurrentAttempts: true, Multiplex: 1, IdleConnTimeout: 5 * time.Second,
-		ColdShare: 0.31, RampTime: 8800 * ms, OverloadWindow: 3 * time.Second, OverloadFactor: 3,
+		SlowStartInitialShare: 0.31, SlowStartWindow: 8800 * ms, OverloadWindow: 3 * time.Second, OverloadFactor: 3,
 		Classes: []Class{
-			{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Semantics: Safe, Worth: 3, LateWorth: 0.5},
-			{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Semantics: Unsafe, Worth: 3, LateWorth: 0.25},
+			{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Idempotency: Idempotent, PriorityWeight: 3, LateWeight: 0.5},
+			{LatencyTarget: 600 * ms, Deadline: 1500 * ms, Idempotency: NonIdempotent, PriorityWeight: 3, LateWeight: 0.25},
 		},
 	}
 }
@@ -261,7 +261,7 @@
 		capacity := float64(endpoints - replaced)
 		for _, e := range readyEndpoints("c", replaced) {
 			start := since[e.Addr]
-			capacity += cfg.ColdShare + (1-cfg.ColdShare)*(startAt+7*time.Second-start).Seconds()/cfg.RampTime.Seconds()
+			capacity += cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*(startAt+7*time.Second-start).Seconds()/cfg.SlowStartWindow.Seconds()
 		}
 		warmRate := perSecond / capacity
 		maxRatio, coldSends := 0.0, 0
@@ -274,9 +274,9 @@
 				}
 				age := (times[first] - start).Seconds() // at the start of the window, where its capacity is lowest
 				perWindow := warmRate * cfg.OverloadWindow.Seconds() *
-					min(1, cfg.ColdShare+(1-cfg.ColdShare)*(age+cfg.OverloadWindow.Seconds()/2)/cfg.RampTime.Seconds())
+					min(1, cfg.SlowStartInitialShare+(1-cfg.SlowStartInitialShare)*(age+cfg.OverloadWindow.Seconds()/2)/cfg.SlowStartWindow.Seconds())
 				maxRatio = max(maxRatio, float64(k-first+1)/perWindow)
-				if at-start < cfg.RampTime {
+				if at-start < cfg.SlowStartWindow {
 					coldSends++
 				}
 			}
@@ -286,7 +286,7 @@
 		}
 		// The share of all cold endpoints by capacity over RampTime. They should get more,
 		// as they answer fastest.
-		even := warmRate * cfg.RampTime.Seconds() * (1 + cfg.ColdShare) / 2 * replaced
+		even := warmRate * cfg.SlowStartWindow.Seconds() * (1 + cfg.SlowStartInitialShare) / 2 * replaced
 		if float64(coldSends) < even {
 			t.Errorf("seed %d: cold endpoints got %d attempts, want at least their share by capacity, %.0f", seed, coldSends, even)
 		}
@@ -314,7 +314,7 @@
 		before := make([]map[string]bool, c.instances)
 		callers := map[string]int{}
 		for i, b := range f.balancers {
-			b.Members(0, Full, list)
+			b.UpdateEndpoints(0, Full, list)
 			before[i] = subsetOf(b)
 			for addr := range before[i] {
 				callers[addr]++
@@ -335,7 +335,7 @@
 		for k := range min(10, c.endpoints) {
 			change := []Endpoint{{Addr: list[k].Addr, State: Gone}, {Addr: fmt.Sprint("new", k), State: Ready}}
 			for i, b := range f.balancers {
-				b.Members(0, Delta, change)
+				b.UpdateEndpoints(0, Delta, change)
 				after, removedNow := subsetOf(b), 0
 				for addr := range before[i] {
 					if !after[addr] {
@@ -487,7 +487,7 @@
 	}
 	f.sendList(Full, readyEndpoints("w", 60))
 	outdated := append(readyEndpoints("w", 30), readyEndpoints("old", 30)...)
-	f.after(1100*ms, func() { f.balancers[7].Members(f.now, Cached, outdated) })
+	f.after(1100*ms, func() { f.balancers[7].UpdateEndpoints(f.now, Cached, outdated) })
 	f.run(8*time.Second, 2000, 1, 1500*ms)
 	t.Logf("%.4f served from 2 s on", float64(served)/float64(ended))
 	if float64(served) < 0.98*float64(ended) {
--- a/balance/idle_test.go
+++ b/balance/idle_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, b := range f.balancers {
-		b.Members(0, Full, readyEndpoints("a", 12))
+		b.UpdateEndpoints(0, Full, readyEndpoints("a", 12))
 	}
 	arrivals := func(from, until time.Duration) {
 		var arrive func()
@@ -63,7 +63,7 @@
 				}
 			}
 			for _, b := range f.balancers {
-				b.Members(f.now, Delta, list)
+				b.UpdateEndpoints(f.now, Delta, list)
 			}
 		})
 	}
--- a/balance/large_fleet_test.go
+++ b/balance/large_fleet_test.go
@@ -86,7 +86,7 @@
 								if err := b.Reconfigure(c); err != nil {
 									t.Error(err)
 								}
-								b.Members(f.now, Full, currentList())
+								b.UpdateEndpoints(f.now, Full, currentList())
 							})
 						}
 					}
@@ -94,7 +94,7 @@
 				f.run(30*time.Second, perSecond, 0, 1500*ms)
 				capacity := float64(endpoints - replaced)
 				for _, start := range since {
-					capacity += cfg.ColdShare + (1-cfg.ColdShare)*min(1, (startAt+startSpan-start).Seconds()/cfg.RampTime.Seconds())
+					capacity += cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*min(1, (startAt+startSpan-start).Seconds()/cfg.SlowStartWindow.Seconds())
 				}
 				perWindow := perSecond / capacity * cfg.OverloadWindow.Seconds() // capacity of a warm endpoint in OverloadWindow
 				maxRatio, coldSends := 0.0, 0
@@ -105,8 +105,8 @@
 							first++
 						}
 						age := (times[first] - start + cfg.OverloadWindow/2).Seconds()
-						maxRatio = max(maxRatio, float64(k-first+1)/perWindow/min(1, cfg.ColdShare+(1-cfg.ColdShare)*age/cfg.RampTime.Seconds()))
-						if at-start < cfg.RampTime {
+						maxRatio = max(maxRatio, float64(k-first+1)/perWindow/min(1, cfg.SlowStartInitialShare+(1-cfg.SlowStartInitialShare)*age/cfg.SlowStartWindow.Seconds()))
+						if at-start < cfg.SlowStartWindow {
 							coldSends++
 						}
 					}
@@ -116,7 +116,7 @@
 					t.Errorf("seed %d: an endpoint was sent %.2f times its capacity within %v, want at most %.2f", seed, maxRatio, cfg.OverloadWindow, bound)
 				}
 				// Restarted Balancers have no cold budget yet, so only half of the share is required.
-				if even := perWindow / cfg.OverloadWindow.Seconds() * cfg.RampTime.Seconds() * (1 + cfg.ColdShare) / 2 * replaced; float64(coldSends) < even/2 {
+				if even := perWindow / cfg.OverloadWindow.Seconds() * cfg.SlowStartWindow.Seconds() * (1 + cfg.SlowStartInitialShare) / 2 * replaced; float64(coldSends) < even/2 {
 					t.Errorf("seed %d: cold endpoints got %d attempts, want at least half of their share by capacity, %.0f", seed, coldSends, even)
 				}
 			}
@@ -335,7 +335,7 @@
 					first++
 				}
 				age := (times[first] - returnAt + cfg.OverloadWindow/2).Seconds()
-				maxRatio = max(maxRatio, float64(k-first+1)/perWindow/min(1, cfg.ColdShare+(1-cfg.ColdShare)*age/cfg.RampTime.Seconds()))
+				maxRatio = max(maxRatio, float64(k-first+1)/perWindow/min(1, cfg.SlowStartInitialShare+(1-cfg.SlowStartInitialShare)*age/cfg.SlowStartWindow.Seconds()))
 			}
 		}
 		t.Logf("seed %d: an endpoint was sent at most %.2f times its capacity; %.4f served", seed, maxRatio, float64(served)/float64(ended))
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -18,9 +18,9 @@
 		slowdownPerTask: 0.02 * rng.Float64(),
 		clientRepeats:   1 + rng.IntN(2), retryAfterShare: 0.3 + 0.5*rng.Float64(), tryTimeoutShare: 0.45 + 0.35*rng.Float64(),
 		classes: []Class{
-			{LatencyTarget: 1750 * ms, Deadline: 3500 * ms, Semantics: Safe, Worth: 1, LateWorth: 0.3},
-			{LatencyTarget: 6 * time.Second, Deadline: 12 * time.Second, Semantics: Keyed, DeduplicationWindow: 15 * time.Second, Scope: ScopeCell, Worth: 4, LateWorth: 0.2},
-			{LatencyTarget: 9800 * ms, Deadline: 19600 * ms, Semantics: Unsafe, Worth: 6, LateWorth: 0.2},
+			{LatencyTarget: 1750 * ms, Deadline: 3500 * ms, Idempotency: Idempotent, PriorityWeight: 1, LateWeight: 0.3},
+			{LatencyTarget: 6 * time.Second, Deadline: 12 * time.Second, Idempotency: IdempotentByKey, DeduplicationWindow: 15 * time.Second, DeduplicationScope: ScopeCell, PriorityWeight: 4, LateWeight: 0.2},
+			{LatencyTarget: 9800 * ms, Deadline: 19600 * ms, Idempotency: NonIdempotent, PriorityWeight: 6, LateWeight: 0.2},
 		},
 		classShares: []float64{0.55, 0.3, 0.15},
 	}
--- a/balance/robustness_test.go
+++ b/balance/robustness_test.go
@@ -50,13 +50,13 @@
 	later := 30 * time.Hour
 	b.Timer(later, 1<<timerBits|timerDeadline)
 	b.Outcome(later, 1, 0, Timeout, later, false)
-	b.Members(later, Full, nil)
+	b.UpdateEndpoints(later, Full, nil)
 	b.Request(later, 2, 0, 0, time.Second)
 	b.Timer(later+time.Second, 2<<timerBits|timerDeadline)
 	if len(h.refused)+len(h.failed) != 2 {
 		t.Fatalf("%d requests refused and %d failed, want 2 in all", len(h.refused), len(h.failed))
 	}
-	b.Members(later, Full, []Endpoint{{Addr: "a", State: Ready}})
+	b.UpdateEndpoints(later, Full, []Endpoint{{Addr: "a", State: Ready}})
 	n := len(h.sends)
 	b.Request(later+2*time.Second, 3, 0, 0, time.Second)
 	if len(h.sends) != n+1 {
@@ -68,7 +68,7 @@
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a")
 	b.Outcome(0, 9, 0, OK, ms, true)
-	b.Withdrawn(0, 9)
+	b.Cancelled(0, 9)
 	b.Timer(0, 9<<timerBits|timerDeadline)
 	b.Timer(0, 9<<timerBits|timerLate)
 	b.Request(0, 1, 99, 0, time.Second)
@@ -90,18 +90,18 @@
 // attempt to one: its outcome would be recorded for another endpoint.
 func TestGoneEndpointsAreFreed(t *testing.T) {
 	cfg := testConfig()
-	cfg.ColdShare = 1
+	cfg.SlowStartInitialShare = 1
 	b, h := newTestBalancer(t, cfg)
 	now := time.Duration(0)
 	for k := range 1000 {
 		now += time.Second
-		b.Members(now, Full, []Endpoint{{Addr: fmt.Sprint("s-", k), State: Ready}, {Addr: fmt.Sprint("t-", k), State: Ready}})
+		b.UpdateEndpoints(now, Full, []Endpoint{{Addr: fmt.Sprint("s-", k), State: Ready}, {Addr: fmt.Sprint("t-", k), State: Ready}})
 	}
 	if maxElements := 2 * int(goneRetention/time.Second+2); len(b.endpoints) > maxElements || len(b.indexByAddr) > maxElements {
 		t.Errorf("%d elements and %d addresses for 2 endpoints, want at most %d", len(b.endpoints), len(b.indexByAddr), maxElements)
 	}
 
-	b.Members(now, Full, []Endpoint{{Addr: "old", State: Ready}})
+	b.UpdateEndpoints(now, Full, []Endpoint{{Addr: "old", State: Ready}})
 	b.Request(now, 1, 1, 0, 900*time.Second)
 	if len(h.sends) != 1 || h.sends[0].addr != "old" {
 		t.Fatalf("sends %v, want one to old", h.sends)
@@ -109,13 +109,13 @@
 	index := b.indexByAddr["old"]
 	for k := range 200 {
 		now += time.Second
-		b.Members(now, Full, []Endpoint{{Addr: fmt.Sprint("u-", k), State: Ready}})
+		b.UpdateEndpoints(now, Full, []Endpoint{{Addr: fmt.Sprint("u-", k), State: Ready}})
 	}
 	if b.indexByAddr["old"] != index || b.endpoints[index].Addr != "old" {
 		t.Fatal("the element of an endpoint with an attempt in flight was reused")
 	}
 	b.Outcome(now, 1, 0, Timeout, time.Second, true)
-	b.Members(now, Full, nil)
+	b.UpdateEndpoints(now, Full, nil)
 	if _, ok := b.indexByAddr["old"]; ok {
 		t.Error("gone endpoint without open attempts was not freed")
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -58,10 +58,10 @@
 		if t.done && (t.result == Overloaded || t.result == ConnectError || t.result == NotSent) {
 			continue
 		}
-		if !t.done && !c.cfg.AllowConcurrentAttempts || class.Semantics == Unsafe {
+		if !t.done && !c.cfg.AllowConcurrentAttempts || class.Idempotency == NonIdempotent {
 			c.errorf("request %d: retried although an attempt may have run", id)
 		}
-		if class.Semantics == Keyed && (c.endpoints[t.addr].Cell != c.endpoints[addr].Cell || c.now-t.sent >= class.DeduplicationWindow) {
+		if class.Idempotency == IdempotentByKey && (c.endpoints[t.addr].Cell != c.endpoints[addr].Cell || c.now-t.sent >= class.DeduplicationWindow) {
 			c.errorf("request %d: keyed retry outside its cell or the deduplication window", id)
 		}
 	}
@@ -83,11 +83,11 @@
 	return w
 }
 
-func (c *checker) Refuse(id RequestID, _ time.Duration) {
+func (c *checker) Reject(id RequestID, _ time.Duration) {
 	w := c.answer(id, " refuse ")
 	for _, t := range w.attempts {
 		ran := !t.done || t.result != Overloaded && t.result != ConnectError && t.result != NotSent
-		if ran && c.cfg.Classes[w.class].Semantics != Safe {
+		if ran && c.cfg.Classes[w.class].Idempotency != Idempotent {
 			c.errorf("request %d: refused although it may have run", id)
 		}
 	}
@@ -148,12 +148,12 @@
 				e.State, e.Since = Ready, c.now
 			}
 			c.endpoints[e.Addr] = e
-			b.Members(c.now, Delta, []Endpoint{e})
+			b.UpdateEndpoints(c.now, Delta, []Endpoint{e})
 		}
 		if c.rng.IntN(10) == 0 && id > 3 {
 			withdrawn := id - 1 - RequestID(c.rng.IntN(3))
 			c.requests[withdrawn].answered = true
-			b.Withdrawn(c.now, withdrawn)
+			b.Cancelled(c.now, withdrawn)
 		}
 		budget := time.Duration(1+c.rng.IntN(900)) * ms
 		w := &requestState{class: c.rng.IntN(len(cfg.Classes)), deadline: c.now + budget}
@@ -205,7 +205,7 @@
 	for i := range n {
 		list = append(list, Endpoint{Addr: fmt.Sprint("e", i), State: Ready})
 	}
-	bal.Members(0, Full, list)
+	bal.UpdateEndpoints(0, Full, list)
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * ms
@@ -220,7 +220,7 @@
 type discardHost struct{}
 
 func (discardHost) Send(RequestID, string, time.Duration) {}
-func (discardHost) Refuse(RequestID, time.Duration)       {}
+func (discardHost) Reject(RequestID, time.Duration)       {}
 func (discardHost) Fail(RequestID)                        {}
 func (discardHost) After(time.Duration, uint64)           {}
 func (discardHost) Watch()                                {}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -59,7 +59,7 @@
 	if since == 0 {
 		return 1
 	}
-	return min(1, cfg.ColdShare+(1-cfg.ColdShare)*(now-since).Seconds()/cfg.RampTime.Seconds())
+	return min(1, cfg.SlowStartInitialShare+(1-cfg.SlowStartInitialShare)*(now-since).Seconds()/cfg.SlowStartWindow.Seconds())
 }
 
 // slowStartRun is one run of a scenario, with its results.
@@ -82,7 +82,7 @@
 
 func newSlowStartRun(t *testing.T, size slowStartSize, scenario slowStartScenario, seed uint64) *slowStartRun {
 	cfg := fleetConfig()
-	cfg.ColdShare = scenario.coldShare
+	cfg.SlowStartInitialShare = scenario.coldShare
 	r := &slowStartRun{
 		fleet: newFleet(t, cfg, size.balancers, seed), cfg: cfg, scenario: scenario, size: size,
 		nodes: map[string]*slowStartNode{}, informedAt: map[string][]time.Duration{}, pending: map[RequestID]func(Result){},
@@ -95,7 +95,7 @@
 	r.setUpTraffic()
 	r.fleet.serveFrom = r.deliver
 	for _, b := range r.fleet.balancers {
-		b.Members(0, Full, r.list)
+		b.UpdateEndpoints(0, Full, r.list)
 	}
 	return r
 }
@@ -155,7 +155,7 @@
 // flight is cancelled.
 func (r *slowStartRun) withdraw(from int, id RequestID) {
 	if b := r.fleet.balancers[from]; b.requests[id] != nil {
-		b.Withdrawn(r.fleet.now, id)
+		b.Cancelled(r.fleet.now, id)
 	}
 	if done := r.pending[id]; done != nil {
 		done(Cancelled)
@@ -240,7 +240,7 @@
 	}
 	m.due = f.now + time.Duration(f.rng.Int64N(int64(time.Second)))
 	f.after(m.due-f.now, func() {
-		f.balancers[i].Members(f.now, Delta, m.changes)
+		f.balancers[i].UpdateEndpoints(f.now, Delta, m.changes)
 		m.changes = nil
 	})
 	return m.due
@@ -293,7 +293,7 @@
 			f.after(at-time.Second, func() { outdated = currentList() })
 			f.after(at, func() {
 				f.restart(i, r.cfg, outdated)
-				f.after(time.Duration(f.rng.Float64()*float64(r.scenario.listDelay)), func() { f.balancers[i].Members(f.now, Full, currentList()) })
+				f.after(time.Duration(f.rng.Float64()*float64(r.scenario.listDelay)), func() { f.balancers[i].UpdateEndpoints(f.now, Full, currentList()) })
 			})
 		case r.scenario.reconfigured:
 			f.after(at, func() {
@@ -307,7 +307,7 @@
 				if err := f.balancers[i].Reconfigure(c); err != nil {
 					f.t.Error(err)
 				}
-				f.balancers[i].Members(f.now, Full, currentList())
+				f.balancers[i].UpdateEndpoints(f.now, Full, currentList())
 			})
 		}
 	}
@@ -350,7 +350,7 @@
 			}
 			from := s.arrivals[first].at
 			count := k - first + 1
-			if a.at-s.since >= r.cfg.RampTime || 3*informed <= 2*count { // warm, or too many were sent without information of the start
+			if a.at-s.since >= r.cfg.SlowStartWindow || 3*informed <= 2*count { // warm, or too many were sent without information of the start
 				continue
 			}
 			n := r.cfg.OverloadFactor * s.warmRate * slowStartCapacityShare(r.cfg, s.since, from) * r.cfg.OverloadWindow.Seconds()
@@ -428,7 +428,7 @@
 		sends := 0
 		for now := time.Duration(0); now < coldAt+cfg.OverloadWindow; now += interval {
 			if now == coldAt {
-				b.Members(now, Full, []Endpoint{{Addr: "cold", State: Ready, Since: now}})
+				b.UpdateEndpoints(now, Full, []Endpoint{{Addr: "cold", State: Ready, Since: now}})
 			}
 			id, first := RequestID(now/interval)+1, len(h.sends)
 			b.Request(now, id, 0, 0, 1500*ms)
@@ -439,12 +439,12 @@
 				}
 				sends++
 				if result == Cancelled {
-					b.Withdrawn(now, id)
+					b.Cancelled(now, id)
 				}
 				b.Outcome(now, id, k-first, result, 5*ms, result == OK)
 			}
 		}
-		n := cfg.OverloadFactor * perEndpoint * cfg.ColdShare * cfg.OverloadWindow.Seconds()
+		n := cfg.OverloadFactor * perEndpoint * cfg.SlowStartInitialShare * cfg.OverloadWindow.Seconds()
 		if sends == 0 || float64(sends) > slowStartMaxRequests(n) {
 			t.Errorf("result %d: %d attempts at the cold endpoint in %v, want 1 to %.0f", result, sends, cfg.OverloadWindow, slowStartMaxRequests(n))
 		}
@@ -456,13 +456,13 @@
 func TestRestoreFromWarmFleetKeepsColdBudget(t *testing.T) {
 	const now, interval, served = time.Hour, 10 * ms, 100.0
 	cfg := fleetConfig()
-	cfg.Instances, cfg.ColdShare = 1, 0.1
+	cfg.Instances, cfg.SlowStartInitialShare = 1, 0.1
 	b, h := newTestBalancer(t, cfg)
 	list := readyEndpoints("e", 5)
 	for i := range list {
 		list[i].Since = now
 	}
-	b.Members(now, Cached, list)
+	b.UpdateEndpoints(now, Cached, list)
 	b.Restore(now, Snapshot{Served: served, InAim: served})
 	for id := RequestID(1); id <= RequestID(cfg.OverloadWindow/interval); id++ {
 		at, first := now+time.Duration(id)*interval, len(h.sends)
@@ -475,7 +475,7 @@
 	for _, s := range h.sends {
 		sends[s.addr]++
 	}
-	n := cfg.OverloadFactor * served / 5 * cfg.ColdShare * cfg.OverloadWindow.Seconds()
+	n := cfg.OverloadFactor * served / 5 * cfg.SlowStartInitialShare * cfg.OverloadWindow.Seconds()
 	for _, e := range list {
 		if got := float64(sends[e.Addr]); got == 0 || got > slowStartMaxRequests(n) {
 			t.Errorf("%s got %.0f requests in %v, want 1 to %.0f", e.Addr, got, cfg.OverloadWindow, slowStartMaxRequests(n))
--- a/balance/tier_chain_test.go
+++ b/balance/tier_chain_test.go
@@ -356,7 +356,7 @@
 				}
 				return
 			}
-			if left == 0 || !refused && class.Semantics == Unsafe {
+			if left == 0 || !refused && class.Idempotency == NonIdempotent {
 				return
 			}
 			wait := time.Duration(10+c.entry.rng.IntN(80)) * ms
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -32,10 +32,10 @@
 
 // balancer is a balance.Balancer, or a capture.Tap around one.
 type balancer interface {
-	Members(now time.Duration, kind balance.ListKind, list []balance.Endpoint)
+	UpdateEndpoints(now time.Duration, kind balance.UpdateKind, list []balance.Endpoint)
 	Request(now time.Duration, id balance.RequestID, class, tenant int, budget time.Duration)
 	Outcome(now time.Duration, id balance.RequestID, number int, result balance.Result, elapsed time.Duration, final bool)
-	Withdrawn(now time.Duration, id balance.RequestID)
+	Cancelled(now time.Duration, id balance.RequestID)
 	Timer(now time.Duration, token uint64)
 }
 
@@ -58,8 +58,8 @@
 	h.attempts[id]++
 }
 
-func (h *host) Refuse(id balance.RequestID, retryAfter time.Duration) {
-	h.out.Refuse(h.instance, uint64(id), retryAfter)
+func (h *host) Reject(id balance.RequestID, retryAfter time.Duration) {
+	h.out.Reject(h.instance, uint64(id), retryAfter)
 	delete(h.attempts, id)
 }
 
@@ -175,7 +175,7 @@
 	b, id := h.balancer, balance.RequestID(e.ID)
 	switch e.Kind {
 	case simproto.Members:
-		b.Members(e.Now, e.ListKind, e.List)
+		b.UpdateEndpoints(e.Now, e.ListKind, e.List)
 	case simproto.Request:
 		b.Request(e.Now, id, e.Class, e.Tenant, e.Budget)
 	case simproto.Outcome:
@@ -186,7 +186,7 @@
 		b.Outcome(e.Now, id, e.Number, e.Result, e.Elapsed, e.Final)
 	case simproto.Withdrawn:
 		delete(h.attempts, id)
-		b.Withdrawn(e.Now, id)
+		b.Cancelled(e.Now, id)
 	case simproto.Timer:
 		if e.ID != sweepToken {
 			b.Timer(e.Now, e.ID)
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -41,7 +41,7 @@
 	took := time.Duration(h.rng.IntN(120)) * ms
 	h.schedule(took, func(r *Recorder, now time.Duration) { r.Outcome(now, id, n, result, took, result == balance.OK) })
 }
-func (h *fakeHost) Refuse(balance.RequestID, time.Duration) {}
+func (h *fakeHost) Reject(balance.RequestID, time.Duration) {}
 func (h *fakeHost) Fail(balance.RequestID)                  {}
 func (h *fakeHost) Watch()                                  {}
 func (h *fakeHost) After(d time.Duration, token uint64) {
@@ -51,10 +51,10 @@
 func config() balance.Config {
 	return balance.Config{
 		Instances: 3, Index: 1, AttemptLimit: 4, AllowConcurrentAttempts: true, Multiplex: 1, IdleConnTimeout: time.Second, Entry: true,
-		ColdShare: 0.3, RampTime: 3 * time.Second, OverloadWindow: 2 * time.Second, OverloadFactor: 3, CrossZonePrice: 0.015,
+		SlowStartInitialShare: 0.3, SlowStartWindow: 3 * time.Second, OverloadWindow: 2 * time.Second, OverloadFactor: 3, CrossZonePrice: 0.015,
 		Classes: []balance.Class{
-			{LatencyTarget: 200 * ms, Deadline: 500 * ms, Worth: 3, LateWorth: 0.5},
-			{LatencyTarget: 200 * ms, Deadline: 500 * ms, Semantics: balance.Unsafe, Worth: 9},
+			{LatencyTarget: 200 * ms, Deadline: 500 * ms, PriorityWeight: 3, LateWeight: 0.5},
+			{LatencyTarget: 200 * ms, Deadline: 500 * ms, Idempotency: balance.NonIdempotent, PriorityWeight: 9},
 		},
 	}
 }
@@ -81,7 +81,7 @@
 		}
 		return append(l, balance.Endpoint{Addr: "s-bad", State: balance.Ready})
 	}
-	recorder.Members(0, balance.Full, list(8, 0))
+	recorder.UpdateEndpoints(0, balance.Full, list(8, 0))
 	for k := range steps {
 		host.now += time.Duration(host.rng.IntN(3)) * ms // 0 gives events with equal times
 		for i := 0; i < len(host.events); i++ {
@@ -94,18 +94,18 @@
 		recorder.Request(host.now, balance.RequestID(k+1), k%2, -1, 400*ms)
 		switch host.rng.IntN(200) {
 		case 0:
-			recorder.Members(host.now, balance.Delta, []balance.Endpoint{{Addr: fmt.Sprint("s-", k%8), State: balance.State(host.rng.IntN(3)), Since: host.now}})
+			recorder.UpdateEndpoints(host.now, balance.Delta, []balance.Endpoint{{Addr: fmt.Sprint("s-", k%8), State: balance.State(host.rng.IntN(3)), Since: host.now}})
 		case 1:
-			recorder.Members(host.now, balance.Full, list(4+host.rng.IntN(8), host.now))
+			recorder.UpdateEndpoints(host.now, balance.Full, list(4+host.rng.IntN(8), host.now))
 		case 2:
-			recorder.Withdrawn(host.now, balance.RequestID(k))
+			recorder.Cancelled(host.now, balance.RequestID(k))
 		case 3:
 			cfg := config()
 			cfg.AttemptLimit = 1 + host.rng.IntN(5)
 			if err := recorder.Reconfigure(cfg); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := recorder.AddClass(balance.Class{Deadline: time.Second, Worth: float64(k) / 3}); err != nil {
+			if _, err := recorder.AddClass(balance.Class{Deadline: time.Second, PriorityWeight: float64(k) / 3}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -50,7 +50,7 @@
 	Final      bool          // see Balancer.Outcome
 	Duration   time.Duration // budget, elapsed time, timeout, retry-after or delay
 	Addr       string        // the endpoint of a Send event
-	ListKind   balance.ListKind
+	ListKind   balance.UpdateKind
 	Endpoints  []balance.Endpoint
 	Seed       uint64
 	Config     *balance.Config // of Start and Reconfigure events
@@ -267,7 +267,7 @@
 			return errors.New("capture: settings are missing")
 		}
 	case Members:
-		e.ListKind = balance.ListKind(p.byte())
+		e.ListKind = balance.UpdateKind(p.byte())
 		if n := p.uint(); n > uint64(len(p.rest)) {
 			p.err = errTruncatedEvent
 		} else {
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -14,7 +14,7 @@
 // concurrent use.
 type Recorder struct {
 	balancer *balance.Balancer
-	host     balance.Host
+	host     balance.Actions
 	emit     func(*Event)
 	event    Event // reused for each call of emit
 	now      time.Duration
@@ -22,7 +22,7 @@
 
 // NewRecorder creates a Balancer and passes its events to emit, which must not retain
 // them.
-func NewRecorder(cfg balance.Config, seed uint64, host balance.Host, emit func(*Event)) (*Recorder, error) {
+func NewRecorder(cfg balance.Config, seed uint64, host balance.Actions, emit func(*Event)) (*Recorder, error) {
 	r := &Recorder{host: host, emit: emit}
 	r.record(Event{Kind: Start, Seed: seed, Config: &cfg})
 	var err error
@@ -49,10 +49,10 @@
 }
 
 // Members records and forwards a call of Balancer.Members.
-func (r *Recorder) Members(now time.Duration, kind balance.ListKind, list []balance.Endpoint) {
+func (r *Recorder) UpdateEndpoints(now time.Duration, kind balance.UpdateKind, list []balance.Endpoint) {
 	r.now = now
 	r.record(Event{Kind: Members, ListKind: kind, Endpoints: list})
-	r.balancer.Members(now, kind, list)
+	r.balancer.UpdateEndpoints(now, kind, list)
 }
 
 // Request records and forwards a call of Balancer.Request.
@@ -70,10 +70,10 @@
 }
 
 // Withdrawn records and forwards a call of Balancer.Withdrawn.
-func (r *Recorder) Withdrawn(now time.Duration, id balance.RequestID) {
+func (r *Recorder) Cancelled(now time.Duration, id balance.RequestID) {
 	r.now = now
 	r.record(Event{Kind: Withdrawn, ID: uint64(id)})
-	r.balancer.Withdrawn(now, id)
+	r.balancer.Cancelled(now, id)
 }
 
 // Timer records and forwards a call of Balancer.Timer.
@@ -97,9 +97,9 @@
 }
 
 // Refuse implements balance.Host.
-func (r *Recorder) Refuse(id balance.RequestID, retryAfter time.Duration) {
+func (r *Recorder) Reject(id balance.RequestID, retryAfter time.Duration) {
 	r.record(Event{Kind: Refuse, ID: uint64(id), Duration: retryAfter})
-	r.host.Refuse(id, retryAfter)
+	r.host.Reject(id, retryAfter)
 }
 
 // Fail implements balance.Host.
@@ -183,13 +183,13 @@
 		case AddClass:
 			balancer.AddClass(*e.AddedClass)
 		case Members:
-			balancer.Members(e.At, e.ListKind, e.Endpoints)
+			balancer.UpdateEndpoints(e.At, e.ListKind, e.Endpoints)
 		case Request:
 			balancer.Request(e.At, balance.RequestID(e.ID), e.Class, e.Tenant, e.Duration)
 		case Outcome:
 			balancer.Outcome(e.At, balance.RequestID(e.ID), e.Attempt, e.Result, e.Duration, e.Final)
 		case Withdrawn:
-			balancer.Withdrawn(e.At, balance.RequestID(e.ID))
+			balancer.Cancelled(e.At, balance.RequestID(e.ID))
 		case Timer:
 			balancer.Timer(e.At, e.ID)
 		case Close:
@@ -218,7 +218,7 @@
 	d.add(Event{Kind: Send, ID: uint64(id), Addr: addr, Duration: timeout})
 }
 
-func (d *decisionCollector) Refuse(id balance.RequestID, retryAfter time.Duration) {
+func (d *decisionCollector) Reject(id balance.RequestID, retryAfter time.Duration) {
 	d.add(Event{Kind: Refuse, ID: uint64(id), Duration: retryAfter})
 }
 func (d *decisionCollector) Fail(id balance.RequestID) { d.add(Event{Kind: Fail, ID: uint64(id)}) }
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -280,23 +280,23 @@
 		case "by-method":
 			class.ByMethod = true
 		case "keyed":
-			class.Semantics = balance.Keyed
+			class.Idempotency = balance.IdempotentByKey
 		case "unsafe":
-			class.Semantics = balance.Unsafe
+			class.Idempotency = balance.NonIdempotent
 		}
 		class.Deadline = t.Duration("deadline", defaultDeadline, time.Millisecond)
 		class.LatencyTarget = t.Duration("aim", min(defaultLatencyTarget, class.Deadline), time.Millisecond)
 		if class.LatencyTarget > class.Deadline {
 			t.AddError("aim", class.LatencyTarget, fmt.Sprintf("at most the deadline, %v", class.Deadline))
 		}
-		class.Worth = t.Number("worth", 1, 0, 1e6)
-		class.LateWorth = t.Number("late_worth", 0.5, 0, 1)
+		class.PriorityWeight = t.Number("worth", 1, 0, 1e6)
+		class.LateWeight = t.Number("late_worth", 0.5, 0, 1)
 		class.DeduplicationWindow = t.Duration("memory_span", defaultDeduplicationWindow, time.Millisecond)
 		switch t.OneOf("key_scope", "all", "all", "zone", "cell") {
 		case "zone":
-			class.Scope = balance.ScopeZone
+			class.DeduplicationScope = balance.ScopeZone
 		case "cell":
-			class.Scope = balance.ScopeCell
+			class.DeduplicationScope = balance.ScopeCell
 		}
 		t.RejectUnknownKeys()
 		c.Classes = append(c.Classes, class)
--- a/internal/config/daemon_test.go
+++ b/internal/config/daemon_test.go
@@ -40,7 +40,7 @@
 	if listener := c.Listeners[0]; listener.Form != FormOrdinary || listener.Connections <= p.Requests {
 		t.Errorf("listener %+v, want the ordinary form and more than %d connections", listener, p.Requests)
 	}
-	if class := c.Class("default"); class == nil || !class.ByMethod || class.Deadline != 10*time.Second || class.Worth != 1 {
+	if class := c.Class("default"); class == nil || !class.ByMethod || class.Deadline != 10*time.Second || class.PriorityWeight != 1 {
 		t.Errorf("default class %+v", class)
 	}
 	table, err := c.RoutingTable("public")
@@ -280,8 +280,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := balance.Class{LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond, Semantics: balance.Keyed,
-		Scope: balance.ScopeZone, DeduplicationWindow: 5 * time.Second, Worth: 9, LateWorth: 0.5}
+	want := balance.Class{LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond, Idempotency: balance.IdempotentByKey,
+		DeduplicationScope: balance.ScopeZone, DeduplicationWindow: 5 * time.Second, PriorityWeight: 9, LateWeight: 0.5}
 	if got := c.Class("payment"); got == nil || got.ByMethod || got.Class != want {
 		t.Errorf("class payment: %+v, want %+v", got, want)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -107,7 +107,7 @@
 // keyRetention returns the longest time for which nodes remember an idempotency key.
 func keyRetention(cfg *config.Daemon) (longest time.Duration) {
 	for i := range cfg.Classes {
-		if c := &cfg.Classes[i]; c.ByMethod || c.Semantics == balance.Keyed {
+		if c := &cfg.Classes[i]; c.ByMethod || c.Idempotency == balance.IdempotentByKey {
 			longest = max(longest, c.DeduplicationWindow)
 		}
 	}
--- a/internal/daemon/transaction.go
+++ b/internal/daemon/transaction.go
@@ -195,15 +195,15 @@
 // balanceConfig returns the settings of a pool's Balancer.
 func balanceConfig(cfg *config.Daemon, c *config.Pool) balance.Config {
 	b := balance.Config{
-		Index:           cfg.Process.Instance,
-		Instances:       cfg.Process.Instances,
-		Entry:           true,
-		AttemptLimit:    c.Attempts,
-		ColdShare:       c.ColdShare,
-		RampTime:        c.WarmUp,
-		OverloadWindow:  overloadWindow,
-		IdleConnTimeout: c.IdleTimeout,
-		Multiplex:       1,
+		Index:                 cfg.Process.Instance,
+		Instances:             cfg.Process.Instances,
+		Entry:                 true,
+		AttemptLimit:          c.Attempts,
+		SlowStartInitialShare: c.ColdShare,
+		SlowStartWindow:       c.WarmUp,
+		OverloadWindow:        overloadWindow,
+		IdleConnTimeout:       c.IdleTimeout,
+		Multiplex:             1,
 	}
 	if c.PreferOwnZone {
 		b.CrossZonePrice = crossZonePrice
@@ -230,10 +230,10 @@
 	for i := range all {
 		all[i] = c.Class
 		if c.ByMethod {
-			all[i].Semantics = balance.Semantics(i)
+			all[i].Idempotency = balance.Idempotency(i)
 		}
-		if all[i].Semantics != balance.Keyed {
-			all[i].Scope, all[i].DeduplicationWindow = 0, 0
+		if all[i].Idempotency != balance.IdempotentByKey {
+			all[i].DeduplicationScope, all[i].DeduplicationWindow = 0, 0
 		}
 	}
 	return all
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -102,7 +102,7 @@
 	discardInput bool // input belongs to no request; guarded by discardMu
 	pool         *pool.Pool
 	request      *pool.Request
-	reply        chan pool.Answer
+	reply        chan pool.Response
 
 	state connState // guarded by server.mu, as are the fields below
 	entry linkedlist.Link[*callerConn]
@@ -130,7 +130,7 @@
 		acceptedAt:  time.Now(),
 		closeSignal: make(chan struct{}, 1),
 		callerLeft:  make(chan bool, 1),
-		reply:       make(chan pool.Answer, 1),
+		reply:       make(chan pool.Response, 1),
 	}
 	c.paced.conn = nc
 	c.in = bufio.NewReaderSize(&c.paced, http1.MaxHeadBytes)
@@ -207,7 +207,7 @@
 		c.conn.SetReadDeadline(expiredDeadline)
 		<-c.callerLeft
 	}
-	c.pool.Withdraw(c.request)
+	c.pool.Cancel(c.request)
 }
 
 // awaitRequest waits for the first byte of a request and reports whether it has arrived.
@@ -373,7 +373,7 @@
 	c.watchStarted = true
 	c.watchTimer.Reset(watchDelay)
 	p.Pool.RunFirstAttempt(r)
-	a := <-r.Answer()
+	a := <-r.Response()
 	left := false
 	c.setDiscardInput(false)
 	unwatched := c.watchTimer.Stop() // watchCaller has not started
@@ -402,7 +402,7 @@
 	defer stopWatching()
 	go c.watchUpload(p.Pool, r, answered)
 	p.Pool.RunFirstAttempt(r)
-	a := <-r.Answer()
+	a := <-r.Response()
 	stopWatching()
 	<-u.Done // an attempt may still read from the caller
 	c.pool, c.request = nil, nil
@@ -431,7 +431,7 @@
 func (c *callerConn) watchCaller() {
 	left := c.awaitDisconnect()
 	if left {
-		c.pool.Withdraw(c.request)
+		c.pool.Cancel(c.request)
 	}
 	c.callerLeft <- left
 }
@@ -543,7 +543,7 @@
 		}
 		if c.peer.State() == socketstate.Closed {
 			r.Outgoing.Upload.Abort()
-			p.Withdraw(r)
+			p.Cancel(r)
 			return
 		}
 	}
--- a/internal/httpserver/platform_router.go
+++ b/internal/httpserver/platform_router.go
@@ -115,14 +115,14 @@
 	if i, ok := config.Tenants[req.Fields.Get("X-Caller")]; ok {
 		p.Tenant = i
 	}
-	p.Upstream = outgoingRequest(req, uri, host, c.Semantics, 0)
+	p.Upstream = outgoingRequest(req, uri, host, c.Idempotency, 0)
 	return p, nil
 }
 
 // parsePlatformFields reads the fields that the platform's form requires of a request of
 // class c.
 func (p *Plan) parsePlatformFields(req *Request, c *balance.Class) (err error) {
-	if err := checkSemantics(c.Semantics, req); err != nil {
+	if err := checkSemantics(c.Idempotency, req); err != nil {
 		return err
 	}
 	if p.callID, err = parseCallID(req); err != nil {
@@ -147,13 +147,13 @@
 
 // outgoingRequest returns the request to forward, without its body. Its Fields have
 // capacity for extraFields more.
-func outgoingRequest(req *Request, uri, host string, semantics balance.Semantics, extraFields int) upstream.Request {
+func outgoingRequest(req *Request, uri, host string, semantics balance.Idempotency, extraFields int) upstream.Request {
 	out := upstream.Request{
 		Method:        req.Method,
 		URI:           uri,
 		Host:          host,
 		Fields:        make(http1.Fields, 0, len(req.Fields)+extraFields),
-		NonIdempotent: semantics == balance.Unsafe,
+		NonIdempotent: semantics == balance.NonIdempotent,
 	}
 	for _, f := range req.Fields {
 		if !f.HopByHop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // set anew for each attempt
@@ -186,9 +186,9 @@
 
 // checkSemantics checks that a request has the method, body and key that its class
 // requires. Any other request may not be as safe to repeat as the class promises.
-func checkSemantics(semantics balance.Semantics, req *Request) error {
-	method, needsKey := http.MethodPost, semantics == balance.Keyed
-	if semantics == balance.Safe {
+func checkSemantics(semantics balance.Idempotency, req *Request) error {
+	method, needsKey := http.MethodPost, semantics == balance.IdempotentByKey
+	if semantics == balance.Idempotent {
 		method = http.MethodGet
 	}
 	value, count := req.Fields.Lookup("Idempotency-Key")
@@ -196,13 +196,13 @@
 	if req.Method != method {
 		return fmt.Errorf("method %s: this class requires %s", req.Method, method)
 	}
-	if semantics == balance.Safe && req.Length != 0 {
+	if semantics == balance.Idempotent && req.Length != 0 {
 		return errors.New("unexpected body: requests of this class have none")
 	}
 	if count > 1 || count == 1 && value == "" {
 		return fmt.Errorf("Idempotency-Key %.80q (%d fields): want one nonempty field", value, count)
 	}
-	if semantics != balance.Safe && hasKey != needsKey {
+	if semantics != balance.Idempotent && hasKey != needsKey {
 		return fmt.Errorf("Idempotency-Key: present is %t, this class requires %t", hasKey, needsKey)
 	}
 	return nil
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -23,10 +23,10 @@
 }
 
 // responseFor returns the response for a pool's answer to a request.
-func responseFor(a pool.Answer, p *Plan) response {
+func responseFor(a pool.Response, p *Plan) response {
 	resp := response{retryAfter: a.RetryAfter, wholeSeconds: p.Ordinary}
-	switch a.Verdict {
-	case pool.Refused:
+	switch a.Outcome {
+	case pool.Rejected:
 		resp.status = http.StatusServiceUnavailable
 	case pool.Failed:
 		resp.status = http.StatusBadGateway
--- a/internal/httpserver/table_router.go
+++ b/internal/httpserver/table_router.go
@@ -209,7 +209,7 @@
 	if err != nil {
 		return rejection(http.StatusBadRequest, err)
 	}
-	if semantics == balance.Keyed {
+	if semantics == balance.IdempotentByKey {
 		if conflict := rr.bindKey(t, p, class, c); conflict != nil {
 			return nil, conflict
 		}
@@ -238,29 +238,29 @@
 const maxKeyLength = 255
 
 // semantics returns how the request may be repeated.
-func (rr *routedRequest) semantics(class *Class) (balance.Semantics, error) {
+func (rr *routedRequest) semantics(class *Class) (balance.Idempotency, error) {
 	key, n := rr.req.Fields.Lookup("Idempotency-Key")
 	hasKey := n > 0
 	if hasKey && (n != 1 || key == "" || len(key) > maxKeyLength) {
 		return 0, fmt.Errorf("Idempotency-Key %.80q (%d fields): want one field of 1 to %d bytes", key, n, maxKeyLength)
 	}
 	if !class.ByMethod {
-		s := class.Variants[0].Semantics
-		if s == balance.Keyed && !hasKey {
+		s := class.Variants[0].Idempotency
+		if s == balance.IdempotentByKey && !hasKey {
 			return 0, fmt.Errorf("Idempotency-Key is missing: class %s requires it", class.Name)
 		}
 		return s, nil
 	}
 	switch rr.req.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions: // RFC 9110, section 9.2.1
-		return balance.Safe, nil
+		return balance.Idempotent, nil
 	}
 	if hasKey {
-		return balance.Keyed, nil
+		return balance.IdempotentByKey, nil
 	}
 	// PUT and DELETE are idempotent, but a late repeat would undo another client's
 	// change in between.
-	return balance.Unsafe, nil
+	return balance.NonIdempotent, nil
 }
 
 // bindKey sends a repeat to the pool that its key is bound to, even if the table now
--- a/internal/httpserver/table_router_test.go
+++ b/internal/httpserver/table_router_test.go
@@ -39,7 +39,7 @@
 	}
 	class := &Class{Name: "default", ByMethod: true}
 	for i := range class.Variants {
-		class.Variants[i] = balance.Class{Deadline: time.Second, Semantics: balance.Semantics(i)}
+		class.Variants[i] = balance.Class{Deadline: time.Second, Idempotency: balance.Idempotency(i)}
 	}
 	table := &Table{Routes: routes, FindPool: func(string) *pool.Pool { return nil }, Targets: []Target{{Pool: open, Class: class}, {Pool: closed, Class: class}}}
 	return NewTableRouter(table, false, "", NewKeyBindings(time.Minute), NewSeenIDs(time.Second)), open, closed
--- a/internal/httpserver/withdraw_test.go
+++ b/internal/httpserver/withdraw_test.go
@@ -88,7 +88,7 @@
 	for i := range cfg.Balance.Classes {
 		cfg.Balance.Classes[i].Deadline = 4 * testTimeout
 	}
-	cfg.Balance.RampTime = 0 // an endpoint that is enabled again gets its full share
+	cfg.Balance.SlowStartWindow = 0 // an endpoint that is enabled again gets its full share
 	conns := upstream.New(upstream.Config{DialTimeout: testTimeout, IdleTimeout: 5 * time.Second, MaxConns: 200, LargeResponseBytes: 1 << 20, MaxStreamBytes: PlatformMaxBytes, ReuseDelay: reuseDelay})
 	t.Cleanup(conns.Close)
 	p, err := pool.New(pool.Config{Name: "test", Zones: map[string]int{"a": 0}, Balance: cfg.Balance,
@@ -213,7 +213,7 @@
 				leftAt := time.Now()
 				// The disconnects are noticed within 0.3 s, or later on a busy machine.
 				time.Sleep(300 * time.Millisecond)
-				for end := time.Now().Add(testTimeout / 4); d.Stats().Withdrawn < len(leaving) && time.Now().Before(end); {
+				for end := time.Now().Add(testTimeout / 4); d.Stats().Cancelled < len(leaving) && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 				elapsed := time.Since(leftAt)
--- a/internal/pool/abnormal_end.go
+++ b/internal/pool/abnormal_end.go
@@ -36,7 +36,7 @@
 func (p *Pool) logAbnormalEnd(r *Request) {
 	took, verdict := time.Since(r.submittedAt), r.verdict       // the verdict does not change after the answer
 	late := verdict == Served && took > r.Budget && !r.detached // the time of an upload depends on its caller
-	if verdict <= Refused && !late {
+	if verdict <= Rejected && !late {
 		return
 	}
 	p.mu.Lock()
@@ -61,7 +61,7 @@
 var resultNames = [...]string{"ok", "error", "overloaded", "timeout", "noconn", "reset", "cancelled", "notsent"}
 
 // String implements fmt.Stringer.
-func (v Verdict) String() string {
+func (v Outcome) String() string {
 	if v < Served || v > CallerGone {
 		return fmt.Sprintf("verdict %d", int(v))
 	}
--- a/internal/pool/abnormal_end_test.go
+++ b/internal/pool/abnormal_end_test.go
@@ -36,7 +36,7 @@
 		Name: "p",
 		Balance: balance.Config{
 			Instances: 1, AttemptLimit: 2, Multiplex: 1, IdleConnTimeout: time.Second,
-			Classes: []balance.Class{{Deadline: 10 * time.Second, Semantics: balance.Unsafe, Worth: 1}},
+			Classes: []balance.Class{{Deadline: 10 * time.Second, Idempotency: balance.NonIdempotent, PriorityWeight: 1}},
 		},
 		Known: discovery.List{Endpoints: []discovery.Endpoint{{Name: "s-1", Address: server.Listener.Addr().String(), Status: discovery.InService}}},
 	}, conns)
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		p.RunFirstAttempt(r)
-		a := <-r.Answer()
+		a := <-r.Response()
 		if a.Upstream != nil {
 			a.Upstream.Release()
 		}
--- a/internal/pool/budget_test.go
+++ b/internal/pool/budget_test.go
@@ -135,12 +135,12 @@
 				go endpoint.serve()
 			}
 			cfg := testConfig()
-			cfg.Balance.RampTime = 0
-			semantics := balance.Safe
+			cfg.Balance.SlowStartWindow = 0
+			semantics := balance.Idempotent
 			if c.nonIdempotent {
-				semantics = balance.Unsafe
+				semantics = balance.NonIdempotent
 			}
-			cfg.Balance.Classes = []balance.Class{{Deadline: budget, Worth: 1, Semantics: semantics}}
+			cfg.Balance.Classes = []balance.Class{{Deadline: budget, PriorityWeight: 1, Idempotency: semantics}}
 			listed := func(name string, l net.Listener) discovery.Endpoint {
 				return discovery.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Status: discovery.InService}
 			}
@@ -191,7 +191,7 @@
 				if err := p.Submit(expired); err != nil {
 					t.Fatal(err)
 				}
-				<-expired.Answer()
+				<-expired.Response()
 				p.Done(expired)
 			}
 			if c.retryAfterClose || c.retryAfterDialTimeout {
@@ -212,7 +212,7 @@
 					t.Fatal(err)
 				}
 				p.RunFirstAttempt(r)
-				a := <-r.Answer()
+				a := <-r.Response()
 				a.Upstream.Release()
 				p.Done(r)
 				<-endpoint.budgets
@@ -267,9 +267,9 @@
 					p.mu.Unlock()
 				}
 			}
-			a := <-r.Answer()
-			if a.Verdict != Served {
-				t.Fatalf("verdict %v, want Served", a.Verdict)
+			a := <-r.Response()
+			if a.Outcome != Served {
+				t.Fatalf("verdict %v, want Served", a.Outcome)
 			}
 			got := <-endpoint.budgets
 			a.Upstream.Release()
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -42,8 +42,8 @@
 			}))
 			t.Cleanup(aborting.Close)
 			cfg := testConfig()
-			cfg.Balance.RampTime = 0
-			cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, Worth: 1, Semantics: balance.Keyed, DeduplicationWindow: c.memorySpan}}
+			cfg.Balance.SlowStartWindow = 0
+			cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, PriorityWeight: 1, Idempotency: balance.IdempotentByKey, DeduplicationWindow: c.memorySpan}}
 			cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{{Name: "late", Address: late.Addr().String(), Zone: "a", Status: discovery.InService}}}
 			if c.isRetry {
 				cfg.Known.Endpoints = append(cfg.Known.Endpoints, discovery.Endpoint{Name: "aborting", Address: aborting.Listener.Addr().String(), Zone: "a", Status: discovery.InService})
@@ -63,7 +63,7 @@
 				if err := p.Submit(expired); err != nil {
 					t.Fatal(err)
 				}
-				<-expired.Answer()
+				<-expired.Response()
 				p.Done(expired)
 			}
 			if err := p.Submit(r); err != nil {
@@ -94,12 +94,12 @@
 			}
 			srv.Start()
 			t.Cleanup(srv.Close)
-			var a Answer
+			var a Response
 			select {
-			case a = <-r.Answer():
+			case a = <-r.Response():
 			case <-time.After(testTimeout / 2): // the request waits for an endpoint
 				p.Close()
-				a = <-r.Answer()
+				a = <-r.Response()
 			}
 			if a.Upstream != nil {
 				a.Upstream.Release()
@@ -107,8 +107,8 @@
 			if n := received.Load(); n != c.wantRequests {
 				t.Errorf("the late endpoint received %d requests, want %d", n, c.wantRequests)
 			}
-			if served := a.Verdict == Served; served != (c.wantRequests == 1) {
-				t.Errorf("verdict %v, want Served only if the late endpoint is to receive the request", a.Verdict)
+			if served := a.Outcome == Served; served != (c.wantRequests == 1) {
+				t.Errorf("verdict %v, want Served only if the late endpoint is to receive the request", a.Outcome)
 			}
 		})
 	}
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -86,7 +86,7 @@
 }
 
 // doMethodRequest makes one request, unsafe with POST and safe otherwise, and returns its verdict.
-func (p *Pool) doMethodRequest(t *testing.T, method, callID string) Verdict {
+func (p *Pool) doMethodRequest(t *testing.T, method, callID string) Outcome {
 	class := 0
 	if method == "POST" {
 		class = 1
@@ -97,15 +97,15 @@
 	}
 	if err := p.Submit(r); err != nil {
 		t.Error(err)
-		return Refused
+		return Rejected
 	}
 	p.RunFirstAttempt(r)
-	a := <-r.Answer()
+	a := <-r.Response()
 	if a.Upstream != nil {
 		a.Upstream.Release()
 	}
 	p.Done(r)
-	return a.Verdict
+	return a.Outcome
 }
 
 // While all dials fail for a short time, every request is served once and no attempt counts
--- a/internal/pool/disabled.go
+++ b/internal/pool/disabled.go
@@ -86,7 +86,7 @@
 		p.updateBalancer(balance.Delta, changed)
 	}
 	for name, period := range p.reenabled { // the list has reported any restart by then
-		if now-period.end > p.cfg.Balance.RampTime+time.Minute {
+		if now-period.end > p.cfg.Balance.SlowStartWindow+time.Minute {
 			delete(p.reenabled, name)
 		}
 	}
@@ -113,8 +113,8 @@
 }
 
 // updateBalancer gives the Balancer a list of endpoints and records it in balancerView.
-func (p *Pool) updateBalancer(kind balance.ListKind, entries []balance.Endpoint) {
-	p.balancer.Members(p.now(), kind, entries)
+func (p *Pool) updateBalancer(kind balance.UpdateKind, entries []balance.Endpoint) {
+	p.balancer.UpdateEndpoints(p.now(), kind, entries)
 	if kind == balance.Full || kind == balance.Cached {
 		clear(p.balancerView)
 	}
--- a/internal/pool/disconnect_test.go
+++ b/internal/pool/disconnect_test.go
@@ -27,7 +27,7 @@
 func TestCallerIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		caller       *disconnectingCaller
-		wantVerdict  Verdict
+		wantVerdict  Outcome
 		minChecks    int64
 		wantRequests int
 	}{
@@ -44,14 +44,14 @@
 				t.Fatal(err)
 			}
 			p.RunFirstAttempt(r)
-			a := <-r.Answer()
+			a := <-r.Response()
 			if a.Upstream != nil {
 				a.Upstream.Release()
 			}
 			p.Done(r)
 			// On a busy machine a check may be slow by itself and is then repeated.
-			if n := c.caller.checks.Load(); a.Verdict != c.wantVerdict || n < c.minChecks || healthy.count("/x") != c.wantRequests {
-				t.Errorf("verdict %v after %d checks and %d requests at the endpoint, want %v, at least %d and %d", a.Verdict, n, healthy.count("/x"), c.wantVerdict, c.minChecks, c.wantRequests)
+			if n := c.caller.checks.Load(); a.Outcome != c.wantVerdict || n < c.minChecks || healthy.count("/x") != c.wantRequests {
+				t.Errorf("verdict %v after %d checks and %d requests at the endpoint, want %v, at least %d and %d", a.Outcome, n, healthy.count("/x"), c.wantVerdict, c.minChecks, c.wantRequests)
 			}
 		})
 	}
--- a/internal/pool/failover_test.go
+++ b/internal/pool/failover_test.go
@@ -49,8 +49,8 @@
 	}))
 	t.Cleanup(srv.Close)
 	cfg := testConfig()
-	cfg.Balance.RampTime = 0
-	cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, Worth: 1}, {Deadline: testTimeout, Worth: 1, Semantics: balance.Unsafe}}
+	cfg.Balance.SlowStartWindow = 0
+	cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, PriorityWeight: 1}, {Deadline: testTimeout, PriorityWeight: 1, Idempotency: balance.NonIdempotent}}
 	cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{
 		{Name: "healthy", Address: srv.Listener.Addr().String(), Zone: "a", Status: discovery.InService},
 		{Name: "other", Address: otherAddr, Zone: "a", Status: discovery.InService},
@@ -66,26 +66,26 @@
 		if err := p.Submit(expired); err != nil {
 			t.Fatal(err)
 		}
-		<-expired.Answer()
+		<-expired.Response()
 		p.Done(expired)
 	}
 	return p, healthy
 }
 
 // doClassRequest makes one request of a class and returns its verdict.
-func doClassRequest(t *testing.T, p *Pool, class int, path string) Verdict {
+func doClassRequest(t *testing.T, p *Pool, class int, path string) Outcome {
 	t.Helper()
 	r := &Request{Class: class, Tenant: -1, Budget: testTimeout, Outgoing: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: class == 1}}
 	if err := p.Submit(r); err != nil {
 		t.Fatal(err)
 	}
 	p.RunFirstAttempt(r)
-	a := <-r.Answer()
+	a := <-r.Response()
 	if a.Upstream != nil {
 		a.Upstream.Release()
 	}
 	p.Done(r)
-	return a.Verdict
+	return a.Outcome
 }
 
 // Requests whose connection times out are sent once to the other endpoint, including unsafe ones.
@@ -165,7 +165,7 @@
 				}
 			}()
 			p, healthy := newTwoNodePool(t, l.Addr().String(), time.Second)
-			for class, want := range []Verdict{Served, Failed} {
+			for class, want := range []Outcome{Served, Failed} {
 				p.SetDisabled(map[string]bool{"healthy": true})
 				path := fmt.Sprint("/", class)
 				if v := doClassRequest(t, p, class, path); v != want {
--- a/internal/pool/incarnation.go
+++ b/internal/pool/incarnation.go
@@ -35,7 +35,7 @@
 
 // recordStarts computes the start time of each incarnation in l that is not known yet. In an
 // undated list it also sets the entries' timestamps. The caller holds the mutex.
-func (p *Pool) recordStarts(kind balance.ListKind, l *discovery.List) {
+func (p *Pool) recordStarts(kind balance.UpdateKind, l *discovery.List) {
 	now := p.now()
 	p.evictDeparted(now)
 	lowerBound := p.startLowerBound(kind, l)
@@ -70,7 +70,7 @@
 //
 // The answer that delivers l does not count: an endpoint that appears after an outage of
 // discovery may have started at any time during the outage.
-func (p *Pool) startLowerBound(kind balance.ListKind, l *discovery.List) time.Duration {
+func (p *Pool) startLowerBound(kind balance.UpdateKind, l *discovery.List) time.Duration {
 	switch {
 	case kind == balance.Cached:
 		return never // the age of a cached list is unknown
--- a/internal/pool/incarnation_test.go
+++ b/internal/pool/incarnation_test.go
@@ -28,7 +28,7 @@
 
 func manualClockConfig(clocks *clock.Manual) Config {
 	cfg := testConfig()
-	cfg.Balance.RampTime, cfg.Balance.ColdShare = testRampTime, 0.1
+	cfg.Balance.SlowStartWindow, cfg.Balance.SlowStartInitialShare = testRampTime, 0.1
 	cfg.Balance.OverloadWindow, cfg.Balance.OverloadFactor = 2*time.Second, 2
 	cfg.Clock = clocks.Clock()
 	return cfg
@@ -211,7 +211,7 @@
 	for _, e := range p.balancerView {
 		entries = append(entries, e)
 	}
-	b.Members(now, balance.Full, entries)
+	b.UpdateEndpoints(now, balance.Full, entries)
 	id := balance.RequestID(0)
 	run := func(span time.Duration) (share float64) {
 		host.attempts = map[string]int{}
@@ -242,7 +242,7 @@
 	c.attempts[addr]++
 	c.lastAddr = addr
 }
-func (r *attemptCounter) Refuse(balance.RequestID, time.Duration) {}
+func (r *attemptCounter) Reject(balance.RequestID, time.Duration) {}
 func (r *attemptCounter) Fail(balance.RequestID)                  {}
 func (r *attemptCounter) After(time.Duration, uint64)             {}
 func (r *attemptCounter) Watch()                                  {}
--- a/internal/pool/learned_state_test.go
+++ b/internal/pool/learned_state_test.go
@@ -14,8 +14,8 @@
 // Restore matches learned state by class and endpoint name, also if the next Pool numbers its
 // classes differently and knows other endpoints.
 func TestRestoreMatchesClassesAndEndpoints(t *testing.T) {
-	view := balance.Class{LatencyTarget: time.Second, Deadline: time.Second, Semantics: balance.Safe, Worth: 1}
-	pay := balance.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Semantics: balance.Unsafe, Worth: 1}
+	view := balance.Class{LatencyTarget: time.Second, Deadline: time.Second, Idempotency: balance.Idempotent, PriorityWeight: 1}
+	pay := balance.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Idempotency: balance.NonIdempotent, PriorityWeight: 1}
 	list := func(names ...string) (l discovery.List) {
 		for _, n := range names {
 			l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: n, Address: "127.0.0.1:1", Status: discovery.InService})
@@ -24,7 +24,7 @@
 	}
 	create := func(l discovery.List, classes ...balance.Class) *Pool {
 		p, err := New(Config{Name: "test", Known: l, Balance: balance.Config{
-			Instances: 1, AttemptLimit: 3, Multiplex: 1, Entry: true, RampTime: time.Second, Classes: classes,
+			Instances: 1, AttemptLimit: 3, Multiplex: 1, Entry: true, SlowStartWindow: time.Second, Classes: classes,
 		}}, upstream.New(upstream.Config{MaxConns: 1}))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -91,7 +91,7 @@
 	Resubmitted bool   // the pool may have had the request before, so it accepts it even when retired
 	OnFinished  func() // called once when nothing more is sent and no attempt is pending
 
-	Reply chan Answer // receives the answer and needs a free slot; Submit creates it if it is nil
+	Reply chan Response // receives the answer and needs a free slot; Submit creates it if it is nil
 
 	// Caller, unless it is nil, is checked for a disconnect right before each attempt.
 	Caller Caller
@@ -113,7 +113,7 @@
 	withdrawn      bool
 	detached       bool               // see detach
 	errorAnswer    *upstream.Response // the last error answer of a node
-	verdict        Verdict            // set when answered
+	verdict        Outcome            // set when answered
 	attemptRecords []attemptRecord    // for the log, if the request may end abnormally
 }
 
@@ -124,19 +124,19 @@
 }
 
 // Verdict tells how a request ended.
-type Verdict int
+type Outcome int
 
 const (
-	Served     Verdict = iota // a node answered
-	Refused                   // the request had no effect and can be repeated safely
+	Served     Outcome = iota // a node answered
+	Rejected                  // the request had no effect and can be repeated safely
 	Failed                    // a node answered with an error, or none could be reached
 	TimedOut                  // the budget was exhausted; an attempt may still run
 	CallerGone                // the caller disconnected
 )
 
 // Answer is the only answer to a Request. The receiver must release Upstream.
-type Answer struct {
-	Verdict    Verdict
+type Response struct {
+	Outcome    Outcome
 	Upstream   *upstream.Response // set with Served, and with Failed if a node answered
 	RetryAfter time.Duration      // with Refused; 0 for none
 }
@@ -293,7 +293,7 @@
 // at its end.
 func (p *Pool) Submit(r *Request) error {
 	if r.Reply == nil {
-		r.Reply = make(chan Answer, 1)
+		r.Reply = make(chan Response, 1)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -321,7 +321,7 @@
 }
 
 // Answer returns the channel that receives the answer to a submitted request.
-func (r *Request) Answer() <-chan Answer { return r.Reply }
+func (r *Request) Response() <-chan Response { return r.Reply }
 
 // meanOpenSamples is the number of samples over which meanOpenNs is averaged.
 const meanOpenSamples = 16
@@ -336,7 +336,7 @@
 
 // Withdraw tells the Balancer that the caller of r has disconnected. Pending attempts
 // continue: a caller that has closed only its sending side still receives their answer.
-func (p *Pool) Withdraw(r *Request) {
+func (p *Pool) Cancel(r *Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.answered || r.detached || r.withdrawn {
@@ -345,8 +345,8 @@
 	r.withdrawn = true
 	r.call.End()
 	delete(p.requests, r.id)
-	p.stats.Withdrawn++
-	p.balancer.Withdrawn(p.now(), r.id)
+	p.stats.Cancelled++
+	p.balancer.Cancelled(p.now(), r.id)
 	p.finishIfDone(r)
 }
 
@@ -376,7 +376,7 @@
 	p.balancer.Close(p.now())
 	for _, r := range p.requests { // detached requests, which the Balancer does not know
 		p.stats.Failed++
-		p.deliver(r, Answer{Verdict: TimedOut})
+		p.deliver(r, Response{Outcome: TimedOut})
 		p.finishIfDone(r)
 	}
 }
@@ -388,7 +388,7 @@
 		return
 	}
 	if r.withdrawn {
-		p.deliver(r, Answer{Verdict: CallerGone})
+		p.deliver(r, Response{Outcome: CallerGone})
 	}
 	if r.answered && r.OnFinished != nil {
 		r.OnFinished()
@@ -398,11 +398,11 @@
 
 // deliver sends the answer to r unless it has one, and reports whether it did. Nothing is sent
 // to nodes for r afterwards. The caller holds the mutex.
-func (p *Pool) deliver(r *Request, a Answer) bool {
+func (p *Pool) deliver(r *Request, a Response) bool {
 	if r.answered {
 		return false
 	}
-	r.answered, r.verdict = true, a.Verdict
+	r.answered, r.verdict = true, a.Outcome
 	if r.errorAnswer != nil && r.errorAnswer != a.Upstream {
 		r.errorAnswer.Release()
 	}
@@ -465,7 +465,7 @@
 		up.Release()
 	case result == balance.OK:
 		p.stats.Served++
-		p.deliver(r, Answer{Verdict: Served, Upstream: up})
+		p.deliver(r, Response{Outcome: Served, Upstream: up})
 	default:
 		if r.errorAnswer != nil {
 			r.errorAnswer.Release()
@@ -491,7 +491,7 @@
 			return false
 		}
 		if a.request.Caller != nil && a.request.Caller.Disconnected() {
-			a.pool.Withdraw(a.request)
+			a.pool.Cancel(a.request)
 			return false
 		}
 		if time.Since(began) < confirmInterval {
@@ -536,15 +536,15 @@
 }
 
 // Refuse implements balance.Host.
-func (h *balancerHost) Refuse(id balance.RequestID, retryAfter time.Duration) {
+func (h *balancerHost) Reject(id balance.RequestID, retryAfter time.Duration) {
 	p := (*Pool)(h)
 	r := p.requests[id]
 	if r.errorAnswer != nil && r.pending == 0 { // the node's error answer tells the caller more
 		h.Fail(id)
 		return
 	}
-	p.stats.Refused++
-	p.deliver(r, Answer{Verdict: Refused, RetryAfter: retryAfter})
+	p.stats.Rejected++
+	p.deliver(r, Response{Outcome: Rejected, RetryAfter: retryAfter})
 	p.finishIfDone(r)
 }
 
@@ -555,9 +555,9 @@
 	p.stats.Failed++
 	switch {
 	case r.pending > 0:
-		p.deliver(r, Answer{Verdict: TimedOut})
+		p.deliver(r, Response{Outcome: TimedOut})
 	default:
-		p.deliver(r, Answer{Verdict: Failed, Upstream: r.errorAnswer})
+		p.deliver(r, Response{Outcome: Failed, Upstream: r.errorAnswer})
 	}
 	p.finishIfDone(r)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -63,15 +63,15 @@
 }
 
 // doRequest makes one safe request and returns its answer.
-func doRequest(t *testing.T, p *Pool, resubmitted bool) (Answer, error) {
+func doRequest(t *testing.T, p *Pool, resubmitted bool) (Response, error) {
 	t.Helper()
 	r := &Request{Tenant: -1, Budget: testTimeout, Resubmitted: resubmitted, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
 	if err := p.Submit(r); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer p.Done(r)
 	p.RunFirstAttempt(r)
-	return <-r.Answer(), nil
+	return <-r.Response(), nil
 }
 
 // A retired pool accepts only resubmitted requests, until it is reactivated; a full one
@@ -88,7 +88,7 @@
 	check := func(resubmitted bool, want error) {
 		t.Helper()
 		a, err := doRequest(t, p, resubmitted)
-		if !errors.Is(err, want) || err == nil && a.Verdict != Served {
+		if !errors.Is(err, want) || err == nil && a.Outcome != Served {
 			t.Errorf("answer %+v, error %v, want %v", a, err, want)
 		}
 		if a.Upstream != nil {
@@ -103,7 +103,7 @@
 	check(false, nil)
 	p.SetLimits(Limits{Requests: 1, BodyBytes: 1})
 	n.SetMode(fakeserver.ModeFreeze)
-	done := make(chan Answer)
+	done := make(chan Response)
 	go func() { a, _ := doRequest(t, p, false); done <- a }()
 	// The node also has an idle connection, so the limit of the Pool is reached first.
 	eventually(t, "the request is open in the Pool and at the node", func() bool { return p.OpenRequests() == 1 && n.OpenRequests() == 1 })
@@ -113,7 +113,7 @@
 		t.Errorf("RetryAfter is %v, want it within its bounds", after)
 	}
 	n.SetMode(fakeserver.ModeServe)
-	if a := <-done; a.Verdict != Served {
+	if a := <-done; a.Outcome != Served {
 		t.Errorf("answer %+v, want Served", a)
 	}
 	if s := p.Stats(); s.Submitted != 4 || s.Served != 4 || s.Full != 2 || p.OpenRequests() != 0 {
@@ -138,14 +138,14 @@
 	}
 	p := newPool(t, cfg)
 	a, err := doRequest(t, p, false)
-	if err != nil || a.Verdict != Failed || a.Upstream == nil || a.Upstream.Status != 500 || len(a.Upstream.Body) == 0 {
+	if err != nil || a.Outcome != Failed || a.Upstream == nil || a.Upstream.Status != 500 || len(a.Upstream.Body) == 0 {
 		t.Fatalf("answer %+v, error %v, want Failed with the response of a node", a, err)
 	}
 	a.Upstream.Release()
 	for _, n := range servers {
 		n.Crash()
 	}
-	if a, err = doRequest(t, p, false); err != nil || a.Upstream != nil || a.Verdict == Served {
+	if a, err = doRequest(t, p, false); err != nil || a.Upstream != nil || a.Outcome == Served {
 		t.Errorf("after the nodes have stopped: answer %+v, error %v, want no response", a, err)
 	}
 }
@@ -153,7 +153,7 @@
 // ClassNumber adds a new class once and returns the number of an existing one.
 func TestClassNumber(t *testing.T) {
 	p := newPool(t, testConfig())
-	c := balance.Class{Deadline: time.Second, Semantics: balance.Safe, Worth: 3}
+	c := balance.Class{Deadline: time.Second, Idempotency: balance.Idempotent, PriorityWeight: 3}
 	first, err := p.ClassNumber(c)
 	again, err2 := p.ClassNumber(c)
 	known, err3 := p.ClassNumber(testConfig().Balance.Classes[1])
--- a/internal/pool/replacement_test.go
+++ b/internal/pool/replacement_test.go
@@ -59,11 +59,11 @@
 			continue
 		}
 		p.RunFirstAttempt(r)
-		a := <-r.Answer()
+		a := <-r.Response()
 		if a.Upstream != nil {
 			a.Upstream.Release()
 		}
-		verdicts[a.Verdict]++
+		verdicts[a.Outcome]++
 		p.Done(r)
 	}
 }
@@ -153,7 +153,7 @@
 	for i := range 4 {
 		callers.Go(func() {
 			verdicts := sendRequests(p, i%2, stop)
-			unserved.Add(int64(verdicts[Refused] + verdicts[Failed] + verdicts[TimedOut]))
+			unserved.Add(int64(verdicts[Rejected] + verdicts[Failed] + verdicts[TimedOut]))
 		})
 	}
 	drainAddedAt := map[string]time.Time{}
@@ -232,7 +232,7 @@
 	}
 	stopCallers := startCallers()
 	eventually(t, "both nodes have received requests", func() bool { return first.requests.Load() > 20 && steady.requests.Load() > 20 })
-	if sum := stopCallers(); sum[Failed]+sum[TimedOut]+sum[Refused] > 0 {
+	if sum := stopCallers(); sum[Failed]+sum[TimedOut]+sum[Rejected] > 0 {
 		t.Fatalf("served, refused, failed, late, left: %v with two healthy nodes, want only served", sum)
 	}
 
@@ -252,7 +252,7 @@
 	before := first.requests.Load()
 	stopCallers = startCallers()
 	eventually(t, "the new node has received requests", func() bool { return second.requests.Load() > 50 && steady.requests.Load() > 50 })
-	if sum := stopCallers(); sum[Failed]+sum[TimedOut]+sum[Refused] > 0 {
+	if sum := stopCallers(); sum[Failed]+sum[TimedOut]+sum[Rejected] > 0 {
 		t.Errorf("served, refused, failed, late, left: %v with another node at the address, want only served", sum)
 	}
 	if n := first.requests.Load() - before; n > 0 {
--- a/internal/pool/source.go
+++ b/internal/pool/source.go
@@ -210,7 +210,7 @@
 
 // applyList applies a list, or reports to the Balancer that fetching one failed. The caller
 // holds the mutex.
-func (p *Pool) applyList(kind balance.ListKind, l discovery.List) {
+func (p *Pool) applyList(kind balance.UpdateKind, l discovery.List) {
 	if kind != balance.ListFailed {
 		p.recordStarts(kind, &l)
 		p.listVersion, p.undated = l.Index, l.Undated
--- a/internal/pool/source_test.go
+++ b/internal/pool/source_test.go
@@ -23,10 +23,10 @@
 		Name:  "test",
 		Zones: map[string]int{"a": 0},
 		Balance: balance.Config{
-			Instances: 1, AttemptLimit: 3, Multiplex: 1, IdleConnTimeout: 5 * time.Second, RampTime: 5 * time.Second,
+			Instances: 1, AttemptLimit: 3, Multiplex: 1, IdleConnTimeout: 5 * time.Second, SlowStartWindow: 5 * time.Second,
 			Classes: []balance.Class{
-				{Deadline: 2 * time.Second, Semantics: balance.Safe, Worth: 1},
-				{Deadline: 2 * time.Second, Semantics: balance.Unsafe, Worth: 1},
+				{Deadline: 2 * time.Second, Idempotency: balance.Idempotent, PriorityWeight: 1},
+				{Deadline: 2 * time.Second, Idempotency: balance.NonIdempotent, PriorityWeight: 1},
 			},
 		},
 		Limits: Limits{BodyBytes: 8 << 20},
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -12,9 +12,9 @@
 	Submitted     int // requests given to the Balancer
 	Full          int // requests rejected because too many were open
 	Served        int
-	Refused       int
+	Rejected      int
 	Failed        int
-	Withdrawn     int
+	Cancelled     int
 	FirstAttempts int
 	LaterAttempts int
 	Results       [balance.NotSent + 1]int // attempts by result
@@ -43,7 +43,7 @@
 	endpoints, most := p.conns.ConnStats()
 	results := func(r balance.Result) int { return current.Results[r] - last.Results[r] }
 	slog.Info("second", "pool", p.cfg.Name, "taken", current.Submitted-last.Submitted, "open", open,
-		"full", current.Full-last.Full, "refused", current.Refused-last.Refused, "failed", current.Failed-last.Failed, "withdrawn", current.Withdrawn-last.Withdrawn,
+		"full", current.Full-last.Full, "refused", current.Rejected-last.Rejected, "failed", current.Failed-last.Failed, "withdrawn", current.Cancelled-last.Cancelled,
 		"first", current.FirstAttempts-last.FirstAttempts, "again", current.LaterAttempts-last.LaterAttempts,
 		"ok", results(balance.OK), "error", results(balance.Error),
 		"overloaded", results(balance.Overloaded), "timeout", results(balance.Timeout),
--- a/internal/pool/upload.go
+++ b/internal/pool/upload.go
@@ -26,25 +26,25 @@
 // the mutex.
 func (p *Pool) finishUpload(r *Request, up *upstream.Response, result balance.Result) {
 	r.pending--
-	a := Answer{Upstream: up}
+	a := Response{Upstream: up}
 	switch result {
 	case balance.OK:
 		p.stats.Served++
-		a.Verdict = Served
+		a.Outcome = Served
 	case balance.Overloaded, balance.ConnectError, balance.NotSent: // the request never ran
 		if r.Outgoing.Upload.Err() != nil {
-			p.stats.Withdrawn++
-			a.Verdict = CallerGone
+			p.stats.Cancelled++
+			a.Outcome = CallerGone
 			break
 		}
-		p.stats.Refused++
-		a.Verdict, a.RetryAfter = Refused, p.RetryAfter()
+		p.stats.Rejected++
+		a.Outcome, a.RetryAfter = Rejected, p.RetryAfter()
 	case balance.Timeout:
 		p.stats.Failed++
-		a.Verdict = TimedOut
+		a.Outcome = TimedOut
 	default:
 		p.stats.Failed++
-		a.Verdict = Failed
+		a.Outcome = Failed
 	}
 	p.deliver(r, a)
 	p.finishIfDone(r)
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -54,7 +54,7 @@
 	Result   balance.Result
 	Elapsed  time.Duration
 	Final    bool
-	ListKind balance.ListKind
+	ListKind balance.UpdateKind
 	List     []balance.Endpoint // valid until the list with its number is defined again
 }
 
@@ -306,7 +306,7 @@
 	if scope > int(balance.ListFailed) {
 		return fmt.Errorf("VIEW: scope %d, want 0 to 3", scope)
 	}
-	e.ListKind = balance.ListKind(scope)
+	e.ListKind = balance.UpdateKind(scope)
 	if e.ListKind == balance.ListFailed {
 		return nil
 	}
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -48,11 +48,11 @@
 		Entry:                   s.Integer("Tier") == 0,
 		CrossZonePrice:          s.number("Prices.CrossZone"),
 		WorstClassWeight:        s.number("Goal.WorstClass"),
-		OverQuotaWorth:          s.number("OverShareWorth"),
+		OverQuotaWeight:         s.number("OverShareWorth"),
 		AttemptLimit:            s.Integer("Limits.TryLimit"),
 		AllowConcurrentAttempts: s.boolean("Limits.MayDuplicate"),
-		ColdShare:               s.number("Obligations.ColdShare"),
-		RampTime:                s.Duration("Obligations.RampTimeS"),
+		SlowStartInitialShare:   s.number("Obligations.ColdShare"),
+		SlowStartWindow:         s.Duration("Obligations.RampTimeS"),
 		OverloadWindow:          s.Duration("Obligations.OverloadForS"),
 		OverloadFactor:          s.number("Obligations.FallMultiple"),
 		IdleConnTimeout:         s.Duration("Limits.ConnIdleS"),
@@ -79,11 +79,11 @@
 	return balance.Class{
 		LatencyTarget:       s.Duration(prefix + "AimS"),
 		Deadline:            s.Duration(prefix + "DeadlineS"),
-		Semantics:           balance.Semantics(s.choice(prefix+"Semantics", "free", "guarded", "single_shot")),
-		Scope:               balance.Scope(s.choice(prefix+"KeyScope", "all", "zone", "cell")),
+		Idempotency:         balance.Idempotency(s.choice(prefix+"Semantics", "free", "guarded", "single_shot")),
+		DeduplicationScope:  balance.DeduplicationScope(s.choice(prefix+"KeyScope", "all", "zone", "cell")),
 		DeduplicationWindow: s.Duration(prefix + "MemorySpanS"),
-		Worth:               s.number(prefix + "Worth"),
-		LateWorth:           s.number(prefix + "LateWorth"),
+		PriorityWeight:      s.number(prefix + "Worth"),
+		LateWeight:          s.number(prefix + "LateWorth"),
 	}
 }
 
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -79,7 +79,7 @@
 	w := NewWriter(&out)
 	w.Send(3, 12, "10.18.74.7:9003", 80*time.Millisecond)
 	w.After(3, 1500*time.Millisecond+7*time.Microsecond, 77)
-	w.Refuse(3, 12, 0)
+	w.Reject(3, 12, 0)
 	w.Fail(3, 13)
 	w.Watch(3)
 	w.Fault(4, "invalid settings")
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	if c.Index != 2 || c.Instances != 5 || !c.PullDiscovery || c.Classes[0].LatencyTarget != 600*time.Millisecond ||
-		c.Classes[0].Semantics != balance.Keyed || c.Classes[0].Scope != balance.ScopeCell {
+		c.Classes[0].Idempotency != balance.IdempotentByKey || c.Classes[0].DeduplicationScope != balance.ScopeCell {
 		t.Errorf("got %+v", c)
 	}
 	for _, text := range []string{"Me=x", "Me=-1", "NInstances=1.5", "Limits.TryLimit=1e30", "RegistryMode=shout", "plain"} {
--- a/internal/simproto/writer.go
+++ b/internal/simproto/writer.go
@@ -60,7 +60,7 @@
 }
 
 // Refuse writes that a request is refused.
-func (w *Writer) Refuse(instance int, id uint64, retryAfter time.Duration) {
+func (w *Writer) Reject(instance int, id uint64, retryAfter time.Duration) {
 	w.start("BOUNCE", instance)
 	w.integer(id)
 	w.time(retryAfter)
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -4,7 +4,7 @@
 
 // Host carries out the decisions of a Holder. The Holder calls its methods from within its
 // own methods, so an implementation must neither block nor call the Holder back.
-type Host interface {
+type Actions interface {
 	// Send sends a command to the quorum. The result, if there is one, is passed to
 	// Holder.HandleResult with the same request ID.
 	Send(requestID uint64, c Command)
@@ -46,7 +46,7 @@
 // StartTask to TaskEnded and is only started under a claim.
 type Holder struct {
 	cfg  HolderConfig
-	host Host
+	host Actions
 
 	wanted        bool // whether the lease is to be acquired and kept
 	lastRequestID uint64
@@ -69,7 +69,7 @@
 }
 
 // NewHolder returns a Holder that does nothing until Start is called.
-func NewHolder(cfg HolderConfig, host Host) *Holder {
+func NewHolder(cfg HolderConfig, host Actions) *Holder {
 	return &Holder{cfg: cfg, host: host, pending: map[uint64]pendingRequest{}}
 }
 
