--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -21,18 +21,18 @@
 // number to one. docs/clocks.md gives the reason for each.
 var wallUses = map[string][]string{
 	"internal/clock/clock.go":        {"Round"},
-	"internal/httpserver/server.go": {"Unix"},
-	"internal/load/sender.go":          {"Unix"},
+	"internal/httpserver/server.go":  {"Unix"},
+	"internal/load/sender.go":        {"Unix"},
 	"internal/load/runner.go":        {"Unix"},
-	"internal/discovery/file.go":         {"Parse", "UnixMilli"},
-	"internal/pool/incarnation.go":           {"UnixMilli"},
-	"internal/pool/learned_state.go":        {"UnixMilli", "Wall"},
+	"internal/discovery/file.go":     {"Parse", "UnixMilli"},
+	"internal/pool/incarnation.go":   {"UnixMilli"},
+	"internal/pool/learned_state.go": {"UnixMilli", "Wall"},
 	"internal/pool/pool.go":          {"Wall"},
 	"internal/sidecar/sidecar.go":    {"Unix"},
-	"internal/fakeserver/agent.go":      {"UnixMilli"},
+	"internal/fakeserver/agent.go":   {"UnixMilli"},
 	"internal/trace/trace.go":        {"Parse"},
 	"internal/upstream/call.go":      {"Unix"},
-	"internal/upstream/readahead.go":     {"Unix"},
+	"internal/upstream/readahead.go": {"Unix"},
 	"scripts/fleetlog/main.go":       {"Parse"},
 }
 
