--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
-	"gorselink/internal/wire"
+	"gorselink/internal/discovery"
+	"gorselink/internal/simproto"
 )
 
 // Platform is the configuration that the platform gives one sidecar.
@@ -27,7 +27,7 @@
 	Discovery string
 	Seed      uint64
 	Limits    Limits
-	Known     nodes.List // initial endpoint list, which may be outdated
+	Known     discovery.List // initial endpoint list, which may be outdated
 
 	Tier        int
 	Balance     balance.Config
@@ -158,7 +158,7 @@
 		return nil, err
 	}
 	if len(f.Known) > 0 {
-		if c.Known, err = nodes.Decode(f.Known); err != nil {
+		if c.Known, err = discovery.Decode(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -200,7 +200,7 @@
 			return err
 		}
 	}
-	s := wire.NewSettings(values)
+	s := simproto.NewSettings(values)
 	c.settings = values
 	c.Balance = s.BalancerConfig()
 	c.Tier = s.Integer("Tier")
@@ -228,11 +228,11 @@
 		{"Limits.Multiplex", b.Multiplex >= 1, "1 or more"},
 		{"NInstances", b.Instances >= 1, "1 or more"},
 		{"Me", b.Index < max(b.Instances, 1), "less than NInstances"},
-		{"Obligations.RampTimeS", b.RampTime >= 0, "0 or more"},
+		{"Obligations.RampTimeS", b.SlowStartWindow >= 0, "0 or more"},
 		{"Obligations.OverloadForS", b.OverloadWindow >= 0, "0 or more"},
 		{"Obligations.DrainGraceS", c.DrainGrace >= 0, "0 or more"},
 		{"Obligations.FallMultiple", b.OverloadFactor >= 0, "0 or more"},
-		{"Obligations.ColdShare", b.ColdShare >= 0 && b.ColdShare <= 1, "0 to 1"},
+		{"Obligations.ColdShare", b.SlowStartInitialShare >= 0 && b.SlowStartInitialShare <= 1, "0 to 1"},
 		{"Obligations.AskWithinS", b.MaxWatchInterval > 0 || !b.PullDiscovery && b.MaxWatchInterval == 0, "more than 0"},
 		{"Goal.WorstClass", b.WorstClassWeight >= 0 && b.WorstClassWeight <= 1, "0 to 1"},
 		{"Prices.CrossZone", b.CrossZonePrice >= 0, "0 or more"},
@@ -261,7 +261,7 @@
 }
 
 // indexByName returns the index of each name in a list of the settings.
-func indexByName(s *wire.Settings, list, field string) map[string]int {
+func indexByName(s *simproto.Settings, list, field string) map[string]int {
 	indexes := map[string]int{}
 	for i := range s.Integer(list + ".count") {
 		path := list + "." + strconv.Itoa(i) + field
--- a/internal/daemon/accept_test.go
+++ b/internal/daemon/accept_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	httpfront "gorselink/internal/front/http"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
+	"gorselink/internal/httpserver"
 )
 
 // A listener keeps accepting connections after each error that accept(2) can return for a
 // single connection.
 func TestAcceptSurvivesEveryTransientError(t *testing.T) {
-	server := httpfront.NewServer(nil, 8, httpfront.Timeouts{})
+	server := httpserver.NewServer(nil, 8, httpserver.Timeouts{})
 	waitForConns := func(want int) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); server.OpenConns() != want; time.Sleep(time.Millisecond) {
@@ -21,12 +21,12 @@
 			}
 		}
 	}
-	for _, errno := range standin.TransientAcceptErrors {
+	for _, errno := range fakeserver.TransientAcceptErrors {
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := standin.NewFailingListener(tcp, errno)
+		l := fakeserver.NewFailingListener(tcp, errno)
 		a := &acceptor{listener: l, server: server}
 		done := make(chan struct{})
 		go func() { a.serve(); close(done) }()
--- a/internal/proving/beside.go
+++ b/internal/experiment/background_churn.go
@@ -1,4 +1,4 @@
-package proving
+package experiment
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/load"
-	"gorselink/internal/standin"
 	"gorselink/internal/tomlfile"
 	"gorselink/traffic"
 )
@@ -50,7 +50,7 @@
 	defer lock.Close()
 	var addrs []string
 	for i := range 4 {
-		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprintf("n%d", i), Cores: 8, Work: time.Millisecond})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprintf("n%d", i), Cores: 8, Work: time.Millisecond})
 		if err != nil {
 			return nil, err
 		}
@@ -81,13 +81,13 @@
 	var mu sync.Mutex
 	took := make([][]float64, 2*b.Pairs) // latencies in ms by window
 	failed := 0
-	run, err := load.New(load.Config{Addr: listenAddr, Streams: streams, Plan: traffic.NewPlan(streams, s.Seed), Seed: s.Seed, Conns: 200, Span: span, Grace: time.Second, Ended: func(e load.Ending) {
+	run, err := load.New(load.Config{Addr: listenAddr, Streams: streams, Plan: traffic.NewPlan(streams, s.Seed), Seed: s.Seed, Conns: 200, Span: span, Grace: time.Second, OnCompletion: func(e load.Completion) {
 		mu.Lock()
 		defer mu.Unlock()
 		if k := int(e.Due / b.Window); k < len(took) {
 			took[k] = append(took[k], (e.Ended-e.Due).Seconds()*1000)
 		}
-		if e.How != load.OK {
+		if e.Outcome != load.OK {
 			failed++
 		}
 	}})
--- a/internal/proving/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package proving runs experiments against the program: many of its processes in front of
+// Package experiment runs experiments against the program: many of its processes in front of
 // stand-in nodes, with open-loop load, emulated network faults and scheduled events. All
 // measures are taken at the nodes and at the callers.
-package proving
+package experiment
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"text/template"
 	"time"
 
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/tomlfile"
 	"gorselink/traffic"
 )
@@ -272,7 +272,7 @@
 	for i, t := range top.TableList("streams") {
 		s := traffic.Stream{
 			Name: t.Text("name", fmt.Sprintf("stream-%d", i+1)), Method: t.Text("method", "GET"), Host: t.Text("host", "proving"), Path: t.Text("path", "/"),
-			Class: t.Text("class", ""), Body: t.Integer("body", 0, 0, 1<<20), Keyed: t.Bool("keyed", false), Budget: t.Duration("budget", defaultBudget, time.Millisecond), Skew: 1,
+			Class: t.Text("class", ""), Body: t.Integer("body", 0, 0, 1<<20), WithIdempotencyKey: t.Bool("keyed", false), Budget: t.Duration("budget", defaultBudget, time.Millisecond), Skew: 1,
 		}
 		if names[s.Name] {
 			t.AddError("name", s.Name, "a name that no other stream has")
@@ -397,7 +397,7 @@
 
 func (e *Experiment) parseEvents(top *tomlfile.Table) {
 	modes := slices.Clone(nodeActions)
-	for m := range standin.ModesByName {
+	for m := range fakeserver.ModesByName {
 		modes = append(modes, m)
 	}
 	slices.Sort(modes)
--- a/internal/front/http/body.go
+++ b/internal/httpserver/body.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bufio"
@@ -7,9 +7,9 @@
 	"io"
 	"net/http/httputil"
 
-	"gorselink/internal/framing"
-	"gorselink/internal/limit"
-	"gorselink/internal/sock"
+	"gorselink/internal/bytebudget"
+	"gorselink/internal/http1"
+	"gorselink/internal/socketstate"
 )
 
 var (
@@ -29,8 +29,8 @@
 type requestBody struct {
 	data       []byte
 	rest       *bodyReader // nil if data is the whole body
-	reserved   limit.Reservation
-	longBudget *limit.Bytes // for more than initialBodyBytes, unless its total is 0
+	reserved   bytebudget.Reservation
+	longBudget *bytebudget.Bytes // for more than initialBodyBytes, unless its total is 0
 }
 
 // grow extends the reservation to n bytes, more than initialBodyBytes, and reports
@@ -58,8 +58,8 @@
 
 // bodyMemory is the memory that request bodies are reserved from.
 type bodyMemory struct {
-	shortBudget, longBudget *limit.Bytes // longBudget is for bodies over initialBodyBytes and may have a total of 0
-	canStream               bool         // a body without memory is forwarded while it arrives
+	shortBudget, longBudget *bytebudget.Bytes // longBudget is for bodies over initialBodyBytes and may have a total of 0
+	canStream               bool              // a body without memory is forwarded while it arrives
 }
 
 // maxHeld returns the length of the longest body that can be held in memory.
@@ -74,7 +74,7 @@
 // which there is no memory is left to be streamed if memory.canStream is set, and is an
 // error otherwise. Short bodies have a budget of their own, which long ones cannot
 // exhaust.
-func readBody(in *bufio.Reader, head *framing.Head, memory bodyMemory, maxBytes int64) (*requestBody, error) {
+func readBody(in *bufio.Reader, head *http1.Head, memory bodyMemory, maxBytes int64) (*requestBody, error) {
 	if !memory.canStream {
 		maxBytes = min(maxBytes, memory.maxHeld())
 	}
@@ -152,7 +152,7 @@
 // bodyReader reads the body announced by head while it arrives.
 type bodyReader struct {
 	in       *bufio.Reader
-	head     *framing.Head
+	head     *http1.Head
 	maxBytes int64
 	chunked  io.Reader
 	received int64 // bytes
@@ -178,7 +178,7 @@
 			return 0, fmt.Errorf("%w: more than %d bytes", errBodyTooLong, r.maxBytes)
 		}
 		if err == io.EOF {
-			if err = framing.SkipTrailers(r.in); err == nil {
+			if err = http1.SkipTrailers(r.in); err == nil {
 				return n, io.EOF
 			}
 		}
@@ -210,9 +210,9 @@
 	}
 	state := b.conn.peer.State()
 	switch {
-	case state == sock.Closed:
+	case state == socketstate.Closed:
 		return 0, errCallerLeft
-	case b.rest.complete(err) && (state == sock.DataPending || b.conn.in.Buffered() > 0):
+	case b.rest.complete(err) && (state == socketstate.DataPending || b.conn.in.Buffered() > 0):
 		// Unexpected bytes may hide that the caller has closed its connection.
 		return 0, errUnexpectedBytes
 	}
--- a/internal/front/http/caller.go
+++ b/internal/httpserver/conn.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 	"sync/atomic"
 	"time"
 
-	"gorselink/internal/framing"
+	"gorselink/internal/http1"
+	"gorselink/internal/linkedlist"
 	"gorselink/internal/pool"
-	"gorselink/internal/ring"
-	"gorselink/internal/sock"
+	"gorselink/internal/socketstate"
 	"gorselink/internal/upstream"
 )
 
@@ -79,8 +79,8 @@
 	conn            net.Conn
 	paced           pacedReader   // reads from conn
 	in              *bufio.Reader // reads from paced
-	socket          *sock.Peeker
-	peer            *sock.Poller
+	socket          *socketstate.Peeker
+	peer            *socketstate.Poller
 	acceptedAt      time.Time
 	closeSignal     chan struct{} // receives a value when the connection is asked to close
 	rejectionsInRow int           // since a pool last took a request
@@ -102,10 +102,10 @@
 	discardInput bool // input belongs to no request; guarded by discardMu
 	pool         *pool.Pool
 	request      *pool.Request
-	reply        chan pool.Answer
+	reply        chan pool.Response
 
 	state connState // guarded by server.mu, as are the fields below
-	entry ring.Link[*callerConn]
+	entry linkedlist.Link[*callerConn]
 
 	// closeRequested is set by requestClose; closeHandled is closed when the state
 	// changes.
@@ -125,15 +125,15 @@
 		req:         Request{CallerIP: callerIP},
 		server:      s,
 		conn:        nc,
-		socket:      sock.NewPeeker(nc),
-		peer:        sock.NewPoller(nc),
+		socket:      socketstate.NewPeeker(nc),
+		peer:        socketstate.NewPoller(nc),
 		acceptedAt:  time.Now(),
 		closeSignal: make(chan struct{}, 1),
 		callerLeft:  make(chan bool, 1),
-		reply:       make(chan pool.Answer, 1),
+		reply:       make(chan pool.Response, 1),
 	}
 	c.paced.conn = nc
-	c.in = bufio.NewReaderSize(&c.paced, framing.MaxHeadBytes)
+	c.in = bufio.NewReaderSize(&c.paced, http1.MaxHeadBytes)
 	c.entry.Value = c
 	c.watchTimer = time.AfterFunc(time.Hour, c.watchCaller)
 	c.watchTimer.Stop()
@@ -193,7 +193,7 @@
 	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if resp.write(c.conn, c.req.Method, false) == nil {
 		closeWrite(c.conn)
-		sock.Discard(c.conn, make([]byte, 4<<10)) // unread input would make the close a reset
+		socketstate.Discard(c.conn, make([]byte, 4<<10)) // unread input would make the close a reset
 	}
 }
 
@@ -207,7 +207,7 @@
 		c.conn.SetReadDeadline(expiredDeadline)
 		<-c.callerLeft
 	}
-	c.pool.Withdraw(c.request)
+	c.pool.Cancel(c.request)
 }
 
 // awaitRequest waits for the first byte of a request and reports whether it has arrived.
@@ -228,7 +228,7 @@
 			// A request may have arrived just before the deadline. It must be served,
 			// but a read after the deadline does not return it.
 			c.conn.SetReadDeadline(time.Now().Add(finalReadTimeout))
-			if !sock.HasPendingData(c.conn) {
+			if !socketstate.HasPendingData(c.conn) {
 				return false
 			}
 			_, err := c.in.Peek(1)
@@ -245,10 +245,10 @@
 func (c *callerConn) serveRequest(deadline time.Time) (served, keepAlive bool) {
 	c.setState(stateReading, deadline)
 	c.mayHaveRun = false
-	head, err := framing.PeekHead(c.in)
+	head, err := http1.PeekHead(c.in)
 	if err != nil {
 		switch {
-		case errors.Is(err, framing.ErrHeadTooLong):
+		case errors.Is(err, http1.ErrHeadTooLong):
 			c.reject(http.StatusRequestHeaderFieldsTooLarge, err)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.reject(http.StatusRequestTimeout, errors.New("the request head did not arrive in time"))
@@ -373,7 +373,7 @@
 	c.watchStarted = true
 	c.watchTimer.Reset(watchDelay)
 	p.Pool.RunFirstAttempt(r)
-	a := <-r.Answer()
+	a := <-r.Response()
 	left := false
 	c.setDiscardInput(false)
 	unwatched := c.watchTimer.Stop() // watchCaller has not started
@@ -382,7 +382,7 @@
 		left = <-c.callerLeft
 	}
 	c.watchStarted = false
-	if unwatched && c.socket.State() == sock.DataPending {
+	if unwatched && c.socket.State() == socketstate.DataPending {
 		c.earlyBytes.Store(true)
 	}
 	c.pool, c.request = nil, nil // an idle connection holds no body
@@ -402,7 +402,7 @@
 	defer stopWatching()
 	go c.watchUpload(p.Pool, r, answered)
 	p.Pool.RunFirstAttempt(r)
-	a := <-r.Answer()
+	a := <-r.Response()
 	stopWatching()
 	<-u.Done // an attempt may still read from the caller
 	c.pool, c.request = nil, nil
@@ -431,7 +431,7 @@
 func (c *callerConn) watchCaller() {
 	left := c.awaitDisconnect()
 	if left {
-		c.pool.Withdraw(c.request)
+		c.pool.Cancel(c.request)
 	}
 	c.callerLeft <- left
 }
@@ -468,9 +468,9 @@
 // Left implements pool.Caller.
 func (c *callerConn) Disconnected() bool {
 	switch c.peer.State() {
-	case sock.Closed:
+	case socketstate.Closed:
 		return true
-	case sock.DataPending:
+	case socketstate.DataPending:
 		return !c.streamsBody && c.leftAfterEarlyBytes()
 	}
 	return false
@@ -491,7 +491,7 @@
 func (c *callerConn) leftAfterEarlyBytes() bool {
 	for range maxDiscardRounds {
 		discarded, requestOpen := c.discardEarlyBytes()
-		if !requestOpen || c.peer.State() == sock.Closed {
+		if !requestOpen || c.peer.State() == socketstate.Closed {
 			return true
 		}
 		if discarded < closeVisibleBytes {
@@ -512,7 +512,7 @@
 	}
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
-	if discarded = sock.Discard(c.conn, *buf); discarded > 0 {
+	if discarded = socketstate.Discard(c.conn, *buf); discarded > 0 {
 		c.earlyBytes.Store(true)
 	}
 	return discarded, true
@@ -541,9 +541,9 @@
 			return
 		case <-tick.C:
 		}
-		if c.peer.State() == sock.Closed {
+		if c.peer.State() == socketstate.Closed {
 			r.Outgoing.Upload.Abort()
-			p.Withdraw(r)
+			p.Cancel(r)
 			return
 		}
 	}
@@ -552,7 +552,7 @@
 // bodyEndPending reports whether the end of the body has certainly not arrived, because
 // no unread input is waiting. Unread input could include the end.
 func (c *callerConn) bodyEndPending() bool {
-	return c.in.Buffered() == 0 && !sock.HasPendingData(c.conn)
+	return c.in.Buffered() == 0 && !socketstate.HasPendingData(c.conn)
 }
 
 // maxReroutes bounds how often a request is routed again because its pool was replaced
@@ -660,7 +660,7 @@
 		k, err := c.in.Read(*buf)
 		n += k
 		if err != nil {
-			sock.Discard(c.conn, *buf) // unread input would make the close a reset and lose the response
+			socketstate.Discard(c.conn, *buf) // unread input would make the close a reset and lose the response
 			return
 		}
 	}
@@ -674,7 +674,7 @@
 // lose the response.
 func (c *callerConn) respond(req *Request, resp response, keepAlive bool) bool {
 	keepAlive = keepAlive && !req.Close && req.Minor > 0 && c.in.Buffered() == 0 && !c.shouldCloseIdle()
-	early := !keepAlive && (c.earlyBytes.Load() || c.in.Buffered() > 0 || c.peer.State() == sock.DataPending)
+	early := !keepAlive && (c.earlyBytes.Load() || c.in.Buffered() > 0 || c.peer.State() == socketstate.DataPending)
 	if c.write(resp, req.Method, keepAlive) != nil {
 		return false
 	}
--- a/internal/front/http/gone_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"gorselink/internal/framing"
-	"gorselink/internal/sock"
-	"gorselink/internal/standin"
+	"gorselink/internal/fakeserver"
+	"gorselink/internal/http1"
+	"gorselink/internal/socketstate"
 )
 
 // attemptCutoff is how long after the disconnect of its client an attempt may still start.
@@ -201,7 +201,7 @@
 // dialingRig returns a rig whose endpoint accepts connections only once unblock is called.
 func dialingRig(longBodyBytes int64) func(*testing.T) *disconnectRig {
 	return func(t *testing.T) *disconnectRig {
-		l, err := standin.ListenFull()
+		l, err := fakeserver.ListenFull()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -257,7 +257,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(srv.Close)
-	lateListener, err := standin.ListenFull()
+	lateListener, err := fakeserver.ListenFull()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -325,7 +325,7 @@
 			defer serverConn.Close()
 			caller := newCallerConn(NewServer(nil, 1, Timeouts{}), serverConn)
 			fmt.Fprintf(client, "POST /pay HTTP/1.1\r\nHost: x\r\n%s\r\n\r\n%s%s", c.framingField, c.text, c.extra)
-			head, err := framing.PeekHead(caller.in)
+			head, err := http1.PeekHead(caller.in)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -335,7 +335,7 @@
 			caller.in.Discard(len(head))
 			if c.disconnects {
 				client.Close()
-				eventually(t, "the disconnect is visible", func() bool { return caller.peer.State() == sock.Closed })
+				eventually(t, "the disconnect is visible", func() bool { return caller.peer.State() == socketstate.Closed })
 			}
 			body := &checkedBody{caller, &bodyReader{in: caller.in, head: &caller.req.Head, maxBytes: 1 << 20}}
 			if got, err := io.ReadAll(body); !errors.Is(err, c.want) || err == nil && string(got) != "body" {
--- a/internal/front/http/rig_test.go
+++ b/internal/httpserver/harness_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 )
@@ -16,17 +16,17 @@
 
 // testConfig is the configuration of a rig's pool.
 type testConfig struct {
-	Known   nodes.List
+	Known   discovery.List
 	Balance balance.Config
 }
 
 func newTestConfig() *testConfig {
 	return &testConfig{
 		Balance: balance.Config{
-			Instances: 1, AttemptLimit: 3, Multiplex: 1, IdleConnTimeout: 5 * time.Second, RampTime: 5 * time.Second,
+			Instances: 1, AttemptLimit: 3, Multiplex: 1, IdleConnTimeout: 5 * time.Second, SlowStartWindow: 5 * time.Second,
 			Classes: []balance.Class{
-				{Deadline: 2 * time.Second, Semantics: balance.Safe, Worth: 1},
-				{Deadline: 2 * time.Second, Semantics: balance.Unsafe, Worth: 1},
+				{Deadline: 2 * time.Second, Idempotency: balance.Idempotent, PriorityWeight: 1},
+				{Deadline: 2 * time.Second, Idempotency: balance.NonIdempotent, PriorityWeight: 1},
 			},
 		},
 	}
--- a/internal/front/http/callers.go
+++ b/internal/httpserver/server.go
@@ -1,7 +1,7 @@
-// Package httpfront accepts HTTP/1.1 connections from callers. It reads and checks
+// Package httpserver accepts HTTP/1.1 connections from callers. It reads and checks
 // requests, forwards each valid one to the pool that a Router selects, and writes
 // exactly one response.
-package httpfront
+package httpserver
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"time"
 
 	"gorselink/internal/acceptloop"
-	"gorselink/internal/ring"
-	"gorselink/internal/sock"
+	"gorselink/internal/linkedlist"
+	"gorselink/internal/socketstate"
 )
 
 // Server holds the connections of callers, up to a maximum. At the maximum it closes a
@@ -29,13 +29,13 @@
 	mu               sync.Mutex
 	maxConns         int
 	openConns        int
-	conns            [stateCount]ring.List[*callerConn] // by state, the longest in that state first
-	draining         bool                               // connections close once no request is open on them
-	closeIdle        bool                               // connections that have served a request close when idle
-	handover         Handover                           // takes over connections without an open request; nil for none
-	responseDeadline time.Time                          // every response is due by then; zero for none
-	readingStopped   bool                               // no further requests are read
-	drained          chan struct{}                      // receives a value when draining and no connection is left
+	conns            [stateCount]linkedlist.List[*callerConn] // by state, the longest in that state first
+	draining         bool                                     // connections close once no request is open on them
+	closeIdle        bool                                     // connections that have served a request close when idle
+	handover         Handover                                 // takes over connections without an open request; nil for none
+	responseDeadline time.Time                                // every response is due by then; zero for none
+	readingStopped   bool                                     // no further requests are read
+	drained          chan struct{}                            // receives a value when draining and no connection is left
 }
 
 // connState is what a caller's connection is used for.
@@ -124,7 +124,7 @@
 func (s *Server) evictionCandidate() *callerConn {
 	for st := range stateActive {
 		for e := s.conns[st].Front(); e != nil; e = s.conns[st].Next(e) {
-			if !e.Value.closeRequested && (st == stateRejected || st == stateReading || !sock.HasPendingData(e.Value.conn)) {
+			if !e.Value.closeRequested && (st == stateRejected || st == stateReading || !socketstate.HasPendingData(e.Value.conn)) {
 				return e.Value
 			}
 		}
@@ -152,7 +152,7 @@
 	unavailable := response{status: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter}
 	if unavailable.write(nc, "", false) == nil {
 		closeWrite(nc)
-		sock.Discard(nc, *buf) // unread input would make the close a reset and lose the response
+		socketstate.Discard(nc, *buf) // unread input would make the close a reset and lose the response
 	}
 }
 
--- a/internal/front/http/routed_test.go
+++ b/internal/httpserver/table_router_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/framing"
-	"gorselink/internal/limit"
+	"gorselink/internal/bytebudget"
+	"gorselink/internal/http1"
 	"gorselink/internal/pool"
 	"gorselink/internal/upstream"
 	"gorselink/route"
@@ -39,14 +39,14 @@
 	}
 	class := &Class{Name: "default", ByMethod: true}
 	for i := range class.Variants {
-		class.Variants[i] = balance.Class{Deadline: time.Second, Semantics: balance.Semantics(i)}
+		class.Variants[i] = balance.Class{Deadline: time.Second, Idempotency: balance.Idempotency(i)}
 	}
 	table := &Table{Routes: routes, FindPool: func(string) *pool.Pool { return nil }, Targets: []Target{{Pool: open, Class: class}, {Pool: closed, Class: class}}}
 	return NewTableRouter(table, false, "", NewKeyBindings(time.Minute), NewSeenIDs(time.Second)), open, closed
 }
 
 func parseHead(text string) (*Request, error) {
-	raw, err := framing.PeekHead(bufio.NewReaderSize(strings.NewReader(text), framing.MaxHeadBytes))
+	raw, err := http1.PeekHead(bufio.NewReaderSize(strings.NewReader(text), http1.MaxHeadBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -181,24 +181,24 @@
 		{"many chunks, no memory left", 100 + 128<<10, 1 << 20, "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+strings.Repeat("c", 4096)+"\r\n", 60) + "0\r\n\r\n", "", errNoBodyMemory},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			in := bufio.NewReaderSize(strings.NewReader("POST / HTTP/1.1\r\nHost: x\r\n"+c.text), framing.MaxHeadBytes)
-			raw, err := framing.PeekHead(in)
+			in := bufio.NewReaderSize(strings.NewReader("POST / HTTP/1.1\r\nHost: x\r\n"+c.text), http1.MaxHeadBytes)
+			raw, err := http1.PeekHead(in)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var h framing.Head
+			var h http1.Head
 			if err := h.ParseRequest(raw); err != nil {
 				t.Fatal(err)
 			}
 			in.Discard(len(raw))
-			var b limit.Bytes
+			var b bytebudget.Bytes
 			b.SetTotal(c.budget)
 			reserved, _ := b.Reserve(min(100, c.budget/2))
 			if c.err == nil || c.err == errBodyTooLong || c.err == io.ErrUnexpectedEOF {
 				reserved.Release()
 			}
 			before := b.Available()
-			got, err := readBody(in, &h, bodyMemory{shortBudget: &b, longBudget: new(limit.Bytes)}, c.maxBytes)
+			got, err := readBody(in, &h, bodyMemory{shortBudget: &b, longBudget: new(bytebudget.Bytes)}, c.maxBytes)
 			if c.err != nil {
 				if err == nil || !strings.Contains(err.Error(), c.err.Error()) {
 					t.Errorf("error %v, want it to contain %v", err, c.err)
--- a/internal/pool/trail_test.go
+++ b/internal/pool/abnormal_end_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
+	"gorselink/internal/discovery"
 	"gorselink/internal/upstream"
 )
 
@@ -36,9 +36,9 @@
 		Name: "p",
 		Balance: balance.Config{
 			Instances: 1, AttemptLimit: 2, Multiplex: 1, IdleConnTimeout: time.Second,
-			Classes: []balance.Class{{Deadline: 10 * time.Second, Semantics: balance.Unsafe, Worth: 1}},
+			Classes: []balance.Class{{Deadline: 10 * time.Second, Idempotency: balance.NonIdempotent, PriorityWeight: 1}},
 		},
-		Known: nodes.List{Endpoints: []nodes.Endpoint{{Name: "s-1", Address: server.Listener.Addr().String(), Status: nodes.InService}}},
+		Known: discovery.List{Endpoints: []discovery.Endpoint{{Name: "s-1", Address: server.Listener.Addr().String(), Status: discovery.InService}}},
 	}, conns)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		p.RunFirstAttempt(r)
-		a := <-r.Answer()
+		a := <-r.Response()
 		if a.Upstream != nil {
 			a.Upstream.Release()
 		}
--- a/internal/pool/told_test.go
+++ b/internal/pool/budget_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
-	"gorselink/internal/standin"
+	"gorselink/internal/discovery"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/upstream"
 )
 
@@ -123,10 +123,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var endpoint *budgetRecorder
-			var late *standin.FullListener
+			var late *fakeserver.FullListener
 			if c.slowConnect {
 				var err error
-				if late, err = standin.ListenFull(); err != nil {
+				if late, err = fakeserver.ListenFull(); err != nil {
 					t.Fatal(err)
 				}
 				endpoint = newBudgetRecorder(t, late)
@@ -135,16 +135,16 @@
 				go endpoint.serve()
 			}
 			cfg := testConfig()
-			cfg.Balance.RampTime = 0
-			semantics := balance.Safe
+			cfg.Balance.SlowStartWindow = 0
+			semantics := balance.Idempotent
 			if c.nonIdempotent {
-				semantics = balance.Unsafe
+				semantics = balance.NonIdempotent
 			}
-			cfg.Balance.Classes = []balance.Class{{Deadline: budget, Worth: 1, Semantics: semantics}}
-			listed := func(name string, l net.Listener) nodes.Endpoint {
-				return nodes.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Status: nodes.InService}
+			cfg.Balance.Classes = []balance.Class{{Deadline: budget, PriorityWeight: 1, Idempotency: semantics}}
+			listed := func(name string, l net.Listener) discovery.Endpoint {
+				return discovery.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Status: discovery.InService}
 			}
-			cfg.Known = nodes.List{Snapshot: true, Endpoints: []nodes.Endpoint{listed("recorder", endpoint)}}
+			cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{listed("recorder", endpoint)}}
 			var firstEndedAt time.Time // end of the first attempt, or slightly earlier
 			firstReceived := make(chan struct{})
 			breakFirst := make(chan struct{})
@@ -163,7 +163,7 @@
 				}()
 			}
 			if c.retryAfterDialTimeout {
-				other, err := standin.ListenFull()
+				other, err := fakeserver.ListenFull()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -191,7 +191,7 @@
 				if err := p.Submit(expired); err != nil {
 					t.Fatal(err)
 				}
-				<-expired.Answer()
+				<-expired.Response()
 				p.Done(expired)
 			}
 			if c.retryAfterClose || c.retryAfterDialTimeout {
@@ -212,7 +212,7 @@
 					t.Fatal(err)
 				}
 				p.RunFirstAttempt(r)
-				a := <-r.Answer()
+				a := <-r.Response()
 				a.Upstream.Release()
 				p.Done(r)
 				<-endpoint.budgets
@@ -267,9 +267,9 @@
 					p.mu.Unlock()
 				}
 			}
-			a := <-r.Answer()
-			if a.Verdict != Served {
-				t.Fatalf("verdict %v, want Served", a.Verdict)
+			a := <-r.Response()
+			if a.Outcome != Served {
+				t.Fatalf("verdict %v, want Served", a.Outcome)
 			}
 			got := <-endpoint.budgets
 			a.Upstream.Release()
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/framing"
-	"gorselink/internal/nodes"
-	"gorselink/internal/standin"
+	"gorselink/internal/discovery"
+	"gorselink/internal/fakeserver"
+	"gorselink/internal/http1"
 	"gorselink/internal/upstream"
 )
 
@@ -59,22 +59,22 @@
 }
 
 // newDialerPool starts nodeCount nodes and returns a Pool that connects to them with d.
-func newDialerPool(t *testing.T, d *faultyDialer, nodeCount int) (*Pool, []*standin.Node) {
+func newDialerPool(t *testing.T, d *faultyDialer, nodeCount int) (*Pool, []*fakeserver.Node) {
 	t.Helper()
 	cfg := testConfig()
 	for i := range cfg.Balance.Classes { // long enough for a busy machine
 		cfg.Balance.Classes[i].Deadline, cfg.Balance.Classes[i].LatencyTarget = testTimeout, testTimeout
 	}
-	cfg.Known = nodes.List{Snapshot: true}
-	var servers []*standin.Node
+	cfg.Known = discovery.List{Snapshot: true}
+	var servers []*fakeserver.Node
 	for i := range nodeCount {
-		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("s-", i)})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprint("s-", i)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
 		servers = append(servers, n)
-		cfg.Known.Endpoints = append(cfg.Known.Endpoints, nodes.Endpoint{Name: n.Name(), Address: n.Addr(), Zone: "a", Status: nodes.InService})
+		cfg.Known.Endpoints = append(cfg.Known.Endpoints, discovery.Endpoint{Name: n.Name(), Address: n.Addr(), Zone: "a", Status: discovery.InService})
 	}
 	conns := upstream.New(upstream.Config{DialTimeout: time.Second, IdleTimeout: 5 * time.Second, MaxConns: 32, PassThroughStatus: true, Dialer: d})
 	t.Cleanup(conns.Close)
@@ -86,26 +86,26 @@
 }
 
 // doMethodRequest makes one request, unsafe with POST and safe otherwise, and returns its verdict.
-func (p *Pool) doMethodRequest(t *testing.T, method, callID string) Verdict {
+func (p *Pool) doMethodRequest(t *testing.T, method, callID string) Outcome {
 	class := 0
 	if method == "POST" {
 		class = 1
 	}
 	r := &Request{
 		Class: class, Tenant: -1, Budget: testTimeout,
-		Outgoing: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: framing.Fields{{Name: "X-Call-Id", Value: callID}}},
+		Outgoing: upstream.Request{Method: method, URI: "/", Host: "x", NonIdempotent: class == 1, Fields: http1.Fields{{Name: "X-Call-Id", Value: callID}}},
 	}
 	if err := p.Submit(r); err != nil {
 		t.Error(err)
-		return Refused
+		return Rejected
 	}
 	p.RunFirstAttempt(r)
-	a := <-r.Answer()
+	a := <-r.Response()
 	if a.Upstream != nil {
 		a.Upstream.Release()
 	}
 	p.Done(r)
-	return a.Verdict
+	return a.Outcome
 }
 
 // While all dials fail for a short time, every request is served once and no attempt counts
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -8,16 +8,16 @@
 	"time"
 
 	"gorselink/balance"
-	"gorselink/internal/nodes"
-	"gorselink/internal/standin"
+	"gorselink/internal/discovery"
+	"gorselink/internal/fakeserver"
 	"gorselink/internal/upstream"
 )
 
 // undatedList returns a snapshot without start times, in which each address is also the name.
-func undatedList(addrs ...string) (l nodes.List) {
-	l = nodes.List{Snapshot: true, Undated: true}
+func undatedList(addrs ...string) (l discovery.List) {
+	l = discovery.List{Snapshot: true, Undated: true}
 	for _, a := range addrs {
-		l.Endpoints = append(l.Endpoints, nodes.Endpoint{Name: a, Address: a, Status: nodes.InService})
+		l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: a, Address: a, Status: discovery.InService})
 	}
 	return l
 }
@@ -63,21 +63,21 @@
 }
 
 // doRequest makes one safe request and returns its answer.
-func doRequest(t *testing.T, p *Pool, resubmitted bool) (Answer, error) {
+func doRequest(t *testing.T, p *Pool, resubmitted bool) (Response, error) {
 	t.Helper()
 	r := &Request{Tenant: -1, Budget: testTimeout, Resubmitted: resubmitted, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
 	if err := p.Submit(r); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer p.Done(r)
 	p.RunFirstAttempt(r)
-	return <-r.Answer(), nil
+	return <-r.Response(), nil
 }
 
 // A retired pool accepts only resubmitted requests, until it is reactivated; a full one
 // accepts none.
 func TestSubmitErrors(t *testing.T) {
-	n, err := standin.StartNode(standin.NodeConfig{})
+	n, err := fakeserver.StartNode(fakeserver.NodeConfig{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	check := func(resubmitted bool, want error) {
 		t.Helper()
 		a, err := doRequest(t, p, resubmitted)
-		if !errors.Is(err, want) || err == nil && a.Verdict != Served {
+		if !errors.Is(err, want) || err == nil && a.Outcome != Served {
 			t.Errorf("answer %+v, error %v, want %v", a, err, want)
 		}
 		if a.Upstream != nil {
@@ -102,8 +102,8 @@
 	p.Reactivate()
 	check(false, nil)
 	p.SetLimits(Limits{Requests: 1, BodyBytes: 1})
-	n.SetMode(standin.ModeFreeze)
-	done := make(chan Answer)
+	n.SetMode(fakeserver.ModeFreeze)
+	done := make(chan Response)
 	go func() { a, _ := doRequest(t, p, false); done <- a }()
 	// The node also has an idle connection, so the limit of the Pool is reached first.
 	eventually(t, "the request is open in the Pool and at the node", func() bool { return p.OpenRequests() == 1 && n.OpenRequests() == 1 })
@@ -112,8 +112,8 @@
 	if after := p.RetryAfter(); after < minRetryAfter || after > maxRetryAfter {
 		t.Errorf("RetryAfter is %v, want it within its bounds", after)
 	}
-	n.SetMode(standin.ModeServe)
-	if a := <-done; a.Verdict != Served {
+	n.SetMode(fakeserver.ModeServe)
+	if a := <-done; a.Outcome != Served {
 		t.Errorf("answer %+v, want Served", a)
 	}
 	if s := p.Stats(); s.Submitted != 4 || s.Served != 4 || s.Full != 2 || p.OpenRequests() != 0 {
@@ -125,27 +125,27 @@
 // responses are released.
 func TestNodeErrorIsPassedThrough(t *testing.T) {
 	cfg := testConfig()
-	var servers []*standin.Node
+	var servers []*fakeserver.Node
 	for i := range 2 {
-		n, err := standin.StartNode(standin.NodeConfig{Name: fmt.Sprint("n-", i)})
+		n, err := fakeserver.StartNode(fakeserver.NodeConfig{Name: fmt.Sprint("n-", i)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
-		n.SetMode(standin.ModeError)
+		n.SetMode(fakeserver.ModeError)
 		servers = append(servers, n)
 		cfg.Known.Endpoints = append(cfg.Known.Endpoints, undatedList(n.Addr()).Endpoints...)
 	}
 	p := newPool(t, cfg)
 	a, err := doRequest(t, p, false)
-	if err != nil || a.Verdict != Failed || a.Upstream == nil || a.Upstream.Status != 500 || len(a.Upstream.Body) == 0 {
+	if err != nil || a.Outcome != Failed || a.Upstream == nil || a.Upstream.Status != 500 || len(a.Upstream.Body) == 0 {
 		t.Fatalf("answer %+v, error %v, want Failed with the response of a node", a, err)
 	}
 	a.Upstream.Release()
 	for _, n := range servers {
 		n.Crash()
 	}
-	if a, err = doRequest(t, p, false); err != nil || a.Upstream != nil || a.Verdict == Served {
+	if a, err = doRequest(t, p, false); err != nil || a.Upstream != nil || a.Outcome == Served {
 		t.Errorf("after the nodes have stopped: answer %+v, error %v, want no response", a, err)
 	}
 }
@@ -153,7 +153,7 @@
 // ClassNumber adds a new class once and returns the number of an existing one.
 func TestClassNumber(t *testing.T) {
 	p := newPool(t, testConfig())
-	c := balance.Class{Deadline: time.Second, Semantics: balance.Safe, Worth: 3}
+	c := balance.Class{Deadline: time.Second, Idempotency: balance.Idempotent, PriorityWeight: 3}
 	first, err := p.ClassNumber(c)
 	again, err2 := p.ClassNumber(c)
 	known, err3 := p.ClassNumber(testConfig().Balance.Classes[1])
@@ -168,7 +168,7 @@
 // Run returns when its context ends.
 func TestRunEndsWithItsContext(t *testing.T) {
 	cfg := testConfig()
-	cfg.Source = nodes.Fixed(undatedList("127.0.0.1:1").Endpoints)
+	cfg.Source = discovery.Fixed(undatedList("127.0.0.1:1").Endpoints)
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"gorselink/internal/limit"
-	"gorselink/internal/ring"
-	"gorselink/internal/sock"
+	"gorselink/internal/bytebudget"
+	"gorselink/internal/linkedlist"
+	"gorselink/internal/socketstate"
 )
 
 // Config holds the settings of a Pool.
@@ -84,14 +84,14 @@
 type Pool struct {
 	cfg            Config
 	now            func() time.Time // clock for the budgets told to endpoints
-	responseMemory limit.Bytes
+	responseMemory bytebudget.Bytes
 	chunks         chunkPool // for read-ahead and uploads
 
 	reuseWaits atomic.Int64 // attempts that waited for the reuse delay
 	mu         sync.Mutex
 	targets    map[string]*target
-	idle       ring.List[*conn] // least recently used first
-	open       int              // connections, including those being dialled
+	idle       linkedlist.List[*conn] // least recently used first
+	open       int                    // connections, including those being dialled
 	closed     bool
 	strayUntil time.Time // until then endpoints are known to send stray data
 	staleUntil time.Time // until then idle connections may have been closed unnoticed
@@ -273,7 +273,7 @@
 
 // noteStrayData records stray data on an idle connection that is given up. p.mu must be held.
 func (p *Pool) noteStrayData(c *conn) {
-	if p.cfg.ReuseDelay > 0 && (c.reader.Buffered() > 0 || c.peeker.State() == sock.DataPending) {
+	if p.cfg.ReuseDelay > 0 && (c.reader.Buffered() > 0 || c.peeker.State() == socketstate.DataPending) {
 		p.strayUntil = time.Now().Add(strayDataPeriod)
 	}
 }
