--- a/cmd/gorselink/commands_test.go
+++ b/cmd/gorselink/commands_test.go
@@ -252,7 +252,7 @@
 		w := capture.NewWriter(f)
 		events := []capture.Event{
 			{Kind: capture.Start, Config: &cfg},
-			{Kind: capture.Members, ListKind: balance.Full, Endpoints: []balance.Endpoint{{Addr: "s-1", State: balance.Ready}}},
+			{Kind: capture.EndpointUpdate, UpdateKind: balance.Full, Endpoints: []balance.Endpoint{{Addr: "s-1", State: balance.Ready}}},
 			{Kind: capture.Request, At: time.Second, ID: 7, Duration: time.Second},
 			{Kind: capture.After, At: time.Second, ID: 7 << 3, Duration: time.Second},
 			{Kind: capture.Send, At: time.Second, ID: 7, Addr: "s-1", Duration: time.Second},
--- a/cmd/gorselink/lease.go
+++ b/cmd/gorselink/lease.go
@@ -35,8 +35,8 @@
 }
 
 // newClient returns a client of the quorum in the configuration file.
-func (c *leaseCommand) newClient() (*leaseclient.Client, *config.Quorum, []leaseclient.Voter, error) {
-	q, err := config.LoadQuorum(c.Config)
+func (c *leaseCommand) newClient() (*leaseclient.Client, *config.LeaseCluster, []leaseclient.Voter, error) {
+	q, err := config.LoadLeaseCluster(c.Config)
 	if err != nil {
 		return nil, nil, nil, err
 	}
--- a/cmd/voter/main.go
+++ b/cmd/voter/main.go
@@ -43,8 +43,8 @@
 }
 
 // loadConfig reads a voter's configuration file and returns it with the IDs of all voters.
-func loadConfig(path string) (*config.Quorum, []uint64, error) {
-	q, err := config.LoadQuorum(path)
+func loadConfig(path string) (*config.LeaseCluster, []uint64, error) {
+	q, err := config.LoadLeaseCluster(path)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -21,13 +21,13 @@
 	Start Kind = 1 + iota // a Balancer is created
 	Reconfigure
 	AddClass
-	Members
+	EndpointUpdate
 	Request
 	Outcome
-	Withdrawn
+	Cancelled
 	Timer
 	Send
-	Refuse
+	Reject
 	Fail
 	After
 	Watch
@@ -50,15 +50,15 @@
 	Final      bool          // see Balancer.Outcome
 	Duration   time.Duration // budget, elapsed time, timeout, retry-after or delay
 	Addr       string        // the endpoint of a Send event
-	ListKind   balance.UpdateKind
+	UpdateKind balance.UpdateKind
 	Endpoints  []balance.Endpoint
 	Seed       uint64
 	Config     *balance.Config // of Start and Reconfigure events
 	AddedClass *balance.Class  // of AddClass events
 }
 
-var kindNames = [kindCount]string{Start: "start", Reconfigure: "retune", AddClass: "add class", Members: "members", Request: "request", Outcome: "outcome",
-	Withdrawn: "withdrawn", Timer: "timer", Send: "send", Refuse: "refuse", Fail: "fail", After: "after", Watch: "watch", Close: "close"}
+var kindNames = [kindCount]string{Start: "start", Reconfigure: "retune", AddClass: "add class", EndpointUpdate: "members", Request: "request", Outcome: "outcome",
+	Cancelled: "withdrawn", Timer: "timer", Send: "send", Reject: "refuse", Fail: "fail", After: "after", Watch: "watch", Close: "close"}
 
 // String describes the event for error messages and reports; nil is "nothing".
 func (e *Event) String() string {
@@ -67,19 +67,19 @@
 	}
 	s := kindNames[e.Kind]
 	switch e.Kind {
-	case Members:
-		return fmt.Sprintf("%s, kind %d, %d entries", s, e.ListKind, len(e.Endpoints))
+	case EndpointUpdate:
+		return fmt.Sprintf("%s, kind %d, %d entries", s, e.UpdateKind, len(e.Endpoints))
 	case Request:
 		return fmt.Sprintf("%s %d of class %d with %v", s, e.ID, e.Class, e.Duration)
 	case Outcome:
 		return fmt.Sprintf("%s of attempt %d of %d: %d after %v", s, e.Attempt, e.ID, e.Result, e.Duration)
 	case Send:
 		return fmt.Sprintf("%s %d to %s for %v", s, e.ID, e.Addr, e.Duration)
-	case Refuse:
+	case Reject:
 		return fmt.Sprintf("%s %d, come back in %v", s, e.ID, e.Duration)
 	case After:
 		return fmt.Sprintf("timer %d wanted in %v", e.ID, e.Duration)
-	case Withdrawn, Timer, Fail:
+	case Cancelled, Timer, Fail:
 		return fmt.Sprintf("%s %d", s, e.ID)
 	}
 	return s
@@ -115,7 +115,7 @@
 	b = binary.AppendVarint(b, int64(e.At-c.lastTime))
 	c.lastTime = e.At
 	switch e.Kind {
-	case Request, Outcome, Withdrawn, Timer, Send, Refuse, Fail, After:
+	case Request, Outcome, Cancelled, Timer, Send, Reject, Fail, After:
 		b = binary.AppendVarint(b, int64(e.ID-c.lastID))
 		c.lastID = e.ID
 	}
@@ -135,8 +135,8 @@
 		}
 		b = binary.AppendUvarint(b, uint64(len(text)))
 		b = append(b, text...)
-	case Members:
-		b = binary.AppendUvarint(append(b, byte(e.ListKind)), uint64(len(e.Endpoints)))
+	case EndpointUpdate:
+		b = binary.AppendUvarint(append(b, byte(e.UpdateKind)), uint64(len(e.Endpoints)))
 		for i := range e.Endpoints {
 			ep := &e.Endpoints[i]
 			b = append(c.appendAddr(b, ep.Addr), byte(ep.State))
@@ -158,7 +158,7 @@
 	case Send:
 		b = c.appendAddr(b, e.Addr)
 		duration()
-	case Refuse, After:
+	case Reject, After:
 		duration()
 	}
 	return b, nil
@@ -242,7 +242,7 @@
 	c.lastTime += time.Duration(p.int())
 	e.At = c.lastTime
 	switch e.Kind {
-	case Request, Outcome, Withdrawn, Timer, Send, Refuse, Fail, After:
+	case Request, Outcome, Cancelled, Timer, Send, Reject, Fail, After:
 		c.lastID += uint64(p.int())
 		e.ID = c.lastID
 	}
@@ -266,8 +266,8 @@
 		if e.Config == nil && e.AddedClass == nil {
 			return errors.New("capture: settings are missing")
 		}
-	case Members:
-		e.ListKind = balance.UpdateKind(p.byte())
+	case EndpointUpdate:
+		e.UpdateKind = balance.UpdateKind(p.byte())
 		if n := p.uint(); n > uint64(len(p.rest)) {
 			p.err = errTruncatedEvent
 		} else {
@@ -294,7 +294,7 @@
 	case Send:
 		e.Addr = c.parseAddr(p)
 		duration()
-	case Refuse, After:
+	case Reject, After:
 		duration()
 	}
 	return p.err
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -51,7 +51,7 @@
 // Members records and forwards a call of Balancer.Members.
 func (r *Recorder) UpdateEndpoints(now time.Duration, kind balance.UpdateKind, list []balance.Endpoint) {
 	r.now = now
-	r.record(Event{Kind: Members, ListKind: kind, Endpoints: list})
+	r.record(Event{Kind: EndpointUpdate, UpdateKind: kind, Endpoints: list})
 	r.balancer.UpdateEndpoints(now, kind, list)
 }
 
@@ -72,7 +72,7 @@
 // Withdrawn records and forwards a call of Balancer.Withdrawn.
 func (r *Recorder) Cancelled(now time.Duration, id balance.RequestID) {
 	r.now = now
-	r.record(Event{Kind: Withdrawn, ID: uint64(id)})
+	r.record(Event{Kind: Cancelled, ID: uint64(id)})
 	r.balancer.Cancelled(now, id)
 }
 
@@ -98,7 +98,7 @@
 
 // Refuse implements balance.Host.
 func (r *Recorder) Reject(id balance.RequestID, retryAfter time.Duration) {
-	r.record(Event{Kind: Refuse, ID: uint64(id), Duration: retryAfter})
+	r.record(Event{Kind: Reject, ID: uint64(id), Duration: retryAfter})
 	r.host.Reject(id, retryAfter)
 }
 
@@ -182,13 +182,13 @@
 			balancer.Reconfigure(*e.Config)
 		case AddClass:
 			balancer.AddClass(*e.AddedClass)
-		case Members:
-			balancer.UpdateEndpoints(e.At, e.ListKind, e.Endpoints)
+		case EndpointUpdate:
+			balancer.UpdateEndpoints(e.At, e.UpdateKind, e.Endpoints)
 		case Request:
 			balancer.Request(e.At, balance.RequestID(e.ID), e.Class, e.Tenant, e.Duration)
 		case Outcome:
 			balancer.Outcome(e.At, balance.RequestID(e.ID), e.Attempt, e.Result, e.Duration, e.Final)
-		case Withdrawn:
+		case Cancelled:
 			balancer.Cancelled(e.At, balance.RequestID(e.ID))
 		case Timer:
 			balancer.Timer(e.At, e.ID)
@@ -219,7 +219,7 @@
 }
 
 func (d *decisionCollector) Reject(id balance.RequestID, retryAfter time.Duration) {
-	d.add(Event{Kind: Refuse, ID: uint64(id), Duration: retryAfter})
+	d.add(Event{Kind: Reject, ID: uint64(id), Duration: retryAfter})
 }
 func (d *decisionCollector) Fail(id balance.RequestID) { d.add(Event{Kind: Fail, ID: uint64(id)}) }
 func (d *decisionCollector) After(delay time.Duration, token uint64) {
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -69,16 +69,16 @@
 
 // Pool is the configuration of one service and its endpoints.
 type Pool struct {
-	Name                 string
-	NodeSource           NodeSource
-	Zone                 string
-	PreferOwnZone        bool
-	Attempts             int // maximum number of attempts per request
-	ConnectTimeout       time.Duration
-	IdleTimeout          time.Duration
-	ResponseStallTimeout time.Duration // longest pause inside a response
-	WarmUp               time.Duration // slow-start period of a new endpoint
-	ColdShare            float64       // initial share of capacity of a new endpoint
+	Name                  string
+	EndpointSource        EndpointSource
+	Zone                  string
+	PreferOwnZone         bool
+	Attempts              int // maximum number of attempts per request
+	ConnectTimeout        time.Duration
+	IdleTimeout           time.Duration
+	ResponseStallTimeout  time.Duration // longest pause inside a response
+	SlowStartWindow       time.Duration // slow-start period of a new endpoint
+	SlowStartInitialShare float64       // initial share of capacity of a new endpoint
 
 	Share       float64 // weight in the distribution of resources among pools without a limit
 	Connections int     // maximum number of open connections to endpoints
@@ -90,7 +90,7 @@
 
 // NodeSource specifies where the endpoint list of a pool comes from: a fixed list, a
 // file or a discovery service.
-type NodeSource struct {
+type EndpointSource struct {
 	Fixed     discovery.Fixed
 	File      string        // path
 	Refresh   time.Duration // interval at which File is read
@@ -98,7 +98,7 @@
 }
 
 // NewSource returns a new source of the endpoint list.
-func (n *NodeSource) NewSource() discovery.Source {
+func (n *EndpointSource) NewSource() discovery.Source {
 	switch {
 	case n.File != "":
 		return &discovery.File{Path: n.File, Interval: n.Refresh}
@@ -109,10 +109,10 @@
 }
 
 // String identifies the source: equal strings mean equal sources.
-func (n *NodeSource) String() string { return n.NewSource().String() }
+func (n *EndpointSource) String() string { return n.NewSource().String() }
 
 // InitialList returns the list to use until the source supplies one.
-func (n *NodeSource) InitialList() discovery.List {
+func (n *EndpointSource) InitialList() discovery.List {
 	return discovery.List{Snapshot: true, Undated: true, Endpoints: n.Fixed}
 }
 
@@ -212,7 +212,7 @@
 func (c *Daemon) CheckFiles() error {
 	var errs []error
 	for i := range c.Pools {
-		if path := c.Pools[i].NodeSource.File; path != "" {
+		if path := c.Pools[i].EndpointSource.File; path != "" {
 			if _, err := discovery.ReadFile(path); err != nil {
 				errs = append(errs, fmt.Errorf("pools.%s: nodes_file %s: %w", c.Pools[i].Name, path, err))
 			}
@@ -387,8 +387,8 @@
 		p.ConnectTimeout = t.Duration("connect_timeout", 250*time.Millisecond, time.Millisecond)
 		p.IdleTimeout = t.Duration("idle_timeout", 30*time.Second, 10*time.Millisecond)
 		p.ResponseStallTimeout = t.Duration("answer_time", 5*time.Second, 10*time.Millisecond)
-		p.WarmUp = t.Duration("warm_up", 10*time.Second, 0)
-		p.ColdShare = t.Number("cold_share", 0.3, 0.01, 1)
+		p.SlowStartWindow = t.Duration("warm_up", 10*time.Second, 0)
+		p.SlowStartInitialShare = t.Number("cold_share", 0.3, 0.01, 1)
 		p.Share = t.Number("share", 1, 0.001, 1e6)
 		p.Connections = t.Integer("connections", 0, 1, maxDescriptors)
 		p.Requests = t.Integer("requests", 0, 1, 1<<20)
@@ -406,7 +406,7 @@
 // readNodeSource reads the source of the pool's endpoint list. Relative paths start
 // at dir.
 func (p *Pool) readNodeSource(t *tomlfile.Table, dir string) {
-	p.NodeSource.Refresh = t.Duration("refresh", time.Second, 10*time.Millisecond)
+	p.EndpointSource.Refresh = t.Duration("refresh", time.Second, 10*time.Millisecond)
 	keyCount := 0
 	for _, key := range []string{"nodes", "nodes_file", "discovery"} {
 		if t.Has(key) {
@@ -436,19 +436,19 @@
 		if len(list) == 0 {
 			t.AddErrorAt(t.KeyPath("nodes"), "an empty list", "at least one node; only nodes_file and discovery may be empty temporarily")
 		}
-		p.NodeSource.Fixed = fixed
+		p.EndpointSource.Fixed = fixed
 	}
 	if path := t.Text("nodes_file", ""); path != "" {
 		if !filepath.IsAbs(path) {
 			path = filepath.Join(dir, path)
 		}
-		p.NodeSource.File = path
+		p.EndpointSource.File = path
 	}
 	if addr := t.Text("discovery", ""); addr != "" {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
 			t.AddError("discovery", addr, "address:port")
 		}
-		p.NodeSource.Discovery = addr
+		p.EndpointSource.Discovery = addr
 	}
 }
 
--- a/internal/config/daemon_test.go
+++ b/internal/config/daemon_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	p := c.Pools[0]
-	if p.Connections < 100 || p.Requests < 100 || p.Requests > p.Connections || p.MaxBody != 1<<20 || p.MaxResponse != 1<<20 || len(p.NodeSource.Fixed) != 2 {
+	if p.Connections < 100 || p.Requests < 100 || p.Requests > p.Connections || p.MaxBody != 1<<20 || p.MaxResponse != 1<<20 || len(p.EndpointSource.Fixed) != 2 {
 		t.Errorf("pool with default settings: %+v", p)
 	}
 	if listener := c.Listeners[0]; listener.Form != FormOrdinary || listener.Connections <= p.Requests {
--- a/internal/config/quorum.go
+++ b/internal/config/quorum.go
@@ -12,9 +12,9 @@
 
 // Quorum is the configuration of a cluster of voters: the table [quorum] of a file,
 // with [[quorum.voters]].
-type Quorum struct {
+type LeaseCluster struct {
 	Cluster string
-	Voters  []QuorumVoter
+	Voters  []Voter
 	ID      int // ID of the voter that this file configures; 0 in files for clients only
 	Listen  string
 	Dir     string // directory of the voter's log
@@ -24,7 +24,7 @@
 }
 
 // QuorumVoter is one member of the cluster.
-type QuorumVoter struct {
+type Voter struct {
 	ID      int
 	Address string
 }
@@ -35,16 +35,16 @@
 )
 
 // LoadQuorum reads the table [quorum] of the file at path and ignores other tables.
-func LoadQuorum(path string) (*Quorum, error) {
+func LoadLeaseCluster(path string) (*LeaseCluster, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	return ParseQuorum(path, text)
+	return ParseLeaseCluster(path, text)
 }
 
 // ParseQuorum parses the table [quorum] of a file. Its error is tomlfile.Errors.
-func ParseQuorum(file string, text []byte) (*Quorum, error) {
+func ParseLeaseCluster(file string, text []byte) (*LeaseCluster, error) {
 	top, err := tomlfile.Parse(file, text)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 		top.AddErrorAt("quorum", "", "a table [quorum]")
 	}
 	table := top.Table("quorum")
-	q := &Quorum{Cluster: table.Text("cluster", ""), ID: table.Integer("id", 0, 1, 1<<31), Listen: table.Text("listen", ""), Dir: table.Text("dir", "")}
+	q := &LeaseCluster{Cluster: table.Text("cluster", ""), ID: table.Integer("id", 0, 1, 1<<31), Listen: table.Text("listen", ""), Dir: table.Text("dir", "")}
 	q.Tick = table.Duration("tick", defaultTick, 10*time.Millisecond)
 	if !tomlfile.ValidName(q.Cluster) {
 		table.AddError("cluster", q.Cluster, "a name of 1 to 64 letters, digits, - and _")
@@ -69,7 +69,7 @@
 		}
 		ids[id], addresses[address] = true, true
 		voter.RejectUnknownKeys()
-		q.Voters = append(q.Voters, QuorumVoter{id, address})
+		q.Voters = append(q.Voters, Voter{id, address})
 	}
 	switch n := len(q.Voters); {
 	case n == 0 || n > maxVoters:
--- a/internal/daemon/client_test.go
+++ b/internal/daemon/client_test.go
@@ -15,21 +15,21 @@
 func TestOrdinaryClients(t *testing.T) {
 	var mu sync.Mutex
 	var last *http.Request
-	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{Answer: func(req *http.Request, body []byte) fakeserver.Answer {
+	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{Respond: func(req *http.Request, body []byte) fakeserver.Response {
 		mu.Lock()
 		last = req
 		mu.Unlock()
 		switch req.URL.Path {
 		case "/missing":
-			return fakeserver.Answer{Status: 404, Body: "no such receipt"}
+			return fakeserver.Response{Status: 404, Body: "no such receipt"}
 		case "/moved":
-			return fakeserver.Answer{Status: 302, Header: http.Header{"Location": {"/there"}}}
+			return fakeserver.Response{Status: 302, Header: http.Header{"Location": {"/there"}}}
 		case "/broken":
-			return fakeserver.Answer{Status: 500, Body: "the ledger is closed", Header: http.Header{"X-Why": {"night"}}}
+			return fakeserver.Response{Status: 500, Body: "the ledger is closed", Header: http.Header{"X-Why": {"night"}}}
 		case "/nothing":
-			return fakeserver.Answer{Status: 204}
+			return fakeserver.Response{Status: 204}
 		}
-		return fakeserver.Answer{Body: req.Method + " " + string(body), Header: http.Header{"X-Kind": {"a", "b"}}}
+		return fakeserver.Response{Body: req.Method + " " + string(body), Header: http.Header{"X-Kind": {"a", "b"}}}
 	}})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(nodes)), routeText("", "a"))
 	c := newClient(t, d.publicAddr(t))
--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -233,13 +233,13 @@
 func newRunCounter() *runCounter { return &runCounter{runs: map[string]int{}} }
 
 // answer is a NodeConfig.Answer that counts a run and returns the token.
-func (c *runCounter) answer(req *http.Request, body []byte) fakeserver.Answer {
+func (c *runCounter) answer(req *http.Request, body []byte) fakeserver.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if token := req.Header.Get("X-Token"); token != "" {
 		c.runs[token]++
 	}
-	return fakeserver.Answer{Body: req.Header.Get("X-Token")}
+	return fakeserver.Response{Body: req.Header.Get("X-Token")}
 }
 
 // count returns the number of runs with a token.
--- a/internal/daemon/isolation_test.go
+++ b/internal/daemon/isolation_test.go
@@ -127,7 +127,7 @@
 		},
 		"silent": func(t *testing.T, nodes []*fakeserver.Node, _ string) {
 			for _, n := range nodes {
-				n.SetMode(fakeserver.ModeNoAnswer)
+				n.SetMode(fakeserver.ModeNoResponse)
 			}
 		},
 		"empty list": func(t *testing.T, _ []*fakeserver.Node, file string) { writeFile(t, file, "# none\n") },
--- a/internal/daemon/messages_test.go
+++ b/internal/daemon/messages_test.go
@@ -97,8 +97,8 @@
 // Buffers and connections are reused without leaking data from one caller's request or
 // response to another caller. The callers send paths, fields and bodies of varying lengths.
 func TestNoDataLeaksBetweenCallers(t *testing.T) {
-	nodes := startNodes(t, "n", 3, fakeserver.NodeConfig{Answer: func(req *http.Request, body []byte) fakeserver.Answer {
-		return fakeserver.Answer{
+	nodes := startNodes(t, "n", 3, fakeserver.NodeConfig{Respond: func(req *http.Request, body []byte) fakeserver.Response {
+		return fakeserver.Response{
 			Body:   req.URL.Path + "|" + req.Header.Get("X-Mine") + "|" + string(body),
 			Header: http.Header{"X-Yours": {req.Header.Get("X-Mine")}},
 		}
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -21,7 +21,7 @@
 func TestReloadUnderLoad(t *testing.T) {
 	const reloads = 200
 	counter := newRunCounter()
-	cfg := fakeserver.NodeConfig{Latency: 4 * time.Millisecond, Answer: counter.answer}
+	cfg := fakeserver.NodeConfig{Latency: 4 * time.Millisecond, Respond: counter.answer}
 	a, b := startNodes(t, "a", 2, cfg), startNodes(t, "b", 2, cfg)
 	configText := func(i int) string {
 		text := baseConfig + poolText("a", nodeList(a))
@@ -223,9 +223,9 @@
 // request may have run there.
 func TestKeyedRepeatsStayInTheirPool(t *testing.T) {
 	counter := newRunCounter()
-	cfg := fakeserver.NodeConfig{Answer: func(req *http.Request, body []byte) fakeserver.Answer {
+	cfg := fakeserver.NodeConfig{Respond: func(req *http.Request, body []byte) fakeserver.Response {
 		counter.answer(req, body)
-		return fakeserver.Answer{Body: req.Host}
+		return fakeserver.Response{Body: req.Host}
 	}}
 	a, b := startNodes(t, "a", 1, cfg), startNodes(t, "b", 1, cfg)
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(a)), poolText("b", nodeList(b)), routeText("x", "a"))
--- a/internal/daemon/transaction.go
+++ b/internal/daemon/transaction.go
@@ -128,7 +128,7 @@
 		tx.pools[c.Name] = old
 		return nil
 	}
-	known := c.NodeSource.InitialList()
+	known := c.EndpointSource.InitialList()
 	var conns *upstream.Pool
 	var ages *pool.Ages
 	if old != nil && sameConnSettings(&old.cfg, c) {
@@ -144,7 +144,7 @@
 		Balance: balanceConfig(tx.cfg, c),
 		OwnZone: c.Zone,
 		Known:   known,
-		Source:  c.NodeSource.NewSource(),
+		Source:  c.EndpointSource.NewSource(),
 		Limits:  poolLimits(c),
 		Ages:    ages,
 	}, conns)
@@ -173,7 +173,7 @@
 // be changed while the pool is running.
 func sameBalancerSettings(a, b *config.Pool) bool {
 	return a.Zone == b.Zone && a.PreferOwnZone == b.PreferOwnZone && a.Attempts == b.Attempts &&
-		a.WarmUp == b.WarmUp && a.ColdShare == b.ColdShare && sameConnSettings(a, b)
+		a.SlowStartWindow == b.SlowStartWindow && a.SlowStartInitialShare == b.SlowStartInitialShare && sameConnSettings(a, b)
 }
 
 // sameConnSettings reports whether connections opened for a can be used for b.
@@ -199,8 +199,8 @@
 		Instances:             cfg.Process.Instances,
 		Entry:                 true,
 		AttemptLimit:          c.Attempts,
-		SlowStartInitialShare: c.ColdShare,
-		SlowStartWindow:       c.WarmUp,
+		SlowStartInitialShare: c.SlowStartInitialShare,
+		SlowStartWindow:       c.SlowStartWindow,
 		OverloadWindow:        overloadWindow,
 		IdleConnTimeout:       c.IdleTimeout,
 		Multiplex:             1,
@@ -364,14 +364,14 @@
 		} else {
 			tx.addChange("pool %s: replaced, the previous one is draining", name)
 			old.sharesConns = next.pool.Conns() == old.pool.Conns()
-			old.pool.SetSource(next.cfg.NodeSource.NewSource()) // it must learn of drained nodes until it is closed
+			old.pool.SetSource(next.cfg.EndpointSource.NewSource()) // it must learn of drained nodes until it is closed
 		}
 		retired = append(retired, old)
 	}
 	d.retired = append(d.retired, retired...)
 	for _, p := range tx.created {
 		if tx.replaced[p.cfg.Name] == nil {
-			tx.addChange("pool %s: added, node source: %s", p.cfg.Name, &p.cfg.NodeSource)
+			tx.addChange("pool %s: added, node source: %s", p.cfg.Name, &p.cfg.EndpointSource)
 		}
 		var ctx context.Context
 		ctx, p.stop = context.WithCancel(d.ctx)
@@ -396,7 +396,7 @@
 		{"connection limit", old.Connections, c.Connections},
 		{"memory in bytes", old.Memory, c.Memory},
 		{"maximum body size in bytes", old.MaxBody, c.MaxBody},
-		{"node source", old.NodeSource.String(), c.NodeSource.String()},
+		{"node source", old.EndpointSource.String(), c.EndpointSource.String()},
 	} {
 		if setting.previous != setting.current {
 			tx.addChange("pool %s: %s is now %v, was %v", c.Name, setting.name, setting.current, setting.previous)
@@ -406,8 +406,8 @@
 	if old.Memory != c.Memory {
 		p.pool.Conns().SetLimits(p.pool.Conns().MaxConns(), c.Memory/config.LargeResponseMemoryDivisor)
 	}
-	if old.NodeSource.String() != c.NodeSource.String() {
-		p.pool.SetSource(c.NodeSource.NewSource())
+	if old.EndpointSource.String() != c.EndpointSource.String() {
+		p.pool.SetSource(c.EndpointSource.NewSource())
 	}
 }
 
--- a/internal/fakeserver/node.go
+++ b/internal/fakeserver/node.go
@@ -22,18 +22,18 @@
 type Mode int
 
 const (
-	ModeServe     Mode = iota
-	ModeFreeze         // accepts requests and holds them until the mode changes
-	ModeNoAnswer       // runs each request and sends no answer
-	ModeError          // runs each request and answers with status 500
-	ModeMalformed      // runs each request and sends bytes that are not HTTP
-	ModeReset          // runs each request and resets the connection
-	ModeReject         // answers with status 503 and X-Rejected, without running the request
+	ModeServe      Mode = iota
+	ModeFreeze          // accepts requests and holds them until the mode changes
+	ModeNoResponse      // runs each request and sends no answer
+	ModeError           // runs each request and answers with status 500
+	ModeMalformed       // runs each request and sends bytes that are not HTTP
+	ModeReset           // runs each request and resets the connection
+	ModeReject          // answers with status 503 and X-Rejected, without running the request
 )
 
 // ModesByName has the modes by their names in experiments and in the demo.
 var ModesByName = map[string]Mode{
-	"serve": ModeServe, "freeze": ModeFreeze, "mute": ModeNoAnswer, "error": ModeError, "spoil": ModeMalformed, "reset": ModeReset, "refuse": ModeReject,
+	"serve": ModeServe, "freeze": ModeFreeze, "mute": ModeNoResponse, "error": ModeError, "spoil": ModeMalformed, "reset": ModeReset, "refuse": ModeReject,
 }
 
 // NodeConfig configures a Node. With the zero value, it answers immediately.
@@ -52,14 +52,14 @@
 
 	// Answer, if set, returns the answer to a request that has run. It must be safe
 	// for concurrent use.
-	Answer func(req *http.Request, body []byte) Answer
+	Respond func(req *http.Request, body []byte) Response
 	// Observe, if set, is called with each request that was received completely,
 	// before it runs. It must be safe for concurrent use.
 	Observe func(req *http.Request, body []byte)
 }
 
 // Answer is the answer of a node to a request.
-type Answer struct {
+type Response struct {
 	Status int // 0 means 200
 	Header http.Header
 	Body   string
@@ -282,12 +282,12 @@
 			<-changed
 			continue
 		case mode == ModeReject:
-			return n.answer(c, req, Answer{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
+			return n.answer(c, req, Response{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
 		}
 		break
 	}
 	if !n.work() {
-		return n.answer(c, req, Answer{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
+		return n.answer(c, req, Response{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
 	}
 	n.mu.Lock()
 	n.runsByID[req.Header.Get("X-Call-Id")]++
@@ -295,22 +295,22 @@
 	mode, changed := n.mode, n.changed
 	n.mu.Unlock()
 	switch mode {
-	case ModeNoAnswer:
+	case ModeNoResponse:
 		<-changed
 		return false
 	case ModeReset:
 		abort(c)
 		return false
 	case ModeError:
-		return n.answer(c, req, Answer{Status: http.StatusInternalServerError, Body: n.cfg.Name + " failed\n"})
+		return n.answer(c, req, Response{Status: http.StatusInternalServerError, Body: n.cfg.Name + " failed\n"})
 	case ModeMalformed:
 		io.WriteString(c, "\x00\x01 this is no answer\r\n\r\n")
 		return false
 	}
-	if n.cfg.Answer != nil {
-		return n.answer(c, req, n.cfg.Answer(req, body))
+	if n.cfg.Respond != nil {
+		return n.answer(c, req, n.cfg.Respond(req, body))
 	}
-	return n.answer(c, req, Answer{Body: fmt.Sprintf("%s %s %s%s %d\n", n.cfg.Name, req.Method, req.Host, req.RequestURI, len(body))})
+	return n.answer(c, req, Response{Body: fmt.Sprintf("%s %s %s%s %d\n", n.cfg.Name, req.Method, req.Host, req.RequestURI, len(body))})
 }
 
 // state returns the mode, a channel that is closed when it changes, and whether the node
@@ -378,7 +378,7 @@
 	return n.cfg.Latency + work
 }
 
-func (n *Node) answer(c net.Conn, req *http.Request, a Answer) bool {
+func (n *Node) answer(c net.Conn, req *http.Request, a Response) bool {
 	if a.Status == 0 {
 		a.Status = http.StatusOK
 	}
--- a/internal/fakeserver/standin_test.go
+++ b/internal/fakeserver/standin_test.go
@@ -74,7 +74,7 @@
 	if s := <-done; s != 200 || n.RunsByID()["frozen"] != 1 {
 		t.Errorf("status %d, %d runs after ModeFreeze, want 200 and 1", s, n.RunsByID()["frozen"])
 	}
-	n.SetMode(ModeNoAnswer)
+	n.SetMode(ModeNoResponse)
 	go func() { s, _, _ := post(n, "unanswered"); done <- s }()
 	eventually(t, "request ran in ModeNoAnswer", func() bool { return n.RunsByID()["unanswered"] == 1 })
 	n.Crash()
--- a/internal/upstream/failure_test.go
+++ b/internal/upstream/failure_test.go
@@ -94,8 +94,8 @@
 	}
 	resourceErrnos := []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
 	bytesInHead, bytesInBody := len("HTTP/1.1 200"), 1000
-	node, err := fakeserver.StartNode(fakeserver.NodeConfig{Answer: func(*http.Request, []byte) fakeserver.Answer {
-		return fakeserver.Answer{Body: strings.Repeat("x", 2*bytesInBody)}
+	node, err := fakeserver.StartNode(fakeserver.NodeConfig{Respond: func(*http.Request, []byte) fakeserver.Response {
+		return fakeserver.Response{Body: strings.Repeat("x", 2*bytesInBody)}
 	}})
 	if err != nil {
 		t.Fatal(err)
