--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// fakeHost is a balance.Host that schedules the outcomes of attempts and the timers.
-type fakeHost struct {
+// fakeActions is a balance.Actions that schedules random outcomes of attempts, and timers.
+type fakeActions struct {
 	rng      *rand.Rand
 	now      time.Duration
 	events   []dueEvent
@@ -27,11 +27,11 @@
 	run func(r *Recorder, now time.Duration)
 }
 
-func (h *fakeHost) schedule(d time.Duration, run func(r *Recorder, now time.Duration)) {
+func (h *fakeActions) schedule(d time.Duration, run func(r *Recorder, now time.Duration)) {
 	h.events = append(h.events, dueEvent{h.now + d, run})
 }
 
-func (h *fakeHost) Send(id balance.RequestID, addr string, timeout time.Duration) {
+func (h *fakeActions) Send(id balance.RequestID, addr string, timeout time.Duration) {
 	n := h.attempts[id]
 	h.attempts[id]++
 	result := balance.Result(h.rng.IntN(int(balance.NotSent) + 1))
@@ -41,10 +41,10 @@
 	took := time.Duration(h.rng.IntN(120)) * ms
 	h.schedule(took, func(r *Recorder, now time.Duration) { r.Outcome(now, id, n, result, took, result == balance.OK) })
 }
-func (h *fakeHost) Reject(balance.RequestID, time.Duration) {}
-func (h *fakeHost) Fail(balance.RequestID)                  {}
-func (h *fakeHost) Watch()                                  {}
-func (h *fakeHost) After(d time.Duration, token uint64) {
+func (h *fakeActions) Reject(balance.RequestID, time.Duration) {}
+func (h *fakeActions) Fail(balance.RequestID)                  {}
+func (h *fakeActions) Watch()                                  {}
+func (h *fakeActions) After(d time.Duration, token uint64) {
 	h.schedule(d, func(r *Recorder, now time.Duration) { r.Timer(now, token) })
 }
 
@@ -59,14 +59,14 @@
 	}
 }
 
-// recordCapture returns a capture of a random sequence of requests, failures, list
-// changes and reconfigurations, and its number of events.
+// recordCapture returns a capture of a random sequence of requests, failures, endpoint
+// updates and reconfigurations, and its number of events.
 func recordCapture(t testing.TB, seed uint64, steps int) (file []byte, events int) {
 	t.Helper()
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	host := &fakeHost{rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[balance.RequestID]int{}}
-	recorder, err := NewRecorder(config(), seed, host, func(e *Event) {
+	actions := &fakeActions{rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[balance.RequestID]int{}}
+	recorder, err := NewRecorder(config(), seed, actions, func(e *Event) {
 		events++
 		if err := w.Write(e); err != nil {
 			t.Fatal(err)
@@ -83,25 +83,25 @@
 	}
 	recorder.UpdateEndpoints(0, balance.Full, list(8, 0))
 	for k := range steps {
-		host.now += time.Duration(host.rng.IntN(3)) * ms // 0 gives events with equal times
-		for i := 0; i < len(host.events); i++ {
-			if d := host.events[i]; d.at <= host.now {
-				host.events = append(host.events[:i], host.events[i+1:]...)
+		actions.now += time.Duration(actions.rng.IntN(3)) * ms // 0 gives events with equal times
+		for i := 0; i < len(actions.events); i++ {
+			if d := actions.events[i]; d.at <= actions.now {
+				actions.events = append(actions.events[:i], actions.events[i+1:]...)
 				i--
-				d.run(recorder, host.now)
+				d.run(recorder, actions.now)
 			}
 		}
-		recorder.Request(host.now, balance.RequestID(k+1), k%2, -1, 400*ms)
-		switch host.rng.IntN(200) {
+		recorder.Request(actions.now, balance.RequestID(k+1), k%2, -1, 400*ms)
+		switch actions.rng.IntN(200) {
 		case 0:
-			recorder.UpdateEndpoints(host.now, balance.Delta, []balance.Endpoint{{Addr: fmt.Sprint("s-", k%8), State: balance.State(host.rng.IntN(3)), Since: host.now}})
+			recorder.UpdateEndpoints(actions.now, balance.Delta, []balance.Endpoint{{Addr: fmt.Sprint("s-", k%8), State: balance.State(actions.rng.IntN(3)), Since: actions.now}})
 		case 1:
-			recorder.UpdateEndpoints(host.now, balance.Full, list(4+host.rng.IntN(8), host.now))
+			recorder.UpdateEndpoints(actions.now, balance.Full, list(4+actions.rng.IntN(8), actions.now))
 		case 2:
-			recorder.Cancelled(host.now, balance.RequestID(k))
+			recorder.Cancelled(actions.now, balance.RequestID(k))
 		case 3:
 			cfg := config()
-			cfg.AttemptLimit = 1 + host.rng.IntN(5)
+			cfg.AttemptLimit = 1 + actions.rng.IntN(5)
 			if err := recorder.Reconfigure(cfg); err != nil {
 				t.Fatal(err)
 			}
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	recorder.Close(host.now) // while requests are open
+	recorder.Close(actions.now) // while requests are open
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -16,22 +16,22 @@
 // Kind is the kind of an Event. Its values are stored in capture files.
 type Kind uint8
 
-// The kinds from Send to Watch are decisions of a Balancer, the others its inputs.
+// The kinds from Send to Watch are decisions of a Balancer; the others are its inputs.
 const (
-	Start Kind = 1 + iota // a Balancer is created
-	Reconfigure
+	Start       Kind = 1 + iota // a Balancer is created
+	Reconfigure                 // its settings are replaced
 	AddClass
 	EndpointUpdate
 	Request
-	Outcome
-	Cancelled
-	Timer
+	Outcome   // an attempt ended
+	Cancelled // the caller of a request is gone
+	Timer     // a timer that an After event requested expires
 	Send
 	Reject
 	Fail
-	After
-	Watch
-	Close // an input: the process ends
+	After // requests a timer
+	Watch // subscribes to the endpoint list
+	Close // an input, unlike the kinds before it: the process ends
 	kindCount
 )
 
@@ -41,16 +41,16 @@
 // Event is an input or a decision of a Balancer. Kind determines which fields are set.
 type Event struct {
 	Kind       Kind
-	At         time.Duration // time of the input; for a decision, of the input that led to it
+	At         time.Duration // time of the input; for a decision, time of the input that caused it
 	ID         uint64        // of the request, or the token of a Timer or After event
 	Class      int
 	Tenant     int
 	Attempt    int // number of the attempt, from 0
 	Result     balance.Result
-	Final      bool          // see Balancer.Outcome
-	Duration   time.Duration // budget, elapsed time, timeout, retry-after or delay
-	Addr       string        // the endpoint of a Send event
-	UpdateKind balance.UpdateKind
+	Final      bool               // of Outcome events; see Balancer.Outcome
+	Duration   time.Duration      // budget, elapsed time, timeout, Retry-After or delay
+	Addr       string             // the endpoint of a Send event
+	UpdateKind balance.UpdateKind // of EndpointUpdate events
 	Endpoints  []balance.Endpoint
 	Seed       uint64
 	Config     *balance.Config // of Start and Reconfigure events
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -30,7 +30,7 @@
 	ErrDamaged = errors.New("capture: block is damaged")
 )
 
-// Writer writes events. Create it with NewWriter.
+// Writer writes events to a capture file. Create it with NewWriter.
 type Writer struct {
 	out        io.Writer
 	codec      codec
@@ -57,7 +57,7 @@
 	return w.err
 }
 
-// Flush writes the current block, if it has any event.
+// Flush writes the current block, unless it is empty.
 func (w *Writer) Flush() error {
 	if w.err != nil || len(w.block) <= 8 {
 		return w.err
@@ -75,7 +75,7 @@
 	return w.err
 }
 
-// Reader reads events.
+// Reader reads the events of a capture file. Create it with NewReader.
 type Reader struct {
 	in         *bufio.Reader
 	codec      codec
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -9,21 +9,21 @@
 	"gorselink/balance"
 )
 
-// Recorder wraps a Balancer. It forwards the calls to the Balancer and the decisions to
-// its Host, and emits both as events in their order. Like a Balancer, it is not safe for
+// Recorder wraps a Balancer. It forwards calls to the Balancer and decisions to the
+// Actions, and emits both as events in their order. Like a Balancer, it is not safe for
 // concurrent use.
 type Recorder struct {
 	balancer *balance.Balancer
-	host     balance.Actions
+	actions  balance.Actions
 	emit     func(*Event)
 	event    Event // reused for each call of emit
 	now      time.Duration
 }
 
-// NewRecorder creates a Balancer and passes its events to emit, which must not retain
-// them.
-func NewRecorder(cfg balance.Config, seed uint64, host balance.Actions, emit func(*Event)) (*Recorder, error) {
-	r := &Recorder{host: host, emit: emit}
+// NewRecorder creates a Balancer whose decisions go to actions, and returns its Recorder.
+// Events are passed to emit, which must not retain them.
+func NewRecorder(cfg balance.Config, seed uint64, actions balance.Actions, emit func(*Event)) (*Recorder, error) {
+	r := &Recorder{actions: actions, emit: emit}
 	r.record(Event{Kind: Start, Seed: seed, Config: &cfg})
 	var err error
 	r.balancer, err = balance.New(cfg, seed, r)
@@ -48,7 +48,7 @@
 	return r.balancer.AddClass(c)
 }
 
-// Members records and forwards a call of Balancer.Members.
+// UpdateEndpoints records and forwards a call of Balancer.UpdateEndpoints.
 func (r *Recorder) UpdateEndpoints(now time.Duration, kind balance.UpdateKind, list []balance.Endpoint) {
 	r.now = now
 	r.record(Event{Kind: EndpointUpdate, UpdateKind: kind, Endpoints: list})
@@ -69,7 +69,7 @@
 	r.balancer.Outcome(now, id, number, result, elapsed, final)
 }
 
-// Withdrawn records and forwards a call of Balancer.Withdrawn.
+// Cancelled records and forwards a call of Balancer.Cancelled.
 func (r *Recorder) Cancelled(now time.Duration, id balance.RequestID) {
 	r.now = now
 	r.record(Event{Kind: Cancelled, ID: uint64(id)})
@@ -90,34 +90,34 @@
 	r.balancer.Close(now)
 }
 
-// Send implements balance.Host.
+// Send implements balance.Actions.
 func (r *Recorder) Send(id balance.RequestID, addr string, timeout time.Duration) {
 	r.record(Event{Kind: Send, ID: uint64(id), Addr: addr, Duration: timeout})
-	r.host.Send(id, addr, timeout)
+	r.actions.Send(id, addr, timeout)
 }
 
-// Refuse implements balance.Host.
+// Reject implements balance.Actions.
 func (r *Recorder) Reject(id balance.RequestID, retryAfter time.Duration) {
 	r.record(Event{Kind: Reject, ID: uint64(id), Duration: retryAfter})
-	r.host.Reject(id, retryAfter)
+	r.actions.Reject(id, retryAfter)
 }
 
-// Fail implements balance.Host.
+// Fail implements balance.Actions.
 func (r *Recorder) Fail(id balance.RequestID) {
 	r.record(Event{Kind: Fail, ID: uint64(id)})
-	r.host.Fail(id)
+	r.actions.Fail(id)
 }
 
-// After implements balance.Host.
+// After implements balance.Actions.
 func (r *Recorder) After(d time.Duration, token uint64) {
 	r.record(Event{Kind: After, ID: token, Duration: d})
-	r.host.After(d, token)
+	r.actions.After(d, token)
 }
 
-// Watch implements balance.Host.
+// Watch implements balance.Actions.
 func (r *Recorder) Watch() {
 	r.record(Event{Kind: Watch})
-	r.host.Watch()
+	r.actions.Watch()
 }
 
 // Difference is the first decision of a replay that differs from the capture.
@@ -134,13 +134,13 @@
 }
 
 // Replay replays the inputs of a capture and compares every decision. It returns the
-// number of events before the first error, and as error a *Difference for a decision that
-// differs, or another one for an invalid capture.
+// number of events before the first error. The error is a *Difference if a decision
+// differs, and another one if the capture is invalid.
 func Replay(r *Reader) (replayed int, err error) {
 	var balancer *balance.Balancer
 	var e, input Event
 	var decisions []Event
-	host := &decisionCollector{&decisions, &input}
+	collector := &decisionCollector{&decisions, &input}
 	newDifference := func(captured *Event) error {
 		d := &Difference{Index: replayed, Input: input, Captured: captured}
 		if len(decisions) > 0 {
@@ -175,7 +175,7 @@
 		input, decisions = e, decisions[:0]
 		switch e.Kind {
 		case Start:
-			if balancer, err = balance.New(*e.Config, e.Seed, host); err != nil {
+			if balancer, err = balance.New(*e.Config, e.Seed, collector); err != nil {
 				return replayed, err
 			}
 		case Reconfigure:
@@ -203,7 +203,7 @@
 	return a.Kind == b.Kind && a.At == b.At && a.ID == b.ID && a.Addr == b.Addr && a.Duration == b.Duration
 }
 
-// decisionCollector is a balance.Host that collects the decisions of a replayed Balancer.
+// decisionCollector is a balance.Actions that collects the decisions of a replayed Balancer.
 type decisionCollector struct {
 	decisions *[]Event
 	input     *Event
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -63,7 +63,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name     string
-	ByMethod bool // the method and Idempotency-Key of a request determine its semantics
+	ByMethod bool // the method and Idempotency-Key of a request determine its Idempotency
 	balance.Class
 }
 
@@ -77,10 +77,10 @@
 	ConnectTimeout        time.Duration
 	IdleTimeout           time.Duration
 	ResponseStallTimeout  time.Duration // longest pause inside a response
-	SlowStartWindow       time.Duration // slow-start period of a new endpoint
-	SlowStartInitialShare float64       // initial share of capacity of a new endpoint
+	SlowStartWindow       time.Duration // slow-start window: time until a new endpoint gets its full share of requests
+	SlowStartInitialShare float64       // initial share: part of its full share that a new endpoint gets at first
 
-	Share       float64 // weight in the distribution of resources among pools without a limit
+	Share       float64 // weight when pools without a limit divide what the others leave
 	Connections int     // maximum number of open connections to endpoints
 	Requests    int     // maximum number of requests in progress
 	Memory      int64   // bytes
@@ -88,7 +88,7 @@
 	MaxResponse int64   // bytes of a response body
 }
 
-// NodeSource specifies where the endpoint list of a pool comes from: a fixed list, a
+// EndpointSource specifies where the endpoint list of a pool comes from: a fixed list, a
 // file or a discovery service.
 type EndpointSource struct {
 	Fixed     discovery.Fixed
@@ -97,23 +97,24 @@
 	Discovery string        // address:port
 }
 
-// NewSource returns a new source of the endpoint list.
-func (n *EndpointSource) NewSource() discovery.Source {
+// NewSource creates the source that supplies the endpoint list.
+func (s *EndpointSource) NewSource() discovery.Source {
 	switch {
-	case n.File != "":
-		return &discovery.File{Path: n.File, Interval: n.Refresh}
-	case n.Discovery != "":
-		return discovery.NewDiscovery(n.Discovery, discovery.LocalAgentTimeouts(0))
+	case s.File != "":
+		return &discovery.File{Path: s.File, Interval: s.Refresh}
+	case s.Discovery != "":
+		return discovery.NewDiscovery(s.Discovery, discovery.LocalAgentTimeouts(0))
 	}
-	return n.Fixed
+	return s.Fixed
 }
 
 // String identifies the source: equal strings mean equal sources.
-func (n *EndpointSource) String() string { return n.NewSource().String() }
+func (s *EndpointSource) String() string { return s.NewSource().String() }
 
-// InitialList returns the list to use until the source supplies one.
-func (n *EndpointSource) InitialList() discovery.List {
-	return discovery.List{Snapshot: true, Undated: true, Endpoints: n.Fixed}
+// InitialList returns the endpoint list to use until the source supplies one; it is
+// empty unless the list is fixed.
+func (s *EndpointSource) InitialList() discovery.List {
+	return discovery.List{Snapshot: true, Undated: true, Endpoints: s.Fixed}
 }
 
 // Route maps the requests that it matches to a pool and a class.
@@ -133,13 +134,13 @@
 	// callers and endpoints: logs, listeners, sources and the runtime's poller.
 	ReservedDescriptors = 32
 
-	// spareConnectionShare is the share of a listener's connections that exceeds
-	// the requests all pools may hold, so that an idle connection can always be
-	// closed for a new caller.
+	// spareConnectionShare is the share of the smallest listener's connections by
+	// which they exceed the requests that all pools may have in progress, so that an
+	// idle connection can always be closed for a new caller.
 	spareConnectionShare = 0.2
 
-	// Request bodies, large responses and open requests each get the memory of the
-	// pool divided by their divisor.
+	// Request bodies, large responses and open requests each get a part of the
+	// pool's memory: the memory divided by their divisor.
 	RequestBodyMemoryDivisor   = 4
 	LargeResponseMemoryDivisor = 4
 	openRequestMemoryDivisor   = 2
@@ -207,7 +208,7 @@
 	return c, nil
 }
 
-// CheckFiles reads the node files that the configuration refers to and returns all
+// CheckFiles reads the endpoint lists in files that the configuration names and returns all
 // errors in them.
 func (c *Daemon) CheckFiles() error {
 	var errs []error
@@ -377,7 +378,7 @@
 	for _, name := range names {
 		t := tables[name]
 		p := Pool{Name: name}
-		p.readNodeSource(t, dir)
+		p.readEndpointSource(t, dir)
 		p.Zone = t.Text("zone", "")
 		p.PreferOwnZone = t.Bool("prefer_own_zone", false)
 		if p.PreferOwnZone && p.Zone == "" {
@@ -403,9 +404,9 @@
 	}
 }
 
-// readNodeSource reads the source of the pool's endpoint list. Relative paths start
+// readEndpointSource reads the source of the pool's endpoint list. Relative paths start
 // at dir.
-func (p *Pool) readNodeSource(t *tomlfile.Table, dir string) {
+func (p *Pool) readEndpointSource(t *tomlfile.Table, dir string) {
 	p.EndpointSource.Refresh = t.Duration("refresh", time.Second, 10*time.Millisecond)
 	keyCount := 0
 	for _, key := range []string{"nodes", "nodes_file", "discovery"} {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,5 +1,5 @@
 // Package config reads the configuration files: the platform's JSON file for a
-// sidecar, and the TOML file for the daemon and the quorum.
+// sidecar, and the TOML files for the daemon and for lease servers and their clients.
 package config
 
 import (
@@ -20,7 +20,7 @@
 	"gorselink/internal/simproto"
 )
 
-// Platform is the configuration that the platform gives one sidecar.
+// Platform is the configuration of one sidecar, which the platform provides.
 type Platform struct {
 	Name      string
 	Listen    string
@@ -37,7 +37,7 @@
 	DialTimeout time.Duration  // limit for opening a connection
 	DrainGrace  time.Duration  // time an endpoint accepts requests after its drain is announced; 0 if not set
 
-	// Weights of new and of open connections in the operators' goal, see
+	// Prices of opening a connection and of keeping it open, see
 	// upstream.OptimalIdleTimeout.
 	HandshakePrice, ConnectionPrice float64
 
@@ -65,7 +65,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// file is the form of the configuration file.
+// platformFile is the JSON form of the configuration file.
 type platformFile struct {
 	Name      string                     `json:"name"`
 	Listen    string                     `json:"listen"`
@@ -90,7 +90,7 @@
 	return c, nil
 }
 
-// ReloadPlatform reads the configuration file at path as the successor of old. All
+// ReloadPlatform reads the configuration file at path, which is to replace old. All
 // settings of old must be present. Classes may be added and removed; each class
 // of the new file must have the settings that all classes of old have.
 func ReloadPlatform(path string, old *Platform) (*Platform, error) {
@@ -168,7 +168,7 @@
 	return c, c.readSettings(f.Settings)
 }
 
-// validate checks the values outside the settings and the endpoint list.
+// validate checks all values except the settings and the endpoint list.
 func (c *Platform) validate() error {
 	switch {
 	case c.Name == "":
--- a/internal/config/quorum.go
+++ b/internal/config/quorum.go
@@ -10,20 +10,20 @@
 	"gorselink/internal/tomlfile"
 )
 
-// Quorum is the configuration of a cluster of voters: the table [quorum] of a file,
-// with [[quorum.voters]].
+// LeaseCluster configures the voters of a lease server, for one of them or for a client.
+// It is the table [quorum] of a file, with [[quorum.voters]].
 type LeaseCluster struct {
 	Cluster string
 	Voters  []Voter
 	ID      int // ID of the voter that this file configures; 0 in files for clients only
 	Listen  string
-	Dir     string // directory of the voter's log
-	Tick    time.Duration
+	Dir     string        // directory of the voter's log
+	Tick    time.Duration // interval of Raft ticks, the unit of the election and heartbeat timeouts
 
 	Warnings []string // problems that do not prevent operation
 }
 
-// QuorumVoter is one member of the cluster.
+// Voter is one replica of the lease server.
 type Voter struct {
 	ID      int
 	Address string
@@ -34,7 +34,7 @@
 	defaultTick = 100 * time.Millisecond
 )
 
-// LoadQuorum reads the table [quorum] of the file at path and ignores other tables.
+// LoadLeaseCluster reads the table [quorum] of the file at path and ignores other tables.
 func LoadLeaseCluster(path string) (*LeaseCluster, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return ParseLeaseCluster(path, text)
 }
 
-// ParseQuorum parses the table [quorum] of a file. Its error is tomlfile.Errors.
+// ParseLeaseCluster parses the table [quorum] of a file. Its error is tomlfile.Errors.
 func ParseLeaseCluster(file string, text []byte) (*LeaseCluster, error) {
 	top, err := tomlfile.Parse(file, text)
 	if err != nil {
--- a/internal/fakeserver/agent.go
+++ b/internal/fakeserver/agent.go
@@ -19,7 +19,7 @@
 	Zone    string `json:"zone"`
 	Group   int    `json:"group"`
 	Status  string `json:"status"`   // "in_service", "terminating" or, only in a change, "terminated"
-	SinceMs int64  `json:"since_ms"` // start of the process in Unix time
+	SinceMs int64  `json:"since_ms"` // start of the process, in milliseconds of Unix time
 }
 
 // NewEntry returns the entry of n with its current start time.
@@ -32,7 +32,7 @@
 }
 
 // Agent is a fake of the discovery HTTP API of one service. It serves snapshots of the
-// list and watches, which wait for changes.
+// list and watches, which wait for changes and return a delta.
 type Agent struct {
 	server *http.Server
 	addr   string
@@ -42,7 +42,7 @@
 	index        int
 	history      []entryChange // all changes since the start
 	changed      chan struct{} // closed at the next change
-	unresponsive chan struct{} // non-nil while calls are not answered; closed to answer them
+	unresponsive chan struct{} // non-nil while calls get no response; closed to let them continue
 	calls        int
 }
 
--- a/internal/fakeserver/full_listener.go
+++ b/internal/fakeserver/full_listener.go
@@ -15,7 +15,8 @@
 	queued []net.Conn // fill the accept queue
 }
 
-// fullTimeout is the time after which a dial that has not succeeded shows a full queue.
+// fullTimeout is the time after which a connection that is not yet open shows that the
+// queue is full.
 const fullTimeout = 200 * time.Millisecond
 
 // ListenFull starts a FullListener on a free port of 127.0.0.1.
@@ -52,7 +53,8 @@
 	return net.FileListener(f)
 }
 
-// Unblock makes the kernel complete new connections, which the caller then accepts.
+// Unblock enlarges the accept queue, so that the kernel completes new connections. The
+// connections that filled the queue are closed.
 func (l *FullListener) Unblock() error {
 	raw, err := l.Listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
--- a/internal/fakeserver/node.go
+++ b/internal/fakeserver/node.go
@@ -24,11 +24,11 @@
 const (
 	ModeServe      Mode = iota
 	ModeFreeze          // accepts requests and holds them until the mode changes
-	ModeNoResponse      // runs each request and sends no answer
-	ModeError           // runs each request and answers with status 500
+	ModeNoResponse      // runs each request and sends no response
+	ModeError           // runs each request and responds with status 500
 	ModeMalformed       // runs each request and sends bytes that are not HTTP
 	ModeReset           // runs each request and resets the connection
-	ModeReject          // answers with status 503 and X-Rejected, without running the request
+	ModeReject          // responds with status 503 and X-Rejected, without running the request
 )
 
 // ModesByName has the modes by their names in experiments and in the demo.
@@ -36,12 +36,12 @@
 	"serve": ModeServe, "freeze": ModeFreeze, "mute": ModeNoResponse, "error": ModeError, "spoil": ModeMalformed, "reset": ModeReset, "refuse": ModeReject,
 }
 
-// NodeConfig configures a Node. With the zero value, it answers immediately.
+// NodeConfig configures a Node. With the zero value, it responds immediately.
 type NodeConfig struct {
 	Name       string
 	Latency    time.Duration  // added to every request, independent of load
 	Work       time.Duration  // time of one core per request
-	WorkFactor func() float64 // returns the factor on Work for one request; nil means 1. Must be safe for concurrent use
+	WorkFactor func() float64 // returns a factor on Work for each request; nil means 1. It must be safe for concurrent use
 	Cores      int            // limit of requests that run concurrently; 0 means no limit
 	Queue      int            // limit of requests that wait for a core, others are rejected; 0 means no limit
 
@@ -50,7 +50,7 @@
 	WarmUp    time.Duration
 	ColdShare float64
 
-	// Answer, if set, returns the answer to a request that has run. It must be safe
+	// Respond, if set, returns the response to a request that has run. It must be safe
 	// for concurrent use.
 	Respond func(req *http.Request, body []byte) Response
 	// Observe, if set, is called with each request that was received completely,
@@ -58,7 +58,7 @@
 	Observe func(req *http.Request, body []byte)
 }
 
-// Answer is the answer of a node to a request.
+// Response is what a node sends back for a request.
 type Response struct {
 	Status int // 0 means 200
 	Header http.Header
@@ -113,7 +113,7 @@
 func (n *Node) Name() string { return n.cfg.Name }
 
 // SetMode sets the mode for new requests and for those held by ModeFreeze. Requests held
-// by ModeNoAnswer lose their connection.
+// by ModeNoResponse lose their connection.
 func (n *Node) SetMode(m Mode) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -265,7 +265,8 @@
 	}
 }
 
-// handle handles one request and reports whether the connection stays open.
+// handle treats one request as the mode requires: it runs, rejects or holds it, and sends
+// the response. It reports whether the connection stays open.
 func (n *Node) handle(c net.Conn, req *http.Request, body []byte) bool {
 	generation := n.countOpen(1)
 	defer n.countOpen(-1)
@@ -282,12 +283,12 @@
 			<-changed
 			continue
 		case mode == ModeReject:
-			return n.answer(c, req, Response{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
+			return n.writeResponse(c, req, Response{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
 		}
 		break
 	}
 	if !n.work() {
-		return n.answer(c, req, Response{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
+		return n.writeResponse(c, req, Response{Status: http.StatusServiceUnavailable, Header: http.Header{"X-Rejected": {"1"}}})
 	}
 	n.mu.Lock()
 	n.runsByID[req.Header.Get("X-Call-Id")]++
@@ -302,19 +303,19 @@
 		abort(c)
 		return false
 	case ModeError:
-		return n.answer(c, req, Response{Status: http.StatusInternalServerError, Body: n.cfg.Name + " failed\n"})
+		return n.writeResponse(c, req, Response{Status: http.StatusInternalServerError, Body: n.cfg.Name + " failed\n"})
 	case ModeMalformed:
 		io.WriteString(c, "\x00\x01 this is no answer\r\n\r\n")
 		return false
 	}
 	if n.cfg.Respond != nil {
-		return n.answer(c, req, n.cfg.Respond(req, body))
+		return n.writeResponse(c, req, n.cfg.Respond(req, body))
 	}
-	return n.answer(c, req, Response{Body: fmt.Sprintf("%s %s %s%s %d\n", n.cfg.Name, req.Method, req.Host, req.RequestURI, len(body))})
+	return n.writeResponse(c, req, Response{Body: fmt.Sprintf("%s %s %s%s %d\n", n.cfg.Name, req.Method, req.Host, req.RequestURI, len(body))})
 }
 
 // state returns the mode, a channel that is closed when it changes, and whether the node
-// has not crashed since this generation started.
+// is still in this generation, that is, has not crashed since.
 func (n *Node) state(generation int) (m Mode, changed <-chan struct{}, alive bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -378,19 +379,20 @@
 	return n.cfg.Latency + work
 }
 
-func (n *Node) answer(c net.Conn, req *http.Request, a Response) bool {
-	if a.Status == 0 {
-		a.Status = http.StatusOK
+// writeResponse sends a response and reports whether the connection stays open.
+func (n *Node) writeResponse(c net.Conn, req *http.Request, response Response) bool {
+	if response.Status == 0 {
+		response.Status = http.StatusOK
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\n", a.Status, http.StatusText(a.Status))
-	a.Header.Write(&out)
-	if a.Header.Get("Content-Length") == "" {
-		out.WriteString("Content-Length: " + strconv.Itoa(len(a.Body)) + "\r\n")
+	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\n", response.Status, http.StatusText(response.Status))
+	response.Header.Write(&out)
+	if response.Header.Get("Content-Length") == "" {
+		out.WriteString("Content-Length: " + strconv.Itoa(len(response.Body)) + "\r\n")
 	}
 	out.WriteString("\r\n")
 	if req.Method != http.MethodHead {
-		out.WriteString(a.Body)
+		out.WriteString(response.Body)
 	}
 	_, err := io.WriteString(c, out.String())
 	return err == nil && !req.Close
--- a/internal/fakeserver/registry.go
+++ b/internal/fakeserver/registry.go
@@ -18,7 +18,7 @@
 
 // Registry is a fake of the discovery servers of many services, with one listener per
 // service. It counts calls and bytes, and measures how soon subscribers apply a change.
-// A change counts as applied when a subscriber asks for later ones.
+// A change counts as applied when a subscriber starts a watch for later ones.
 type Registry struct {
 	server   *http.Server
 	lists    []*serviceList
@@ -51,7 +51,7 @@
 	hasCalled  bool      // knownIndex is set
 	watching   bool      // a watch is open
 	lastCall   time.Time // start of the last call, or end of the last watch
-	closed     bool
+	closed     bool      // the connection is closed
 }
 
 // Change is one change of a list, with the delays until subscribers applied it.
@@ -73,6 +73,7 @@
 }
 
 const (
+	// peakInterval is the interval in which calls are counted for Counts.PeakCalls.
 	peakInterval = 100 * time.Millisecond
 	// maxHistory limits the changed entries that a list keeps. A watch from an older index
 	// gets a snapshot.
--- a/internal/fakeserver/standin_test.go
+++ b/internal/fakeserver/standin_test.go
@@ -22,7 +22,7 @@
 	return n
 }
 
-// post sends one request on a new connection. Its status is 0 if there is no answer.
+// post sends one request on a new connection. Its status is 0 if there is no response.
 func post(n *Node, id string) (status int, body string, header http.Header) {
 	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 	req, _ := http.NewRequest(http.MethodPost, "http://"+n.Addr()+"/x", strings.NewReader("hello"))
@@ -45,7 +45,7 @@
 	}
 }
 
-// Guards against a mode with a wrong answer or a wrong count of runs.
+// Guards against a mode with a wrong response or a wrong count of runs.
 func TestNodeModes(t *testing.T) {
 	n := startNode(t, NodeConfig{Name: "s-1"})
 	for _, c := range []struct {
@@ -60,7 +60,7 @@
 			t.Errorf("mode %d: status %d %q, %d runs, want status %d and %d runs", c.mode, status, body, n.RunsByID()[id], c.status, c.runs)
 		}
 		if c.mode == ModeReject && header.Get("X-Rejected") != "1" {
-			t.Error("ModeReject: answer has no X-Rejected header")
+			t.Error("ModeReject: response has no X-Rejected header")
 		}
 	}
 	n.SetMode(ModeFreeze)
@@ -75,11 +75,11 @@
 		t.Errorf("status %d, %d runs after ModeFreeze, want 200 and 1", s, n.RunsByID()["frozen"])
 	}
 	n.SetMode(ModeNoResponse)
-	go func() { s, _, _ := post(n, "unanswered"); done <- s }()
-	eventually(t, "request ran in ModeNoAnswer", func() bool { return n.RunsByID()["unanswered"] == 1 })
+	go func() { s, _, _ := post(n, "no-response"); done <- s }()
+	eventually(t, "request ran in ModeNoResponse", func() bool { return n.RunsByID()["no-response"] == 1 })
 	n.Crash()
 	if s := <-done; s != 0 {
-		t.Errorf("status %d from a crashed node, want no answer", s)
+		t.Errorf("status %d from a crashed node, want no response", s)
 	}
 	if n.TotalRuns() != 6 || n.MaxOpenRequests() < 1 {
 		t.Errorf("%d runs, at most %d open requests, want 6 and at least 1", n.TotalRuns(), n.MaxOpenRequests())
@@ -91,7 +91,7 @@
 func TestNodeCrashAndRestart(t *testing.T) {
 	n := startNode(t, NodeConfig{Work: 20 * time.Millisecond, Cores: 1, WarmUp: time.Hour, ColdShare: 0.1})
 	if took := timed(func() { post(n, "a") }); took > 150*time.Millisecond {
-		t.Logf("answer of a warm node took %v; the machine may be busy", took)
+		t.Logf("response of a warm node took %v; the machine may be busy", took)
 	}
 	n.SetMode(ModeFreeze)
 	done := make(chan int)
@@ -105,7 +105,7 @@
 		t.Errorf("status %d, %d runs of a request held at the crash, want neither", s, n.RunsByID()["held"])
 	}
 	if took := timed(func() { post(n, "b") }); took < 180*time.Millisecond {
-		t.Errorf("answer of a cold node took %v, want at least 180ms", took)
+		t.Errorf("response of a cold node took %v, want at least 180ms", took)
 	}
 	if n.RestartedAt().IsZero() || NewEntry(n, "in_service").SinceMs == 0 {
 		t.Error("restarted node has no restart time in its entry")
@@ -122,7 +122,7 @@
 	return time.Since(start)
 }
 
-// Guards against rejected requests that run, and against more or fewer runs than answers.
+// Guards against rejected requests that run, and against more or fewer runs than responses with status 200.
 func TestNodeRejectsWhenQueueIsFull(t *testing.T) {
 	n := startNode(t, NodeConfig{Work: 100 * time.Millisecond, Cores: 2, Queue: 1})
 	statuses := make(chan int, 10)
@@ -138,7 +138,7 @@
 	}
 }
 
-// Guards against lost changes, wrong snapshots, and answers while the agent is
+// Guards against lost changes, wrong snapshots, and responses while the agent is
 // unresponsive.
 func TestAgentServesListAndChanges(t *testing.T) {
 	a, err := StartAgent(Entry{Name: "s-1", Address: "127.0.0.1:1", Status: "in_service"})
@@ -186,7 +186,7 @@
 	go func() { lists <- get("") }()
 	select {
 	case l := <-lists:
-		t.Errorf("answer while unresponsive: %+v", l)
+		t.Errorf("response while unresponsive: %+v", l)
 	case <-time.After(50 * time.Millisecond):
 	}
 	a.SetUnresponsive(false)
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -9,7 +9,7 @@
 	"gorselink/internal/fakeserver"
 )
 
-// BenchmarkRun runs for two seconds against a stand-in node in the same process. It
+// BenchmarkRun runs for two seconds against a fake node in the same process. It
 // reports the generator's delay, the latency, and the CPU time and memory of both
 // sides together.
 func BenchmarkRun(b *testing.B) {
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -46,7 +46,7 @@
 		{"p99 ms", true, func(s *sample) float64 { return s.quantile(0.99) }},
 		{"p99.9 ms", true, func(s *sample) float64 { return s.quantile(0.999) }},
 		{"mean ms", true, (*sample).mean},
-		{"share answered", false, func(s *sample) float64 { return float64(s.ok) / float64(s.due) }},
+		{"share ok", false, func(s *sample) float64 { return float64(s.ok) / float64(s.due) }},
 	}
 	sampleA, sampleB := newSample(a), newSample(b)
 	all := make([]Difference, len(figures))
--- a/internal/load/engine_test.go
+++ b/internal/load/engine_test.go
@@ -102,7 +102,7 @@
 				t.Errorf("the run took %v, want about a second", took)
 			}
 			if res.Outcomes[OK] != 200 || res.Requests() != 200 {
-				t.Errorf("outcomes %v, want 200 answered", res.Outcomes)
+				t.Errorf("outcomes %v, want 200 ok", res.Outcomes)
 			}
 			if p := time.Duration(res.Latency.Max()) * time.Microsecond; p > testTimeout/2 {
 				t.Errorf("largest latency %v", p)
@@ -126,7 +126,7 @@
 	var mu sync.Mutex
 	var arrived []time.Duration
 	var start time.Time
-	addr := startTarget(t, answerWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", func() {
+	addr := startTarget(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", func() {
 		mu.Lock()
 		arrived = append(arrived, time.Since(start))
 		mu.Unlock()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -91,8 +91,8 @@
 	return l.Addr().String()
 }
 
-// answerWith serves each request with a fixed response, after calling the callbacks.
-func answerWith(text string, callbacks ...func()) func(c net.Conn) {
+// respondWith serves each request with a fixed response, after calling the callbacks.
+func respondWith(text string, callbacks ...func()) func(c net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
@@ -144,7 +144,7 @@
 		t.Errorf("the run took %v", took)
 	}
 	if res.Outcomes[OK] != 4*rate || res.Requests() != 4*rate {
-		t.Fatalf("outcomes %v, want %d answered", res.Outcomes, 4*rate)
+		t.Fatalf("outcomes %v, want %d ok", res.Outcomes, 4*rate)
 	}
 	// rate*pause requests wait uniformly from 0 to pause: of 2,000, the slowest 20
 	// wait for more than 0.96 of it.
@@ -233,21 +233,21 @@
 
 // Each kind of failure has its own outcome, and the run ends.
 func TestOutcomes(t *testing.T) {
-	refusing := startNode(t, fakeserver.NodeConfig{})
-	refusing.Crash()
+	crashed := startNode(t, fakeserver.NodeConfig{})
+	crashed.Crash()
 	silent := startNode(t, fakeserver.NodeConfig{})
 	silent.SetMode(fakeserver.ModeFreeze)
 	for name, c := range map[string]struct {
 		addr string
 		want Outcome
 	}{
-		"ok":             {startTarget(t, answerWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")), OK},
-		"not found":      {startTarget(t, answerWith("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")), Rejected},
-		"refused":        {startTarget(t, answerWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")), Refused},
-		"failed":         {startTarget(t, answerWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), Failed},
-		"malformed":      {startTarget(t, answerWith("\x00noise\r\n\r\n")), Broken},
-		"answered twice": {startTarget(t, answerWith(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2))), OK},
-		"no connection":  {refusing.Addr(), NoConn},
+		"ok":             {startTarget(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")), OK},
+		"not found":      {startTarget(t, respondWith("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n")), Rejected},
+		"refused":        {startTarget(t, respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")), Refused},
+		"failed":         {startTarget(t, respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), Failed},
+		"malformed":      {startTarget(t, respondWith("\x00noise\r\n\r\n")), Broken},
+		"responds twice": {startTarget(t, respondWith(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2))), OK},
+		"no connection":  {crashed.Addr(), NoConn},
 		"silent":         {silent.Addr(), TimedOut},
 		"never reads":    {startTarget(t, func(net.Conn) {}), TimedOut},
 		"closes":         {startTarget(t, func(c net.Conn) { c.Close() }), Broken},
@@ -346,7 +346,7 @@
 	defer freeze.Stop()
 	res := r.Run(ctx)
 	if res.Outcomes[OK] < 20 || res.Outcomes[Unanswered] < 20 || res.Requests() > 200 {
-		t.Errorf("outcomes %v, want about 60 answered and 60 unanswered", res.Outcomes)
+		t.Errorf("outcomes %v, want about 60 ok and 60 unanswered", res.Outcomes)
 	}
 }
 
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -15,7 +15,7 @@
 const (
 	OK         Outcome = iota // response with a status below 400
 	Rejected                  // status 4xx other than 429
-	Refused                   // status 429 or 503: retrying is safe
+	Refused                   // status 429 or 503; may be retried with every method
 	Failed                    // any other status 5xx
 	Broken                    // the connection broke, or the response was malformed
 	NoConn                    // no connection could be opened
@@ -55,7 +55,7 @@
 	Latency  SparseHistogram    // of the requests due in this second
 }
 
-// SparseHistogram holds only the non-empty buckets, keyed by their lowest value;
+// SparseHistogram holds only the non-empty buckets, by their lowest value;
 // a full histogram for each second would take 200 KB. The buckets are those of
 // the full histograms.
 type SparseHistogram map[int64]int64
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -63,7 +63,7 @@
 	P50      float64          `json:"p50_ms"`
 	P99      float64          `json:"p99_ms"`
 	Max      float64          `json:"max_ms"`
-	Buckets  SparseHistogram  `json:"buckets"` // of the latency in µs, keyed by their lowest value
+	Buckets  SparseHistogram  `json:"buckets"` // of the latency in µs, by their lowest value
 }
 
 // LatencySummary holds the percentiles of a histogram in milliseconds, and the
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -192,7 +192,7 @@
 
 // Run executes the run and returns its measurements. It ends when all requests
 // have ended, at the latest Grace after the end of the plan, or with ctx. Requests
-// that are still open or queued then count as unanswered, with the time waited so
+// that are still open or queued then count as Unanswered, with the time waited so
 // far.
 func (r *Runner) Run(ctx context.Context) *Result {
 	ctx, cancel := context.WithCancel(ctx)
@@ -213,7 +213,7 @@
 	r.finish(end)
 	senders.Wait()
 	for r.hasNext && r.nextArrival.Due <= end {
-		// The run was cut off: queued requests that were due by then.
+		// The run ended early: these requests were due by then and not yet sent.
 		a := r.pop()
 		r.abandonAs(&a, end, Unanswered)
 	}
@@ -254,8 +254,8 @@
 	}
 }
 
-// dispatchDue gives due requests to free senders. It returns when to look again,
-// and whether the run is complete.
+// dispatchDue gives due requests to free senders. It returns the time at which to
+// check again, and whether the run is complete.
 func (r *Runner) dispatchDue(ctx context.Context, senders *sync.WaitGroup) (until time.Duration, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,7 +281,7 @@
 }
 
 // expireWaiting ends requests whose budget is over while all senders are busy, and
-// returns when to look again. r.mu must be held.
+// returns the time at which to check again. r.mu must be held.
 func (r *Runner) expireWaiting(now time.Duration) (until time.Duration) {
 	for {
 		d, earliest, ok := r.peek()
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -112,7 +112,7 @@
 	if s.conn != nil && start-s.idleSince > idleCheckAfter && s.closedByPeer() {
 		s.close()
 	}
-	o, retryAfter := s.tryOnce(ctx, req, r.start.Add(deadline))
+	o, retryAfter := s.sendAttempt(ctx, req, r.start.Add(deadline))
 	freeAt = r.elapsed()
 	s.idleSince = freeAt
 	if ctx.Err() != nil && (o == Broken || o == NoConn || o == TimedOut || o == LeftEarly) && freeAt < deadline {
@@ -123,8 +123,8 @@
 	} else {
 		s.shard.recordFirstAttempt(freeAt-start, o)
 	}
-	safeToRetry := o == Refused || o == NoConn || (o == Failed || o == Broken) && (stream.WithIdempotencyKey || isSafeMethod(req.method))
-	if wait, retry := r.cfg.Client.Next(a.retries, safeToRetry, retryAfter, behaviour.HonoursRetryAfter); retry && freeAt+wait < deadline {
+	retryable := o == Refused || o == NoConn || (o == Failed || o == Broken) && (stream.WithIdempotencyKey || isSafeMethod(req.method))
+	if wait, retry := r.cfg.Client.NextRetry(a.retries, retryable, retryAfter, behaviour.HonoursRetryAfter); retry && freeAt+wait < deadline {
 		a.retries++
 		r.scheduleRetry(a, freeAt, wait)
 		return freeAt
@@ -151,12 +151,14 @@
 // noDeadline is the deadline of a request without a budget, after the end of any run.
 const noDeadline = 2 * traffic.MaxSpan
 
+// isSafeMethod reports whether a method is safe by RFC 9110, section 9.2.1, so that a
+// request without an idempotency key may be retried.
 func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// tryOnce makes one attempt and returns its outcome.
-func (s *sender) tryOnce(ctx context.Context, req *request, deadline time.Time) (o Outcome, retryAfter time.Duration) {
+// sendAttempt sends one attempt and returns its outcome.
+func (s *sender) sendAttempt(ctx context.Context, req *request, deadline time.Time) (o Outcome, retryAfter time.Duration) {
 	if s.conn != nil && (!s.reusable || s.r.cfg.PerConn > 0 && s.requests >= s.r.cfg.PerConn) {
 		s.close()
 	}
--- a/internal/load/skip_reporter.go
+++ b/internal/load/skip_reporter.go
@@ -17,7 +17,7 @@
 }
 
 // Report reports one line.
-func (s *SkipReporter) Report(file string, line *trace.BadLine) {
+func (s *SkipReporter) Report(file string, line *trace.BadLineError) {
 	if s.n++; s.n <= maxSkipsReported {
 		fmt.Fprintf(s.Out, "%s: skipped: %v\n", file, line)
 	}
--- a/internal/load/spec.go
+++ b/internal/load/spec.go
@@ -40,7 +40,7 @@
 	Retries    int      `toml:"retries" json:"retries"`
 	RetryWait  Duration `toml:"retry_wait" json:"retry_wait"`
 	RetryGrow  bool     `toml:"retry_grow" json:"retry_grow"`
-	Honour     *float64 `toml:"honour" json:"honour"` // nil for 1
+	Honour     *float64 `toml:"honour" json:"honour"` // share of callers that honour Retry-After; nil for 1
 	Leave      float64  `toml:"leave" json:"leave"`
 	LeaveAfter Duration `toml:"leave_after" json:"leave_after"`
 }
@@ -141,7 +141,7 @@
 
 // Config returns the run that the Spec describes, or a worker's part of it. It
 // calls skipped, unless nil, for each skipped trace line.
-func (s *Spec) Config(part WorkerPart, skipped func(file string, line *trace.BadLine)) (*Config, error) {
+func (s *Spec) Config(part WorkerPart, skipped func(file string, line *trace.BadLineError)) (*Config, error) {
 	workers := max(part.Of, 1)
 	switch {
 	case part.Index < 0 || part.Index >= workers:
@@ -215,7 +215,7 @@
 	return k
 }
 
-func (spec *StreamSpec) stream(name string, run *Spec, skipped func(string, *trace.BadLine)) (*traffic.Stream, traffic.Source, error) {
+func (spec *StreamSpec) stream(name string, run *Spec, skipped func(string, *trace.BadLineError)) (*traffic.Stream, traffic.Source, error) {
 	s := &traffic.Stream{
 		Name: name, Method: spec.Method, Host: cmp.Or(spec.Host, run.Target), Path: cmp.Or(spec.Path, "/"), Class: spec.Class,
 		Body: spec.Body, Keys: spec.Keys, Skew: 1, WithIdempotencyKey: spec.Keyed, Budget: DefaultBudget,
@@ -256,7 +256,7 @@
 // formatByExtension maps file extensions to trace formats.
 var formatByExtension = map[string]string{".log": "log", ".csv": "csv", ".jsonl": "jsonl", ".ndjson": "jsonl"}
 
-func (spec *StreamSpec) traceSource(skipped func(string, *trace.BadLine)) (traffic.Source, error) {
+func (spec *StreamSpec) traceSource(skipped func(string, *trace.BadLineError)) (traffic.Source, error) {
 	if spec.Arrivals != "" || spec.Path != "" || spec.Body != 0 {
 		return nil, errors.New("arrivals, path and body come from the trace and cannot be set")
 	}
@@ -276,9 +276,9 @@
 		return os.Open(spec.Trace)
 	}
 	read := func(r io.Reader) *trace.Reader {
-		var onBad func(*trace.BadLine)
+		var onBad func(*trace.BadLineError)
 		if skipped != nil && loops == 1 { // later loops skip the same lines again
-			onBad = func(b *trace.BadLine) { skipped(spec.Trace, b) }
+			onBad = func(b *trace.BadLineError) { skipped(spec.Trace, b) }
 		}
 		return trace.NewReader(r, format, spec.BadShare, onBad)
 	}
--- a/internal/load/verdict.go
+++ b/internal/load/verdict.go
@@ -85,7 +85,7 @@
 	}
 	res := r.Run(ctx)
 	if ctx.Err() == nil && res.Outcomes[OK] != res.Requests() {
-		return nil, errors.New("load: the echo server for the latency floor did not answer all requests")
+		return nil, errors.New("load: the echo server for the latency floor did not respond to all requests")
 	}
 	return res.floor(), nil
 }
@@ -96,7 +96,7 @@
 	return &Floor{P50: at(50), P90: at(90), P99: at(99), P999: float64(r.Latency.Max()) / 1000}
 }
 
-// serveEcho answers every request on the connections of l until l is closed.
+// serveEcho responds to every request on the connections of l until l is closed.
 func serveEcho(l net.Listener) {
 	acceptloop.Serve(l, func(c net.Conn) {
 		go func() {
@@ -114,7 +114,7 @@
 	})
 }
 
-// Verdict tells whether the measurements of a run can be used.
+// Verdict states whether the measurements of a run can be used.
 type Verdict struct {
 	// Void lists the reasons why the generator's delay makes the measurements
 	// unusable; empty if they are usable.
--- a/internal/load/workers.go
+++ b/internal/load/workers.go
@@ -97,7 +97,7 @@
 	if o.Spec == nil {
 		return nil, errors.New("load: worker: the order has no spec")
 	}
-	var onSkipped func(string, *trace.BadLine)
+	var onSkipped func(string, *trace.BadLineError)
 	if o.Part.Index == 0 {
 		onSkipped = skipReporter.Report
 	}
@@ -240,7 +240,7 @@
 func (w *worker) awaitReady() error {
 	v, err := w.readMessage()
 	if err == nil && !v.Ready {
-		err = errors.New("the first message is not ready")
+		err = errors.New("the first message does not say that the worker is ready")
 	}
 	return err
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -189,7 +189,7 @@
 func (t *Table) KeyPath(key string) string { return JoinPath(t.path, key) }
 
 // Get returns the value of a key without validation, and whether the key is present.
-// Like all accessors it marks the key as known.
+// Like all accessors except Has, it marks the key as known.
 func (t *Table) Get(key string) (any, bool) {
 	t.readKeys = append(t.readKeys, key)
 	v, ok := t.values[key]
@@ -212,8 +212,7 @@
 	t.AddErrorAt(t.KeyPath(key), FormatValue(found), want)
 }
 
-// RejectUnknownKeys records an error for each key of t that no accessor has
-// asked for.
+// RejectUnknownKeys records an error for each key of t that no accessor has read.
 func (t *Table) RejectUnknownKeys() {
 	for key, v := range t.values {
 		if !slices.Contains(t.readKeys, key) {
@@ -261,7 +260,7 @@
 	return s
 }
 
-// Bool reads a boolean. An invalid value gives false.
+// Bool reads a boolean. For an invalid value it returns false, not the fallback.
 func (t *Table) Bool(key string, fallback bool) bool {
 	v, ok := t.Get(key)
 	if !ok {
@@ -305,10 +304,11 @@
 	return x
 }
 
-// maxDuration bounds all durations in a file; longer ones are taken for mistakes.
+// maxDuration bounds all durations in a file; longer ones are probably mistakes.
 const maxDuration = 24 * time.Hour
 
-// Duration reads a duration in the notation of time.ParseDuration, of at minimum minimum.
+// Duration reads a duration in the notation of time.ParseDuration, of at
+// least minimum.
 func (t *Table) Duration(key string, fallback, minimum time.Duration) time.Duration {
 	v, ok := t.Get(key)
 	if !ok {
--- a/internal/trace/schedule.go
+++ b/internal/trace/schedule.go
@@ -11,8 +11,8 @@
 // Options selects the part of a trace to replay, its speed and its repetitions.
 type Options struct {
 	Speed float64       // factor on the speed of the trace; 0 means 1
-	From  time.Duration // records due before it, at the speed of the trace, are left out
-	To    time.Duration // records due at or after it are left out; 0 means the end of the trace
+	From  time.Duration // records with an earlier due time in the trace are left out
+	To    time.Duration // records with this due time in the trace or a later one are left out; 0 means the end
 	Loops int           // number of repetitions; 0 means 1
 }
 
@@ -69,8 +69,8 @@
 	return &Schedule{open: open, read: read, opts: opts, loopIndex: -1}, nil
 }
 
-// LateRecords returns the number of records that were due immediately because they
-// could not be sorted.
+// LateRecords returns the number of records that came too late to be sorted and were
+// due immediately.
 func (s *Schedule) LateRecords() int { return s.lateRecords }
 
 // Close closes the trace file.
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -22,7 +22,7 @@
 type Record struct {
 	Line         int
 	Time         time.Time     // when it was recorded; zero if the trace has due times
-	Due          time.Duration // as the trace has it, or Time since that of the first record; may be negative
+	Due          time.Duration // due time in the trace, or Time since that of the first record; may be negative
 	WholeSeconds bool          // Time has a resolution of one second
 	Method       string
 	Host         string
@@ -61,14 +61,14 @@
 	maxBody = 64 << 20 // maximum size of a request body in bytes
 )
 
-// BadLine is the error of a line that could not be parsed.
-type BadLine struct {
+// BadLineError is the error of a line that could not be parsed.
+type BadLineError struct {
 	Line int
 	Err  error
 }
 
-func (e *BadLine) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
-func (e *BadLine) Unwrap() error { return e.Err }
+func (e *BadLineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
+func (e *BadLineError) Unwrap() error { return e.Err }
 
 // ErrTooManyBadLines means that the share of bad lines exceeds the limit.
 var ErrTooManyBadLines = errors.New("too many bad lines")
@@ -81,18 +81,18 @@
 	columns      []string // column names of a CSV
 	maxBadShare  float64
 	badLines     int
-	onBad        func(*BadLine)
+	onBad        func(*BadLineError)
 	firstTime    time.Time // Time of the first record that has one
 	hasFirstTime bool
 }
 
-// minLinesForShare is the number of lines after which the share of bad lines is checked
+// minLinesForShare is the number of lines from which on the share of bad lines is checked
 // at each bad line. A shorter trace is checked at its end.
 const minLinesForShare = 100
 
 // NewReader returns a Reader of in. Bad lines are passed to onBad, which may be nil, and
 // skipped. If their share exceeds maxBadShare, Next returns ErrTooManyBadLines.
-func NewReader(in io.Reader, f Format, maxBadShare float64, onBad func(*BadLine)) *Reader {
+func NewReader(in io.Reader, f Format, maxBadShare float64, onBad func(*BadLineError)) *Reader {
 	r := &Reader{format: f, lines: bufio.NewScanner(in), maxBadShare: maxBadShare, onBad: onBad}
 	r.lines.Buffer(make([]byte, 0, 4096), maxLine)
 	return r
@@ -111,7 +111,7 @@
 		}
 		if r.format == CSV && r.columns == nil {
 			if err := r.parseHeader(text); err != nil {
-				return Record{}, &BadLine{r.line, err}
+				return Record{}, &BadLineError{r.line, err}
 			}
 			continue
 		}
@@ -122,14 +122,14 @@
 		}
 		r.badLines++
 		if r.onBad != nil {
-			r.onBad(&BadLine{r.line, err})
+			r.onBad(&BadLineError{r.line, err})
 		}
 		if r.line >= minLinesForShare && float64(r.badLines) > r.maxBadShare*float64(r.line) {
 			return Record{}, fmt.Errorf("%w: %d of %d, allowed share %v; last one in line %d: %w", ErrTooManyBadLines, r.badLines, r.line, r.maxBadShare, r.line, err)
 		}
 	}
 	if err := r.lines.Err(); err != nil {
-		return Record{}, &BadLine{r.line + 1, err}
+		return Record{}, &BadLineError{r.line + 1, err}
 	}
 	if r.badLines > 0 && float64(r.badLines) > r.maxBadShare*float64(r.line) && r.line < minLinesForShare {
 		return Record{}, fmt.Errorf("%w: %d of %d, allowed share %v", ErrTooManyBadLines, r.badLines, r.line, r.maxBadShare)
@@ -187,7 +187,7 @@
 // accessLogTime is the time layout of the Common and Combined Log Format.
 const accessLogTime = "02/Jan/2006:15:04:05 -0700"
 
-// parseAccess reads a line of the Common or Combined Log Format.
+// parseAccessLog parses a line of the Common or Combined Log Format.
 func parseAccessLog(text string) (rec Record, err error) {
 	_, rest, ok := strings.Cut(text, " [")
 	stamp, rest, ok2 := strings.Cut(rest, "] \"")
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -14,7 +14,7 @@
 
 // readAll returns the records and the bad lines of a trace.
 func readAll(text string, f Format, maxBadShare float64) (all []Record, bad []string, err error) {
-	r := NewReader(strings.NewReader(text), f, maxBadShare, func(b *BadLine) { bad = append(bad, b.Error()) })
+	r := NewReader(strings.NewReader(text), f, maxBadShare, func(b *BadLineError) { bad = append(bad, b.Error()) })
 	for {
 		rec, err := r.Next()
 		if err == io.EOF {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -182,8 +182,9 @@
 	return strings.Join(kept, "/")
 }
 
-// checkNormalizePath checks that NormalizePath is idempotent and that no server
-// resolves its result to other segments than those that are matched.
+// checkNormalizePath checks that NormalizePath is idempotent, that its result has no
+// empty segment, and that known servers find as many segments in the result as it has,
+// or at most as many if a segment has parameters.
 func checkNormalizePath(t *testing.T, in string) {
 	normal, err := NormalizePath(in)
 	if err != nil {
--- a/traffic/client.go
+++ b/traffic/client.go
@@ -34,12 +34,12 @@
 	return nil
 }
 
-// Next reports whether a caller retries after the given number of retries, and
-// how long it waits first. safeToRetry reports that the request was not executed
-// or can be repeated without effect; retryAfter is the wait that the response
-// asked for, 0 for none. A caller that honours Retry-After waits at least that long.
-func (c *Client) Next(retries int, safeToRetry bool, retryAfter time.Duration, honours bool) (wait time.Duration, retry bool) {
-	if !safeToRetry || retries >= c.Retries {
+// NextRetry returns whether a caller makes another retry after the given number of
+// retries, and how long it waits before. retryable means that the request was not
+// executed or is idempotent. retryAfter is the Retry-After of the response, 0 for
+// none; a caller that honours it waits at least that long.
+func (c *Client) NextRetry(retries int, retryable bool, retryAfter time.Duration, honours bool) (wait time.Duration, retry bool) {
+	if !retryable || retries >= c.Retries {
 		return 0, false
 	}
 	wait = c.RetryWait
--- a/traffic/delay.go
+++ b/traffic/delay.go
@@ -97,6 +97,8 @@
 	s.freed = slices.Insert(s.freed, i, at)
 }
 
+// oldest returns when the slot that has been free longest became free, and false if
+// no slot is free.
 func (s *slots) oldest() (time.Duration, bool) {
 	if s.unused > 0 {
 		return 0, true
--- a/traffic/delay_test.go
+++ b/traffic/delay_test.go
@@ -38,9 +38,10 @@
 	return due, freed, sent
 }
 
-// referenceDelay computes the generator delay of request k by brute force: at
-// every millisecond between due and sent it counts the free connections and the
-// queued requests, and keeps the last one at which none was left for request k.
+// referenceDelay computes the generator delay of request k by brute force. For every
+// millisecond from due to sent it compares the free connections with the earlier
+// requests that are still queued. The delay starts after the last millisecond in which
+// no connection was left for request k.
 func referenceDelay(conns int, due, freed, sent []time.Duration, k int) time.Duration {
 	sendable := due[k]
 	for at := due[k]; at < sent[k]; at += ms {
--- a/traffic/plan.go
+++ b/traffic/plan.go
@@ -161,7 +161,8 @@
 	count uint64
 }
 
-// NewPlanPart returns the part with the given index, from 0. It owns p.
+// NewPlanPart returns the part with the given index, from 0. p must not be used
+// elsewhere.
 func NewPlanPart(p *Plan, part, parts int) *PlanPart {
 	return &PlanPart{plan: p, part: uint64(part), parts: uint64(max(parts, 1))}
 }
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -349,17 +349,17 @@
 	}
 }
 
-// Callers retry only when that is safe, up to the limit, after the configured wait
-// or Retry-After.
-func TestClientNext(t *testing.T) {
+// Callers retry only requests that may be retried, up to the limit, after the
+// configured wait or Retry-After.
+func TestClientNextRetry(t *testing.T) {
 	for _, c := range []struct {
-		client      Client
-		retries     int
-		safeToRetry bool
-		after       time.Duration
-		honours     bool
-		wait        time.Duration
-		again       bool
+		client    Client
+		retries   int
+		retryable bool
+		after     time.Duration
+		honours   bool
+		wait      time.Duration
+		again     bool
 	}{
 		{Client{}, 0, true, 0, false, 0, false},
 		{Client{Retries: 2}, 1, true, 0, false, 0, true},
@@ -372,7 +372,7 @@
 		{Client{Retries: 9, RetryWait: 10 * ms}, 0, true, time.Second, false, 10 * ms, true},
 		{Client{Retries: 9, RetryWait: 10 * ms}, 0, true, ms, true, 10 * ms, true},
 	} {
-		wait, again := c.client.Next(c.retries, c.safeToRetry, c.after, c.honours)
+		wait, again := c.client.NextRetry(c.retries, c.retryable, c.after, c.honours)
 		if wait != c.wait || again != c.again {
 			t.Errorf("%+v: got wait %v, retry %t", c, wait, again)
 		}
