--- a/cmd/gorselink/claim_log.go
+++ b/cmd/gorselink/claim_log.go
@@ -47,11 +47,11 @@
 
 // open opens the file for appending.
 func (c *claimLog) open() error {
-	torn, err := hasTruncatedEnd(c.path)
+	truncated, err := hasTruncatedEnd(c.path)
 	if err != nil {
 		return err
 	}
-	c.truncated = torn
+	c.truncated = truncated
 	if c.file, err = c.fsys.OpenFile(c.path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 		return err
 	}
--- a/cmd/gorselink/commands_test.go
+++ b/cmd/gorselink/commands_test.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		rows++
-		for _, n := range f[5:7] { // refused and failed
+		for _, n := range f[5:7] { // rejected and failed
 			k, err := strconv.Atoi(n)
 			if err != nil {
 				t.Errorf("row %q: %v", line, err)
--- a/cmd/gorselink/demo.go
+++ b/cmd/gorselink/demo.go
@@ -57,8 +57,8 @@
 
 // demoCounts counts the requests to one service by result.
 type demoCounts struct {
-	sent, served, refused, failed int
-	latencies                     []time.Duration
+	sent, served, rejected, failed int
+	latencies                      []time.Duration
 }
 
 // Run starts the nodes and the daemon, sends requests and prints the results until the
@@ -104,7 +104,7 @@
 	fmt.Fprintln(d.out)
 	for _, service := range demoServices {
 		c := d.totals[service]
-		fmt.Fprintf(d.out, "%s total: %d requests, %d served, %d refused, %d failed\n", service, c.sent, c.served, c.refused, c.failed)
+		fmt.Fprintf(d.out, "%s total: %d requests, %d served, %d rejected, %d failed\n", service, c.sent, c.served, c.rejected, c.failed)
 	}
 	return nil
 }
@@ -255,7 +255,7 @@
 		case http.StatusOK:
 			c.served++
 		case http.StatusServiceUnavailable:
-			c.refused++
+			c.rejected++
 		default:
 			c.failed++
 		}
@@ -277,12 +277,12 @@
 		var text strings.Builder
 		w := tabwriter.NewWriter(&text, 9, 0, 1, ' ', tabwriter.AlignRight)
 		if redraw || second%10 == 1 {
-			fmt.Fprintln(w, "second\tpool\tnodes\trequests\tserved\trefused\tfailed\tp50\tp99\t")
+			fmt.Fprintln(w, "second\tpool\tnodes\trequests\tserved\trejected\tfailed\tp50\tp99\t")
 		}
 		d.mu.Lock()
 		for _, service := range demoServices {
 			c := d.perSecond[service]
-			fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", second, service, d.modes[service], c.sent, c.served, c.refused, c.failed, quantile(c.latencies, 0.5), quantile(c.latencies, 0.99))
+			fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", second, service, d.modes[service], c.sent, c.served, c.rejected, c.failed, quantile(c.latencies, 0.5), quantile(c.latencies, 0.99))
 			*c = demoCounts{}
 		}
 		d.mu.Unlock()
--- a/cmd/gorselink/lease.go
+++ b/cmd/gorselink/lease.go
@@ -34,7 +34,7 @@
 	Status  leaseStatus  `cmd:"" help:"Show the status of each voter."`
 }
 
-// newClient returns a client of the quorum in the configuration file.
+// newClient returns a client of the lease server in the configuration file.
 func (c *leaseCommand) newClient() (*leaseclient.Client, *config.LeaseCluster, []leaseclient.Voter, error) {
 	q, err := config.LoadLeaseCluster(c.Config)
 	if err != nil {
@@ -67,7 +67,7 @@
 	Cmd    []string      `arg:"" passthrough:"" help:"-- followed by the program and its arguments."`
 	Length time.Duration `default:"10s" help:"Time for which a claim is valid without a renewal. The lease of a failed holder is granted again after this time, or later if the voters elect a new leader."`
 	Grace  time.Duration `default:"3s" help:"Time before the end of the claim at which the program receives SIGTERM. It is killed shortly before the claim ends."`
-	Retry  time.Duration `default:"5s" help:"Mean interval between attempts to acquire the lease. The quorum also notifies waiting processes when the lease becomes free."`
+	Retry  time.Duration `default:"5s" help:"Mean interval between attempts to acquire the lease. The lease server also notifies waiting processes when the lease becomes free."`
 	Claims string        `type:"path" help:"Append the claims of this process to this file, for audits: lines for begin, held and end, each with the epoch, the time and the end of the claim in nanoseconds of the boot clock."`
 	Once   bool          `help:"Exit when the program exits, with its exit code. Without this flag the program runs again whenever the lease is held."`
 }
@@ -155,7 +155,7 @@
 	cmd := exec.Command(c.Cmd[0], c.Cmd[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, env.stdout, env.stderr
 	cmd.Env = append(os.Environ(), "LEASE_NAME="+c.Name, "LEASE_EPOCH="+strconv.FormatUint(uint64(g.Epoch), 10), "LEASE_VALUE="+string(g.Value))
-	// If this process dies, the program must not continue without a claim.
+	// If this process exits, the program must not continue without a claim.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	ended := make(chan error, 1)
 	started := make(chan error, 1)
@@ -180,7 +180,7 @@
 		<-ended
 	}
 	if env.ctx.Err() != nil {
-		return nil // this process was told to exit
+		return nil // this process has received SIGTERM or an interrupt
 	}
 	return errLeaseLost
 }
@@ -202,12 +202,12 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// quorumTimeout bounds the requests of a command to the quorum.
-const quorumTimeout = 10 * time.Second
+// leaseServerTimeout bounds the requests of a command to the lease server.
+const leaseServerTimeout = 10 * time.Second
 
 // Run prints all leases.
 func (c *leaseList) Run(env *environment, parent *leaseCommand) error {
-	ctx, cancel := context.WithTimeout(env.ctx, quorumTimeout)
+	ctx, cancel := context.WithTimeout(env.ctx, leaseServerTimeout)
 	defer cancel()
 	cl, all, err := parent.listLeases(ctx)
 	if err != nil {
@@ -230,10 +230,10 @@
 	Name string `arg:"" help:"Name of the lease."`
 }
 
-// Run makes the quorum refuse further renewals by the holder. The claim ends on the
+// Run makes the lease server reject further renewals by the holder. The claim ends on the
 // holder's own clock and cannot be ended earlier from outside.
 func (c *leaseRelease) Run(env *environment, parent *leaseCommand) error {
-	ctx, cancel := context.WithTimeout(env.ctx, quorumTimeout)
+	ctx, cancel := context.WithTimeout(env.ctx, leaseServerTimeout)
 	defer cancel()
 	cl, all, err := parent.listLeases(ctx)
 	if err != nil {
@@ -289,7 +289,7 @@
 	tw := tabwriter.NewWriter(env.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "voter\taddress\tleader\tterm\tapplied\tleases\tclients")
 	for _, v := range voters {
-		ctx, cancel := context.WithTimeout(env.ctx, quorumTimeout/5)
+		ctx, cancel := context.WithTimeout(env.ctx, leaseServerTimeout/5)
 		st, err := leaseclient.StatusOf(ctx, q.Cluster, v)
 		cancel()
 		if err != nil {
--- a/cmd/gorselink/load.go
+++ b/cmd/gorselink/load.go
@@ -82,7 +82,7 @@
 	code int
 }
 
-// Run makes the run and writes its report.
+// Run performs the load test and writes its report.
 func (c *loadRun) Run(env *environment, call *kong.Context) error {
 	spec, err := c.buildSpec(call)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// execute makes the run, in this process or in worker processes.
+// execute performs the load test, in this process or in worker processes.
 func (c *loadRun) execute(env *environment, spec *load.Spec) (*load.Result, error) {
 	skips := load.SkipReporter{Out: env.stderr}
 	cfg, err := spec.Config(load.WorkerPart{}, skips.Report)
@@ -118,7 +118,7 @@
 	if !c.Quiet {
 		cfg.OnProgress = newProgressLine(env.stderr, env.redraw).show
 	}
-	// The configuration is also checked here if workers make the run, so that an error is
+	// The configuration is also checked here if workers perform the run, so that an error is
 	// reported once.
 	r, err := load.New(*cfg)
 	if err != nil {
@@ -250,7 +250,7 @@
 
 type loadWorker struct{}
 
-// Run makes a worker's part of the run.
+// Run performs a worker's part of the load test.
 func (loadWorker) Run(env *environment) error {
 	return load.ServeWorker(env.ctx, os.Stdin, env.stdout, env.stderr)
 }
--- a/cmd/gorselink/main.go
+++ b/cmd/gorselink/main.go
@@ -1,4 +1,4 @@
-// Command gorselink balances requests from callers over the nodes of many services.
+// Command gorselink balances requests from callers over the endpoints of many services.
 // Without arguments and with ROUTER_CONFIG set it runs as the platform's sidecar, which
 // is configured by one file.
 package main
@@ -26,13 +26,13 @@
 	Demo    demoCommand    `cmd:"" help:"Run two services of simulated nodes on loopback, with traffic and a live table."`
 	Load    loadCommand    `cmd:"" help:"Send requests at their scheduled times, regardless of earlier responses, and report their latencies."`
 	Replay  replayCommand  `cmd:"" help:"Replay captures with the Balancer of this version and show the first decision that differs."`
-	Lease   leaseCommand   `cmd:"" help:"Use leases from a quorum of voters: run a program under a lease; list, watch or release leases; show the voters."`
+	Lease   leaseCommand   `cmd:"" help:"Use leases of a lease server: run a program under a lease; list, watch or release leases; show the voters."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
 // environment holds the context, signals and output streams of a subcommand.
 type environment struct {
-	ctx    context.Context // canceled by SIGTERM or an interrupt
+	ctx    context.Context // cancelled by SIGTERM or an interrupt
 	reload <-chan os.Signal
 	stdout io.Writer
 	stderr io.Writer
@@ -46,8 +46,8 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	env := &environment{ctx, reload, os.Stdout, os.Stderr, isTerminal(os.Stdout) && isTerminal(os.Stderr)}
-	place := sidecar.Options{ConfigPath: os.Getenv("ROUTER_CONFIG"), ConsoleAddr: os.Getenv("ROUTER_CONSOLE"), TempDir: os.Getenv("TMPDIR")}
-	if err := run(env, os.Args[1:], place); err != nil {
+	options := sidecar.Options{ConfigPath: os.Getenv("ROUTER_CONFIG"), ConsoleAddr: os.Getenv("ROUTER_CONSOLE"), TempDir: os.Getenv("TMPDIR")}
+	if err := run(env, os.Args[1:], options); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		code := 1
 		var c exitError
@@ -65,9 +65,9 @@
 }
 
 // run executes the command given by the arguments.
-func run(env *environment, args []string, place sidecar.Options) error {
-	if len(args) == 0 && (place.ConfigPath != "" || startedByPlatform()) {
-		if err := sidecar.Run(env.ctx, place, env.reload); err != nil {
+func run(env *environment, args []string, options sidecar.Options) error {
+	if len(args) == 0 && (options.ConfigPath != "" || startedByPlatform()) {
+		if err := sidecar.Run(env.ctx, options, env.reload); err != nil {
 			return fmt.Errorf("gorselink: %w", err)
 		}
 		return nil
--- a/cmd/gorselink/serve.go
+++ b/cmd/gorselink/serve.go
@@ -21,7 +21,7 @@
 }
 
 // Run serves until the context ends. It then drains: it exits once all accepted requests
-// are answered.
+// have responses.
 func (c *serveCommand) Run(env *environment) error {
 	cfg, err := config.LoadDaemon(c.Config)
 	if err != nil {
@@ -39,7 +39,7 @@
 		slog.Info("serving", "name", cfg.Process.Name, "listener", l.Name, "address", d.Addr(l.Name).String(), "form", l.Form)
 	}
 	reloadUntilDone(env.ctx, d, c.Config, env.reload)
-	slog.Info("draining; exiting once all accepted requests are answered")
+	slog.Info("draining; exiting once all accepted requests have responses")
 	d.Drain(drainNotice, time.Now().Add(drainNotice+cfg.LongestDeadline()+drainMargin))
 	return nil
 }
@@ -108,9 +108,9 @@
 		err = cfg.CheckFiles()
 	}
 	if err != nil {
-		var faults tomlfile.Errors
-		if errors.As(err, &faults) {
-			return fmt.Errorf("%w\n%s: %d errors", err, c.File, len(faults))
+		var configErrors tomlfile.Errors
+		if errors.As(err, &configErrors) {
+			return fmt.Errorf("%w\n%s: %d errors", err, c.File, len(configErrors))
 		}
 		return err
 	}
--- a/internal/daemon/allocs_test.go
+++ b/internal/daemon/allocs_test.go
@@ -32,7 +32,7 @@
 	return l.Addr().String()
 }
 
-// serveCannedResponse answers each request with the same bytes, without allocations.
+// serveCannedResponse responds to each request with the same bytes, without allocations.
 func serveCannedResponse(c net.Conn) {
 	buf := make([]byte, 8<<10)
 	for n := 0; ; {
--- a/internal/daemon/client_test.go
+++ b/internal/daemon/client_test.go
@@ -74,8 +74,9 @@
 	}
 }
 
-// An unsafe request runs once even if the node fails; safe and keyed requests are retried.
-func TestRetriesFollowSemantics(t *testing.T) {
+// If the node fails, a non-idempotent request runs once. Idempotent requests and those that are
+// idempotent by key are retried.
+func TestRetriesFollowIdempotency(t *testing.T) {
 	nodes := startNodes(t, "n", 2, fakeserver.NodeConfig{})
 	d := startDaemon(t, baseConfig,
 		"[classes.search]\nsemantics = \"safe\"\n[classes.order]\nsemantics = \"unsafe\"\n[classes.pay]\nsemantics = \"keyed\"\n",
@@ -118,7 +119,7 @@
 		}
 	}
 	if r := c.send(http.MethodPost, "x", "/pay", "x"); r.status != 400 {
-		t.Errorf("a request of a keyed class without a key: status %d, want 400", r.status)
+		t.Errorf("a request without a key of a class that is idempotent by key: status %d, want 400", r.status)
 	}
 }
 
@@ -161,8 +162,8 @@
 }
 
 // Hosts and paths that other parsers may read differently do not circumvent the routes: a node
-// receives only requests that match a route to its pool, and malformed requests are answered
-// with a 4xx status and not forwarded.
+// receives only requests that match a route to its pool, and malformed requests are rejected
+// with a 4xx status.
 func TestMatchedTargetIsForwarded(t *testing.T) {
 	type delivery struct{ node, host, uri string }
 	var mu sync.Mutex
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,7 +21,7 @@
 	"gorselink/internal/upstream"
 )
 
-// Daemon is a running configuration.
+// Daemon runs the services of one configuration, which can be replaced.
 type Daemon struct {
 	ctx         context.Context // ends the background goroutines
 	cancel      context.CancelFunc
@@ -43,9 +43,9 @@
 type managedPool struct {
 	cfg         config.Pool
 	pool        *pool.Pool
-	stop        context.CancelFunc // stops following the node source
-	retainUntil time.Time          // once retired: until when keyed requests may be repeated
-	sharesConns bool               // once retired: its successor uses the same connections
+	stop        context.CancelFunc // stops receiving updates from the node source
+	retainUntil time.Time          // once retired: until when requests with a key may be repeated
+	sharesConns bool               // once retired: its replacement uses the same connections
 }
 
 // listener serves the callers that connect to one address.
@@ -104,7 +104,7 @@
 	return len(d.retired)
 }
 
-// keyRetention returns the longest time for which nodes remember an idempotency key.
+// keyRetention returns the longest time for which endpoints remember an idempotency key.
 func keyRetention(cfg *config.Daemon) (longest time.Duration) {
 	for i := range cfg.Classes {
 		if c := &cfg.Classes[i]; c.ByMethod || c.Idempotency == balance.IdempotentByKey {
@@ -154,8 +154,8 @@
 	}
 }
 
-// closeDrained closes the retired pools that have no open request and whose keyed
-// requests can no longer be repeated. The caller must hold mu.
+// closeDrained closes the retired pools that have no open request and whose requests
+// with an idempotency key can no longer be repeated. The caller must hold mu.
 func (d *Daemon) closeDrained(now time.Time) {
 	d.retired = slices.DeleteFunc(d.retired, func(p *managedPool) bool {
 		if p.pool.OpenRequests() > 0 || now.Before(p.retainUntil) {
@@ -168,7 +168,7 @@
 	})
 }
 
-// close stops the pool and closes its connections unless its successor uses them.
+// close stops the pool and closes its connections unless its replacement uses them.
 func (p *managedPool) close() {
 	p.stop()
 	if !p.sharesConns {
@@ -205,7 +205,7 @@
 
 // Drain makes all listeners report that they are not ready and keeps accepting
 // connections for the notice period. Then it closes the listeners and ends once all
-// accepted requests are answered, but no later than the deadline.
+// accepted requests have responses, but no later than the deadline.
 func (d *Daemon) Drain(notice time.Duration, deadline time.Time) {
 	d.mu.Lock()
 	d.closed = true
@@ -228,7 +228,7 @@
 // responseMargin is reserved for writing the last responses.
 const responseMargin = 50 * time.Millisecond
 
-// Close stops everything at once. Open requests are not answered.
+// Close stops everything at once. Open requests get no response.
 func (d *Daemon) Close() {
 	d.cancel()
 	d.mu.Lock()
--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -232,8 +232,8 @@
 
 func newRunCounter() *runCounter { return &runCounter{runs: map[string]int{}} }
 
-// answer is a NodeConfig.Answer that counts a run and returns the token.
-func (c *runCounter) answer(req *http.Request, body []byte) fakeserver.Response {
+// respond is a NodeConfig.Answer that counts a run and returns the token.
+func (c *runCounter) respond(req *http.Request, body []byte) fakeserver.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if token := req.Header.Get("X-Token"); token != "" {
--- a/internal/daemon/isolation_test.go
+++ b/internal/daemon/isolation_test.go
@@ -13,9 +13,9 @@
 	"gorselink/internal/fakeserver"
 )
 
-// isolationClasses are the classes of these tests, and receiptsRoute is the route of the
-// service that must not be affected. The aim of its class is long, so that a short stall of
-// the machine does not make requests late.
+// isolationClasses are the classes of these tests, and receiptsRoute is the route of the service
+// that must not be affected. The latency target of its class is long, so that a short stall of the
+// machine does not make requests late.
 const (
 	isolationClasses = "[classes.default]\ndeadline = \"1s\"\naim = \"300ms\"\n[classes.receipt]\ndeadline = \"20s\"\naim = \"10s\"\n"
 	receiptsRoute    = "[[routes]]\nhost = \"" + receiptsHost + "\"\npool = \"receipts\"\nclass = \"receipt\"\n"
@@ -23,7 +23,7 @@
 
 // A pool that receives ten times its capacity, with slow callers and large bodies, does not
 // affect another pool: the other pool's latencies match those before and after the overload,
-// and none of its requests is refused.
+// and none of its requests is rejected.
 func TestSaturatedPoolDoesNotAffectOther(t *testing.T) {
 	const (
 		work     = 40 * time.Millisecond
@@ -55,7 +55,7 @@
 	}
 	measure() // warms up
 	before, _ := measure()
-	var sent, served, refused, other atomic.Int64
+	var sent, served, rejected, other atomic.Int64
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -80,7 +80,7 @@
 			case 200:
 				served.Add(1)
 			case 503:
-				refused.Add(1)
+				rejected.Add(1)
 			default:
 				other.Add(1)
 			}
@@ -90,12 +90,12 @@
 	during, directDuring := measure()
 	<-done
 	after, _ := measure()
-	t.Logf("donate: %d requests, %d served, %d refused, %d with another result", sent.Load(), served.Load(), refused.Load(), other.Load())
+	t.Logf("donate: %d requests, %d served, %d rejected, %d with another result", sent.Load(), served.Load(), rejected.Load(), other.Load())
 	for name, l := range map[string]*latencies{"before": before, "during": during, "sent directly to the nodes during": directDuring, "after": after} {
 		t.Logf("receipts %s: p50 %v p99 %v", name, l.quantile(0.5), l.quantile(0.99))
 	}
-	if n := refused.Load(); n < sent.Load()/2 {
-		t.Errorf("%d of %d requests refused, want at least half: the pool was not overloaded", n, sent.Load())
+	if n := rejected.Load(); n < sent.Load()/2 {
+		t.Errorf("%d of %d requests rejected, want at least half: the pool was not overloaded", n, sent.Load())
 	}
 	if served.Load() == 0 {
 		t.Error("the saturated pool served no request")
@@ -112,7 +112,7 @@
 }
 
 // A pool without working nodes does not affect another pool, which serves all its requests.
-// The failed pool answers within bounded time and recovers with its nodes.
+// The failed pool responds within bounded time and recovers with its nodes.
 func TestFailedPoolDoesNotAffectOther(t *testing.T) {
 	for name, breakNodes := range map[string]func(t *testing.T, nodes []*fakeserver.Node, file string){
 		"refuse": func(t *testing.T, nodes []*fakeserver.Node, _ string) {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -21,7 +21,7 @@
 func TestReloadUnderLoad(t *testing.T) {
 	const reloads = 200
 	counter := newRunCounter()
-	cfg := fakeserver.NodeConfig{Latency: 4 * time.Millisecond, Respond: counter.answer}
+	cfg := fakeserver.NodeConfig{Latency: 4 * time.Millisecond, Respond: counter.respond}
 	a, b := startNodes(t, "a", 2, cfg), startNodes(t, "b", 2, cfg)
 	configText := func(i int) string {
 		text := baseConfig + poolText("a", nodeList(a))
@@ -42,9 +42,9 @@
 	}
 	d := startDaemon(t, configText(0))
 	c := newClient(t, d.publicAddr(t))
-	var sent, unsafeSent, unrouted atomic.Int64
+	var sent, nonIdempotentSent, unrouted atomic.Int64
 	var mu sync.Mutex
-	tokens := map[string]bool{} // whether an unsafe request was served, by token
+	tokens := map[string]bool{} // whether a non-idempotent request was served, by token
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for w := range 12 {
@@ -62,7 +62,7 @@
 				if i%2 == 0 {
 					r = c.get(host, "/x", "X-Token", token)
 				} else {
-					unsafeSent.Add(1)
+					nonIdempotentSent.Add(1)
 					r = c.send(http.MethodPost, host, "/x", "pledge", "X-Token", token)
 				}
 				switch {
@@ -98,13 +98,13 @@
 	}
 	close(stop)
 	wg.Wait()
-	t.Logf("%d reloads, %d rejected ones; %d requests, %d of them unsafe, %d without a route", reloads, rejected, sent.Load(), unsafeSent.Load(), unrouted.Load())
+	t.Logf("%d reloads, %d rejected ones; %d requests, %d of them non-idempotent, %d without a route", reloads, rejected, sent.Load(), nonIdempotentSent.Load(), unrouted.Load())
 	if sent.Load() < 500 || unrouted.Load() == 0 {
 		t.Errorf("%d requests, %d without a route, want at least 500 and 1", sent.Load(), unrouted.Load())
 	}
 	for token, served := range tokens {
 		if n := counter.count(token); served && n != 1 || !served && n != 0 {
-			t.Errorf("unsafe request %s ran %d times, served %t", token, n, served)
+			t.Errorf("non-idempotent request %s ran %d times, served %t", token, n, served)
 		}
 	}
 	for _, n := range append(a, b...) {
@@ -218,13 +218,13 @@
 	}
 }
 
-// A repeated keyed request goes to the same pool as before, even if the routing table has
+// A repeated request with a key goes to the same pool as before, even if the routing table has
 // changed or the pool is draining. Once the pool is closed the repeat is rejected, because the
 // request may have run there.
-func TestKeyedRepeatsStayInTheirPool(t *testing.T) {
+func TestRepeatsWithKeyStayInTheirPool(t *testing.T) {
 	counter := newRunCounter()
 	cfg := fakeserver.NodeConfig{Respond: func(req *http.Request, body []byte) fakeserver.Response {
-		counter.answer(req, body)
+		counter.respond(req, body)
 		return fakeserver.Response{Body: req.Host}
 	}}
 	a, b := startNodes(t, "a", 1, cfg), startNodes(t, "b", 1, cfg)
@@ -358,7 +358,7 @@
 	return l.Addr().String()
 }
 
-// A drain reports not ready, answers all accepted requests and ends.
+// A drain reports not ready, responds to all accepted requests and ends.
 func TestDrainServesOpenRequests(t *testing.T) {
 	nodes := startNodes(t, "n", 1, fakeserver.NodeConfig{Latency: 150 * time.Millisecond})
 	d := startDaemon(t, baseConfig, poolText("a", nodeList(nodes)), routeText("", "a"))
--- a/internal/daemon/transaction.go
+++ b/internal/daemon/transaction.go
@@ -23,7 +23,7 @@
 	cfg          *config.Daemon
 	pools        map[string]*managedPool
 	created      []*managedPool          // the pools that this transaction has created
-	replaced     map[string]*managedPool // current pools that have a successor in created, by name
+	replaced     map[string]*managedPool // current pools that have a replacement in created, by name
 	reactivated  []*managedPool
 	newListeners []*listener
 	tables       map[string]*httpserver.Table
@@ -35,7 +35,7 @@
 }
 
 // prepare creates pools, listening sockets and routing tables. The only change to
-// objects in use is that pools learn new classes, which has no effect on requests.
+// objects in use is that classes are added to pools, which has no effect on requests.
 func (tx *transaction) prepare() error {
 	for i := range tx.cfg.Pools {
 		if err := tx.preparePool(&tx.cfg.Pools[i]); err != nil {
@@ -114,7 +114,7 @@
 func (tx *transaction) preparePool(c *config.Pool) error {
 	old := tx.daemon.pools[c.Name]
 	if old == nil {
-		// A draining pool is reused, because it knows its nodes and the keys of requests.
+		// A draining pool is reused, because it knows its endpoints and the keys of requests.
 		for _, p := range tx.daemon.retired {
 			if p.cfg.Name == c.Name && tx.canReusePool(p, c) && !p.sharesConns {
 				old = p
@@ -186,10 +186,10 @@
 	return pool.Limits{Requests: c.Requests, BodyBytes: c.Memory / config.RequestBodyMemoryDivisor}
 }
 
-// crossZonePrice makes a node in another zone count as twice as slow.
+// crossZonePrice makes an endpoint in another zone count as twice as slow.
 const crossZonePrice = 0.01
 
-// overloadWindow is the period over which the load of a cold node is evaluated.
+// overloadWindow is the period over which the load of a cold endpoint is evaluated.
 const overloadWindow = 3 * time.Second
 
 // balanceConfig returns the settings of a pool's Balancer.
@@ -225,7 +225,7 @@
 }
 
 // classVariants returns the classes of the Balancer for a configured class, indexed
-// by semantics.
+// by idempotency.
 func classVariants(c *config.Class) (all [3]balance.Class) {
 	for i := range all {
 		all[i] = c.Class
@@ -364,7 +364,7 @@
 		} else {
 			tx.addChange("pool %s: replaced, the previous one is draining", name)
 			old.sharesConns = next.pool.Conns() == old.pool.Conns()
-			old.pool.SetSource(next.cfg.EndpointSource.NewSource()) // it must learn of drained nodes until it is closed
+			old.pool.SetSource(next.cfg.EndpointSource.NewSource()) // it needs endpoint updates until it is closed
 		}
 		retired = append(retired, old)
 	}
--- a/internal/http1/head_test.go
+++ b/internal/http1/head_test.go
@@ -197,7 +197,7 @@
 
 // BenchmarkParseRequest compares this package with net/http on the same head.
 func BenchmarkParseRequest(b *testing.B) {
-	b.Run("framing", func(b *testing.B) {
+	b.Run("http1", func(b *testing.B) {
 		b.ReportAllocs()
 		var h Head
 		for b.Loop() {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -4,7 +4,7 @@
 // net/http repairs ambiguous heads, for example by ignoring Content-Length beside
 // Transfer-Encoding. If two programs repair a message differently, one message can hide
 // in the body of another (request smuggling). Heads of requests and responses are
-// therefore parsed strictly, and what is forwarded is what was checked.
+// therefore parsed strictly, and a forwarded head is generated from its parsed fields.
 package http1
 
 import (
@@ -14,8 +14,8 @@
 	"io"
 )
 
-// MaxHeadBytes is the length of the longest head. It is the buffer size of a reader for
-// PeekHead, of which every connection has one.
+// MaxHeadBytes is the length of the longest head. Every connection has a reader for
+// PeekHead with a buffer of this size.
 const MaxHeadBytes = 8 << 10
 
 // maxLengthDigits bounds a Content-Length, so that it fits 63 bits.
--- a/internal/httpserver/admission_test.go
+++ b/internal/httpserver/admission_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// entryRig returns a rig at the entry tier whose classes have a target latency (Aim).
-func entryRig(t *testing.T, release chan struct{}) *rig {
+// entryHarness returns a harness at the entry tier whose classes have a latency target.
+func entryHarness(t *testing.T, release chan struct{}) *harness {
 	t.Helper()
 	cfg := newTestConfig()
 	cfg.Balance.Entry = true
@@ -19,12 +19,12 @@
 		cfg.Balance.Classes[i].LatencyTarget = 500 * time.Millisecond
 		cfg.Balance.Classes[i].Deadline = testTimeout
 	}
-	return newRigWithConfig(t, cfg, 128, release)
+	return newHarnessWithConfig(t, cfg, 128, release)
 }
 
 // sendRequests sends n requests at once, each on a new connection. The channel receives the status
 // of each response.
-func (r *rig) sendRequests(t *testing.T, n int, path string) <-chan int {
+func (r *harness) sendRequests(t *testing.T, n int, path string) <-chan int {
 	t.Helper()
 	statuses := make(chan int, n)
 	for range n {
@@ -39,45 +39,45 @@
 	return statuses
 }
 
-// countRefused returns how many of n responses have a status other than 200.
-func countRefused(statuses <-chan int, n int) (refused int) {
+// countRejected returns how many of n responses have a status other than 200.
+func countRejected(statuses <-chan int, n int) (rejected int) {
 	for range n {
 		if <-statuses != 200 {
-			refused++
+			rejected++
 		}
 	}
-	return refused
+	return rejected
 }
 
-// Two late responses of ten are within chance, and no request is refused because of them.
-func TestFewLateResponsesCauseNoRefusals(t *testing.T) {
+// Two late responses of ten are within chance, and no request is rejected because of them.
+func TestFewLateResponsesCauseNoRejections(t *testing.T) {
 	release := make(chan struct{})
-	r := entryRig(t, release)
-	if n := countRefused(r.sendRequests(t, 8, "/view/now"), 8); n > 0 {
-		t.Fatalf("%d of the first 8 requests were refused, want 0", n)
+	r := entryHarness(t, release)
+	if n := countRejected(r.sendRequests(t, 8, "/view/now"), 8); n > 0 {
+		t.Fatalf("%d of the first 8 requests were rejected, want 0", n)
 	}
 	late := r.sendRequests(t, 2, "/view/1")
-	time.Sleep(time.Second) // twice Aim
+	time.Sleep(time.Second) // twice the latency target
 	later := r.sendRequests(t, 8, "/view/1")
-	eventually(t, "all requests have been sent or refused", func() bool { return r.requests.Load()+int64(len(later)) >= 18 })
+	eventually(t, "all requests have been sent or rejected", func() bool { return r.requests.Load()+int64(len(later)) >= 18 })
 	close(release)
-	if n := countRefused(late, 2) + countRefused(later, 8); n > 0 {
-		t.Errorf("%d of 10 requests were refused, want 0", n)
+	if n := countRejected(late, 2) + countRejected(later, 8); n > 0 {
+		t.Errorf("%d of 10 requests were rejected, want 0", n)
 	}
 }
 
 // Once delayed responses limit admission at an instance that is a second old, it still admits as
-// many requests as it has usually served within the target latency.
+// many requests as it has usually served within the latency target.
 func TestNewInstanceAdmitsItsServedRate(t *testing.T) {
 	release := make(chan struct{})
-	r := entryRig(t, release)
+	r := entryHarness(t, release)
 	for range 6 { // in batches, because the endpoint gets at most 32 connections
-		if n := countRefused(r.sendRequests(t, 10, "/view/now"), 10); n > 0 {
-			t.Fatalf("%d of 10 requests in a first batch were refused, want 0", n)
+		if n := countRejected(r.sendRequests(t, 10, "/view/now"), 10); n > 0 {
+			t.Fatalf("%d of 10 requests in a first batch were rejected, want 0", n)
 		}
 	}
 	blocked := r.sendRequests(t, 30, "/view/1")
-	time.Sleep(time.Second) // twice Aim
+	time.Sleep(time.Second) // twice the latency target
 	for len(blocked) < 30 {
 		select {
 		case release <- struct{}{}: // one request completes
@@ -86,19 +86,19 @@
 	}
 	requestsBefore := r.requests.Load()
 	later := r.sendRequests(t, 10, "/view/1")
-	eventually(t, "10 requests have been sent or refused", func() bool { return r.requests.Load()-requestsBefore+int64(len(later)) >= 10 })
+	eventually(t, "10 requests have been sent or rejected", func() bool { return r.requests.Load()-requestsBefore+int64(len(later)) >= 10 })
 	close(release)
-	if n := countRefused(later, 10); n > 0 {
-		t.Errorf("%d of 10 requests were refused after 60 were served within a second, want 0", n)
+	if n := countRejected(later, 10); n > 0 {
+		t.Errorf("%d of 10 requests were rejected after 60 were served within a second, want 0", n)
 	}
 }
 
-// A request that is refused because responses are delayed gets a Retry-After.
-func TestRefusalsCarryRetryAfter(t *testing.T) {
+// A request that is rejected because responses are delayed gets a Retry-After.
+func TestRejectionsCarryRetryAfter(t *testing.T) {
 	release := make(chan struct{})
-	r := entryRig(t, release)
+	r := entryHarness(t, release)
 	blocked := r.sendRequests(t, 20, "/view/1")
-	time.Sleep(time.Second) // twice Aim
+	time.Sleep(time.Second) // twice the latency target
 	c := r.dial(t)
 	io.WriteString(c, viewRequest(""))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -110,5 +110,5 @@
 		t.Errorf("Retry-After %q, want a positive number of seconds, at most half the deadline", text)
 	}
 	close(release)
-	countRefused(blocked, 20)
+	countRejected(blocked, 20)
 }
--- a/internal/httpserver/blocked_reader_test.go
+++ b/internal/httpserver/blocked_reader_test.go
@@ -41,29 +41,29 @@
 	postRequest := func(id string) string {
 		return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nContent-Length: 20000\r\n\r\n" + strings.Repeat("b", 20000)
 	}
-	unblocked := func(t *testing.T) *disconnectRig {
+	unblocked := func(t *testing.T) *disconnectHarness {
 		rec := newRecorder(t, nil)
-		d := newDisconnectRig(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
+		d := newDisconnectHarness(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
 		d.recorder = rec
 		d.allWaiting = func(int) bool { return true }
 		d.unblock = func() {}
 		return d
 	}
-	queued := func(t *testing.T) *disconnectRig {
+	queued := func(t *testing.T) *disconnectHarness {
 		d := unblocked(t)
 		d.SetDisabled(map[string]bool{"s-1": true})
 		d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n }
 		d.unblock = func() { d.SetDisabled(nil) }
 		return d
 	}
-	dialing := func(longBodyBytes int64) func(*testing.T) *disconnectRig {
-		return func(t *testing.T) *disconnectRig {
+	dialing := func(longBodyBytes int64) func(*testing.T) *disconnectHarness {
+		return func(t *testing.T) *disconnectHarness {
 			l, err := fakeserver.ListenFull()
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.Close() })
-			d := newDisconnectRig(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
+			d := newDisconnectHarness(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
 			d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
 			d.unblock = func() {
 				if err := l.Unblock(); err != nil {
@@ -74,11 +74,11 @@
 			return d
 		}
 	}
-	retried := func(partialResponse string) func(*testing.T) *disconnectRig {
-		return func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, partialResponse) }
+	retried := func(partialResponse string) func(*testing.T) *disconnectHarness {
+		return func(t *testing.T) *disconnectHarness { return brokenAttemptHarness(t, partialResponse) }
 	}
 	for name, c := range map[string]struct {
-		newRig       func(*testing.T) *disconnectRig
+		newHarness   func(*testing.T) *disconnectHarness
 		text         func(id string) string
 		blockAtRead  int  // the read at which the reading goroutine is blocked; 0 for none
 		afterRequest bool // an earlier request is served first, and the read blocks after it has data
@@ -95,7 +95,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := c.newRig(t)
+			d := c.newHarness(t)
 			servedBefore := d.Stats().Served
 			var leaving, staying []net.Conn
 			var releases, allBlocked []chan struct{}
--- a/internal/httpserver/close_test.go
+++ b/internal/httpserver/close_test.go
@@ -15,11 +15,11 @@
 
 // Whatever closes a connection, a request that has been read gets a complete response. A caller
 // without a response may retry a request that has run.
-func TestEveryCloseAnswersReadRequests(t *testing.T) {
+func TestEveryCloseRespondsToReadRequests(t *testing.T) {
 	const settleTime = 100 * time.Millisecond // for the close to take effect while the reader is blocked
 	for name, setup := range map[string]func(t *testing.T) (conn net.Conn, want int){
 		"evicted after reading the first request": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			conn, unblock := r.connBlockedAfterRead(t, 1)
 			r.dial(t)
 			r.awaitCloseRequest(t)
@@ -27,7 +27,7 @@
 			return conn, 200
 		},
 		"evicted after reading the second request": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			conn, unblock := r.connBlockedAfterRead(t, 2)
 			r.dial(t)
 			r.awaitCloseRequest(t)
@@ -35,7 +35,7 @@
 			return conn, 200
 		},
 		"evicted while its rejection is delayed": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			conn := r.dial(t)
 			in := bufio.NewReader(conn)
 			for range 2 {
@@ -53,42 +53,42 @@
 			r.dial(t)
 			return conn, 404
 		},
-		"refused": func(t *testing.T) (net.Conn, int) {
-			r, unblock := fullRig(t)
+		"rejected": func(t *testing.T) (net.Conn, int) {
+			r, unblock := fullHarness(t)
 			defer unblock()
 			conn := r.dial(t)
 			io.WriteString(conn, viewRequest(""))
 			return awaitPeerClose(t, conn), 503
 		},
-		"refused, followed by unread input": func(t *testing.T) (net.Conn, int) {
-			r, unblock := fullRig(t)
+		"rejected, followed by unread input": func(t *testing.T) (net.Conn, int) {
+			r, unblock := fullHarness(t)
 			defer unblock()
 			text := payRequest("Content-Length: 60000\r\n\r\n" + strings.Repeat("b", 60000))
 			return awaitPeerClose(t, r.dialWithPendingInput(t, text)), 503
 		},
-		"refused after a handover": func(t *testing.T) (net.Conn, int) {
-			r, unblock := fullRig(t)
+		"rejected after a handover": func(t *testing.T) (net.Conn, int) {
+			r, unblock := fullHarness(t)
 			defer unblock()
 			conn, serverConn := connected(t)
 			r.server.Resume(serverConn, []byte(viewRequest("")))
 			return awaitPeerClose(t, conn), 503
 		},
 		"panic before the request is forwarded": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			r.server.router = panickingRouter{}
 			conn := r.dial(t)
 			io.WriteString(conn, viewRequest(""))
 			return conn, 503
 		},
 		"panic after the request may have run": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			conn := r.dialWrapped(t, func(c net.Conn) net.Conn { return &panickingConn{TCPConn: c.(*net.TCPConn)} })
 			io.WriteString(conn, viewRequest(""))
 			return conn, 500
 		},
 		"panic while the caller is watched": func(t *testing.T) (net.Conn, int) {
 			release := make(chan struct{})
-			r := newRig(t, 1, release)
+			r := newHarness(t, 1, release)
 			conn := r.dialWrapped(t, func(c net.Conn) net.Conn { return &panickingConn{TCPConn: c.(*net.TCPConn)} })
 			io.WriteString(conn, viewRequest(""))
 			eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
@@ -97,12 +97,12 @@
 			return conn, 500
 		},
 		"invalid request, followed by unread input": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			return r.dialWithPendingInput(t, "\x00 noise\r\n\r\n"+strings.Repeat("x", 40000)), 400
 		},
 		"last response, followed by unread input": func(t *testing.T) (net.Conn, int) {
 			release := make(chan struct{})
-			r := newRig(t, 1, release)
+			r := newHarness(t, 1, release)
 			conn := r.dial(t)
 			io.WriteString(conn, viewRequest("Connection: close\r\n"))
 			eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
@@ -111,7 +111,7 @@
 			return awaitPeerClose(t, conn), 200
 		},
 		"drain after reading the first request": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			conn, unblock := r.connBlockedAfterRead(t, 1)
 			go r.server.Drain(time.Now().Add(testTimeout))
 			time.Sleep(settleTime)
@@ -119,7 +119,7 @@
 			return conn, 200
 		},
 		"drain after reading the second request": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			conn, unblock := r.connBlockedAfterRead(t, 2)
 			go r.server.Drain(time.Now().Add(testTimeout))
 			time.Sleep(settleTime)
@@ -127,7 +127,7 @@
 			return conn, 200
 		},
 		"reading stopped after reading the request": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			conn, unblock := r.connBlockedAfterRead(t, 1)
 			r.server.SetResponseDeadline(time.Now())
 			r.server.StopReading()
@@ -135,7 +135,7 @@
 			return conn, 503
 		},
 		"handover after reading the request": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			conn, unblock := r.connBlockedAfterRead(t, 2)
 			r.server.SetHandover(func(_ net.Conn, ahead []byte) error {
 				if len(ahead) > 0 {
@@ -147,7 +147,7 @@
 			return conn, 200
 		},
 		"idle timeout after reading the request": func(t *testing.T) (net.Conn, int) {
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			r.server.timeouts = Timeouts{Hello: settleTime / 2, Request: requestTimeout, Idle: settleTime / 2}
 			conn, unblock := r.connBlockedAfterRead(t, 2)
 			time.Sleep(settleTime)
@@ -174,11 +174,11 @@
 	}
 }
 
-// fullRig returns a rig whose only connection has an open request until unblock is called.
-func fullRig(t *testing.T) (r *rig, unblock func()) {
+// fullHarness returns a harness whose only connection has an open request until unblock is called.
+func fullHarness(t *testing.T) (r *harness, unblock func()) {
 	t.Helper()
 	release := make(chan struct{})
-	r = newRig(t, 1, release)
+	r = newHarness(t, 1, release)
 	io.WriteString(r.dial(t), viewRequest(""))
 	eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
 	return r, func() { close(release) }
@@ -186,7 +186,7 @@
 
 // connBlockedAfterRead returns a connection whose n-th request has been read. The goroutine that
 // read it is blocked until unblock is called.
-func (r *rig) connBlockedAfterRead(t *testing.T, n int) (conn net.Conn, unblock func()) {
+func (r *harness) connBlockedAfterRead(t *testing.T, n int) (conn net.Conn, unblock func()) {
 	t.Helper()
 	s := &blockAfterReadConn{n: n, release: make(chan struct{}), blocked: make(chan struct{})}
 	conn = r.dialWrapped(t, func(c net.Conn) net.Conn { s.TCPConn = c.(*net.TCPConn); return s })
@@ -203,7 +203,7 @@
 }
 
 // awaitCloseRequest waits until a connection is asked to close.
-func (r *rig) awaitCloseRequest(t *testing.T) {
+func (r *harness) awaitCloseRequest(t *testing.T) {
 	t.Helper()
 	eventually(t, "a connection is asked to close", func() bool {
 		r.server.mu.Lock()
@@ -219,7 +219,7 @@
 
 // dialWithPendingInput opens a connection on which all of text has arrived before the server
 // receives it.
-func (r *rig) dialWithPendingInput(t *testing.T, text string) net.Conn {
+func (r *harness) dialWithPendingInput(t *testing.T, text string) net.Conn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/httpserver/concurrency_test.go
+++ b/internal/httpserver/concurrency_test.go
@@ -45,7 +45,7 @@
 }
 
 // dialWrapped opens a connection whose server end is wrapped by wrap.
-func (r *rig) dialWrapped(t *testing.T, wrap func(net.Conn) net.Conn) net.Conn {
+func (r *harness) dialWrapped(t *testing.T, wrap func(net.Conn) net.Conn) net.Conn {
 	t.Helper()
 	c, serverConn := connected(t)
 	r.server.HandleConn(wrap(serverConn))
@@ -54,7 +54,7 @@
 
 // A request that arrives just as the wait for it times out is served.
 func TestRequestArrivesAtWaitDeadline(t *testing.T) {
-	r := newRig(t, 4, nil)
+	r := newHarness(t, 4, nil)
 	var g *blockBeforeReadConn
 	c := r.dialWrapped(t, func(c net.Conn) net.Conn { g = newBlockBeforeReadConn(c, 1); return g })
 	g.readErr = os.ErrDeadlineExceeded
@@ -68,7 +68,7 @@
 }
 
 // No connection is free when another one arrives, and the eviction candidate has a complete
-// request unread, part of one, or one that has just been read. Each is answered.
+// request unread, part of one, or one that has just been read. Each gets a response.
 func TestEvictionLosesNoRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		blockAtRead int // the read that is blocked; 0 for none, with routing blocked instead
@@ -83,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, 1, nil)
+			r := newHarness(t, 1, nil)
 			routing, release := make(chan struct{}), make(chan struct{})
 			if c.blockAtRead == 0 {
 				r.server.router = blockingRouter{r.server.router, routing, release}
@@ -101,7 +101,7 @@
 				eventually(t, "the rest of the request is pending", func() bool { return socketstate.HasPendingData(g.TCPConn) })
 			}
 			second := r.dial(t)
-			if c.want == 200 { // no connection is evicted, and the new one is refused
+			if c.want == 200 { // no connection is evicted, and the new one is rejected
 				if _, err := second.Read(make([]byte, 1)); err == nil {
 					t.Error("the excess connection got data, want it closed")
 				}
@@ -136,10 +136,10 @@
 	return b.router.Route(req)
 }
 
-// StopReading answers a request whose last bytes have arrived unread, and requests whose last
-// bytes never arrive.
-func TestStopReadingAnswersIncompleteRequests(t *testing.T) {
-	r := newRig(t, 4, nil)
+// StopReading responds to a request whose last bytes have arrived unread, and to requests whose
+// last bytes never arrive.
+func TestStopReadingRespondsToIncompleteRequests(t *testing.T) {
+	r := newHarness(t, 4, nil)
 	var g *blockBeforeReadConn
 	complete := r.dialWrapped(t, func(c net.Conn) net.Conn { g = newBlockBeforeReadConn(c, 2); return g })
 	partialHead, partialBody := r.dial(t), r.dial(t)
@@ -170,14 +170,14 @@
 // waits for that connection.
 func TestSecondDrainWaitsForLateConnection(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, 4, release)
+	r := newHarness(t, 4, release)
 	r.server.Drain(time.Now().Add(testTimeout)) // no connection is open
 	c := r.dial(t)
 	io.WriteString(c, viewRequest(""))
 	eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
-	answered := make(chan struct{})
+	responded := make(chan struct{})
 	go func() {
-		defer close(answered)
+		defer close(responded)
 		time.Sleep(50 * time.Millisecond)
 		close(release)
 		if status, _, err := readResponse(bufio.NewReader(c)); status != 200 {
@@ -189,7 +189,7 @@
 		t.Errorf("%d connections are open after Drain, want 0", n)
 	}
 	select {
-	case <-answered:
+	case <-responded:
 	case <-time.After(testTimeout):
 		t.Error("no response")
 	}
@@ -198,7 +198,7 @@
 // The process that takes over the connections dies during the handover. Idle connections then
 // close here, well before their idle timeout.
 func TestDrainAfterFailedHandover(t *testing.T) {
-	r := newRig(t, 8, nil)
+	r := newHarness(t, 8, nil)
 	for range 3 {
 		c := r.dial(t)
 		io.WriteString(c, viewRequest(""))
@@ -219,7 +219,7 @@
 func TestIDsAreRememberedAfterDeadlinesShrink(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	r := newRig(t, 8, release)
+	r := newHarness(t, 8, release)
 	c, text := r.dial(t), viewRequest("")
 	io.WriteString(c, text)
 	eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -30,7 +30,7 @@
 	Hello time.Duration
 	// Request bounds the time from the first byte of a request to its last, and so
 	// limits slow heads and stalled bodies. For the first request it starts when the
-	// connection is accepted. The default is 2.5 s, which leaves time to answer within
+	// connection is accepted. The default is 2.5 s, which leaves time to respond within
 	// the 3 s that the platform expects.
 	Request time.Duration
 	// Idle bounds the time between two requests. A waiting connection costs both sides
@@ -85,12 +85,12 @@
 	closeSignal     chan struct{} // receives a value when the connection is asked to close
 	rejectionsInRow int           // since a pool last took a request
 	resumed         bool          // handed over by another process, where it has served requests
-	handover        Handover      // the server's when the state was last set
+	handover        Handover      // the server's handover when the state was last set
 	req             Request       // the request that is being read or is open
 
 	// State of the request that was read last.
 	responseDue bool // its head has been read and no response has been written
-	mayHaveRun  bool // a pool has taken it, so an endpoint may run it
+	mayHaveRun  bool // a pool has taken it, so an endpoint may have run it
 
 	// State of the open request.
 	watchTimer   *time.Timer // starts watchCaller, which sends on callerLeft
@@ -140,12 +140,12 @@
 	return c
 }
 
-// serve reads and answers requests until the connection closes.
+// serve reads requests and responds to them until the connection closes.
 func (c *callerConn) serve() {
 	defer c.close()
 	defer c.respondOnExit()
 	timeouts := &c.server.timeouts
-	waitState, waitDeadline, requestDeadline := stateUnproven, c.acceptedAt.Add(timeouts.Hello), c.acceptedAt.Add(timeouts.Request)
+	waitState, waitDeadline, requestDeadline := stateUnused, c.acceptedAt.Add(timeouts.Hello), c.acceptedAt.Add(timeouts.Request)
 	if c.resumed {
 		waitState, waitDeadline = stateIdle, c.acceptedAt.Add(timeouts.Idle)
 	}
@@ -169,9 +169,9 @@
 	}
 }
 
-// respondOnExit runs whenever a connection ends. If a request head has been read and not
-// answered, it writes an error response. It recovers from a panic, so that a panic on
-// one connection does not end the process.
+// respondOnExit runs whenever a connection ends. If a request head has been read but
+// no response has been written, it writes an error response. It recovers from a panic,
+// so that a panic on one connection does not end the process.
 func (c *callerConn) respondOnExit() {
 	cause := recover()
 	if cause != nil {
@@ -181,7 +181,7 @@
 				slog.Error("panic while handling an earlier panic on a connection; closing it without a response", "error", second)
 			}
 		}()
-		c.withdrawRequest()
+		c.cancelRequest()
 	}
 	if !c.responseDue {
 		return
@@ -197,8 +197,8 @@
 	}
 }
 
-// withdrawRequest withdraws the open request from its pool after a panic.
-func (c *callerConn) withdrawRequest() {
+// cancelRequest cancels the open request in its pool after a panic.
+func (c *callerConn) cancelRequest() {
 	if c.request == nil {
 		return
 	}
@@ -240,7 +240,7 @@
 	}
 }
 
-// serveRequest reads and answers one request. It reports whether a pool took the request
+// serveRequest reads one request and writes its response. It reports whether a pool took the request
 // and whether another may follow on the connection.
 func (c *callerConn) serveRequest(deadline time.Time) (served, keepAlive bool) {
 	c.setState(stateReading, deadline)
@@ -297,8 +297,8 @@
 	}
 	c.paced.endBody()
 	if c.in.Buffered() > 0 {
-		// Callers must not pipeline requests. Further bytes may be a request hidden
-		// behind the body of this one.
+		// Pipelined requests are not supported. Further bytes may also be a smuggled
+		// request.
 		body.release()
 		c.reject(http.StatusBadRequest, errUnexpectedBytes)
 		return false, false
@@ -306,7 +306,7 @@
 	return c.forward(req, p, body)
 }
 
-// rejectBody answers a request whose body could not be read.
+// rejectBody rejects a request whose body could not be read.
 func (c *callerConn) rejectBody(err error) {
 	switch {
 	case errors.Is(err, errBodyTooLong):
@@ -321,7 +321,7 @@
 	}
 }
 
-// rejectFull answers a request to a pool that has no capacity for it. The request does
+// rejectFull rejects a request to a pool that has no capacity for it. The request does
 // not wait, because callers of another pool may need its connection.
 func (c *callerConn) rejectFull(req *Request, p *Plan) (keepAlive bool) {
 	resp := response{status: http.StatusServiceUnavailable, text: pool.ErrFull.Error(), retryAfter: p.Pool.RetryAfter(), wholeSeconds: p.Ordinary}
@@ -397,10 +397,10 @@
 // whether another request may follow on the connection.
 func (c *callerConn) forwardUpload(req *Request, p *Plan, r *pool.Request) (keepAlive bool) {
 	u := r.Outgoing.Upload
-	answered := make(chan struct{})
-	stopWatching := sync.OnceFunc(func() { close(answered) })
+	responded := make(chan struct{})
+	stopWatching := sync.OnceFunc(func() { close(responded) })
 	defer stopWatching()
-	go c.watchUpload(p.Pool, r, answered)
+	go c.watchUpload(p.Pool, r, responded)
 	p.Pool.RunFirstAttempt(r)
 	a := <-r.Response()
 	stopWatching()
@@ -422,7 +422,8 @@
 }
 
 // watchDelay is how long a request is open before its caller is watched for a
-// disconnect. Most requests are answered within it and need no watching goroutine.
+// disconnect. Most requests get their response within it and need no watching
+// goroutine.
 const watchDelay = 5 * time.Millisecond
 
 // watchCaller waits for the caller to disconnect while its request is open. Input that
@@ -465,7 +466,7 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Left implements pool.Caller.
+// Disconnected implements pool.Caller.
 func (c *callerConn) Disconnected() bool {
 	switch c.peer.State() {
 	case socketstate.Closed:
@@ -481,7 +482,7 @@
 	// buffer for a close behind them.
 	closeVisibleBytes = 4 << 10
 	// maxDiscardRounds bounds how often early input is discarded before a caller that
-	// goes on sending counts as disconnected.
+	// keeps sending counts as disconnected.
 	maxDiscardRounds = 500
 )
 
@@ -530,14 +531,14 @@
 // forwarded.
 const uploadPollInterval = 25 * time.Millisecond
 
-// watchUpload withdraws a streamed request if its caller disconnects before the
+// watchUpload cancels a streamed request if its caller disconnects before the
 // response. It polls the socket, because only an attempt may read from it.
-func (c *callerConn) watchUpload(p *pool.Pool, r *pool.Request, answered <-chan struct{}) {
+func (c *callerConn) watchUpload(p *pool.Pool, r *pool.Request, responded <-chan struct{}) {
 	tick := time.NewTicker(uploadPollInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-answered:
+		case <-responded:
 			return
 		case <-tick.C:
 		}
@@ -549,8 +550,8 @@
 	}
 }
 
-// bodyEndPending reports whether the end of the body has certainly not arrived, because
-// no unread input is waiting. Unread input could include the end.
+// bodyEndPending reports whether the end of the body is known not to have arrived. That is
+// so if there is no unread input, which could include the end.
 func (c *callerConn) bodyEndPending() bool {
 	return c.in.Buffered() == 0 && !socketstate.HasPendingData(c.conn)
 }
@@ -596,7 +597,7 @@
 	}
 }
 
-// rejectRequest answers a request that cannot be served. The connection stays open
+// rejectRequest rejects a request that cannot be served. The connection stays open
 // unless more input follows the request.
 func (c *callerConn) rejectRequest(req *Request, status int, reason error) (keepAlive bool) {
 	if req.Length != 0 || c.in.Buffered() > 0 || req.Close {
@@ -624,7 +625,7 @@
 	}
 }
 
-// reject answers a request that cannot be read further, and ends the connection.
+// reject rejects a request that cannot be read further, and ends the connection.
 func (c *callerConn) reject(status int, reason error) {
 	resp := response{status: status, text: reason.Error()}
 	if status == http.StatusServiceUnavailable {
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -36,7 +36,7 @@
 		return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nTransfer-Encoding: chunked\r\n\r\n4e20\r\n" + strings.Repeat("b", 20000) + "\r\n0\r\n\r\n"
 	}
 	for name, w := range map[string]struct {
-		newRig         func(*testing.T) *disconnectRig
+		newHarness     func(*testing.T) *disconnectHarness
 		text           func(id string) string
 		earlyBytes     string // sent right before the disconnect
 		blockAtRead    int    // the read at which the reading goroutine is blocked; 0 for none
@@ -44,36 +44,36 @@
 		releaseFirst   bool   // it continues before requests can proceed, not after the others are served
 		resume         bool   // another process has read the request and handed the connection over
 	}{
-		"queued":                             {newRig: queuedRig, text: getRequest},
-		"queued, reader blocked":             {newRig: queuedRig, text: getRequest, blockAtRead: 2},
-		"queued, early byte":                 {newRig: queuedRig, text: getRequest, earlyBytes: "x"},
-		"queued, early byte, reader blocked": {newRig: queuedRig, text: getRequest, earlyBytes: "x", blockAtRead: 2},
-		"queued, flooded":                    {newRig: queuedRig, text: getRequest, earlyBytes: flood},
-		"queued, flooded, reader blocked":    {newRig: queuedRig, text: getRequest, earlyBytes: flood, blockAtRead: 2},
-		"dialing, reader blocked":            {newRig: dialingRig(8 << 20), text: getRequest, blockAtRead: 2},
-		"dialing, flooded":                   {newRig: dialingRig(8 << 20), text: getRequest, earlyBytes: flood, blockAtRead: 2},
-		"connections in reuse delay":         {newRig: reuseDelayRig, text: getRequest, blockAtRead: 2},
-		"attempt hangs":                      {newRig: func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, "") }, text: getRequest, blockAtRead: 2},
-		"attempt hangs, flooded":             {newRig: func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, "") }, text: getRequest, earlyBytes: flood, blockAtRead: 2},
-		"incomplete response":                {newRig: func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, "HTTP/1.1 200 OK\r\nContent-Le") }, text: getRequest, blockAtRead: 2},
-		"rejected, then dialing":             {newRig: rejectedRig, text: getRequest, blockAtRead: 2},
-		"unread":                             {newRig: unblockedRig, text: getRequest, blockAtRead: 1, releaseFirst: true},
-		"unread, flooded":                    {newRig: unblockedRig, text: getRequest, earlyBytes: flood, blockAtRead: 1, releaseFirst: true},
-		"blocked after read":                 {newRig: unblockedRig, text: getRequest, blockAtRead: 1, blockAfterRead: true, releaseFirst: true},
-		"blocked after read, flooded":        {newRig: unblockedRig, text: getRequest, earlyBytes: flood, blockAtRead: 1, blockAfterRead: true, releaseFirst: true},
-		"body unread":                        {newRig: unblockedRig, text: postRequest, blockAtRead: 2, releaseFirst: true},
-		"blocked after body read":            {newRig: unblockedRig, text: postRequest, blockAtRead: 2, blockAfterRead: true, releaseFirst: true},
-		"long body waits":                    {newRig: dialingRig(1), text: postRequest},
-		"long body waits, early byte":        {newRig: dialingRig(1), text: postRequest, earlyBytes: "x"},
-		"long body waits, flooded":           {newRig: dialingRig(1), text: postRequest, earlyBytes: flood},
-		"long chunked body waits":            {newRig: dialingRig(1), text: chunkedPost, earlyBytes: flood},
-		"blocked within long body":           {newRig: streamingRig, text: postRequest, blockAtRead: 2, blockAfterRead: true, releaseFirst: true},
-		"handed over, queued":                {newRig: queuedRig, text: getRequest, resume: true, blockAtRead: 1},
-		"handed over, flooded":               {newRig: queuedRig, text: getRequest, earlyBytes: flood, resume: true, blockAtRead: 1},
+		"queued":                             {newHarness: queuedHarness, text: getRequest},
+		"queued, reader blocked":             {newHarness: queuedHarness, text: getRequest, blockAtRead: 2},
+		"queued, early byte":                 {newHarness: queuedHarness, text: getRequest, earlyBytes: "x"},
+		"queued, early byte, reader blocked": {newHarness: queuedHarness, text: getRequest, earlyBytes: "x", blockAtRead: 2},
+		"queued, flooded":                    {newHarness: queuedHarness, text: getRequest, earlyBytes: flood},
+		"queued, flooded, reader blocked":    {newHarness: queuedHarness, text: getRequest, earlyBytes: flood, blockAtRead: 2},
+		"dialing, reader blocked":            {newHarness: dialingHarness(8 << 20), text: getRequest, blockAtRead: 2},
+		"dialing, flooded":                   {newHarness: dialingHarness(8 << 20), text: getRequest, earlyBytes: flood, blockAtRead: 2},
+		"connections in reuse delay":         {newHarness: reuseDelayHarness, text: getRequest, blockAtRead: 2},
+		"attempt hangs":                      {newHarness: func(t *testing.T) *disconnectHarness { return brokenAttemptHarness(t, "") }, text: getRequest, blockAtRead: 2},
+		"attempt hangs, flooded":             {newHarness: func(t *testing.T) *disconnectHarness { return brokenAttemptHarness(t, "") }, text: getRequest, earlyBytes: flood, blockAtRead: 2},
+		"incomplete response":                {newHarness: func(t *testing.T) *disconnectHarness { return brokenAttemptHarness(t, "HTTP/1.1 200 OK\r\nContent-Le") }, text: getRequest, blockAtRead: 2},
+		"rejected, then dialing":             {newHarness: rejectedHarness, text: getRequest, blockAtRead: 2},
+		"unread":                             {newHarness: unblockedHarness, text: getRequest, blockAtRead: 1, releaseFirst: true},
+		"unread, flooded":                    {newHarness: unblockedHarness, text: getRequest, earlyBytes: flood, blockAtRead: 1, releaseFirst: true},
+		"blocked after read":                 {newHarness: unblockedHarness, text: getRequest, blockAtRead: 1, blockAfterRead: true, releaseFirst: true},
+		"blocked after read, flooded":        {newHarness: unblockedHarness, text: getRequest, earlyBytes: flood, blockAtRead: 1, blockAfterRead: true, releaseFirst: true},
+		"body unread":                        {newHarness: unblockedHarness, text: postRequest, blockAtRead: 2, releaseFirst: true},
+		"blocked after body read":            {newHarness: unblockedHarness, text: postRequest, blockAtRead: 2, blockAfterRead: true, releaseFirst: true},
+		"long body waits":                    {newHarness: dialingHarness(1), text: postRequest},
+		"long body waits, early byte":        {newHarness: dialingHarness(1), text: postRequest, earlyBytes: "x"},
+		"long body waits, flooded":           {newHarness: dialingHarness(1), text: postRequest, earlyBytes: flood},
+		"long chunked body waits":            {newHarness: dialingHarness(1), text: chunkedPost, earlyBytes: flood},
+		"blocked within long body":           {newHarness: streamingHarness, text: postRequest, blockAtRead: 2, blockAfterRead: true, releaseFirst: true},
+		"handed over, queued":                {newHarness: queuedHarness, text: getRequest, resume: true, blockAtRead: 1},
+		"handed over, flooded":               {newHarness: queuedHarness, text: getRequest, earlyBytes: flood, resume: true, blockAtRead: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := w.newRig(t)
+			d := w.newHarness(t)
 			servedBefore := d.Stats().Served
 			var leaving, staying []net.Conn
 			var releases, allBlocked []chan struct{}
@@ -160,7 +160,7 @@
 
 // connect opens a connection whose server end is wrapped by wrap. If resume is set, the connection
 // is handed over with ahead already read.
-func (d *disconnectRig) connect(t *testing.T, wrap func(net.Conn) net.Conn, resume bool, ahead string) net.Conn {
+func (d *disconnectHarness) connect(t *testing.T, wrap func(net.Conn) net.Conn, resume bool, ahead string) net.Conn {
 	t.Helper()
 	c, serverConn := connected(t)
 	if resume {
@@ -171,42 +171,42 @@
 	return c
 }
 
-// unblockedRig returns a rig in which requests do not wait.
-func unblockedRig(t *testing.T) *disconnectRig {
+// unblockedHarness returns a harness in which requests do not wait.
+func unblockedHarness(t *testing.T) *disconnectHarness {
 	rec := newRecorder(t, nil)
-	d := newDisconnectRig(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
+	d := newDisconnectHarness(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
 	d.recorder, d.unblock = rec, func() {}
 	d.allWaiting = func(int) bool { return true }
 	return d
 }
 
-// streamingRig returns a rig that forwards bodies while they arrive.
-func streamingRig(t *testing.T) *disconnectRig {
+// streamingHarness returns a harness that forwards bodies while they arrive.
+func streamingHarness(t *testing.T) *disconnectHarness {
 	rec := newRecorder(t, nil)
-	d := newDisconnectRig(t, 1, inServiceEndpoint("s-1", rec.addr))
+	d := newDisconnectHarness(t, 1, inServiceEndpoint("s-1", rec.addr))
 	d.recorder, d.unblock = rec, func() {}
 	d.allWaiting = func(int) bool { return true }
 	return d
 }
 
-// queuedRig returns a rig without an available endpoint until unblock is called.
-func queuedRig(t *testing.T) *disconnectRig {
-	d := unblockedRig(t)
+// queuedHarness returns a harness without an available endpoint until unblock is called.
+func queuedHarness(t *testing.T) *disconnectHarness {
+	d := unblockedHarness(t)
 	d.SetDisabled(map[string]bool{"s-1": true})
 	d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n }
 	d.unblock = func() { d.SetDisabled(nil) }
 	return d
 }
 
-// dialingRig returns a rig whose endpoint accepts connections only once unblock is called.
-func dialingRig(longBodyBytes int64) func(*testing.T) *disconnectRig {
-	return func(t *testing.T) *disconnectRig {
+// dialingHarness returns a harness whose endpoint accepts connections only once unblock is called.
+func dialingHarness(longBodyBytes int64) func(*testing.T) *disconnectHarness {
+	return func(t *testing.T) *disconnectHarness {
 		l, err := fakeserver.ListenFull()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		d := newDisconnectRig(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
+		d := newDisconnectHarness(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
 		d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n && d.Conns().OpenConns() == n }
 		d.unblock = func() {
 			if err := l.Unblock(); err != nil {
@@ -218,11 +218,11 @@
 	}
 }
 
-// reuseDelayRig returns a rig with one connection per client to its endpoint. None may be reused
-// until after the clients have disconnected.
-func reuseDelayRig(t *testing.T) *disconnectRig {
+// reuseDelayHarness returns a harness with one connection per client to its endpoint. None may be
+// reused until after the clients have disconnected.
+func reuseDelayHarness(t *testing.T) *disconnectHarness {
 	rec := newRecorder(t, nil)
-	d := newDisconnectRigWithReuseDelay(t, 8<<20, 4*attemptCutoff, inServiceEndpoint("s-1", rec.addr))
+	d := newDisconnectHarnessWithReuseDelay(t, 8<<20, 4*attemptCutoff, inServiceEndpoint("s-1", rec.addr))
 	d.recorder, d.unblock = rec, func() {}
 	d.SetDisabled(map[string]bool{"s-1": true})
 	var conns []net.Conn
@@ -243,9 +243,9 @@
 	return d
 }
 
-// rejectedRig returns a rig in which one endpoint rejects all requests once it has received them.
-// The endpoint for the next attempts accepts connections only once unblock is called.
-func rejectedRig(t *testing.T) *disconnectRig {
+// rejectedHarness returns a harness in which one endpoint rejects all requests once it has received
+// them. The endpoint for the next attempts accepts connections only once unblock is called.
+func rejectedHarness(t *testing.T) *disconnectHarness {
 	var mu sync.Mutex
 	received, rejectNow := 0, make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -262,10 +262,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { lateListener.Close() })
-	d := newDisconnectRig(t, 8<<20, inServiceEndpoint("late", lateListener.Addr().String()),
+	d := newDisconnectHarness(t, 8<<20, inServiceEndpoint("late", lateListener.Addr().String()),
 		inServiceEndpoint("rejects", srv.Listener.Addr().String()), inServiceEndpoint("first", newRecorder(t, nil).addr))
 	d.SetDisabled(map[string]bool{"late": true, "rejects": true})
-	d.earnRetryBudget(t)
+	d.fillRetryBudget(t)
 	d.SetDisabled(map[string]bool{"late": true, "first": true})
 	d.unblock = func() {
 		if err := lateListener.Unblock(); err != nil {
--- a/internal/httpserver/failing_endpoint_test.go
+++ b/internal/httpserver/failing_endpoint_test.go
@@ -11,7 +11,8 @@
 	"gorselink/internal/discovery"
 )
 
-// An endpoint that fails three requests of four faster than the others answer is rarely selected,
+// An endpoint that fails three requests of four faster than the others respond is rarely
+// selected,
 // although some of its responses succeed.
 func TestFailingEndpointIsSelectedRarely(t *testing.T) {
 	const serviceTime = 20 * time.Millisecond // of the working endpoints; the failing one responds at once
@@ -35,7 +36,7 @@
 			Name: fmt.Sprintf("s-%d", i), Address: srv.Listener.Addr().String(), Zone: "a", Status: discovery.InService,
 		})
 	}
-	r := newRigWithConfig(t, cfg, 64, nil)
+	r := newHarnessWithConfig(t, cfg, 64, nil)
 	for range 200 {
 		<-r.sendRequests(t, 1, "/view/1")
 	}
--- a/internal/httpserver/forwarded_budget_test.go
+++ b/internal/httpserver/forwarded_budget_test.go
@@ -56,7 +56,7 @@
 			}
 			t.Cleanup(srv.Close)
 			// With one byte of memory for long bodies and none for short ones, every body is streamed.
-			d := newDisconnectRig(t, 1, inServiceEndpoint("s-1", srv.Listener.Addr().String()))
+			d := newDisconnectHarness(t, 1, inServiceEndpoint("s-1", srv.Listener.Addr().String()))
 			d.Pool.SetLimits(pool.Limits{LongBytes: 1})
 			if !c.delayed {
 				srv.Start()
--- a/internal/httpserver/harness_test.go
+++ b/internal/httpserver/harness_test.go
@@ -14,7 +14,7 @@
 // testTimeout bounds every wait in these tests.
 const testTimeout = 20 * time.Second
 
-// testConfig is the configuration of a rig's pool.
+// testConfig is the configuration of a harness's pool.
 type testConfig struct {
 	Known   discovery.List
 	Balance balance.Config
--- a/internal/httpserver/incomplete_request_test.go
+++ b/internal/httpserver/incomplete_request_test.go
@@ -17,21 +17,21 @@
 // readinessCheck is a readiness check request.
 const readinessCheck = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// incompleteRequestLimit is how soon after its last byte the platform expects an incomplete request
-// to be answered or its connection to be closed.
+// incompleteRequestLimit is how soon after its last byte the platform expects an error response to
+// an incomplete request, or its connection to be closed.
 const incompleteRequestLimit = 3 * time.Second
 
 // Clients stop at various points of a request and keep their connections open, while others keep
 // the sidecar busy. Each connection gets an error response or is closed within
 // incompleteRequestLimit, and no incomplete request reaches an endpoint in full.
-func TestIncompleteRequestsAreAnsweredInTime(t *testing.T) {
-	r := streamRig(t, 8<<20, func(w http.ResponseWriter, req *http.Request) {
+func TestIncompleteRequestsGetTimelyResponses(t *testing.T) {
+	r := streamHarness(t, 8<<20, func(w http.ResponseWriter, req *http.Request) {
 		if _, err := io.Copy(io.Discard, req.Body); err == nil && strings.HasSuffix(req.URL.Path, "/half") {
 			t.Error("endpoint received an incomplete request in full")
 		}
 		io.WriteString(w, "ok")
 	})
-	streaming := streamRigWithLongBudget(t, 8<<20, 1, func(w http.ResponseWriter, req *http.Request) { // long bodies are streamed
+	streaming := streamHarnessWithLongBudget(t, 8<<20, 1, func(w http.ResponseWriter, req *http.Request) { // long bodies are streamed
 		if _, err := io.Copy(io.Discard, req.Body); err == nil && strings.HasSuffix(req.URL.Path, "/half") {
 			t.Error("endpoint received an incomplete streamed request in full")
 		}
@@ -59,7 +59,7 @@
 	incompleteRequest := func(rest string) string { return strings.Replace(payRequest(rest), "/pay", "/pay/half", 1) }
 	var all sync.WaitGroup
 	for name, c := range map[string]struct {
-		rig                *rig
+		harness            *harness
 		precedingResponses int    // responses before the incomplete request
 		precedingRequest   string // the requests for these responses
 		text               string // the incomplete request
@@ -85,7 +85,7 @@
 		"partial long chunked body":             {streaming, 0, "", incompleteRequest("Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + strings.Repeat("b", 190000)), 408},
 		"request and partial pipelined request": {r, 0, "", viewRequest("") + "GET /view/half HTTP/1.1\r\nHost", 400},
 	} {
-		conn := c.rig.dial(t)
+		conn := c.harness.dial(t)
 		all.Go(func() { // concurrently, because each takes up to incompleteRequestLimit
 			in := bufio.NewReader(conn)
 			if c.precedingResponses > 0 {
@@ -114,35 +114,35 @@
 }
 
 // Requests with little time left get their final response at once, whatever the state of the
-// endpoints. Requests with no more than transitMargin are refused.
-func TestRequestsWithSmallBudgetsAreAnsweredAtOnce(t *testing.T) {
+// endpoints. Requests with no more than transitMargin are rejected.
+func TestRequestsWithSmallBudgetsGetImmediateResponses(t *testing.T) {
 	const maxElapsed = 500 * time.Millisecond // without the delays of the machine
-	blocked := func(t *testing.T) *rig {
+	blocked := func(t *testing.T) *harness {
 		release := make(chan struct{})
-		r := newRig(t, 64, release)
+		r := newHarness(t, 64, release)
 		t.Cleanup(func() { close(release) })
 		return r
 	}
-	streaming := func(t *testing.T) *rig {
+	streaming := func(t *testing.T) *harness {
 		release := make(chan struct{})
-		r := streamRigWithLongBudget(t, 8<<20, 1, func(http.ResponseWriter, *http.Request) { <-release })
+		r := streamHarnessWithLongBudget(t, 8<<20, 1, func(http.ResponseWriter, *http.Request) { <-release })
 		t.Cleanup(func() { close(release) }) // runs before the endpoint closes, which waits for its handlers
 		return r
 	}
-	dialing := func(t *testing.T) *rig {
-		d := dialingRig(8 << 20)(t)
+	dialing := func(t *testing.T) *harness {
+		d := dialingHarness(8 << 20)(t)
 		d.startAccepting()
-		return &d.rig
+		return &d.harness
 	}
-	queued := func(t *testing.T) *rig {
-		d := queuedRig(t)
+	queued := func(t *testing.T) *harness {
+		d := queuedHarness(t)
 		d.startAccepting()
-		return &d.rig
+		return &d.harness
 	}
-	for name, newRig := range map[string]func(*testing.T) *rig{"endpoint hangs": blocked, "streaming": streaming, "dialing": dialing, "no endpoint available": queued} {
+	for name, newHarness := range map[string]func(*testing.T) *harness{"endpoint hangs": blocked, "streaming": streaming, "dialing": dialing, "no endpoint available": queued} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t)
+			r := newHarness(t)
 			r.server.SetMaxConns(128)
 			type result struct {
 				text    string
--- a/internal/httpserver/key_bindings.go
+++ b/internal/httpserver/key_bindings.go
@@ -25,8 +25,8 @@
 	uncertainUntil    time.Duration        // until then, a key may have been forgotten early
 }
 
-// NewKeyBindings returns KeyBindings for the longest time that any endpoint remembers a
-// key.
+// NewKeyBindings returns KeyBindings that remember keys for the retention time, which is
+// the longest deduplication window of any endpoint.
 func NewKeyBindings(retention time.Duration) *KeyBindings {
 	return &KeyBindings{retention: retention, start: time.Now(), seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, current: map[[2]uint64]string{}}
 }
@@ -57,7 +57,7 @@
 }
 
 // Bind returns the pool that a key was bound to within the retention time; a new key is
-// bound to the given pool. It is not certain if the key may have been bound before and
+// bound to the given pool. certain is false if the key may have been bound before and
 // forgotten.
 func (k *KeyBindings) Bind(keyHash [2]uint64, pool string, now time.Duration) (bound string, certain bool) {
 	k.mu.Lock()
--- a/internal/httpserver/platform_router.go
+++ b/internal/httpserver/platform_router.go
@@ -122,7 +122,7 @@
 // parsePlatformFields reads the fields that the platform's form requires of a request of
 // class c.
 func (p *Plan) parsePlatformFields(req *Request, c *balance.Class) (err error) {
-	if err := checkSemantics(c.Idempotency, req); err != nil {
+	if err := checkIdempotency(c.Idempotency, req); err != nil {
 		return err
 	}
 	if p.callID, err = parseCallID(req); err != nil {
@@ -147,13 +147,13 @@
 
 // outgoingRequest returns the request to forward, without its body. Its Fields have
 // capacity for extraFields more.
-func outgoingRequest(req *Request, uri, host string, semantics balance.Idempotency, extraFields int) upstream.Request {
+func outgoingRequest(req *Request, uri, host string, idempotency balance.Idempotency, extraFields int) upstream.Request {
 	out := upstream.Request{
 		Method:        req.Method,
 		URI:           uri,
 		Host:          host,
 		Fields:        make(http1.Fields, 0, len(req.Fields)+extraFields),
-		NonIdempotent: semantics == balance.NonIdempotent,
+		NonIdempotent: idempotency == balance.NonIdempotent,
 	}
 	for _, f := range req.Fields {
 		if !f.HopByHop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // set anew for each attempt
@@ -184,11 +184,11 @@
 	return id, nil
 }
 
-// checkSemantics checks that a request has the method, body and key that its class
-// requires. Any other request may not be as safe to repeat as the class promises.
-func checkSemantics(semantics balance.Idempotency, req *Request) error {
-	method, needsKey := http.MethodPost, semantics == balance.IdempotentByKey
-	if semantics == balance.Idempotent {
+// checkIdempotency checks that a request has the method, body and key that its class
+// requires. Other requests may not be idempotent in the way that the class states.
+func checkIdempotency(idempotency balance.Idempotency, req *Request) error {
+	method, needsKey := http.MethodPost, idempotency == balance.IdempotentByKey
+	if idempotency == balance.Idempotent {
 		method = http.MethodGet
 	}
 	value, count := req.Fields.Lookup("Idempotency-Key")
@@ -196,13 +196,13 @@
 	if req.Method != method {
 		return fmt.Errorf("method %s: this class requires %s", req.Method, method)
 	}
-	if semantics == balance.Idempotent && req.Length != 0 {
+	if idempotency == balance.Idempotent && req.Length != 0 {
 		return errors.New("unexpected body: requests of this class have none")
 	}
 	if count > 1 || count == 1 && value == "" {
 		return fmt.Errorf("Idempotency-Key %.80q (%d fields): want one nonempty field", value, count)
 	}
-	if semantics != balance.Idempotent && hasKey != needsKey {
+	if idempotency != balance.Idempotent && hasKey != needsKey {
 		return fmt.Errorf("Idempotency-Key: present is %t, this class requires %t", hasKey, needsKey)
 	}
 	return nil
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -22,7 +22,7 @@
 	wholeSeconds bool               // Retry-After in whole seconds
 }
 
-// responseFor returns the response for a pool's answer to a request.
+// responseFor returns the response to write for a pool's response to a request.
 func responseFor(a pool.Response, p *Plan) response {
 	resp := response{retryAfter: a.RetryAfter, wholeSeconds: p.Ordinary}
 	switch a.Outcome {
--- a/internal/httpserver/router.go
+++ b/internal/httpserver/router.go
@@ -13,7 +13,7 @@
 	// Route returns the plan for a request from its head, or the reason for its
 	// rejection. Exactly one of them is nil, and no pool has received the request.
 	Route(req *Request) (*Plan, *Rejection)
-	// ReadyStatus returns the HTTP status that answers a readiness check.
+	// ReadyStatus returns the HTTP status of the response to a readiness check.
 	ReadyStatus() int
 }
 
--- a/internal/httpserver/seen_ids.go
+++ b/internal/httpserver/seen_ids.go
@@ -9,9 +9,9 @@
 // maxIDsPerGeneration limits the memory for ids to a few hundred kilobytes.
 const maxIDsPerGeneration = 8 << 10
 
-// SeenIDs remembers the ids of requests for at least the retention time. Every request
-// has its own id, also a repeat, so a duplicate belongs to another request that may
-// still be running. If more than maxIDsPerGeneration ids arrive within the retention
+// SeenIDs remembers the ids of requests for at least the retention time. Every request,
+// also a repeat, has its own id. A duplicate id therefore belongs to another request,
+// which may still be running. If more than maxIDsPerGeneration ids arrive within the retention
 // time, the oldest are forgotten early.
 type SeenIDs struct {
 	start time.Time
@@ -39,7 +39,7 @@
 // record records id and reports whether it is new.
 func (s *SeenIDs) record(id string) bool { return s.recordAt(id, time.Since(s.start)) }
 
-// errDuplicateID is the reason to reject a request whose id is not its own.
+// errDuplicateID is the reason to reject a request whose id another request has used.
 var errDuplicateID = errors.New("X-Call-Id: another request has already used this id")
 
 // recordAt is record at the time now.
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -18,7 +18,7 @@
 )
 
 // Server holds the connections of callers, up to a maximum. At the maximum it closes a
-// connection without an open request to make room, or else refuses the new one. This
+// connection without an open request to make room, or else rejects the new one. This
 // keeps file descriptors available for connections to endpoints.
 type Server struct {
 	ForwardCallerIP bool // requests carry their caller's IP address
@@ -45,7 +45,7 @@
 // stateActive is never closed to make room.
 const (
 	stateRejected connState = iota // a rejection is delayed, or input after the last response is discarded
-	stateUnproven                  // no pool has taken a request from it, and none is arriving
+	stateUnused                    // no pool has taken a request from it yet, and none is arriving
 	stateIdle                      // between requests
 	stateReading                   // a request is arriving
 	stateActive                    // a request is open
@@ -89,10 +89,10 @@
 // evictionTimeout bounds the wait for a connection that has been asked to close.
 const evictionTimeout = 50 * time.Millisecond
 
-// admit registers a new connection, of which ahead has already been read, or refuses it
-// and returns nil. To make room it asks another connection to close. That connection's
-// own goroutine closes it, because only that goroutine knows whether a request has
-// arrived.
+// admit registers a new connection, or rejects it and returns nil. ahead holds the bytes
+// that have already been read from it. To make room, admit asks another connection to
+// close. That connection's own goroutine closes it, because only that goroutine knows
+// whether a request has arrived.
 func (s *Server) admit(nc net.Conn, ahead []byte) *callerConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +100,7 @@
 		candidate := s.evictionCandidate()
 		if candidate == nil {
 			s.mu.Unlock()
-			refuse(nc, ahead)
+			rejectConn(nc, ahead)
 			s.mu.Lock()
 			return nil
 		}
@@ -114,7 +114,7 @@
 	}
 	c := newCallerConn(s, nc)
 	s.openConns++
-	c.enterState(stateUnproven)
+	c.enterState(stateUnused)
 	return c
 }
 
@@ -132,23 +132,23 @@
 	return nil
 }
 
-// refusalTimeout bounds the read and the write on a connection that is refused.
-const refusalTimeout = 5 * time.Millisecond
+// connRejectionTimeout bounds the read and the write on a connection that is rejected.
+const connRejectionTimeout = 5 * time.Millisecond
 
-// refuse closes a connection for which there is no room. If the caller has sent
-// anything, it gets a 503 response first, because every complete request must be
-// answered.
-func refuse(nc net.Conn, ahead []byte) {
+// rejectConn closes a connection for which there is no room. If the caller has sent
+// anything, it gets a 503 response first, because every complete request must get
+// a response.
+func rejectConn(nc net.Conn, ahead []byte) {
 	defer nc.Close()
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
 	if len(ahead) == 0 {
-		nc.SetReadDeadline(time.Now().Add(refusalTimeout))
+		nc.SetReadDeadline(time.Now().Add(connRejectionTimeout))
 		if n, _ := nc.Read(*buf); n == 0 {
 			return
 		}
 	}
-	nc.SetWriteDeadline(time.Now().Add(refusalTimeout))
+	nc.SetWriteDeadline(time.Now().Add(connRejectionTimeout))
 	unavailable := response{status: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter}
 	if unavailable.write(nc, "", false) == nil {
 		closeWrite(nc)
@@ -170,7 +170,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
-	s.wake(stateUnproven)
+	s.wake(stateUnused)
 	s.wake(stateIdle)
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -190,7 +190,7 @@
 }
 
 // SetCloseIdle sets whether connections that have served a request close when idle. New
-// connections are still accepted, and readiness checks are answered.
+// connections are still accepted, and readiness checks still get responses.
 func (s *Server) SetCloseIdle(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +213,7 @@
 	if s.handover != nil {
 		return false
 	}
-	return st == stateIdle && (s.draining || s.closeIdle) || st == stateUnproven && s.draining
+	return st == stateIdle && (s.draining || s.closeIdle) || st == stateUnused && s.draining
 }
 
 // Handover takes over a caller's connection and the bytes already read from it.
@@ -226,7 +226,7 @@
 	defer s.mu.Unlock()
 	s.handover = handover
 	if handover != nil || s.draining {
-		s.wake(stateUnproven)
+		s.wake(stateUnused)
 		s.wake(stateIdle)
 	}
 }
@@ -257,8 +257,8 @@
 	}
 }
 
-// SetResponseDeadline sets the time by which requests taken from now on must be
-// answered.
+// SetResponseDeadline sets the time by which requests taken from now on must have
+// their responses.
 func (s *Server) SetResponseDeadline(deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -276,7 +276,7 @@
 	return max(0, min(budget, time.Until(s.responseDeadline)))
 }
 
-// expiredDeadline is a deadline that ends a read at once.
+// expiredDeadline is a deadline in the past, which ends a read at once.
 var expiredDeadline = time.Unix(1, 0)
 
 // enterState puts c into a state; server.mu must be held.
@@ -325,8 +325,9 @@
 	return c.server.shouldClose(stateIdle)
 }
 
-// wasWoken reports whether a wait in state st may have been interrupted and c is to go
-// on. It is not if c was asked to close.
+// wasWoken reports whether Drain, SetCloseIdle or SetHandover may have interrupted a wait
+// in state st, so that c has to check again whether to close or to be handed over. It
+// returns false if c was asked to close.
 func (c *callerConn) wasWoken(st connState) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -16,8 +16,8 @@
 	"gorselink/internal/pool"
 )
 
-// rig is a sidecar between the callers of a test and one endpoint.
-type rig struct {
+// harness is a sidecar between the callers of a test and one endpoint.
+type harness struct {
 	*pool.Pool
 	router   *PlatformRouter
 	server   *Server
@@ -26,22 +26,22 @@
 	release  chan struct{} // the endpoint responds once it is closed; nil for at once
 }
 
-// newRig starts a sidecar for at most maxConns callers. Once release is nil or closed, its
-// endpoint answers each request with the path and the length of the body.
-func newRig(t *testing.T, maxConns int, release chan struct{}) *rig {
+// newHarness starts a sidecar for at most maxConns callers. Once release is nil or closed, its
+// endpoint responds to each request with the path and the length of the body.
+func newHarness(t *testing.T, maxConns int, release chan struct{}) *harness {
 	t.Helper()
-	return newRigWithConfig(t, newTestConfig(), maxConns, release)
+	return newHarnessWithConfig(t, newTestConfig(), maxConns, release)
 }
 
 // largeResponse is a body over upstream.SmallResponseBytes. The memory for large responses
 // holds one at a time.
 var largeResponse = strings.Repeat("0123456789abcdef", 20000)
 
-// newRigWithConfig is newRig with a configuration. Endpoints that it lists replace the rig's
-// own. The endpoint answers a path that ends in /now at once.
-func newRigWithConfig(t *testing.T, cfg *testConfig, maxConns int, release chan struct{}) *rig {
+// newHarnessWithConfig is newHarness with a configuration. Endpoints that it lists replace the
+// harness's own. The endpoint responds to a path that ends in /now at once.
+func newHarnessWithConfig(t *testing.T, cfg *testConfig, maxConns int, release chan struct{}) *harness {
 	t.Helper()
-	r := &rig{release: release}
+	r := &harness{release: release}
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -82,7 +82,7 @@
 	return r
 }
 
-func (r *rig) dial(t *testing.T) net.Conn {
+func (r *harness) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -116,7 +116,7 @@
 }
 
 func TestSequentialRequestsOnOneConnection(t *testing.T) {
-	r := newRig(t, 4, nil)
+	r := newHarness(t, 4, nil)
 	c := r.dial(t)
 	in := bufio.NewReader(c)
 	for _, q := range []struct{ text, want string }{
@@ -135,7 +135,7 @@
 
 // The memory for a large response is released for the next one.
 func TestLargeResponsesInSequence(t *testing.T) {
-	r := newRig(t, 4, nil)
+	r := newHarness(t, 4, nil)
 	c := r.dial(t)
 	in := bufio.NewReader(c)
 	for i := range 4 {
@@ -148,7 +148,7 @@
 
 // Invalid requests get an error response and are not forwarded.
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	r := newRig(t, 64, nil)
+	r := newHarness(t, 64, nil)
 	hidden := viewRequest("")
 	for _, c := range []struct {
 		name, text string
@@ -197,7 +197,7 @@
 }
 
 func TestIncompleteRequestIsNotForwarded(t *testing.T) {
-	r := newRig(t, 4, nil)
+	r := newHarness(t, 4, nil)
 	c := r.dial(t)
 	io.WriteString(c, payRequest("Content-Length: 10\r\n\r\nhalf"))
 	c.(*net.TCPConn).CloseWrite()
@@ -211,7 +211,7 @@
 
 // A caller that sends nothing, or stops within a head or body, is disconnected.
 func TestStalledCallersTimeOut(t *testing.T) {
-	r := newRig(t, 8, nil)
+	r := newHarness(t, 8, nil)
 	for name, text := range map[string]string{
 		"no input": "", "slow head": "GET /view HT", "stalled body": payRequest("Content-Length: 10\r\n\r\nhalf"),
 	} {
@@ -237,7 +237,7 @@
 // An id cannot be used again while its request is open, nor shortly after its response.
 func TestDuplicateIDsAreRejected(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, 8, release)
+	r := newHarness(t, 8, release)
 	first, text := r.dial(t), payRequest("Content-Length: 0\r\n\r\n")
 	io.WriteString(first, text)
 	eventually(t, "the endpoint has the first request", func() bool { return r.requests.Load() == 1 })
@@ -277,10 +277,10 @@
 }
 
 // When all connections are in use, a new one replaces a connection without a request. An open
-// request is still answered.
+// request still gets its response.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, 4, release)
+	r := newHarness(t, 4, release)
 	busy := r.dial(t)
 	io.WriteString(busy, viewRequest(""))
 	eventually(t, "the endpoint has the first request", func() bool { return r.requests.Load() == 1 })
@@ -302,9 +302,9 @@
 }
 
 // If every connection has an open request, a new connection is closed at once.
-func TestConnectionIsRefusedWhenAllAreActive(t *testing.T) {
+func TestConnectionIsRejectedWhenAllAreActive(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, 2, release)
+	r := newHarness(t, 2, release)
 	defer close(release)
 	for range 2 {
 		io.WriteString(r.dial(t), viewRequest(""))
@@ -324,7 +324,7 @@
 // A caller that pipelines requests gets the response to the first one and no other.
 func TestEarlyBytesDoNotLoseTheResponse(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, 4, release)
+	r := newHarness(t, 4, release)
 	c := r.dial(t)
 	io.WriteString(c, viewRequest(""))
 	eventually(t, "the endpoint has the request", func() bool { return r.requests.Load() == 1 })
@@ -342,10 +342,11 @@
 	}
 }
 
-// A drain closes idle connections, answers open requests with Connection: close, and returns.
-func TestDrainAnswersOpenRequests(t *testing.T) {
+// A drain closes idle connections, responds to open requests with Connection: close, and
+// returns.
+func TestDrainRespondsToOpenRequests(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, 8, release)
+	r := newHarness(t, 8, release)
 	idle := r.dial(t)
 	busy := r.dial(t)
 	io.WriteString(busy, viewRequest(""))
@@ -371,10 +372,10 @@
 	}
 }
 
-// A request whose caller disconnects is withdrawn, and its connection to the endpoint closes.
-func TestDisconnectWithdrawsTheRequest(t *testing.T) {
+// A request whose caller disconnects is cancelled, and its connection to the endpoint closes.
+func TestDisconnectCancelsTheRequest(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, 4, release)
+	r := newHarness(t, 4, release)
 	defer close(release)
 	c := r.dial(t)
 	io.WriteString(c, viewRequest(""))
--- a/internal/httpserver/short_budget_test.go
+++ b/internal/httpserver/short_budget_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// A request with less time than the mean response time is still tried. It is refused only if
+// A request with less time than the mean response time is still tried. It is rejected only if
 // hardly any response is that fast.
 func TestShortBudgetsAreTried(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, 16, release)
+	r := newHarness(t, 16, release)
 	slow := r.sendRequests(t, 3, "/view/1")
 	time.Sleep(time.Second) // the least mean response time from here on
 	close(release)
-	if n := countRefused(slow, 3); n > 0 {
-		t.Fatalf("%d of the first 3 requests were refused, want 0", n)
+	if n := countRejected(slow, 3); n > 0 {
+		t.Fatalf("%d of the first 3 requests were rejected, want 0", n)
 	}
 	for _, c := range []struct {
 		budget string
--- a/internal/httpserver/stream_test.go
+++ b/internal/httpserver/stream_test.go
@@ -18,14 +18,14 @@
 	"gorselink/internal/upstream"
 )
 
-// streamRig starts a sidecar that streams, in front of an endpoint that handler serves.
-func streamRig(t *testing.T, readAheadBytes int64, handler http.HandlerFunc) *rig {
+// streamHarness starts a sidecar that streams, in front of an endpoint that handler serves.
+func streamHarness(t *testing.T, readAheadBytes int64, handler http.HandlerFunc) *harness {
 	t.Helper()
-	return streamRigWithLongBudget(t, readAheadBytes, 8<<20, handler)
+	return streamHarnessWithLongBudget(t, readAheadBytes, 8<<20, handler)
 }
 
-// streamRigWithLongBudget is streamRig with longBodyBytes of memory for long request bodies.
-func streamRigWithLongBudget(t *testing.T, readAheadBytes, longBodyBytes int64, handler http.HandlerFunc) *rig {
+// streamHarnessWithLongBudget is streamHarness with longBodyBytes of memory for long request bodies.
+func streamHarnessWithLongBudget(t *testing.T, readAheadBytes, longBodyBytes int64, handler http.HandlerFunc) *harness {
 	t.Helper()
 	srv := httptest.NewServer(handler)
 	t.Cleanup(srv.Close)
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Pool: p}
+	r := &harness{Pool: p}
 	r.router = NewPlatformRouter(p, testPlatformConfig(cfg))
 	r.server = NewServer(r.router, 32, Timeouts{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,7 +73,7 @@
 			for _, slow := range []bool{false, true} {
 				t.Run(fmt.Sprintf("read-ahead memory %d, chunked %t, slow %t", readAheadBytes, chunked, slow), func(t *testing.T) {
 					t.Parallel()
-					r := streamRig(t, readAheadBytes, func(w http.ResponseWriter, req *http.Request) {
+					r := streamHarness(t, readAheadBytes, func(w http.ResponseWriter, req *http.Request) {
 						if !chunked {
 							w.Header().Set("Content-Length", fmt.Sprint(size))
 						}
@@ -113,7 +113,7 @@
 	const size = 30 << 20 // more than the socket buffers hold
 	complete := make(chan struct{}, 1)
 	data := randomBytes(size)
-	r := streamRig(t, 32<<20, func(w http.ResponseWriter, req *http.Request) {
+	r := streamHarness(t, 32<<20, func(w http.ResponseWriter, req *http.Request) {
 		if !chunked {
 			w.Header().Set("Content-Length", fmt.Sprint(size))
 		}
@@ -152,10 +152,10 @@
 	}
 }
 
-// If a response breaks off at the endpoint, the caller can tell that it is incomplete.
+// If an endpoint does not complete its response, the caller can detect that it is incomplete.
 func TestBrokenResponseIsIncompleteAtCaller(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
-		r := streamRig(t, 8<<20, func(w http.ResponseWriter, req *http.Request) {
+		r := streamHarness(t, 8<<20, func(w http.ResponseWriter, req *http.Request) {
 			c, _, err := w.(http.Hijacker).Hijack()
 			if err != nil {
 				t.Error(err)
@@ -186,7 +186,7 @@
 
 // If a caller disconnects during a long response, its request and connections are released.
 func TestDisconnectDuringLongResponse(t *testing.T) {
-	r := streamRig(t, 8<<20, func(w http.ResponseWriter, req *http.Request) {
+	r := streamHarness(t, 8<<20, func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(32<<20))
 		w.Write(randomBytes(32 << 20))
 	})
@@ -202,9 +202,9 @@
 	eventually(t, "no connection to the endpoint and no request is open", func() bool { return r.Conns().OpenConns() == 0 && r.Pool.OpenRequests() == 0 })
 }
 
-// A long body may arrive slowly, as long as it keeps to the minimum rate.
+// A long body may arrive slowly, as long as it keeps the minimum rate.
 func TestSlowBodyIsAccepted(t *testing.T) {
-	r := streamRig(t, 0, func(w http.ResponseWriter, req *http.Request) {
+	r := streamHarness(t, 0, func(w http.ResponseWriter, req *http.Request) {
 		n, _ := io.Copy(io.Discard, req.Body)
 		fmt.Fprint(w, n)
 	})
@@ -246,7 +246,7 @@
 	for _, chunked := range []bool{false, true} {
 		t.Run(fmt.Sprintf("chunked %t", chunked), func(t *testing.T) {
 			t.Parallel()
-			r := streamRigWithLongBudget(t, 0, 100<<10, func(w http.ResponseWriter, req *http.Request) {
+			r := streamHarnessWithLongBudget(t, 0, 100<<10, func(w http.ResponseWriter, req *http.Request) {
 				sum := sha256.New()
 				n, err := io.Copy(sum, req.Body)
 				fmt.Fprintf(w, "%d %x %v", n, sum.Sum(nil), err)
@@ -295,7 +295,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			complete := make(chan error, 10)
-			r := streamRigWithLongBudget(t, 0, 100<<10, func(w http.ResponseWriter, req *http.Request) {
+			r := streamHarnessWithLongBudget(t, 0, 100<<10, func(w http.ResponseWriter, req *http.Request) {
 				if c.rejects {
 					w.Header().Set("X-Rejected", "1")
 					w.Header().Set("Connection", "close")
--- a/internal/httpserver/table_router.go
+++ b/internal/httpserver/table_router.go
@@ -46,8 +46,8 @@
 // Class is a class of requests in one pool.
 type Class struct {
 	Name     string
-	ByMethod bool             // the semantics follow from the request's method and key
-	Variants [3]balance.Class // by Semantics; all the same unless ByMethod
+	ByMethod bool             // the idempotency follows from the request's method and key
+	Variants [3]balance.Class // by Idempotency; all the same unless ByMethod
 	Numbers  [3]int           // numbers of the Variants in the pool
 }
 
@@ -182,11 +182,11 @@
 	if c := target.ClassByName[rr.match.Class]; c != nil {
 		class = c
 	}
-	semantics, err := rr.semantics(class)
+	idempotency, err := rr.idempotency(class)
 	if err != nil {
 		return rejection(http.StatusBadRequest, err)
 	}
-	c := &class.Variants[semantics]
+	c := &class.Variants[idempotency]
 	p := &rr.firstPlan
 	if rr.firstPlanUsed {
 		p = &Plan{}
@@ -194,7 +194,7 @@
 	rr.firstPlanUsed = true
 	*p = Plan{
 		Pool:     target.Pool,
-		Class:    class.Numbers[semantics],
+		Class:    class.Numbers[idempotency],
 		Tenant:   -1,
 		MaxBody:  target.MaxBody,
 		Ordinary: !rr.PlatformForm,
@@ -209,12 +209,12 @@
 	if err != nil {
 		return rejection(http.StatusBadRequest, err)
 	}
-	if semantics == balance.IdempotentByKey {
+	if idempotency == balance.IdempotentByKey {
 		if conflict := rr.bindKey(t, p, class, c); conflict != nil {
 			return nil, conflict
 		}
 	}
-	p.Upstream = outgoingRequest(rr.req, rr.uri, rr.host, semantics, 2)
+	p.Upstream = outgoingRequest(rr.req, rr.uri, rr.host, idempotency, 2)
 	if !rr.PlatformForm {
 		// The id is generated here: one from outside could be another request's.
 		p.Upstream.Fields = slices.DeleteFunc(p.Upstream.Fields, func(f http1.Field) bool { return strings.EqualFold(f.Name, "X-Call-Id") })
@@ -237,8 +237,8 @@
 // maxKeyLength bounds an Idempotency-Key, in bytes.
 const maxKeyLength = 255
 
-// semantics returns how the request may be repeated.
-func (rr *routedRequest) semantics(class *Class) (balance.Idempotency, error) {
+// idempotency returns whether and how the request is idempotent.
+func (rr *routedRequest) idempotency(class *Class) (balance.Idempotency, error) {
 	key, n := rr.req.Fields.Lookup("Idempotency-Key")
 	hasKey := n > 0
 	if hasKey && (n != 1 || key == "" || len(key) > maxKeyLength) {
--- a/internal/httpserver/table_router_test.go
+++ b/internal/httpserver/table_router_test.go
@@ -128,7 +128,8 @@
 	checkBind("b", "one", "one", 6*time.Second, true)
 }
 
-// While keys may have been forgotten, a keyed request whose route has changed is rejected. The new
+// While keys may have been forgotten, a request with a key whose route has changed is
+// rejected. The new
 // pool may not know that the request has run.
 func TestUncertainKeysAreNotRerouted(t *testing.T) {
 	router, open, closed := newTestRouter(t)
--- a/internal/httpserver/withdraw_test.go
+++ b/internal/httpserver/withdraw_test.go
@@ -63,9 +63,9 @@
 	return rec
 }
 
-// disconnectRig is a sidecar in which requests wait until unblock is called.
-type disconnectRig struct {
-	rig
+// disconnectHarness is a sidecar in which requests wait until unblock is called.
+type disconnectHarness struct {
+	harness
 	t              *testing.T
 	recorder       *recorder           // the endpoint that receives requests once they can proceed
 	allWaiting     func(n int) bool    // reports whether n requests are waiting
@@ -75,15 +75,15 @@
 	startAccepting func()              // starts the accept loop; later calls do nothing
 }
 
-// newDisconnectRig starts a sidecar with these endpoints. Its memory for long bodies is
+// newDisconnectHarness starts a sidecar with these endpoints. Its memory for long bodies is
 // longBodyBytes.
-func newDisconnectRig(t *testing.T, longBodyBytes int64, list ...discovery.Endpoint) *disconnectRig {
-	return newDisconnectRigWithReuseDelay(t, longBodyBytes, 0, list...)
+func newDisconnectHarness(t *testing.T, longBodyBytes int64, list ...discovery.Endpoint) *disconnectHarness {
+	return newDisconnectHarnessWithReuseDelay(t, longBodyBytes, 0, list...)
 }
 
-// newDisconnectRigWithReuseDelay is newDisconnectRig with a delay before a connection to an
+// newDisconnectHarnessWithReuseDelay is newDisconnectHarness with a delay before a connection to an
 // endpoint is used again.
-func newDisconnectRigWithReuseDelay(t *testing.T, longBodyBytes int64, reuseDelay time.Duration, list ...discovery.Endpoint) *disconnectRig {
+func newDisconnectHarnessWithReuseDelay(t *testing.T, longBodyBytes int64, reuseDelay time.Duration, list ...discovery.Endpoint) *disconnectHarness {
 	cfg := newTestConfig()
 	for i := range cfg.Balance.Classes {
 		cfg.Balance.Classes[i].Deadline = 4 * testTimeout
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &disconnectRig{rig: rig{Pool: p}, t: t, ids: map[net.Conn]string{}}
+	d := &disconnectHarness{harness: harness{Pool: p}, t: t, ids: map[net.Conn]string{}}
 	d.router = NewPlatformRouter(p, testPlatformConfig(cfg))
 	d.server = NewServer(d.router, 200, Timeouts{})
 	d.handleConn = d.server.HandleConn
@@ -114,10 +114,10 @@
 	return discovery.Endpoint{Name: name, Address: addr, Zone: "a", Status: discovery.InService}
 }
 
-// A waiting request is withdrawn when its caller disconnects, whatever it waits for, and is not
+// A waiting request is cancelled when its caller disconnects, whatever it waits for, and is not
 // forwarded. Callers that stay connected show that requests reach the endpoint. A second run
 // without disconnects serves all requests.
-func TestWaitingRequestsAreWithdrawnOnDisconnect(t *testing.T) {
+func TestWaitingRequestsAreCancelledOnDisconnect(t *testing.T) {
 	const callers = 96   // half of which disconnect
 	const maxRetried = 9 // callers in cases that need retries, which the retry budget limits
 	mixedRequest := func(id string, i int) string {
@@ -126,23 +126,23 @@
 		}
 		return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nContent-Length: 2\r\n\r\nok"
 	}
-	safeRequest := func(id string, _ int) string { return mixedRequest(id, 0) }
-	queued := func(t *testing.T) *disconnectRig {
+	idempotentRequest := func(id string, _ int) string { return mixedRequest(id, 0) }
+	queued := func(t *testing.T) *disconnectHarness {
 		rec := newRecorder(t, nil)
-		d := newDisconnectRig(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
+		d := newDisconnectHarness(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
 		d.SetDisabled(map[string]bool{"s-1": true})
 		d.recorder = rec
 		d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n }
 		d.unblock = func() { d.SetDisabled(nil) }
 		return d
 	}
-	dialing := func(t *testing.T, longBodyBytes int64) *disconnectRig {
+	dialing := func(t *testing.T, longBodyBytes int64) *disconnectHarness {
 		l, err := fakeserver.ListenFull()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		d := newDisconnectRig(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
+		d := newDisconnectHarness(t, longBodyBytes, inServiceEndpoint("s-1", l.Addr().String()))
 		d.recorder = &recorder{}
 		d.allWaiting = func(n int) bool { return d.Pool.OpenRequests() == n }
 		d.unblock = func() {
@@ -154,29 +154,29 @@
 		return d
 	}
 	cases := map[string]struct {
-		newRig     func(t *testing.T) *disconnectRig
+		newHarness func(t *testing.T) *disconnectHarness
 		text       func(id string, i int) string
 		earlyBytes bool // some callers send early bytes before they disconnect
 		maxStaying int  // callers that stay connected; 0 for no limit
 	}{
 		"queued": {queued, mixedRequest, true, 0},
-		"queued on a connection that was handed over": {func(t *testing.T) *disconnectRig {
+		"queued on a connection that was handed over": {func(t *testing.T) *disconnectHarness {
 			d := queued(t)
 			d.handleConn = func(c net.Conn) { d.server.Resume(c, nil) }
 			return d
 		}, mixedRequest, true, 0},
-		"dialing": {func(t *testing.T) *disconnectRig { return dialing(t, 8<<20) }, mixedRequest, true, 0},
-		"long body, dialing": {func(t *testing.T) *disconnectRig { return dialing(t, 1) }, func(id string, _ int) string {
+		"dialing": {func(t *testing.T) *disconnectHarness { return dialing(t, 8<<20) }, mixedRequest, true, 0},
+		"long body, dialing": {func(t *testing.T) *disconnectHarness { return dialing(t, 1) }, func(id string, _ int) string {
 			return "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("b", 100000)
 		}, false, 0},
-		"first attempt hangs": {func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, "") }, safeRequest, true, maxRetried},
-		"incomplete response": {func(t *testing.T) *disconnectRig { return brokenAttemptRig(t, "HTTP/1.1 200 OK\r\nContent-Le") }, safeRequest, true, maxRetried},
+		"first attempt hangs": {func(t *testing.T) *disconnectHarness { return brokenAttemptHarness(t, "") }, idempotentRequest, true, maxRetried},
+		"incomplete response": {func(t *testing.T) *disconnectHarness { return brokenAttemptHarness(t, "HTTP/1.1 200 OK\r\nContent-Le") }, idempotentRequest, true, maxRetried},
 	}
 	for name, c := range cases {
 		for _, disconnect := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, some disconnect %t", name, disconnect), func(t *testing.T) {
 				t.Parallel()
-				d := c.newRig(t)
+				d := c.newHarness(t)
 				d.startAccepting()
 				var staying, leaving []net.Conn
 				n := callers
@@ -247,7 +247,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rec := newRecorder(t, nil)
-			d := newDisconnectRig(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
+			d := newDisconnectHarness(t, 8<<20, inServiceEndpoint("s-1", rec.addr))
 			d.startAccepting()
 			for i := range callers {
 				conn := d.dial(t)
@@ -267,8 +267,8 @@
 	}
 }
 
-// earnRetryBudget serves requests until the retry budget allows the retries of a test.
-func (d *disconnectRig) earnRetryBudget(t *testing.T) {
+// fillRetryBudget sends requests until the retry budget allows the retries of a test.
+func (d *disconnectHarness) fillRetryBudget(t *testing.T) {
 	t.Helper()
 	d.startAccepting()
 	for range 60 {
@@ -281,9 +281,10 @@
 	}
 }
 
-// brokenAttemptRig returns a rig whose first attempts reach an endpoint that sends partialResponse
-// and resets the connection once unblock is called. Second attempts reach the recorder.
-func brokenAttemptRig(t *testing.T, partialResponse string) *disconnectRig {
+// brokenAttemptHarness returns a harness whose first attempts reach an endpoint that sends
+// partialResponse and resets the connection once unblock is called. Second attempts reach the
+// recorder.
+func brokenAttemptHarness(t *testing.T, partialResponse string) *disconnectHarness {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -304,9 +305,9 @@
 		}()
 	})
 	rec := newRecorder(t, nil)
-	d := newDisconnectRig(t, 8<<20, inServiceEndpoint("s-1", rec.addr), inServiceEndpoint("s-2", l.Addr().String()))
+	d := newDisconnectHarness(t, 8<<20, inServiceEndpoint("s-1", rec.addr), inServiceEndpoint("s-2", l.Addr().String()))
 	d.SetDisabled(map[string]bool{"s-2": true})
-	d.earnRetryBudget(t)
+	d.fillRetryBudget(t)
 	d.SetDisabled(map[string]bool{"s-1": true})
 	d.recorder = rec
 	d.allWaiting = func(n int) bool { mu.Lock(); defer mu.Unlock(); return len(hungConns) == n }
--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -69,8 +69,8 @@
 			text := strings.Replace(configJSON(m.listen, d.addr), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
 			text = strings.Replace(text, `"name":"n0"`, fmt.Sprintf(`"name":"n0","console":%q`, console), 1)
 			text = strings.Replace(text, `"RegistryMode":"push"`, `"RegistryMode":"`+mode+`"`, 1)
-			// The second endpoint is new to the process. With a ramp time it would be cold and
-			// would not get all requests at once.
+			// The second endpoint is new to the process. With a slow-start window it would
+			// be cold and would not get all requests at once.
 			text = strings.Replace(text, `"RampTimeS":5`, `"RampTimeS":0`, 1)
 			writeFile(t, m.configPath, strings.Replace(text, `"DrainGraceS":2`, `"DrainGraceS":2,"AskWithinS":10`, 1))
 			m.start(t)
--- a/internal/sidecar/drain_restart_test.go
+++ b/internal/sidecar/drain_restart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Sidecars restart while one endpoint starts to drain at SIGTERM, one drains during the start
-// of the next process, and one hangs. Every request is answered, the old process exits before
+// Sidecars restart while one endpoint starts to drain at SIGTERM, one drains during the start of
+// the next process, and one hangs. Every request gets a response, the previous process exits before
 // SIGKILL, and no attempt reaches a draining endpoint after its grace period.
 func TestRestartDuringEndpointDrains(t *testing.T) {
 	t.Parallel()
@@ -45,10 +45,10 @@
 			case err := <-old.ended:
 				// Expected after 1.1 s, before SIGKILL after 1.3 s; the limit allows for a busy machine.
 				if took := time.Since(terminatedAt); err != nil || took > 2500*time.Millisecond && !s.lag.lagged(terminatedAt, time.Now()) {
-					t.Errorf("the old process exited %v after SIGTERM: %v, want 2.5 s at most and no error", took, err)
+					t.Errorf("the previous process exited %v after SIGTERM: %v, want 2.5 s at most and no error", took, err)
 				}
 			case <-time.After(testTimeout):
-				t.Error("the old process did not exit")
+				t.Error("the previous process did not exit")
 			}
 			time.Sleep(max(0, time.Until(secondDrainAt.Add(grace+200*time.Millisecond))))
 			s.mu.Lock()
@@ -71,7 +71,7 @@
 }
 
 // Each fault follows a quiet period in which idle connections, mean latencies and discovery
-// watches expire. A burst of requests is then answered, and at least a third is served.
+// watches expire. A burst of requests then gets responses, and at least a third is served.
 func TestFaultAfterQuietPeriod(t *testing.T) {
 	t.Parallel()
 	const connIdle, quiet = "0.1", 900 * time.Millisecond
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -143,7 +143,7 @@
 }
 
 // Whatever fault occurs, every request gets a final response within its budget and
-// responseSlack. Requests that must not be repeated run at most once and are not rejected
+// responseSlack. Non-idempotent requests run at most once and are not rejected
 // after they may have run, and no client receives the response of another.
 func TestEveryRequestGetsFinalResponse(t *testing.T) {
 	all := faultCases()
@@ -164,8 +164,8 @@
 	for _, s := range scenarios {
 		outcomes, attempts := s.outcomesSoFar()
 		t.Logf("%-60s %+v, %d attempts", s.name, outcomes, attempts)
-		if outcomes.unanswered > 0 || outcomes.repeated > 0 {
-			t.Errorf("%s: %+v, want none unanswered and none that ran twice", s.name, outcomes)
+		if outcomes.noResponse > 0 || outcomes.repeated > 0 {
+			t.Errorf("%s: %+v, want none without a response and none that ran twice", s.name, outcomes)
 		}
 		if outcomes.served == 0 && !strings.Contains(s.name, fmt.Sprintf("at %d of", scenarioEndpoints)) {
 			s.reportFewServed(began, "%+v, want some served; the test is inconclusive", outcomes)
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -86,6 +86,7 @@
 	killed atomic.Bool // by SIGKILL; its clients have to repeat open requests
 }
 
+// process returns the current process of m, or nil if none has started.
 func (m *fleetMember) process() *childProcess {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,7 +149,7 @@
 
 // Of ten sidecars under load, seven are killed and restarted at once. Then all are reloaded,
 // terminated and restarted, two at a time. Every request to a sidecar that was not killed gets
-// one response, and non-repeatable requests run at most once and not at all if rejected.
+// one response, and non-idempotent requests run at most once and not at all if rejected.
 func TestFleetKilledAndRestarted(t *testing.T) {
 	const members, clients = 10, 24
 	var runCounts sync.Map // id to *atomic.Int64
@@ -187,7 +188,7 @@
 		return
 	}
 
-	var served, refused, failed, violations, closedIdle, lostToKill, connectFailed atomic.Int64
+	var served, rejected, failed, violations, closedIdle, lostToKill, connectFailed atomic.Int64
 	reportViolation := func(format string, args ...any) {
 		violations.Add(1)
 		t.Errorf(format, args...)
@@ -261,7 +262,7 @@
 				case resp.StatusCode == http.StatusOK && string(text) == id:
 					served.Add(1)
 				case resp.StatusCode == http.StatusServiceUnavailable && (method == "GET" || runCount == 0):
-					refused.Add(1)
+					rejected.Add(1)
 				case resp.StatusCode == http.StatusBadGateway || resp.StatusCode == http.StatusGatewayTimeout:
 					failed.Add(1)
 				default:
@@ -322,11 +323,11 @@
 	close(done)
 	requests.Wait()
 	t.Logf("%d served, %d rejected, %d failed, %d lost to a killed process, %d closed while idle, %d could not connect",
-		served.Load(), refused.Load(), failed.Load(), lostToKill.Load(), closedIdle.Load(), connectFailed.Load())
+		served.Load(), rejected.Load(), failed.Load(), lostToKill.Load(), closedIdle.Load(), connectFailed.Load())
 	if served.Load() < 1000 || lostToKill.Load()+connectFailed.Load() == 0 {
 		t.Errorf("%d served and %d affected by a killed process; the test is inconclusive", served.Load(), lostToKill.Load()+connectFailed.Load())
 	}
-	if bad := refused.Load() + failed.Load(); bad*20 > served.Load() {
+	if bad := rejected.Load() + failed.Load(); bad*20 > served.Load() {
 		t.Errorf("%d rejected or failed and %d served, want at most 1 in 20 with a healthy node", bad, served.Load())
 	}
 }
--- a/internal/sidecar/memory_test.go
+++ b/internal/sidecar/memory_test.go
@@ -25,7 +25,7 @@
 // 0.8 MB of removed endpoints, which are kept for 30 s, and a quarter more for uncollected
 // garbage. A leak of connection buffers or request bodies would exceed this.
 func TestMemoryBoundedUnderChurn(t *testing.T) {
-	var served atomic.Int64 // unlike standin.Node, does not store request ids
+	var served atomic.Int64 // unlike fakeserver.Node, does not store request ids
 	var list []fakeserver.Entry
 	for i := range 3 {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { served.Add(1) }))
@@ -38,8 +38,8 @@
 	}
 	t.Cleanup(agent.Close)
 	listen, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
-	// All endpoints are new to the process. With a ramp time they would be cold, and some
-	// requests would not be served.
+	// All endpoints are new to the process. With a slow-start window they would be
+	// cold, and some requests would not be served.
 	text := strings.Replace(configJSON(listen, agent.Addr()), `"RampTimeS":5`, `"RampTimeS":0`, 1)
 	writeFile(t, path, text)
 	p, _ := startInstance(t, path, t.TempDir())
--- a/internal/sidecar/operator_api.go
+++ b/internal/sidecar/operator_api.go
@@ -10,21 +10,21 @@
 // operatorAPI gives the operator console access to a sidecar.
 type operatorAPI struct{ sidecar *Sidecar }
 
-// Ready implements fleet.Operated. A drained sidecar is ready because it still serves
+// Ready implements fleet.Controller. A drained sidecar is ready because it still serves
 // the requests that it receives.
 func (o operatorAPI) Ready() bool { return o.sidecar.pool.HasList() }
 
-// Listed implements fleet.Operated.
+// EverListed implements fleet.Controller.
 func (o operatorAPI) EverListed(id string) bool {
 	return o.sidecar.pool.Knows(id) || o.sidecar.operatorState.State().Disabled[id]
 }
 
-// Out implements fleet.Operated.
-func (o operatorAPI) SetDisabled(id string, out bool) error {
-	return o.sidecar.operatorState.SetDisabled(id, out)
+// SetDisabled implements fleet.Controller.
+func (o operatorAPI) SetDisabled(id string, disabled bool) error {
+	return o.sidecar.operatorState.SetDisabled(id, disabled)
 }
 
-// Drain implements fleet.Operated.
+// SetDrained implements fleet.Controller.
 func (o operatorAPI) SetDrained(on bool) error { return o.sidecar.operatorState.SetDrained(on) }
 
 // applyOperatorState applies the endpoints that operators have disabled and the drain
--- a/internal/sidecar/operator_state_test.go
+++ b/internal/sidecar/operator_state_test.go
@@ -9,9 +9,9 @@
 	"gorselink/internal/fakeserver"
 )
 
-// If the directory for operator state cannot be created, the sidecar serves but refuses
+// If the directory for operator state cannot be created, the sidecar serves but rejects
 // operator commands. A command that is not stored would be lost at the next restart.
-func TestOperatorCommandsRefusedWithoutStorage(t *testing.T) {
+func TestOperatorCommandsRejectedWithoutStorage(t *testing.T) {
 	agent, err := fakeserver.StartAgent(fakeserver.Entry{Name: "s-1", Address: "127.0.0.1:1", Zone: "a", Status: "in_service"})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/pause_test.go
+++ b/internal/sidecar/pause_test.go
@@ -12,7 +12,7 @@
 )
 
 // A sidecar is paused for 0.15 s while discovery reports a drain. No attempt reaches the draining
-// endpoint after its grace period, and every request is answered.
+// endpoint after its grace period, and every request gets a response.
 func TestDrainGraceCoversProcessPause(t *testing.T) {
 	t.Parallel()
 	const grace, pause, drains = 600 * time.Millisecond, 150 * time.Millisecond, 3
--- a/internal/sidecar/production_test.go
+++ b/internal/sidecar/production_test.go
@@ -39,7 +39,7 @@
 // servedCount returns the number of served requests and of all requests.
 func (s *scenario) servedCount() (served, total int) {
 	outcomes, _ := s.outcomesSoFar()
-	return outcomes.served, outcomes.served + outcomes.rejected + outcomes.failed + outcomes.unanswered
+	return outcomes.served, outcomes.served + outcomes.rejected + outcomes.failed + outcomes.noResponse
 }
 
 // Endpoints silently drop requests with a very short budget. These requests still get a final
@@ -280,7 +280,7 @@
 
 // The first attempt of each request fails after a delay, and every retry fails immediately.
 // Requests get a final response, attempts stay within their limit, and if one endpoint is
-// healthy, repeatable requests are served there.
+// healthy, idempotent requests are served there.
 func TestRetriesThatFailImmediately(t *testing.T) {
 	t.Parallel()
 	const limit = 3 // TryLimit
--- a/internal/sidecar/scenario_test.go
+++ b/internal/sidecar/scenario_test.go
@@ -22,7 +22,7 @@
 )
 
 // responseSlack is how long after its budget a request's final response may arrive before
-// the request counts as unanswered.
+// the response counts as missing.
 const responseSlack = 500 * time.Millisecond
 
 // receivedRequest is a complete request received by a faultyEndpoint.
@@ -146,9 +146,9 @@
 		}},
 		"sends a second response later": {handle: func(x *receivedRequest) bool {
 			x.respond()
-			answered := time.Now()
+			respondedAt := time.Now()
 			time.Sleep(2 * time.Millisecond)
-			if time.Since(answered) < connReuseDelay-time.Millisecond { // later bytes cannot be told from the next response
+			if time.Since(respondedAt) < connReuseDelay-time.Millisecond { // later bytes cannot be distinguished from the next response
 				x.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 			}
 			return true
@@ -234,7 +234,7 @@
 func (e *faultyEndpoint) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
-	var answered time.Time
+	var respondedAt time.Time
 	for {
 		req, err := http.ReadRequest(in)
 		if err != nil {
@@ -244,8 +244,8 @@
 			return
 		}
 		x := &receivedRequest{conn: c, id: req.Header.Get("X-Call-Id"), stop: e.scenario.stop}
-		if !answered.IsZero() {
-			x.connIdle = time.Since(answered)
+		if !respondedAt.IsZero() {
+			x.connIdle = time.Since(respondedAt)
 		}
 		ms, err := strconv.Atoi(req.Header.Get("X-Budget-Ms"))
 		if err != nil {
@@ -257,7 +257,7 @@
 		if !current.handle(x) {
 			return
 		}
-		answered = time.Now()
+		respondedAt = time.Now()
 	}
 }
 
@@ -286,7 +286,7 @@
 }
 
 // outcomeCounts counts requests by outcome.
-type outcomeCounts struct{ served, rejected, failed, unanswered, repeated int }
+type outcomeCounts struct{ served, rejected, failed, noResponse, repeated int }
 
 // recordAttempt records an attempt, and a run of its request if runs is set.
 func (e *faultyEndpoint) recordAttempt(x *receivedRequest, runs bool) {
@@ -546,7 +546,7 @@
 	}
 	switch {
 	case errors.Is(err, errNoResponse), errors.Is(err, os.ErrDeadlineExceeded):
-		s.outcomes.unanswered++
+		s.outcomes.noResponse++
 		s.t.Errorf("%s: %s with %v, request %s, ran %d times: no final response: %v", s.name, c.class, c.budget, id, runs, err)
 	case err != nil: // truncated in a way that the client detects
 		s.outcomes.failed++
--- a/internal/sidecar/short_deadline_test.go
+++ b/internal/sidecar/short_deadline_test.go
@@ -28,7 +28,7 @@
 	deadline     time.Duration
 	terminatedAt atomic.Pointer[time.Time] // when SIGTERM was sent
 
-	answered, unread, connectFailed atomic.Int64
+	responses, unread, connectFailed atomic.Int64
 
 	mu         sync.Mutex
 	violations []string
@@ -83,9 +83,9 @@
 	}
 	switch took := time.Since(written); {
 	case err == nil:
-		l.answered.Add(1)
+		l.responses.Add(1)
 		if began >= 0 && took > l.deadline+500*time.Millisecond {
-			l.addViolation("a request sent %v after SIGTERM was answered after %v", began, took)
+			l.addViolation("a request sent %v after SIGTERM got its response after %v", began, took)
 		}
 		return !resp.Close
 	case newConn && began >= 0 && writtenAt < newConnWindow:
@@ -121,7 +121,7 @@
 const processPause = 150 * time.Millisecond
 
 // With short deadlines SIGKILL follows soon after SIGTERM, while all endpoints hang and clients
-// keep sending requests. Each request is answered or not read, and the process exits before
+// keep sending requests. Each request gets a response or is not read, and the process exits before
 // SIGKILL, even if it is paused for processPause.
 //
 // A run in which the machine pauses the process for longer is repeated.
@@ -144,9 +144,9 @@
 					}
 					return
 				}
-				t.Logf("run %d is void: paused for %v, %d violations", run, lag, len(violations))
+				t.Logf("run %d is inconclusive: paused for %v, %d violations", run, lag, len(violations))
 				if run == runs {
-					t.Fatalf("all %d runs are void", runs)
+					t.Fatalf("all %d runs are inconclusive", runs)
 				}
 			}
 		})
@@ -203,7 +203,7 @@
 			}
 		})
 	}
-	eventually(t, "requests are answered", func() bool { return l.answered.Load() >= 200 })
+	eventually(t, "requests get responses", func() bool { return l.responses.Load() >= 200 })
 	hangs.Store(true)
 	ctx, startMeasuring := context.WithCancel(context.Background())
 	ownLag, _ := measureLag(ctx)
@@ -229,7 +229,7 @@
 		t.Fatal("the process did not exit")
 	}
 	clients.Wait()
-	t.Logf("%d answered, %d unread, %d could not connect", l.answered.Load(), l.unread.Load(), l.connectFailed.Load())
+	t.Logf("%d responses, %d unread, %d could not connect", l.responses.Load(), l.unread.Load(), l.connectFailed.Load())
 	lagText, err := os.ReadFile(filepath.Join(m.dir, lagFile))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -50,12 +50,12 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { c.Close() })
-			kind := []string{"safe", "unsafe", "long"}[n%3]
+			kind := []string{"idempotent", "non-idempotent", "long"}[n%3]
 			head := fmt.Sprintf("X-Call-Id: %016x\r\nX-Budget-Ms: 18000\r\n", lastCallID.Add(1))
 			switch kind {
-			case "safe":
+			case "idempotent":
 				fmt.Fprintf(c, "GET /view HTTP/1.1\r\nHost: x\r\n%s\r\n", head)
-			case "unsafe":
+			case "non-idempotent":
 				fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: x\r\n%sContent-Length: 2\r\n\r\nok", head)
 			default: // too large to buffer, so it is streamed
 				const long = 6 << 20
@@ -81,7 +81,7 @@
 			t.Errorf("%s request: no response after %v: %v", r.kind, took, r.err)
 			continue
 		}
-		if r.kind != "safe" && received.Load() >= 6*requestsPerKind && r.resp.StatusCode == http.StatusServiceUnavailable {
+		if r.kind != "idempotent" && received.Load() >= 6*requestsPerKind && r.resp.StatusCode == http.StatusServiceUnavailable {
 			t.Errorf("%s request: rejected but may have run", r.kind)
 		}
 		if took > maxKillDeadline+killDelay {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -34,23 +34,22 @@
 	// The memory limit divided by readAheadDivisor bounds the data read ahead of large
 	// responses.
 	readAheadDivisor = 5
-	// The memory limit divided by longBodyDivisor bounds the request bodies that exceed the
-	// protocol's lower size limit.
+	// The memory limit divided by longBodyDivisor bounds the request bodies over 64 KiB.
 	longBodyDivisor = 8
-	// The memory limit divided by bodyDivisor bounds all request bodies. The rest is for
-	// headers, responses, stacks and garbage.
+	// The memory limit divided by bodyDivisor bounds all other request bodies. The rest of the
+	// limit is for headers, responses, stacks and garbage.
 	bodyDivisor = 8
 
-	// connReuseDelay is how long a connection stays unused after a response, so that an
+	// connReuseDelay is how long an endpoint connection stays unused after a response, so that an
 	// unsolicited second response is detected before the next request is sent on it.
 	connReuseDelay = 5 * time.Millisecond
 
 	// newConnPeriod is how long the process accepts new connections after SIGTERM or an
 	// operator's drain. The front-end load balancer opens new ones for up to 0.4 s.
 	newConnPeriod = 600 * time.Millisecond
-	// minDrainPeriod is how long before its exit the process starts to close connections,
-	// where newConnPeriod leaves that much time. Until then connections stay open, because
-	// callers may not be able to connect to another sidecar yet.
+	// minDrainPeriod is how long before its exit the process starts to close connections, or
+	// less if less time is left after newConnPeriod. Until then connections stay open,
+	// because callers may not be able to connect to another sidecar yet.
 	minDrainPeriod = 1500 * time.Millisecond
 	// The platform sends SIGKILL no sooner than killDelay after the longest request deadline
 	// following SIGTERM. A longest deadline above maxKillDeadline counts as maxKillDeadline.
@@ -64,8 +63,8 @@
 	// newConnPeriod where SIGKILL comes early.
 	minConnDrainPeriod = 150 * time.Millisecond
 	// exitMargin is how long before SIGKILL the process closes all open connections.
-	// killMargin less exitMargin is left to answer requests if the process is not scheduled
-	// for a while.
+	// killMargin less exitMargin is left to respond to requests if the process is not
+	// scheduled for a while.
 	exitMargin = 20 * time.Millisecond
 )
 
@@ -92,13 +91,13 @@
 	mu               sync.Mutex
 	drained          bool                // by an operator
 	closeIdleTimer   *time.Timer         // closes idle caller connections after newConnPeriod
-	predecessor      *fleet.HandoverLink // to the process that this one takes over from, until it exits
+	previous         *fleet.HandoverLink // to the process that this one takes over from, until it exits
 	successor        *fleet.HandoverLink // to the process that takes over from this one
 	successorServing bool
 	terminating      bool // SIGTERM was received
 }
 
-// Run serves until ctx is done, then drains: it answers the requests that it has received
+// Run serves until ctx is done, then drains: it responds to the requests that it has received
 // and returns. Each signal on reload reloads the configuration.
 func Run(ctx context.Context, options Options, reload <-chan os.Signal) error {
 	if options.ConfigPath == "" {
@@ -141,7 +140,7 @@
 	var inherited handoverState
 	var ages *pool.Ages // of the endpoints in cfg.Known
 	if dir != "" {
-		if s.predecessor, s.listener, err = fleet.TakeOver(dir, &inherited); err != nil {
+		if s.previous, s.listener, err = fleet.TakeOver(dir, &inherited); err != nil {
 			slog.Warn("handover from the previous process failed; continuing without its state", "error", err)
 		}
 	}
@@ -185,14 +184,14 @@
 	if err != nil {
 		return err
 	}
-	if s.predecessor != nil {
+	if s.previous != nil {
 		s.pool.Restore(inherited.Learned)
 	}
 	s.router = httpserver.NewPlatformRouter(s.pool, routerConfig)
 	s.server = httpserver.NewServer(s.router, 1, httpserver.Timeouts{})
 	s.applyLimits()
 	if s.operatorState, err = fleet.OpenOperatorStore(dir, s.applyOperatorState); err != nil {
-		slog.Error("operator state cannot be stored; refusing operator commands", "error", err)
+		slog.Error("operator state cannot be stored; rejecting operator commands", "error", err)
 		s.operatorState = fleet.UnusableOperatorStore(err, s.applyOperatorState)
 	}
 	serveCtx, cancel := context.WithCancel(context.Background())
@@ -207,9 +206,9 @@
 	}
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(s.listener) }()
-	takesOver := s.predecessor != nil
+	takesOver := s.previous != nil
 	if takesOver {
-		s.takeOverFrom(s.predecessor)
+		s.takeOverFrom(s.previous)
 	}
 	if dir != "" {
 		successors, err := fleet.ListenForSuccessor(dir, s.listener, s.handoverSnapshot, s.successorStarted, s.successorReady)
@@ -254,7 +253,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock() // held throughout, so that concurrent calls end with the latest state
 	processes := int64(1)
-	if s.predecessor != nil || s.successor != nil {
+	if s.previous != nil || s.successor != nil {
 		processes = 2
 	}
 	memory, conns := s.memoryBytes()/processes, max(2, s.limits.Sockets/int(processes)-config.ReservedDescriptors)
@@ -279,7 +278,7 @@
 	go func() {
 		link.ReceiveConns(s.server.Resume)
 		s.mu.Lock()
-		s.predecessor = nil
+		s.previous = nil
 		s.mu.Unlock()
 		slog.Info("the previous process has exited; recalculating the limits")
 		s.applyLimits()
@@ -293,7 +292,7 @@
 			}
 		}
 		if err := link.SendReady(); err != nil {
-			slog.Warn("cannot tell the previous process that this one is ready", "error", err)
+			slog.Warn("cannot notify the previous process that this one is ready", "error", err)
 		}
 	}()
 }
@@ -407,8 +406,8 @@
 	if s.pool.ClassCount() > maxClasses {
 		return fmt.Errorf("more than %d request classes since the start of the process", maxClasses)
 	}
-	// Registering classes has no effect until the router uses them, so it is safe before
-	// the steps that may fail.
+	// Registering classes has no effect until the router uses them, so it can precede the
+	// steps that may fail.
 	routerConfig, err := s.newRouterConfig(cfg)
 	if err != nil {
 		return err
@@ -423,7 +422,7 @@
 	return nil
 }
 
-// shutdown answers all received requests and returns before SIGKILL is due. It hands caller
+// shutdown responds to all received requests and returns before SIGKILL is due. It hands caller
 // connections over to a serving successor. Without one, it first reports not ready, so that
 // the front-end load balancer stops opening connections.
 func (s *Sidecar) shutdown(served <-chan error) {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -305,7 +305,7 @@
 	for range 4 {
 		time.Sleep(100 * time.Millisecond)
 		next, _ := startInstance(t, path, temp)
-		eventually(t, "the old process leaves new connections to the successor", func() bool {
+		eventually(t, "the previous process leaves new connections to the successor", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.successorServing
@@ -323,7 +323,7 @@
 	p.finish(t)
 }
 
-// If a new process fails during the handover, the old one continues to serve.
+// If a new process fails during the handover, the previous one continues to serve.
 func TestFailedUpgradeIsReverted(t *testing.T) {
 	disc := newDiscoveryServer(t, "s-1", serverAddr(newEndpointServer(t, "first")))
 	listen, path, temp := freeAddr(t), filepath.Join(t.TempDir(), "config.json"), t.TempDir()
@@ -337,7 +337,7 @@
 	if err := link.SendReady(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the old process leaves new connections to the new one", func() bool {
+	eventually(t, "the previous process leaves new connections to the new one", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.successorServing
@@ -483,9 +483,9 @@
 	reload(changed)
 	eventually(t, "the new class is in use", func() bool { return requestStatus("POST", "pledge") == 200 })
 	if got := requestStatus("GET", "pledge"); got != 400 {
-		t.Errorf("GET for a non-repeatable class: %d, want 400", got)
+		t.Errorf("GET for a non-idempotent class: %d, want 400", got)
 	}
-	// One class becomes non-repeatable, and another is removed.
+	// One class becomes non-idempotent, and another is removed.
 	reload(strings.Replace(strings.Replace(changed, `"Semantics":"free"`, `"Semantics":"single_shot"`, 1), addedClass, "", 1))
 	eventually(t, "the changed class is in use", func() bool { return requestStatus("GET", "view") == 400 && requestStatus("POST", "view") == 200 })
 	if got := requestStatus("POST", "pledge"); got != 404 {
--- a/internal/sidecar/signals_test.go
+++ b/internal/sidecar/signals_test.go
@@ -34,12 +34,13 @@
 	return p, listen, path
 }
 
+// withDeadline sets the latency target and the deadline of the class in a configuration.
 func withDeadline(text, deadline string) string {
 	return strings.Replace(text, `"AimS":1,"DeadlineS":2`, `"AimS":`+deadline+`,"DeadlineS":`+deadline, 1)
 }
 
 // After a reload changes the deadlines, the platform may compute the time of SIGKILL from the
-// old or the new ones. The shorter ones bound the shutdown, and open requests are answered.
+// old or the new ones. The shorter ones bound the shutdown, and open requests get responses.
 func TestShutdownUsesShortestConfiguredDeadline(t *testing.T) {
 	for name, c := range map[string]struct{ before, after string }{"shorter": {"2", "0.4"}, "longer": {"0.4", "2"}} {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +79,7 @@
 
 // Partially received requests get an error response when the process exits, because their
 // last byte may arrive at that moment.
-func TestShutdownAnswersPartialRequests(t *testing.T) {
+func TestShutdownRespondsToPartialRequests(t *testing.T) {
 	p, listen, _ := startWithHungEndpoint(t, "0.4")
 	var conns []net.Conn
 	for _, text := range []string{
@@ -107,8 +108,8 @@
 	}
 }
 
-// On SIGTERM and SIGHUP in any order, the process exits before SIGKILL and answers open
-// requests.
+// On SIGTERM and SIGHUP in any order, the process exits before SIGKILL and responds to
+// open requests.
 func TestConcurrentSignals(t *testing.T) {
 	for _, order := range []string{"term, hup", "hup, term", "hup, hup, term, hup"} {
 		t.Run(order, func(t *testing.T) {
--- a/internal/sidecar/syscall_filter_test.go
+++ b/internal/sidecar/syscall_filter_test.go
@@ -58,10 +58,10 @@
 		allow      = 0x7fff0000 // SECCOMP_RET_ALLOW
 		failENOSYS = 0x00050000 | uint32(unix.ENOSYS)
 	)
-	refusedCalls := []uint32{unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_EXECVE, unix.SYS_EXECVEAT, unix.SYS_SPLICE, unix.SYS_TEE,
+	forbiddenCalls := []uint32{unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_EXECVE, unix.SYS_EXECVEAT, unix.SYS_SPLICE, unix.SYS_TEE,
 		unix.SYS_SENDFILE, unix.SYS_IO_URING_SETUP, unix.SYS_IO_URING_ENTER, unix.SYS_IO_URING_REGISTER}
 	prog := []unix.SockFilter{{Code: load, K: 0}}
-	for _, nr := range refusedCalls {
+	for _, nr := range forbiddenCalls {
 		prog = append(prog, unix.SockFilter{Code: equal, K: nr, Jf: 1}, unix.SockFilter{Code: ret, K: failENOSYS})
 	}
 	prog = append(prog,
--- a/internal/sidecar/takeover_test.go
+++ b/internal/sidecar/takeover_test.go
@@ -30,9 +30,9 @@
 	wg        sync.WaitGroup
 	runCounts sync.Map // id to *atomic.Int64
 
-	drained                                     atomic.Bool // the front-end load balancer opens no new connections
-	processKilled                               atomic.Bool // a process of the sidecar was killed by SIGKILL
-	answered, served, closedIdle, connectFailed atomic.Int64
+	drained                                      atomic.Bool // the front-end load balancer opens no new connections
+	processKilled                                atomic.Bool // a process of the sidecar was killed by SIGKILL
+	responses, served, closedIdle, connectFailed atomic.Int64
 }
 
 // newNode starts a node that responds with the request id after a delay, or hangs.
@@ -93,10 +93,10 @@
 }
 
 // sendRequest sends a request and returns whether the connection stays open.
-func (c *loadClients) sendRequest(conn net.Conn, in *bufio.Reader, used, safe bool) bool {
+func (c *loadClients) sendRequest(conn net.Conn, in *bufio.Reader, used, idempotent bool) bool {
 	id := fmt.Sprintf("%016x", lastCallID.Add(1))
 	text := "GET /view HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\n\r\n"
-	if !safe {
+	if !idempotent {
 		text = "POST /pay HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nContent-Length: 2\r\n\r\nok"
 	}
 	conn.SetDeadline(time.Now().Add(testTimeout))
@@ -114,7 +114,7 @@
 		runCount = v.(*atomic.Int64).Load()
 	}
 	switch {
-	case runCount > 1 && !safe:
+	case runCount > 1 && !idempotent:
 		c.t.Errorf("request %s ran %d times, want at most once", id, runCount)
 	case err != nil && (c.processKilled.Load() || used && runCount == 0): // closed while idle
 		c.closedIdle.Add(1)
@@ -124,11 +124,11 @@
 		c.t.Errorf("request %s got %q, want its own response", id, body)
 	case resp.StatusCode == http.StatusOK:
 		c.served.Add(1)
-		c.answered.Add(1)
-	case resp.StatusCode == http.StatusServiceUnavailable && !safe && runCount > 0:
+		c.responses.Add(1)
+	case resp.StatusCode == http.StatusServiceUnavailable && !idempotent && runCount > 0:
 		c.t.Errorf("request %s was rejected but may have run", id)
 	default:
-		c.answered.Add(1)
+		c.responses.Add(1)
 	}
 	return err == nil && !resp.Close
 }
@@ -136,10 +136,10 @@
 func (c *loadClients) stop() {
 	close(c.done)
 	c.wg.Wait()
-	c.t.Logf("%d answered, %d of them served, %d closed while idle, %d could not connect", c.answered.Load(), c.served.Load(), c.closedIdle.Load(), c.connectFailed.Load())
+	c.t.Logf("%d responses, %d of them served, %d closed while idle, %d could not connect", c.responses.Load(), c.served.Load(), c.closedIdle.Load(), c.connectFailed.Load())
 }
 
-// twoClassConfig returns a configuration with a repeatable and a non-repeatable class, both with
+// twoClassConfig returns a configuration with a idempotent and a non-idempotent class, both with
 // short deadlines.
 func twoClassConfig(listen, discovery string) string {
 	return strings.Replace(configJSON(listen, discovery), `"AimS":1,"DeadlineS":2,"Semantics":"free","Worth":1}`,
@@ -164,8 +164,8 @@
 	}
 }
 
-// A sidecar restarts under load while half of its endpoints hang. All received requests are
-// answered before the process exits, and non-repeatable ones run at most once and are not
+// A sidecar restarts under load while half of its endpoints hang. All received requests get
+// responses before the process exits, and non-idempotent ones run at most once and are not
 // rejected after they may have run.
 func TestRestartWhileEndpointsHang(t *testing.T) {
 	c := &loadClients{t: t, listen: freeAddr(t)}
@@ -214,7 +214,7 @@
 }
 
 // A takeover coincides with SIGTERM, SIGHUP or the death of either process. All requests that a
-// process received are answered unless it was killed, and the sidecar serves afterwards.
+// process received get responses unless it was killed, and the sidecar serves afterwards.
 func TestTakeoverWithConcurrentEvents(t *testing.T) {
 	for _, name := range []string{"term after successor start", "hup to both, then term", "successor is killed", "old process is killed", "term, then successor is killed"} {
 		t.Run(name, func(t *testing.T) {
@@ -319,8 +319,8 @@
 	}
 }
 
-// SIGTERM arrives after a successor has started but before it is ready. The old process keeps
-// its callers and answers them.
+// SIGTERM arrives after a successor has started but before it is ready. The previous process keeps
+// its callers and responds to them.
 func TestTermBeforeSuccessorServes(t *testing.T) {
 	disc := newDiscoveryServer(t, "s-1", serverAddr(newEndpointServer(t, "first")))
 	listen, path, temp := freeAddr(t), filepath.Join(t.TempDir(), "config.json"), t.TempDir()
@@ -350,7 +350,7 @@
 	}
 	defer link.Close()
 	defer l.Close()
-	eventually(t, "the old process knows the successor", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.successor != nil })
+	eventually(t, "the previous process knows the successor", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.successor != nil })
 	p.stop()
 	eventually(t, "the process is terminating", func() bool { p.mu.Lock(); defer p.mu.Unlock(); return p.terminating })
 	expectServed("after SIGTERM")
