--- a/balance/balance.go
+++ b/balance/balance.go
@@ -292,9 +292,10 @@
 // Snapshot holds the measurements of a Balancer, to be passed to its successor. InAim is
 // the number of attempts in flight that can meet their latency targets.
 type Snapshot struct {
-	Limit, Served, InAim float64
-	Classes              []Estimate
-	Endpoints            map[string]Estimate
+	Limit, Served float64
+	InAim         float64 `json:"InAim"`
+	Classes       []Estimate
+	Endpoints     map[string]Estimate
 }
 
 // Snapshot returns the current measurements.
