--- a/balance/balance.go
+++ b/balance/balance.go
@@ -292,10 +292,10 @@
 // Snapshot holds the measurements of a Balancer, to be passed to its successor. InAim is
 // the number of attempts in flight that can meet their latency targets.
 type Snapshot struct {
-	Limit, Served float64
-	InAim         float64 `json:"InAim"`
-	Classes       []Estimate
-	Endpoints     map[string]Estimate
+	Limit, Served       float64
+	InTargetConcurrency float64 `json:"InAim"`
+	Classes             []Estimate
+	Endpoints           map[string]Estimate
 }
 
 // Snapshot returns the current measurements.
@@ -315,7 +315,7 @@
 // both have.
 func (b *Balancer) Restore(now time.Duration, m Snapshot) {
 	b.admission.limit = m.Limit
-	b.servedRate, b.inTargetConcurrency = steadyRate(now, m.Served), steadyRate(now, m.InAim)
+	b.servedRate, b.inTargetConcurrency = steadyRate(now, m.Served), steadyRate(now, m.InTargetConcurrency)
 	b.meanCapacityShare, b.averagedAt = 1, now // the endpoints may have had full capacity when that was measured
 	for i := range b.classes[:min(len(b.classes), len(m.Classes))] {
 		b.classes[i].meanSeconds, b.classes[i].sampleCount = m.Classes[i].Mean, m.Classes[i].N
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -463,7 +463,7 @@
 		list[i].Since = now
 	}
 	b.UpdateEndpoints(now, Cached, list)
-	b.Restore(now, Snapshot{Served: served, InAim: served})
+	b.Restore(now, Snapshot{Served: served, InTargetConcurrency: served})
 	for id := RequestID(1); id <= RequestID(cfg.OverloadWindow/interval); id++ {
 		at, first := now+time.Duration(id)*interval, len(h.sends)
 		b.Request(at, id, 0, 0, 1500*ms)
--- a/internal/pool/learned_state_test.go
+++ b/internal/pool/learned_state_test.go
@@ -33,7 +33,7 @@
 	}
 	previous := create(list("a", "b"), view, pay)
 	want := balance.Snapshot{
-		Limit: 12, Served: 40, InAim: 30,
+		Limit: 12, Served: 40, InTargetConcurrency: 30,
 		Classes:   []balance.Estimate{{Mean: 0.1, N: 50}, {Mean: 0.3, N: 20}},
 		Endpoints: map[string]balance.Estimate{"a": {Mean: 0.2, N: 7, Failures: 2}, "b": {Mean: 0.4, N: 20}},
 	}
@@ -50,8 +50,8 @@
 	next.Restore(state)
 	got := next.LearnedState().Balancer
 	near := func(a, b float64) bool { return a > b*0.98 && a < b*1.02 }
-	if got.Limit != 12 || !near(got.Served, 40) || !near(got.InAim, 30) {
-		t.Errorf("limit %v, served %v, in aim %v, want 12, 40, 30", got.Limit, got.Served, got.InAim)
+	if got.Limit != 12 || !near(got.Served, 40) || !near(got.InTargetConcurrency, 30) {
+		t.Errorf("limit %v, served %v, in aim %v, want 12, 40, 30", got.Limit, got.Served, got.InTargetConcurrency)
 	}
 	if !near(got.Classes[0].Mean, 0.3) || got.Classes[0].N != 20 || !near(got.Classes[1].Mean, 0.1) {
 		t.Errorf("classes %+v, want the learned state of pay and view in this order", got.Classes)
