--- a/balance/admission.go
+++ b/balance/admission.go
@@ -18,12 +18,12 @@
 	recentlyServedWindow  = 500 * time.Millisecond // an endpoint that served within it is alive
 	priorityWindow        = 500                    // requests over which the mean priority is taken
 	budgetTolerance       = 0.95                   // ratio within which two budgets count as equal, as network delays differ
-	lowPriorityLimitShare = 0.5                    // share of the limit from which requests of the lowest priority are refused
+	lowPriorityLimitShare = 0.5                    // share of the limit from which requests of the lowest priority are rejected
 )
 
-// admission limits the attempts in flight at the tier where clients enter.
-// Without it an overloaded tier rejects or delays requests at random, after the
-// tiers above have already worked for them. It refuses by priority instead.
+// admission is the admission control of the entry tier: it limits the attempts in flight
+// and rejects requests of low priority first. Without it an overloaded tier would reject
+// or delay requests at random, after the tiers above have already worked for them.
 type admission struct {
 	outcomes                   int     // since the last adjustment of the limit
 	congested                  int     // of outcomes: rejected as overloaded or late
@@ -32,8 +32,8 @@
 	failedCount, failedSeconds float64 // attempts ended by an error and their total duration
 	baselineSeconds            float64 // mean duration of a served attempt while few fail
 	inFlightBefore             int     // attempts in flight at the last adjustment
-	limit                      float64 // attempts in flight; 0 means no limit yet
-	refusedAny                 bool    // a request was refused since the last adjustment
+	limit                      float64 // admission limit: attempts in flight; 0 means no limit yet
+	rejectedAny                bool    // a request was rejected since the last adjustment
 	quotas                     []quota
 
 	meanPriority, prioritySamples float64
@@ -46,7 +46,7 @@
 }
 
 // hasToken refills the bucket and reports whether the tenant is within its quota.
-// The token is taken only on admission, so that repeats of refused requests do not
+// The token is taken only on admission, so that repeats of rejected requests do not
 // exhaust the quota.
 func (q *quota) hasToken(now time.Duration) bool {
 	if q.perSecond <= 0 {
@@ -62,8 +62,9 @@
 // limit falls only if the congested share is significantly above the threshold.
 //
 // Errors count as overload only if attempts also take much longer than the baseline:
-// an endpoint that fails by itself answers quickly, and the others keep their speed. By
-// Little's law, the served rate times an acceptable duration bounds the attempts in flight.
+// an endpoint that fails by itself responds quickly, and the others keep their speed. In
+// that case the limit is also bounded by the served rate times an acceptable duration,
+// which is the number of attempts in flight by Little's law.
 func (a *admission) observe(congested bool, inFlight int, servedRate, inTarget float64) {
 	a.outcomes++
 	if congested {
@@ -82,8 +83,9 @@
 	case congestedShare > significant || slowFailures:
 		a.limit = cmp.Or(a.limit, float64(inFlight+1))
 		a.limit *= 1 - max(0, congestedShare-congestionThreshold)/2
-		// Only where lateness dominates: where endpoints reject, the served rate
-		// falls with the limit, and the bound would reduce both to nothing.
+		// inTarget bounds the limit only if most congestion is lateness. If endpoints
+		// reject, the served rate falls with the limit, and the bound would reduce
+		// both to nothing.
 		if 2*a.lateInFlight > a.congested {
 			a.limit = min(a.limit, inTarget)
 		}
@@ -91,37 +93,39 @@
 			a.limit = min(a.limit, sustainable)
 		}
 		a.limit = max(minLimit, a.limit)
-	case congestedShare <= congestionThreshold && a.refusedAny:
-		// A refusal, and not attempts in flight near the limit, triggers growth: with a
-		// small limit few are in flight when an outcome arrives, and it would never grow.
+	case congestedShare <= congestionThreshold && a.rejectedAny:
+		// The limit grows after a rejection, and not when the attempts in flight are near
+		// it: with a small limit few are in flight when an outcome arrives, so the limit
+		// would never grow.
 		a.limit = max(a.limit*limitGrowth, min(2*a.limit, sustainable))
 	}
 	if a.servedCount > 0 && (unservedShare <= congestionThreshold || a.limit == minLimit) {
 		a.baselineSeconds = min(mean, cmp.Or(a.baselineSeconds, mean)*baselineGrowth)
 	}
-	a.outcomes, a.congested, a.lateInFlight, a.failedCount, a.servedCount, a.servedSeconds, a.failedSeconds, a.refusedAny, a.inFlightBefore = 0, 0, 0, 0, 0, 0, 0, false, inFlight
+	a.outcomes, a.congested, a.lateInFlight, a.failedCount, a.servedCount, a.servedSeconds, a.failedSeconds, a.rejectedAny, a.inFlightBefore = 0, 0, 0, 0, 0, 0, 0, false, inFlight
 }
 
-// admits reports whether a request may enter. worthLeft is the part of its worth that
-// can still be earned; priorities below the mean are refused at a lower limit. The mean
-// ignores worthLeft, as late repeats would lower it until classes no longer differ.
-func (a *admission) admits(priority, worthLeft float64, inFlight int) bool {
+// admits reports whether a request may enter. Priorities below the mean are rejected at a
+// lower limit. remainingWeight is the share of the priority weight that the request can
+// still earn. The mean ignores it, as late repeats would lower the mean until classes no
+// longer differ.
+func (a *admission) admits(priority, remainingWeight float64, inFlight int) bool {
 	a.prioritySamples = min(a.prioritySamples+1, priorityWindow)
 	a.meanPriority += (priority - a.meanPriority) / a.prioritySamples
-	relative := min(1, priority*worthLeft/max(a.meanPriority, math.SmallestNonzeroFloat64))
+	relative := min(1, priority*remainingWeight/max(a.meanPriority, math.SmallestNonzeroFloat64))
 	ok := a.limit == 0 || float64(inFlight) < a.limit*(lowPriorityLimitShare+(1-lowPriorityLimitShare)*relative)
-	a.refusedAny = a.refusedAny || !ok
+	a.rejectedAny = a.rejectedAny || !ok
 	return ok
 }
 
 // admit reports whether a client's request may enter, and takes a token of its
 // tenant's quota if so.
 func (b *Balancer) admit(now time.Duration, r *request, tenant int) bool {
-	worthLeft := 1.0
+	remainingWeight := 1.0
 	if b.earlierWait(r) >= b.cfg.Classes[r.class].LatencyTarget {
-		worthLeft = b.cfg.Classes[r.class].LateWeight
+		remainingWeight = b.cfg.Classes[r.class].LateWeight
 	}
-	if !b.admission.admits(b.priority(now, r.class, tenant), worthLeft, b.inFlight) {
+	if !b.admission.admits(b.priority(now, r.class, tenant), remainingWeight, b.inFlight) {
 		return false
 	}
 	if tenant >= 0 && tenant < len(b.admission.quotas) {
@@ -131,9 +135,10 @@
 	return true
 }
 
-// earlierWait estimates how long the client has waited in earlier tries. Most tries have
-// the usual budget; only a client's last try is cut to the time that remains. Such
-// repeats are not preferred, as in overload that would make fresh requests late too.
+// earlierWait estimates how long the client has waited in earlier tries of this request,
+// from its budget. Most tries have the usual budget; the last try of a client has only the
+// time that remains. Late repeats are admitted last, as fresh requests would otherwise
+// become late too in an overload.
 func (b *Balancer) earlierWait(r *request) time.Duration {
 	c := &b.classes[r.class]
 	budget := r.deadline - r.arrived
@@ -141,7 +146,7 @@
 		c.usualBudgetVotes = min(c.usualBudgetVotes+1, priorityWindow)
 		return 0
 	}
-	if c.usualBudgetVotes == 0 { // majority vote, as the largest budget may not be the usual one
+	if c.usualBudgetVotes == 0 { // majority vote (Boyer-Moore), as the largest budget may not be the usual one
 		c.usualBudget = budget
 		return 0
 	}
@@ -149,17 +154,17 @@
 	return b.cfg.Classes[r.class].Deadline - budget
 }
 
-// priority is what serving a request adds to the objective, divided by its cost: its
-// worth relative to the mean, and its effect on the worst served class. The cost is the
-// square of the class's relative duration.
+// priority returns what serving a request adds to the objective, divided by its cost. The
+// gain is its priority weight relative to the mean, plus its effect on the worst served
+// class. The cost is the square of the class's relative duration.
 func (b *Balancer) priority(now time.Duration, class, tenant int) float64 {
 	c := &b.classes[class]
 	c.requested++
-	total, worth, worst := 0.0, 0.0, class
+	total, weightSum, worst := 0.0, 0.0, class
 	for i := range b.classes {
 		k := &b.classes[i]
 		total += k.requested
-		worth += k.requested * b.cfg.Classes[i].PriorityWeight
+		weightSum += k.requested * b.cfg.Classes[i].PriorityWeight
 		w := &b.classes[worst]
 		if k.servedInTarget*w.requested < w.servedInTarget*k.requested {
 			worst = i
@@ -172,8 +177,8 @@
 		}
 	}
 	gain := (1 - b.cfg.WorstClassWeight) * b.cfg.Classes[class].PriorityWeight
-	if worth > 0 {
-		gain *= total / worth
+	if weightSum > 0 {
+		gain *= total / weightSum
 	}
 	if class == worst {
 		gain += b.cfg.WorstClassWeight * total / c.requested
@@ -184,9 +189,9 @@
 	return gain / math.Pow(b.durationRatio(class), 2)
 }
 
-// isCongestion reports whether an outcome indicates an overloaded tier. A refused
-// connection does only if the endpoint served recently: its connection table is full,
-// while an endpoint that is down or unreachable has not served.
+// isCongestion reports whether an outcome indicates an overloaded tier. A
+// connect error does only if the endpoint served recently: its connection table is full
+// then, while an endpoint that is down or unreachable has not served.
 func (b *Balancer) isCongestion(now time.Duration, r *request, a *attempt, result Result, elapsed time.Duration) bool {
 	e := &b.endpoints[a.endpoint]
 	if result == ConnectError {
--- a/balance/all_cold_test.go
+++ b/balance/all_cold_test.go
@@ -7,19 +7,19 @@
 )
 
 // The cold budget grows with the served rate. It must permit attempts even if all
-// endpoints are cold and nothing has been served yet: no run of 15 or more refused
-// requests may last over 4 s without an attempt.
+// endpoints are cold and nothing has been served yet: there must
+// be no 4 s in which 15 or more requests are rejected and no attempt is sent.
 func TestAllColdEndpointsReceiveRequests(t *testing.T) {
 	const maxGap, minRefused, perSecond = 4 * time.Second, 15, 200
 	for _, n := range []int{1, 20} {
 		f := newFleet(t, fleetConfig(), n, 1)
-		f.answer = func(string, int) (Result, time.Duration) { return OK, 20 * ms }
-		lastSend, refused := time.Duration(0), 0
-		longestGap, refusedInGap := time.Duration(0), 0
-		f.onSend = func(string, int) { lastSend, refused = f.now, 0 }
-		f.onRefuse = func(RequestID, time.Duration) {
-			if refused++; refused >= minRefused && f.now-lastSend > longestGap {
-				longestGap, refusedInGap = f.now-lastSend, refused
+		f.respond = func(string, int) (Result, time.Duration) { return OK, 20 * ms }
+		lastSend, rejected := time.Duration(0), 0
+		longestGap, rejectedInGap := time.Duration(0), 0
+		f.onSend = func(string, int) { lastSend, rejected = f.now, 0 }
+		f.onReject = func(RequestID, time.Duration) {
+			if rejected++; rejected >= minRefused && f.now-lastSend > longestGap {
+				longestGap, rejectedInGap = f.now-lastSend, rejected
 			}
 		}
 		list := readyEndpoints("new", 12)
@@ -42,7 +42,7 @@
 			e.run()
 		}
 		if longestGap > maxGap {
-			t.Errorf("%d Balancers: %d consecutive requests refused over %v without an attempt, want at most %v", n, refusedInGap, longestGap.Round(ms), maxGap)
+			t.Errorf("%d Balancers: %d consecutive requests rejected over %v without an attempt, want at most %v", n, rejectedInGap, longestGap.Round(ms), maxGap)
 		}
 	}
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,8 +1,8 @@
 // Package balance makes the decisions of a client-side load balancer: which
-// endpoint gets an attempt, when to retry and when to refuse a request.
+// endpoint gets an attempt, when to retry and when to reject a request.
 //
-// A Balancer receives events as method calls that carry the time, and acts through a
-// Host. It does no I/O, reads no clock and starts no goroutines; the same events and seed
+// A Balancer receives events as method calls that carry the time, and acts through
+// Actions. It does no I/O, reads no clock and starts no goroutines; the same events and seed
 // give the same actions. It is not safe for concurrent use. Endpoints are selected by the
 // ratio approach of Küting et al., "Client-Based Adaptive Load Balancing in
 // Service-Oriented Systems"; see docs/design.md.
@@ -22,7 +22,7 @@
 // RequestID identifies a request; ids must be unique and below 1<<60.
 type RequestID uint64
 
-// Semantics tells whether a request may be repeated.
+// Idempotency describes whether and how a request may be repeated.
 type Idempotency int
 
 const (
@@ -31,7 +31,8 @@
 	NonIdempotent                      // must not run twice
 )
 
-// Scope is the group of endpoints that deduplicates the repeats of a Keyed request.
+// DeduplicationScope is the group of endpoints that deduplicates the repeats of an
+// IdempotentByKey request.
 type DeduplicationScope int
 
 const (
@@ -42,13 +43,13 @@
 
 // Class holds the settings of one class of requests.
 type Class struct {
-	LatencyTarget       time.Duration      `json:"Aim"`      // an answer within it earns full Worth; 0 means Deadline
+	LatencyTarget       time.Duration      `json:"Aim"`      // a response within it earns the full PriorityWeight; 0 means Deadline
 	Deadline            time.Duration      `json:"Deadline"` // total time that the client waits
 	Idempotency         Idempotency        `json:"Semantics"`
 	DeduplicationScope  DeduplicationScope `json:"Scope"`
-	DeduplicationWindow time.Duration      `json:"MemorySpan"` // how long repeats of a Keyed request are deduplicated
+	DeduplicationWindow time.Duration      `json:"MemorySpan"` // how long repeats of an IdempotentByKey request are deduplicated
 	PriorityWeight      float64            `json:"Worth"`
-	LateWeight          float64            `json:"LateWorth"` // part of Worth that an answer after LatencyTarget earns
+	LateWeight          float64            `json:"LateWorth"` // share of PriorityWeight that a response after LatencyTarget earns
 }
 
 // Config holds the settings of a Balancer.
@@ -66,15 +67,15 @@
 	WorstClassWeight float64 `json:"WorstClassWeight"` // weight of the worst served class in the objective, 0 to 1
 	OverQuotaWeight  float64 `json:"OverShareWorth"`   // factor on the priority of a request over its tenant's quota
 
-	SlowStartInitialShare float64       `json:"ColdShare"`    // least share of its capacity that an endpoint starts with
-	SlowStartWindow       time.Duration `json:"RampTime"`     // time until an endpoint has its full capacity
-	OverloadWindow        time.Duration `json:"OverloadFor"`  // period of sustained load that overloads a cold endpoint
-	OverloadFactor        float64       `json:"FallMultiple"` // multiple of its capacity that does so; 0 means unknown
+	SlowStartInitialShare float64       `json:"ColdShare"`    // initial share: the least share of its capacity that a new endpoint has
+	SlowStartWindow       time.Duration `json:"RampTime"`     // slow-start window: time until an endpoint has its full capacity
+	OverloadWindow        time.Duration `json:"OverloadFor"`  // a cold endpoint is overloaded if excess load lasts for this period
+	OverloadFactor        float64       `json:"FallMultiple"` // multiple of its capacity that overloads a cold endpoint; 0 means unknown
 
 	IdleConnTimeout time.Duration `json:"ConnIdle"`  // after which idle connections are closed
 	Multiplex       int           `json:"Multiplex"` // concurrent attempts per connection
 
-	PullDiscovery    bool          `json:"AskDiscovery"` // endpoint lists arrive only after Host.Watch
+	PullDiscovery    bool          `json:"AskDiscovery"` // endpoint updates arrive only after Actions.Watch
 	MaxWatchInterval time.Duration `json:"AskWithin"`    // upper bound of the interval between Watch calls without a subscription
 }
 
@@ -87,27 +88,28 @@
 	case c.Index < 0 || c.Index >= c.Instances:
 		return fmt.Errorf("balance: Index: %d, want 0 to Instances-1", c.Index)
 	case min(c.WorstClassWeight, c.SlowStartInitialShare) < 0 || max(c.WorstClassWeight, c.SlowStartInitialShare) > 1:
-		return fmt.Errorf("balance: WorstClassWeight, ColdShare: %v, %v, want 0 to 1", c.WorstClassWeight, c.SlowStartInitialShare)
+		return fmt.Errorf("balance: WorstClassWeight, SlowStartInitialShare: %v, %v, want 0 to 1", c.WorstClassWeight, c.SlowStartInitialShare)
 	case c.SlowStartWindow < 0 || c.OverloadWindow < 0 || c.OverloadFactor < 0:
-		return errors.New("balance: RampTime, OverloadWindow, OverloadFactor: want 0 or more")
+		return errors.New("balance: SlowStartWindow, OverloadWindow, OverloadFactor: want 0 or more")
 	case c.PullDiscovery && c.MaxWatchInterval <= 0:
 		return errors.New("balance: MaxWatchInterval: want more than 0 with PullDiscovery")
 	}
 	return nil
 }
 
-// Host carries out a Balancer's actions. Its methods must not call the Balancer.
+// Actions carries out the decisions of a Balancer. Its methods must not call the Balancer.
 type Actions interface {
 	// Send starts the request's next attempt; attempts are numbered from 0. The timeout
-	// is the request's remaining time, as a shorter one would add retries under high load.
+	// is the request's remaining time; a shorter one would cause more retries under high load.
 	Send(id RequestID, addr string, timeout time.Duration)
-	// Refuse ends the request and tells the client that it may safely be repeated.
+	// Reject ends the request and promises the client that it had no effect, so that the
+	// client may repeat it.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail ends the request with an error; it may or may not have run.
+	// Fail ends the request with an error. The request may have run.
 	Fail(id RequestID)
-	// After requests a Timer event with this token after d.
+	// After schedules a call of Balancer.Timer with this token after d.
 	After(d time.Duration, token uint64)
-	// Watch subscribes to changes of the endpoint list.
+	// Watch subscribes to endpoint updates.
 	Watch()
 }
 
@@ -129,13 +131,13 @@
 	Since time.Duration // start of its process; 0 means long ago
 }
 
-// ListKind tells how the list of a Members event is to be applied.
+// UpdateKind determines how the list of an endpoint update is applied.
 type UpdateKind int
 
 const (
 	Delta      UpdateKind = iota // changed entries only
-	Full                         // all entries; missing endpoints are gone
-	Cached                       // all entries, possibly outdated
+	Full                         // a snapshot: all entries; missing endpoints are gone
+	Cached                       // a snapshot that may be outdated
 	ListFailed                   // discovery failed; the previous list stays in use
 )
 
@@ -144,13 +146,13 @@
 
 const (
 	OK           Result = iota
-	Error               // the endpoint answered with an error; it may have run
-	Overloaded          // rejected before processing; it never ran
-	Timeout             // no answer in time; it may have run or be running
-	ConnectError        // no connection; it never ran
-	Reset               // the connection broke; it may have run
-	Cancelled           // cancelled by the caller; it may have run
-	NotSent             // never transmitted
+	Error               // the endpoint responded with an error; the request may have run
+	Overloaded          // rejected by the endpoint before processing; the request never ran
+	Timeout             // no response in time; the request may have run or be running
+	ConnectError        // no connection; the request never ran
+	Reset               // the connection broke; the request may have run
+	Cancelled           // cancelled by the caller; the request may have run
+	NotSent             // never transmitted; the request never ran
 )
 
 func (r Result) neverRan() bool { return r == Overloaded || r == ConnectError || r == NotSent }
@@ -190,7 +192,7 @@
 type classStats struct {
 	meanSeconds, sampleCount float64
 
-	requested, servedInTarget float64 // decaying counts of requests and of answers within the latency target
+	requested, servedInTarget float64 // decaying counts of requests and of responses within the latency target
 
 	usualBudget      time.Duration // budget of most requests, by majority vote
 	usualBudgetVotes int
@@ -198,11 +200,12 @@
 
 const classWindow = 200 // samples averaged for a class; Balancer.relativeVariance averages a quarter of them
 
-// Balancer makes the decisions for one caller. Use New to create one.
+// Balancer selects endpoints and makes retry and admission decisions for one caller. Use
+// New to create one.
 type Balancer struct {
-	cfg  Config
-	host Actions
-	rng  *rand.Rand
+	cfg     Config
+	actions Actions
+	rng     *rand.Rand
 
 	endpoints         []endpoint
 	indexByAddr       map[string]int
@@ -232,7 +235,7 @@
 	classes             []classStats
 	servedRate          rate
 	requestRate         rate
-	inTargetConcurrency rate // latency targets (s) of the requests served per second: by Little's law, the attempts in flight that can meet them
+	inTargetConcurrency rate // sum of the latency targets, in seconds, of the requests served per second: by Little's law, the attempts in flight that can meet them
 	candidates          []candidate
 	totalWeight         float64
 	retryTokens         float64
@@ -250,12 +253,12 @@
 )
 
 // New returns a Balancer for cfg whose random numbers are derived from seed.
-func New(cfg Config, seed uint64, host Actions) (*Balancer, error) {
-	if host == nil {
-		return nil, errors.New("balance: nil Host")
+func New(cfg Config, seed uint64, actions Actions) (*Balancer, error) {
+	if actions == nil {
+		return nil, errors.New("balance: Actions is nil")
 	}
 	b := &Balancer{
-		host: host, retryTokens: minRetryBurst,
+		actions: actions, retryTokens: minRetryBurst,
 		rng:               rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		indexByAddr:       map[string]int{},
 		relativeVariance:  1,
@@ -289,8 +292,9 @@
 // number N of samples, and the decaying count of failures.
 type Estimate struct{ Mean, N, Failures float64 }
 
-// Snapshot holds the measurements of a Balancer, to be passed to its successor. InAim is
-// the number of attempts in flight that can meet their latency targets.
+// Snapshot holds the measurements of a Balancer, to be passed to its successor.
+// InTargetConcurrency is the number of attempts in flight that can meet their latency
+// targets.
 type Snapshot struct {
 	Limit, Served       float64
 	InTargetConcurrency float64 `json:"InAim"`
@@ -330,14 +334,14 @@
 	}
 }
 
-// AddClass adds a class and returns its number. All measurements are kept.
+// AddClass adds a class and returns its index. All measurements are kept.
 func (b *Balancer) AddClass(c Class) (int, error) {
 	i := len(b.classes)
 	switch {
 	case c.Deadline <= 0 || c.LatencyTarget < 0:
 		return 0, fmt.Errorf("balance: Classes[%d]: Deadline %v, LatencyTarget %v, want a Deadline above 0 and a LatencyTarget of 0 or more", i, c.Deadline, c.LatencyTarget)
 	case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent || c.DeduplicationScope < ScopeAll || c.DeduplicationScope > ScopeCell:
-		return 0, fmt.Errorf("balance: Classes[%d]: unknown Semantics or Scope", i)
+		return 0, fmt.Errorf("balance: Classes[%d]: unknown Idempotency or DeduplicationScope", i)
 	case c.LatencyTarget == 0:
 		c.LatencyTarget = c.Deadline
 	}
@@ -345,7 +349,7 @@
 	return i, nil
 }
 
-// Members applies an endpoint list, or the failure to obtain one.
+// UpdateEndpoints applies an endpoint update, or records that discovery failed.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, list []Endpoint) {
 	if kind == ListFailed {
 		b.watchFailures++
@@ -385,7 +389,8 @@
 	b.dispatchHeld(now)
 }
 
-// zoneFactor is the factor on an endpoint's mean for the price of its zone.
+// zoneFactor returns the factor by which the mean of an endpoint in another zone is
+// raised, to account for CrossZonePrice.
 func (b *Balancer) zoneFactor(i int) float64 {
 	if b.endpoints[i].Zone == b.cfg.Zone {
 		return 1
@@ -420,8 +425,8 @@
 	e.Endpoint = entry
 }
 
-const maxWatchDelay = 2500 * time.Millisecond // plus a call of 2 s stays below the 6 s within which changes must arrive
-const goneRetention = 30 * time.Second        // longer than a short failure of discovery
+const maxWatchDelay = 2500 * time.Millisecond // with a Watch call of 2 s, changes arrive within the required 6 s
+const goneRetention = 30 * time.Second        // longer than a short outage of discovery
 
 // freeGoneEndpoints frees the elements of gone endpoints to which no open request has an attempt.
 func (b *Balancer) freeGoneEndpoints(now time.Duration) {
@@ -435,24 +440,24 @@
 	}
 }
 
-// scheduleWatch calls Host.Watch after an exponential backoff with jitter.
+// scheduleWatch calls Actions.Watch after an exponential backoff with jitter.
 func (b *Balancer) scheduleWatch() {
 	if b.watchScheduled {
 		return
 	}
 	b.watchScheduled = true
 	delay := min(b.cfg.MaxWatchInterval/2, maxWatchDelay, max(500, 10*time.Duration(b.cfg.Instances))*time.Millisecond<<min(b.watchFailures, 8))
-	b.host.After(time.Duration(float64(delay)*(0.2+0.8*b.rng.Float64())), timerWatch)
+	b.actions.After(time.Duration(float64(delay)*(0.2+0.8*b.rng.Float64())), timerWatch)
 }
 
-// Request accepts a client's request that must be answered within budget.
+// Request starts a client's request, which must get a response within budget.
 func (b *Balancer) Request(now time.Duration, id RequestID, class, tenant int, budget time.Duration) {
 	if class < 0 || class >= len(b.classes) || b.requests[id] != nil {
 		return
 	}
 	r := &request{id: id, class: class, arrived: now, deadline: now + budget}
 	b.requests[id] = r
-	if b.cfg.Entry && !b.admit(now, r, tenant) && b.refuse(r, now) {
+	if b.cfg.Entry && !b.admit(now, r, tenant) && b.reject(r, now) {
 		return
 	}
 	b.setTimer(r, budget, timerDeadline)
@@ -466,24 +471,24 @@
 // The retry budget grows with the served requests, so that retries cannot sustain an overload.
 const (
 	retriesPerServed  = 0.2                    // retries added per served request
-	retryBurstWindow  = 200 * time.Millisecond // the budget holds at most as many retries as requests are served in this time
+	retryBurstWindow  = 200 * time.Millisecond // a full budget has as many retries as requests are served in this time
 	minRetryBurst     = 5                      // least size of a full budget, for low request rates
-	initialRetryDelay = 10 * time.Millisecond  // without budget, if no endpoint was reached; doubled per attempt
+	initialRetryDelay = 10 * time.Millisecond  // when the retry budget is used up and no endpoint was reached; doubled per attempt
 )
 
 // dispatch sends the next attempt of r, or holds r until an endpoint is ready.
 func (b *Balancer) dispatch(r *request, now time.Duration) {
 	switch i := b.pick(r, now); {
 	case i >= 0:
-		// Refuse if less than half of the expected duration is left: few calls are that fast.
-		if b.endpoints[i].mean(now)*b.durationRatio(r.class)/2 <= (r.deadline-now).Seconds() || !b.refuse(r, now) {
+		// Reject if less than half of the expected duration is left: few calls are that fast.
+		if b.endpoints[i].mean(now)*b.durationRatio(r.class)/2 <= (r.deadline-now).Seconds() || !b.reject(r, now) {
 			b.send(r, i, now)
 		}
 	case r.inFlight > 0:
 	case len(r.attempts) > 0:
-		b.refuseOrFail(r, now)
+		b.rejectOrFail(r, now)
 	default:
-		if len(b.held) > 2*len(b.requests) { // a list may not arrive for hours
+		if len(b.held) > 2*len(b.requests) { // no endpoint may become ready for hours
 			b.held = slices.DeleteFunc(b.held, func(id RequestID) bool { return b.requests[id] == nil })
 		}
 		b.held = append(b.held, r.id)
@@ -491,12 +496,12 @@
 	}
 }
 
-// setTimer requests a timer of r.
+// setTimer schedules a timer of the given kind for r.
 func (b *Balancer) setTimer(r *request, d time.Duration, kind uint64) {
-	b.host.After(d, uint64(r.id)<<timerBits|kind)
+	b.actions.After(d, uint64(r.id)<<timerBits|kind)
 }
 
-// dispatchHeld dispatches the held requests.
+// dispatchHeld dispatches the requests that were waiting for a ready endpoint.
 func (b *Balancer) dispatchHeld(now time.Duration) {
 	held := b.held
 	b.held = nil
@@ -508,7 +513,7 @@
 }
 
 // maySend reports whether r may be sent to endpoint i: the request is open and has time and
-// attempts left, the endpoint is ready, and semantics and the cold budget permit it.
+// attempts left, the endpoint is ready, and the request's idempotency and the cold budget permit it.
 func (b *Balancer) maySend(r *request, i int, now time.Duration) bool {
 	e := &b.endpoints[i]
 	if r.closed || now >= r.deadline || len(r.attempts) >= b.cfg.AttemptLimit || e.State != Ready || r.inFlight > 0 && !b.cfg.AllowConcurrentAttempts {
@@ -517,7 +522,7 @@
 	return b.mayRepeat(r, e, now) && b.coldBudgetAllows(e, now)
 }
 
-// mayRepeat reports whether the semantics of r allow another attempt, at e.
+// mayRepeat reports whether the idempotency of r permits another attempt, at e.
 func (b *Balancer) mayRepeat(r *request, e *endpoint, now time.Duration) bool {
 	c, a := &b.cfg.Classes[r.class], r.firstMaybeRun()
 	if c.Idempotency == Idempotent || a == nil {
@@ -543,7 +548,7 @@
 	e.coldTokens--
 	e.sentAt = now
 	e.peakConns[0] = max(e.openConns(now, b.cfg.IdleConnTimeout), (len(e.inFlight)+b.cfg.Multiplex-1)/b.cfg.Multiplex)
-	b.host.Send(r.id, e.Addr, r.deadline-now)
+	b.actions.Send(r.id, e.Addr, r.deadline-now)
 	return true
 }
 
@@ -559,21 +564,21 @@
 	return b.endpoints[a.endpoint].State == Ready && b.mayRepeat(r, &b.endpoints[a.endpoint], now)
 }
 
-// refuse refuses r if the client may safely repeat it anywhere, and reports whether it did.
-// No other code refuses requests.
-func (b *Balancer) refuse(r *request, now time.Duration) bool {
+// reject rejects r if the client may repeat it at any endpoint, and reports whether it
+// did. No other code rejects requests.
+func (b *Balancer) reject(r *request, now time.Duration) bool {
 	c := &b.cfg.Classes[r.class]
 	harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DeduplicationScope == ScopeAll || r.firstMaybeRun() == nil
 	if r.closed || !harmless {
 		return false
 	}
-	b.host.Reject(r.id, b.retryAfter(r, now))
+	b.actions.Reject(r.id, b.retryAfter(r, now))
 	b.closeRequest(r)
 	return true
 }
 
-// retryAfter is the time after which about a quarter of the attempts in flight have
-// ended, by Little's law, with jitter so that refused clients do not return together.
+// retryAfter returns the time after which about a quarter of the attempts in flight have
+// ended, by Little's law, with jitter so that clients do not repeat rejected requests together.
 func (b *Balancer) retryAfter(r *request, now time.Duration) time.Duration {
 	roundTrip := float64(b.inFlight) / max(b.servedRate.mean(now), 1)
 	after := time.Duration(roundTrip / 4 * (0.5 + b.rng.Float64()) * float64(time.Second))
@@ -583,13 +588,14 @@
 // fail fails r unless it is closed. No other code fails requests.
 func (b *Balancer) fail(r *request) {
 	if !r.closed {
-		b.host.Fail(r.id)
+		b.actions.Fail(r.id)
 		b.closeRequest(r)
 	}
 }
 
-func (b *Balancer) refuseOrFail(r *request, now time.Duration) {
-	if !b.refuse(r, now) {
+// rejectOrFail rejects r if that is permitted, and fails it otherwise.
+func (b *Balancer) rejectOrFail(r *request, now time.Duration) {
+	if !b.reject(r, now) {
 		b.fail(r)
 	}
 }
@@ -605,8 +611,8 @@
 	}
 }
 
-// Outcome records how an attempt ended and how long it took. final tells that the
-// request has its answer, from this attempt or another.
+// Outcome records the result and duration of an attempt, and retries or ends the request.
+// If final is set, the request already has its response, from this attempt or another.
 func (b *Balancer) Outcome(now time.Duration, id RequestID, number int, result Result, elapsed time.Duration, final bool) {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].done {
@@ -632,10 +638,11 @@
 	case now >= r.deadline:
 		b.fail(r)
 	case (result == ConnectError || result == NotSent) && now+2*delay-r.arrived <= min(b.cfg.Classes[r.class].LatencyTarget, r.deadline-r.arrived)/2:
-		// Without budget, only attempts that reached no endpoint are retried, as they add no load.
+		// When the retry budget is used up, only attempts that reached no endpoint are
+		// retried, as they add no load.
 		b.setTimer(r, time.Duration((1+b.rng.Float64())*float64(delay)), timerHeld)
 	default:
-		b.refuseOrFail(r, now)
+		b.rejectOrFail(r, now)
 	}
 }
 
@@ -680,7 +687,7 @@
 	}
 }
 
-// durationRatio is the mean duration of a class divided by that of all classes. Durations
+// durationRatio returns the mean duration of a class divided by that of all classes. Durations
 // are divided by it before comparison, as in the paper for requests of different cost.
 func (b *Balancer) durationRatio(class int) float64 {
 	sum, n := 0.0, 0.0
@@ -695,25 +702,25 @@
 	return c.meanSeconds * n / sum
 }
 
-// Withdrawn closes a request whose client has left.
+// Cancelled closes a request that the client has cancelled.
 func (b *Balancer) Cancelled(_ time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.closed {
 		b.closeRequest(r)
 	}
 }
 
-// Close refuses or fails all open requests, before the process ends.
+// Close rejects or fails all open requests. It is called before the process ends.
 func (b *Balancer) Close(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
-		b.refuseOrFail(b.requests[id], now)
+		b.rejectOrFail(b.requests[id], now)
 	}
 }
 
-// Timer handles a timer requested by Host.After.
+// Timer handles a timer that was scheduled with Actions.After.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	if token == timerWatch {
 		b.watchScheduled = false
-		b.host.Watch()
+		b.actions.Watch()
 		return
 	}
 	r, kind := b.requests[RequestID(token>>timerBits)], token&(1<<timerBits-1)
@@ -722,7 +729,7 @@
 	case kind == timerLate:
 		b.markLate(now, r)
 	case kind == timerDeadline || len(r.attempts) == 0:
-		b.refuseOrFail(r, now)
+		b.rejectOrFail(r, now)
 	case r.inFlight == 0: // a delayed retry
 		b.dispatch(r, now)
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -9,26 +9,26 @@
 
 const ms = time.Millisecond
 
-// sentAttempt is an attempt that the Balancer started.
+// sentAttempt records the arguments of a call of Actions.Send.
 type sentAttempt struct {
 	id      RequestID
 	addr    string
 	timeout time.Duration
 }
 
-// recorder is a Host that records its calls.
+// recorder implements Actions and records the calls.
 type recorder struct {
-	sends   []sentAttempt
-	refused []RequestID
-	failed  []RequestID
-	timers  map[uint64]time.Duration
-	watches int
+	sends    []sentAttempt
+	rejected []RequestID
+	failed   []RequestID
+	timers   map[uint64]time.Duration
+	watches  int
 }
 
 func (h *recorder) Send(id RequestID, addr string, timeout time.Duration) {
 	h.sends = append(h.sends, sentAttempt{id, addr, timeout})
 }
-func (h *recorder) Reject(id RequestID, _ time.Duration) { h.refused = append(h.refused, id) }
+func (h *recorder) Reject(id RequestID, _ time.Duration) { h.rejected = append(h.rejected, id) }
 func (h *recorder) Fail(id RequestID)                    { h.failed = append(h.failed, id) }
 func (h *recorder) Watch()                               { h.watches++ }
 func (h *recorder) After(d time.Duration, token uint64) {
@@ -161,21 +161,21 @@
 	}
 }
 
-func TestRetriesFollowSemantics(t *testing.T) {
+func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		class     int
 		result    Result
 		wantRetry bool
-		refused   bool
+		rejected  bool
 	}{
-		{"safe after an error", 0, Error, true, false},
-		{"unsafe after an error", 1, Error, false, false},
-		{"unsafe after a reset", 1, Reset, false, false},
-		{"unsafe rejected before processing", 1, Overloaded, true, false},
-		{"unsafe not connected", 1, ConnectError, true, false},
-		{"unsafe not sent", 1, NotSent, true, false},
-		{"keyed after an error", 2, Error, true, false},
+		{"idempotent after an error", 0, Error, true, false},
+		{"non-idempotent after an error", 1, Error, false, false},
+		{"non-idempotent after a reset", 1, Reset, false, false},
+		{"non-idempotent rejected before processing", 1, Overloaded, true, false},
+		{"non-idempotent not connected", 1, ConnectError, true, false},
+		{"non-idempotent not sent", 1, NotSent, true, false},
+		{"idempotent by key after an error", 2, Error, true, false},
 	} {
 		b, h := newTestBalancer(t, testConfig(), "a", "b", "c", "d")
 		b.retryTokens = 5
@@ -186,7 +186,7 @@
 			continue
 		}
 		if !c.wantRetry && len(h.failed) != 1 {
-			t.Errorf("%s: got refused requests %v and failed requests %v, want one failed", c.name, h.refused, h.failed)
+			t.Errorf("%s: got rejected requests %v and failed requests %v, want one failed", c.name, h.rejected, h.failed)
 		}
 		if c.class == 2 && b.endpoints[b.indexByAddr[h.sends[0].addr]].Cell != b.endpoints[b.indexByAddr[h.sends[1].addr]].Cell {
 			t.Errorf("%s: the retry went to another cell", c.name)
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestKeyedRetryOnlyWithinDeduplicationWindow(t *testing.T) {
+func TestIdempotentByKeyRetryOnlyWithinDeduplicationWindow(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a", "b")
 	b.retryTokens = 5
 	b.Request(0, 1, 2, 0, time.Second)
@@ -217,14 +217,14 @@
 	}
 }
 
-func TestHeldRequestIsRefusedInTime(t *testing.T) {
+func TestHeldRequestIsRejectedInTime(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig())
 	b.Request(0, 1, 1, 0, time.Second)
 	for token, d := range h.timers {
 		b.Timer(d, token)
 	}
-	if len(h.refused) != 1 || len(h.failed) != 0 {
-		t.Errorf("got refused requests %v and failed requests %v, want one refused", h.refused, h.failed)
+	if len(h.rejected) != 1 || len(h.failed) != 0 {
+		t.Errorf("got rejected requests %v and failed requests %v, want one rejected", h.rejected, h.failed)
 	}
 }
 
@@ -250,19 +250,19 @@
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	if _, err := New(testConfig(), 1, nil); err == nil {
-		t.Error("nil Host: want an error")
+		t.Error("nil Actions: want an error")
 	}
 	for name, invalidate := range map[string]func(*Config){
-		"Classes":          func(c *Config) { c.Classes = nil },
-		"Instances":        func(c *Config) { c.Instances = 0 },
-		"Index":            func(c *Config) { c.Index = 1 },
-		"WorstClassWeight": func(c *Config) { c.WorstClassWeight = 2 },
-		"AttemptLimit":     func(c *Config) { c.AttemptLimit = 0 },
-		"OverloadFactor":   func(c *Config) { c.OverloadFactor = -1 },
-		"ColdShare":        func(c *Config) { c.SlowStartInitialShare = 2 },
-		"Deadline":         func(c *Config) { c.Classes[0].Deadline = 0 },
-		"Multiplex":        func(c *Config) { c.Multiplex = 0 },
-		"MaxWatchInterval": func(c *Config) { c.PullDiscovery = true },
+		"Classes":               func(c *Config) { c.Classes = nil },
+		"Instances":             func(c *Config) { c.Instances = 0 },
+		"Index":                 func(c *Config) { c.Index = 1 },
+		"WorstClassWeight":      func(c *Config) { c.WorstClassWeight = 2 },
+		"AttemptLimit":          func(c *Config) { c.AttemptLimit = 0 },
+		"OverloadFactor":        func(c *Config) { c.OverloadFactor = -1 },
+		"SlowStartInitialShare": func(c *Config) { c.SlowStartInitialShare = 2 },
+		"Deadline":              func(c *Config) { c.Classes[0].Deadline = 0 },
+		"Multiplex":             func(c *Config) { c.Multiplex = 0 },
+		"MaxWatchInterval":      func(c *Config) { c.PullDiscovery = true },
 	} {
 		cfg := testConfig()
 		invalidate(&cfg)
@@ -288,27 +288,28 @@
 }
 
 // A delayed attempt may start if no other attempt of its request may have run, also for
-// an unsafe request. If Confirm counted the attempt itself, a request with a delayed
-// connection would be refused without having been sent.
+// a non-idempotent request. If Confirm counted the attempt itself, a request with a delayed
+// connection would be rejected without having been sent.
 func TestConfirmChecksEarlierAttempts(t *testing.T) {
 	for class, c := range testConfig().Classes {
 		b, _ := newTestBalancer(t, testConfig(), "a", "b", "c")
 		b.Request(0, 1, class, 0, time.Second)
 		if !b.Confirm(20*ms, 1, 0) {
-			t.Errorf("semantics %d: first attempt not confirmed after 20 ms", c.Idempotency)
+			t.Errorf("idempotency %d: first attempt not confirmed after 20 ms", c.Idempotency)
 		}
 		b.Outcome(30*ms, 1, 0, ConnectError, 10*ms, false)
 		if r := b.requests[1]; r == nil || len(r.attempts) != 2 || !b.Confirm(60*ms, 1, 1) {
-			t.Fatalf("semantics %d: second attempt not confirmed although the first never ran", c.Idempotency)
+			t.Fatalf("idempotency %d: second attempt not confirmed although the first never ran", c.Idempotency)
 		}
 		b.endpoints[b.requests[1].attempts[1].endpoint].State = Draining
 		if b.Confirm(70*ms, 1, 1) {
-			t.Errorf("semantics %d: attempt at a draining endpoint confirmed", c.Idempotency)
+			t.Errorf("idempotency %d: attempt at a draining endpoint confirmed", c.Idempotency)
 		}
 	}
 }
 
 // An endpoint that refuses connections keeps its mean, as a ConnectError adds no sample.
+// The connect backoff must keep attempts away from it instead.
 func TestConnectErrorStopsNewConnections(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a", "b")
 	b.endpoints[0].addSample(0, 0.001)
@@ -327,9 +328,9 @@
 	}
 }
 
-// A burst arrives before any answer. By the means alone all of it would go to the
+// A burst arrives before any response. By the means alone all of it would go to the
 // endpoint that was fastest without load.
-func TestBurstSpreadsBeforeFirstAnswer(t *testing.T) {
+func TestBurstSpreadsBeforeFirstResponse(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a", "b", "c", "d")
 	for i, mean := range []float64{0.010, 0.020, 0.020, 0.020} {
 		b.endpoints[i].addSample(0, mean)
@@ -376,32 +377,32 @@
 	}
 }
 
-// At the tier where clients enter, overload is reduced by refusing requests, those of low
-// worth first.
-func TestAdmissionRefusesLowWorthFirst(t *testing.T) {
+// In an overload, admission control at the entry tier rejects requests of low priority
+// weight first.
+func TestAdmissionRejectsLowPriorityWeightFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Entry = true
 	cfg.Classes[0].PriorityWeight = 10
 	b, h := newTestBalancer(t, cfg, "a", "b")
-	refused := [2]int{}
+	rejected := [2]int{}
 	for i := range RequestID(4000) {
 		now := time.Duration(i) * ms
-		n := len(h.refused)
+		n := len(h.rejected)
 		b.Request(now, i, int(i%2), 0, time.Second)
-		refused[i%2] += len(h.refused) - n
+		rejected[i%2] += len(h.rejected) - n
 		if old := i - 40; i >= 40 && b.requests[old] != nil { // 40 ms each; slower with over 20 in flight
 			elapsed := time.Duration(40*ms) + time.Duration(max(0, b.inFlight-20))*100*ms
 			b.Outcome(now, old, 0, OK, elapsed, true)
 		}
 	}
-	if refused[1] < 500 || refused[0] > refused[1]/2 {
-		t.Errorf("refused %d of high worth and %d of low worth, want at least 500 of low worth and at most half as many of high worth", refused[0], refused[1])
+	if rejected[1] < 500 || rejected[0] > rejected[1]/2 {
+		t.Errorf("rejected %d of high priority weight and %d of low, want at least 500 of low and at most half as many of high", rejected[0], rejected[1])
 	}
 }
 
-// Of two classes of equal worth, the one with twice the duration has a quarter of the
-// priority, and is refused well below the limit.
-func TestCostlyClassIsShedFirst(t *testing.T) {
+// Of two classes of equal priority weight, the one with twice the duration has a quarter of the
+// priority, and is rejected well below the limit.
+func TestCostlyClassIsRejectedFirst(t *testing.T) {
 	b, _ := newTestBalancer(t, testConfig(), "a")
 	b.classes[0].meanSeconds, b.classes[0].sampleCount = 0.1, 100
 	b.classes[1].meanSeconds, b.classes[1].sampleCount = 0.2, 100
@@ -440,7 +441,8 @@
 	}
 }
 
-// A full connection table is overload; an endpoint that is down is not.
+// A connect error of an endpoint that served recently counts as congestion, as its
+// connection table is full. One of an endpoint that is down must not.
 func TestConnectErrorIsCongestionOnlyOfLiveEndpoint(t *testing.T) {
 	b, _ := newTestBalancer(t, testConfig(), "a")
 	r, a := &request{}, &attempt{durationRatio: 1}
@@ -456,7 +458,7 @@
 	}
 }
 
-// An answer on an open connection does not show that new connections succeed.
+// A response on an open connection does not show that new connections succeed.
 func TestSuccessDoesNotEndConnectBackoff(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a", "b")
 	b.recordOutcome(0, &request{}, &attempt{endpoint: 0, durationRatio: 1}, 0, ConnectError, ms)
@@ -492,7 +494,7 @@
 }
 
 // An unreachable zone must lose its share before each of its endpoints has failed, and
-// regain it with the first answer.
+// regain it with the first response.
 func TestUnreachableZoneLosesItsShare(t *testing.T) {
 	b, _ := newTestBalancer(t, testConfig())
 	var list []Endpoint
@@ -508,11 +510,11 @@
 	}
 	b.recordOutcome(0, &request{}, &attempt{endpoint: 7, durationRatio: 1}, 0, OK, 10*ms)
 	if s := pickShares(b, 0, 10000)["e7"]; s < 0.1 {
-		t.Errorf("after an answer from the zone: got share %v, want at least 0.1", s)
+		t.Errorf("after a response from the zone: got share %v, want at least 0.1", s)
 	}
 }
 
-// WorstClassWeight prevents starvation of the class with the least worth.
+// WorstClassWeight prevents starvation of the class with the least priority weight.
 func TestWorstClassWeightRaisesPriority(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].PriorityWeight = 10
@@ -520,7 +522,7 @@
 	b.classes[0] = classStats{requested: 100, servedInTarget: 90}
 	b.classes[1] = classStats{requested: 100, servedInTarget: 10}
 	if b.priority(0, 1, 0) >= b.priority(0, 0, 0) {
-		t.Error("without WorstClassWeight, want the higher priority for the class with ten times the worth")
+		t.Error("without WorstClassWeight, want the higher priority for the class with ten times the priority weight")
 	}
 	b.cfg.WorstClassWeight = 0.6
 	if b.priority(0, 1, 0) <= b.priority(0, 0, 0) {
@@ -592,8 +594,8 @@
 		}
 		b.Request(now, i, 0, 0, 5*time.Second)
 	}
-	if len(h.refused) < 40 {
-		t.Errorf("refused %d of 100 requests with every attempt past its latency target, want at least 40", len(h.refused))
+	if len(h.rejected) < 40 {
+		t.Errorf("rejected %d of 100 requests with every attempt past its latency target, want at least 40", len(h.rejected))
 	}
 }
 
@@ -621,7 +623,7 @@
 	cfg.Classes[0].LatencyTarget = 0
 	b, _ := newTestBalancer(t, cfg, "a")
 	if b.isCongestion(0, &request{}, &attempt{durationRatio: 1}, OK, cfg.Classes[0].Deadline/2) {
-		t.Error("without a latency target, an answer within the deadline counted as congestion")
+		t.Error("without a latency target, a response within the deadline counted as congestion")
 	}
 	if cfg.Classes[0].LatencyTarget != 0 {
 		t.Error("New modified the caller's Config")
@@ -657,7 +659,7 @@
 	}
 	b.Outcome(now+10*ms, 100, 0, Reset, 10*ms, false)
 	if n := len(h.sends); h.sends[n-1].id != 100 || len(h.failed) != 1 {
-		t.Errorf("unsafe request that may have run: got failed requests %v, want only 100", h.failed)
+		t.Errorf("non-idempotent request that may have run: got failed requests %v, want only 100", h.failed)
 	}
 	if _, err := b.AddClass(Class{}); err == nil {
 		t.Error("AddClass accepted a class without a deadline")
@@ -679,8 +681,8 @@
 		t.Fatal(err)
 	}
 	b.Outcome(5*ms, 1, 0, Error, 5*ms, false)
-	if len(h.sends) != 1 || len(h.refused)+len(h.failed) != 1 {
-		t.Errorf("%d attempts, %d refused or failed, want one of each", len(h.sends), len(h.refused)+len(h.failed))
+	if len(h.sends) != 1 || len(h.rejected)+len(h.failed) != 1 {
+		t.Errorf("%d attempts, %d rejected or failed, want one of each", len(h.sends), len(h.rejected)+len(h.failed))
 	}
 	i, err := b.AddClass(Class{Deadline: time.Second, Idempotency: NonIdempotent, PriorityWeight: 1})
 	if err != nil || i != len(cfg.Classes) {
@@ -696,12 +698,12 @@
 	}
 	b.Outcome(15*ms, 2, 0, Reset, 5*ms, false)
 	if len(h.sends) != 2 || len(h.failed) != 1 {
-		t.Errorf("unsafe request after a reset: %d attempts, %d failed, want 2 and 1", len(h.sends), len(h.failed))
+		t.Errorf("non-idempotent request after a reset: %d attempts, %d failed, want 2 and 1", len(h.sends), len(h.failed))
 	}
 }
 
-// Close answers each open request once: it refuses those that may safely be repeated, and
-// fails those that may have run.
+// Close ends each open request once: it rejects those that the client may repeat, and
+// fails the others.
 func TestCloseEndsAllOpenRequests(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a", "b")
 	b.Request(0, 1, 0, -1, time.Second)
@@ -712,8 +714,8 @@
 	b.Request(20*ms, 4, 1, -1, time.Second) // held, never sent
 	b.Close(30 * ms)
 	b.Close(40 * ms)
-	if got, want := fmt.Sprint(h.refused, h.failed), "[1 4] [2]"; got != want {
-		t.Errorf("got refused and failed requests %s, want %s", got, want)
+	if got, want := fmt.Sprint(h.rejected, h.failed), "[1 4] [2]"; got != want {
+		t.Errorf("got rejected and failed requests %s, want %s", got, want)
 	}
 	b.Outcome(50*ms, 2, 0, NotSent, 30*ms, true)
 	b.Timer(time.Second, 2<<timerBits|timerDeadline)
--- a/balance/cold_budget_test.go
+++ b/balance/cold_budget_test.go
@@ -28,7 +28,7 @@
 				return shuffled[int(float64(balancers)*x*(0.3+0.7*x))]
 			}
 			perSecond := perBalancer * float64(balancers)
-			f.answer = func(addr string, _ int) (Result, time.Duration) {
+			f.respond = func(addr string, _ int) (Result, time.Duration) {
 				if addr[0] == 'c' {
 					return OK, 60 * ms
 				}
--- a/balance/discovery_outage_test.go
+++ b/balance/discovery_outage_test.go
@@ -8,7 +8,7 @@
 )
 
 // After an outage of discovery of any length, changes arrive within 6 s and the Watch
-// calls are spread. During the outage, requests are served with the last list.
+// calls are spread. During the outage, requests are served with the last endpoint list.
 func TestChangeArrivesAfterDiscoveryOutage(t *testing.T) {
 	const n, slack, perSecond = 30, 800 * ms, 20
 	for name, outage := range map[string]time.Duration{"seconds": 5 * time.Second, "a minute": time.Minute, "an hour": time.Hour} {
@@ -25,7 +25,7 @@
 				d.isUp = func() bool { return f.now < downAt || f.now >= upAt }
 				d.hangsWhenDown = func() bool { return seed%2 == 1 }
 				f.onWatch = d.call
-				f.answer = func(string, int) (Result, time.Duration) { return OK, 20 * ms }
+				f.respond = func(string, int) (Result, time.Duration) { return OK, 20 * ms }
 				served, ended := 0, 0
 				f.onEnd = func(ok bool) {
 					if ended++; ok {
--- a/balance/distribution_test.go
+++ b/balance/distribution_test.go
@@ -302,9 +302,9 @@
 	}
 }
 
-// Unsafe requests, which cannot be retried, are sent to failing nodes at most a third as
-// often as safe ones.
-func TestUnsafeRequestsSeldomProbe(t *testing.T) {
+// Non-idempotent requests, which cannot be retried, are sent to failing nodes at most a
+// third as often as idempotent ones.
+func TestNonIdempotentRequestsSeldomProbe(t *testing.T) {
 	const s = time.Second
 	var probes [2]int
 	for class := range probes {
@@ -328,8 +328,8 @@
 			}
 		}
 	}
-	t.Logf("requests to nodes that have failed for 15 s, in 15 s: %d safe, %d unsafe", probes[0], probes[1])
+	t.Logf("requests to nodes that have failed for 15 s, in 15 s: %d idempotent, %d non-idempotent", probes[0], probes[1])
 	if probes[1]*3 > probes[0] || probes[0] == 0 {
-		t.Errorf("failing nodes got %d unsafe and %d safe requests, want at least 1 safe and at most a third as many unsafe", probes[1], probes[0])
+		t.Errorf("failing nodes got %d non-idempotent and %d idempotent requests, want at least 1 idempotent and at most a third as many non-idempotent", probes[1], probes[0])
 	}
 }
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -15,7 +15,7 @@
 	failureHalfLife = 5 * time.Second
 	maxFailures     = 10 // bounds the time until a recovered endpoint or zone has its full weight
 
-	minConnectBackoff    = 500 * time.Millisecond // after a refused connection
+	minConnectBackoff    = 500 * time.Millisecond // after a connect error
 	maxConnectBackoff    = 4 * time.Second
 	minSubsetSize        = 10  // healthy endpoints; enough for two random choices when a fifth of them fail
 	maxRangeLength       = 50  // bounds the search per request where few balancers share many endpoints
@@ -39,7 +39,7 @@
 	sampleSum               float64
 	failures                failures
 	inFlight                []attemptRef
-	attemptRefs             int // attempts of requests not yet deleted
+	attemptRefs             int // attempts at this endpoint whose requests are not yet deleted
 
 	servedAt, sentAt time.Duration
 	goneAt           time.Duration // when its state became Gone
@@ -53,8 +53,8 @@
 	connectBackoff  time.Duration // time after it without new connections; 0 means none
 }
 
-// openConns returns how many connections to e are open: as many as attempts in flight used
-// at the same time within the idle timeout.
+// openConns estimates the number of open connections to e: the most that were in use at
+// the same time within the idle timeout.
 func (e *endpoint) openConns(now, idle time.Duration) int {
 	if elapsed := now - e.peakWindowStart; elapsed >= idle/2 {
 		e.peakConns = [2]int{len(e.inFlight), e.peakConns[0]}
@@ -96,11 +96,11 @@
 	e.State = s
 }
 
-// reset discards the measurements of a previous process at this address. phase is the
-// initial cold budget.
-func (e *endpoint) reset(now time.Duration, phase float64) {
+// reset discards the measurements of a previous process at this address. initialTokens is
+// the cold budget at the start; it is random, so that Balancers do not all send at once.
+func (e *endpoint) reset(now time.Duration, initialTokens float64) {
 	e.sampleCount, e.nextSample, e.sampleSum, e.failures = 0, 0, 0, failures{}
-	e.coldTokens, e.coldTokensAt = phase, now
+	e.coldTokens, e.coldTokensAt = initialTokens, now
 }
 
 // sample is a completed round trip, divided by the duration ratio of its class.
@@ -128,7 +128,7 @@
 	}
 }
 
-// failures is a count that decays exponentially, with failureHalfLife.
+// failures is a count of failures that decays exponentially with failureHalfLife.
 type failures struct {
 	decayedCount float64
 	at           time.Duration
@@ -151,13 +151,14 @@
 	return f.decayedCount * math.Exp2(-float64(now-f.at)/float64(failureHalfLife))
 }
 
-// weightFactor is the factor on a weight for the failures. It is never 0.
+// weightFactor returns the factor by which failures lower a weight. It is never 0.
 func (f *failures) weightFactor(now time.Duration) float64 {
 	n := 1 + f.count(now)
 	return 1 / (n * n)
 }
 
-// mean is t_i of the paper, or 0 without samples. An attempt in flight for longer than the
+// mean returns the mean round trip in seconds (t_i of the paper), or 0 without samples. An
+// attempt in flight for longer than the
 // mean counts with its age, so that an unresponsive endpoint does not keep a low mean until
 // the timeout.
 func (e *endpoint) mean(now time.Duration) float64 {
@@ -179,8 +180,8 @@
 	}
 }
 
-// capacityShare is the guaranteed share of its full capacity that an endpoint has. It
-// starts at ColdShare and grows linearly over RampTime.
+// capacityShare returns the share of its full capacity that an endpoint is known to have.
+// It starts at SlowStartInitialShare and grows linearly over SlowStartWindow.
 func (b *Balancer) capacityShare(e *endpoint, now time.Duration) float64 {
 	age := now - e.Since
 	if e.Since == 0 || age >= b.cfg.SlowStartWindow {
@@ -190,12 +191,11 @@
 }
 
 const (
-	minCapacityShare = 0.01 // ColdShare may be 0
+	minCapacityShare = 0.01 // SlowStartInitialShare may be 0
 	coldRequestShare = 0.5  // of the request rate, as clients may repeat a request several times
 )
 
-// coldBudgetAllows refills the budget of a cold endpoint, one without its full capacity yet,
-// and reports whether it permits an attempt. The refill rate is e's share, by its present
+// coldBudgetAllows refills the cold budget of an endpoint in slow start and reports whether it permits an attempt. The refill rate is e's share, by its present
 // capacity, of the attempts that this balancer serves, times half of OverloadFactor. The
 // other half allows for random variation and unequal callers.
 func (b *Balancer) coldBudgetAllows(e *endpoint, now time.Duration) bool {
@@ -210,7 +210,7 @@
 	return e.coldTokens >= 1
 }
 
-// coldRate is the refill rate, in attempts per second, for an endpoint with its full
+// coldRate returns the refill rate, in attempts per second, for an endpoint with its full
 // capacity. It follows the served rate, or, while no endpoint of the subset has its full
 // capacity, also the request rate: otherwise nothing might ever be served.
 func (b *Balancer) coldRate(now time.Duration) float64 {
@@ -222,16 +222,18 @@
 	return rate
 }
 
-// averageSubset updates the time averages of the subset's length and capacity share, over
-// the same time as servedRate. A rate served by a larger or warmer subset would overload
-// the endpoints that are left.
+// averageSubset updates the time averages of the subset's length and capacity share, with
+// the time constant of servedRate. coldRate divides the served rate by them: divided by
+// the present values, a rate that a larger or warmer subset served would overload the
+// endpoints that are left.
 func (b *Balancer) averageSubset(share float64) {
 	b.meanCapacityShare = b.meanCapacityShare*b.decayFactor + share*(1-b.decayFactor)
 	b.meanSubsetLength = b.meanSubsetLength*b.decayFactor + float64(b.subsetLength)*(1-b.decayFactor)
 }
 
 // pick selects an endpoint for r by the paper's rule, or returns -1. A candidate's weight is
-// t_b/t_i; two are drawn with replacement and the lower mean wins. Failures raise the mean,
+// t_b/t_i, the lowest mean of all candidates divided by its own. Two candidates are drawn
+// with replacement, and the one with the lower mean wins. Failures raise the mean,
 // as an endpoint that fails quickly may still have a low one. If the difference is within
 // random variation, fewer attempts in flight win, then the longer time without an attempt.
 func (b *Balancer) pick(r *request, now time.Duration) int {
@@ -262,13 +264,13 @@
 
 // How samples are weighted. At low request rates there are few for each endpoint.
 const (
-	minSampleRetention  = 7500 * time.Millisecond // samples are kept for this time,
-	retentionRequests   = 3                       // or for this many requests at the endpoint's even share, if that is longer
-	reliableSamples     = 10                      // samples from which on a mean is used unadjusted
-	unsampledCount      = 0.5                     // samples that an endpoint without any counts as having, with mean t_b
-	priorSamples        = 5                       // samples of t_b added to the mean of an endpoint with few samples, for its weight
-	suspectFactor       = 0.8                     // weight factor below which an endpoint has failed recently
-	suspectFactorUnsafe = 0.97                    // the same for unsafe requests and retries, which should not probe an endpoint
+	minSampleRetention         = 7500 * time.Millisecond // samples are kept for this time,
+	retentionRequests          = 3                       // or for this many requests at the endpoint's even share, if that is longer
+	reliableSamples            = 10                      // samples from which on a mean is used unadjusted
+	unsampledCount             = 0.5                     // samples that an endpoint without any counts as having, with mean t_b
+	priorSamples               = 5                       // samples of t_b added to the mean of an endpoint with few samples, for its weight
+	suspectFactor              = 0.8                     // weight factor below which an endpoint has failed recently
+	suspectFactorNonIdempotent = 0.97                    // the same for non-idempotent requests and retries, which should not probe an endpoint
 )
 
 // Sets of endpoints that gatherCandidates searches, each larger than the previous one.
@@ -284,7 +286,8 @@
 	otherZones
 )
 
-// gatherCandidates fills b.candidates and returns their number.
+// gatherCandidates fills b.candidates with the endpoints of a search set that may get an
+// attempt of r, computes their weights, and returns their number.
 func (b *Balancer) gatherCandidates(r *request, now time.Duration, search int) int {
 	b.candidates = b.candidates[:0]
 	b.totalWeight, b.gatheredCapacity, b.gatheredWarm = 0, 0, false
@@ -304,7 +307,7 @@
 	if math.IsInf(best, 1) {
 		best = 1 // no candidate has samples
 	}
-	unsafe := b.cfg.Classes[r.class].Idempotency == NonIdempotent
+	nonIdempotent := b.cfg.Classes[r.class].Idempotency == NonIdempotent
 	for k := range b.candidates {
 		c := &b.candidates[k]
 		e, n := &b.endpoints[c.index], float64(b.endpoints[c.index].sampleCount)
@@ -318,10 +321,10 @@
 			c.weight = best * (n + uncertainty*priorSamples) / (n*c.mean + uncertainty*priorSamples*reference)
 		}
 		factor := e.failures.weightFactor(now)
-		if factor < suspectFactor || (unsafe || len(r.attempts) > 0) && factor < suspectFactorUnsafe {
+		if factor < suspectFactor || (nonIdempotent || len(r.attempts) > 0) && factor < suspectFactorNonIdempotent {
 			c.meanVariance = math.Inf(-1) // the failures are significant, and this request must not probe the endpoint
-			if e.sampleCount == 0 && unsafe {
-				c.mean, c.weight = c.mean*windowSize, c.weight/4 // nothing but failures is known of the endpoint
+			if e.sampleCount == 0 && nonIdempotent {
+				c.mean, c.weight = c.mean*windowSize, c.weight/4 // only failures of the endpoint are known
 			}
 		}
 		c.weight, c.mean = c.weight*b.capacityShare(e, now)*factor, c.mean/factor
@@ -333,7 +336,7 @@
 	return len(b.candidates)
 }
 
-// subsetSize is the number of healthy endpoints in this balancer's subset. It follows the
+// subsetSize returns the number of healthy endpoints in this balancer's subset. It follows the
 // attempts in flight: at a low request rate there would be too few samples for each
 // endpoint of a large fleet.
 func (b *Balancer) subsetSize(now time.Duration) int {
@@ -359,17 +362,19 @@
 	return &b.failuresByZone[zone]
 }
 
-// inFlightFactor is the factor on the mean of an endpoint with more attempts in flight than
-// the average of the subset. It prevents herding, as attempts in flight are not in the mean.
+// inFlightFactor returns the factor by which the mean of an endpoint is raised if it has
+// more attempts in flight than the average of the searched endpoints. It prevents herding,
+// as the samples do not yet include the attempts in flight.
 func (b *Balancer) inFlightFactor(e *endpoint, searched int) float64 {
 	average := float64(b.inFlight) / float64(searched)
 	return max(1, (1+float64(len(e.inFlight)))/(1+average))
 }
 
 // gatherFromPart adds the candidates of one part of the ring, starting at this balancer's
-// range, until it has found want healthy endpoints. It returns the lowest mean.
+// range, until it has found want healthy endpoints. It returns the lowest mean. searched
+// is the number of endpoints that are searched in both parts.
 //
-// Cold endpoints beyond the range are skipped: their budget is divided searched the balancers
+// Cold endpoints outside the range are skipped: their budget is divided among the balancers
 // that have them in their ranges.
 func (b *Balancer) gatherFromPart(part int, r *request, now time.Duration, search, want, searched int) float64 {
 	ring := b.ready[:b.ownZoneReady]
@@ -413,6 +418,8 @@
 	return best
 }
 
+// drawCandidate returns the index of a random candidate, drawn with probability
+// proportional to its weight.
 func (b *Balancer) drawCandidate() int {
 	x := b.rng.Float64() * b.totalWeight
 	for k := range b.candidates {
@@ -452,13 +459,13 @@
 	}
 }
 
-// perSecond is the average. It is too low until several time constants after the start.
+// perSecond returns the average. It is too low until several time constants after the start.
 func (r *rate) perSecond(now time.Duration) float64 {
 	r.decay(now)
 	return r.sum / rateTimeConstant.Seconds()
 }
 
-// mean is perSecond corrected for the time since the start.
+// mean returns perSecond corrected for the time since the start.
 func (r *rate) mean(now time.Duration) float64 {
 	known := max(now-r.start, rateTimeConstant/4)
 	return r.perSecond(now) / (1 - math.Exp(-float64(known)/float64(rateTimeConstant)))
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,13 +7,14 @@
 	"gorselink/balance"
 )
 
-// printer is a minimal Host. A sidecar would open connections and set timers here.
+// printer is a minimal implementation of Actions. A sidecar would open connections and set
+// timers here.
 type printer struct{}
 
 func (printer) Send(id balance.RequestID, addr string, timeout time.Duration) {
 	fmt.Println("send", id, "to", addr, "within", timeout)
 }
-func (printer) Reject(id balance.RequestID, _ time.Duration) { fmt.Println("refuse", id) }
+func (printer) Reject(id balance.RequestID, _ time.Duration) { fmt.Println("reject", id) }
 func (printer) Fail(id balance.RequestID)                    { fmt.Println("fail", id) }
 func (printer) After(time.Duration, uint64)                  {}
 func (printer) Watch()                                       {}
@@ -37,8 +38,8 @@
 	b.Request(50*time.Millisecond, 2, 0, 0, time.Second) // held, as no endpoint is ready
 	b.Timer(550*time.Millisecond, 2<<3|1)                // the sidecar returns the token passed to After
 	b.Request(600*time.Millisecond, 1<<59, 0, 0, time.Second)
-	b.Cancelled(700*time.Millisecond, 1<<59) // the client has left and gets no answer
+	b.Cancelled(700*time.Millisecond, 1<<59) // the client has left and gets no response
 	// Output:
 	// send 1 to 10.0.0.1:80 within 1s
-	// refuse 2
+	// reject 2
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -19,20 +19,20 @@
 	balancers []*Balancer
 	rng       *rand.Rand
 
-	answer         func(addr string, number int) (Result, time.Duration) // result and duration of an attempt
-	onSend         func(addr string, number int)
-	chooseBalancer func() int                                                                          // Balancer of the next request; uniformly random if nil
-	rateFactor     func() float64                                                                      // factor on the request rate; 1 if nil
-	serve          func(addr string, timeout time.Duration, done func(Result))                         // replaces answer; calls done with the result
-	serveFrom      func(from int, id RequestID, addr string, timeout time.Duration, done func(Result)) // the same, with the index of the Balancer
-	onRefuse       func(id RequestID, retryAfter time.Duration)                                        // called before onEnd
-	clock          *fleet                                                                              // fleet whose time and events are used; its own if nil
-	onSendID       func(id RequestID)
-	onWatch        func(i int) // Balancer i called Host.Watch
-	checkUnsafe    bool        // report attempts after, and refusals of, a request that may have run
-	onEnd          func(served bool)
-	onEndID        func(id RequestID, served bool)
-	onBegin        func(id RequestID)
+	respond            func(addr string, number int) (Result, time.Duration) // result and duration of an attempt
+	onSend             func(addr string, number int)
+	chooseBalancer     func() int                                                                          // Balancer of the next request; uniformly random if nil
+	rateFactor         func() float64                                                                      // factor on the request rate; 1 if nil
+	serve              func(addr string, timeout time.Duration, done func(Result))                         // replaces respond; calls done with the result
+	serveFrom          func(from int, id RequestID, addr string, timeout time.Duration, done func(Result)) // the same, with the index of the Balancer
+	onReject           func(id RequestID, retryAfter time.Duration)                                        // Actions.Reject was called; onEnd follows
+	clock              *fleet                                                                              // fleet whose time and events are used; its own if nil
+	onSendID           func(id RequestID)
+	onWatch            func(i int) // Balancer i called Actions.Watch
+	checkNonIdempotent bool        // report retries and rejections of requests that may have run
+	onEnd              func(served bool)
+	onEndID            func(id RequestID, served bool)
+	onBegin            func(id RequestID)
 }
 
 type event struct {
@@ -68,10 +68,10 @@
 }
 
 // restart replaces Balancer i by a new one without measurements, which gets the endpoints
-// in known as a cached list. The requests of the old one are dropped.
+// in known as a cached endpoint list. The requests of the old one are dropped.
 func (f *fleet) restart(i int, cfg Config, known []Endpoint) {
 	cfg.Index, cfg.Instances = i, len(f.balancers)
-	b, err := New(cfg, f.rng.Uint64(), &fleetHost{fleet: f, index: i, attempts: map[RequestID]int{}, mayHaveRun: map[RequestID]bool{}})
+	b, err := New(cfg, f.rng.Uint64(), &fleetActions{fleet: f, index: i, attempts: map[RequestID]int{}, mayHaveRun: map[RequestID]bool{}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 	heap.Push(&f.events, event{f.now + d, f.lastOrder, run})
 }
 
-// sendList sends a list to all Balancers, to each with a random delay of up to 1 s.
+// sendList sends an endpoint update to all Balancers, to each with a random delay of up to 1 s.
 func (f *fleet) sendList(kind UpdateKind, list []Endpoint) {
 	for _, b := range f.balancers {
 		f.after(time.Duration(f.rng.Int64N(int64(time.Second))), func() { b.UpdateEndpoints(f.now, kind, list) })
@@ -127,21 +127,21 @@
 	f.events, f.now = nil, until
 }
 
-// fleetHost is the Host of one Balancer of a fleet.
-type fleetHost struct {
+// fleetActions implements Actions for one Balancer of a fleet.
+type fleetActions struct {
 	fleet      *fleet
 	index      int
 	attempts   map[RequestID]int  // number of attempts of each open request
 	mayHaveRun map[RequestID]bool // an attempt may have run or be running
 
-	refusing bool
+	rejecting bool
 }
 
-func (h *fleetHost) Send(id RequestID, addr string, timeout time.Duration) {
+func (h *fleetActions) Send(id RequestID, addr string, timeout time.Duration) {
 	number := h.attempts[id]
 	h.attempts[id]++
-	if h.fleet.checkUnsafe && h.mayHaveRun[id] {
-		h.fleet.t.Errorf("attempt %d of an unsafe request that may have run", number)
+	if h.fleet.checkNonIdempotent && h.mayHaveRun[id] {
+		h.fleet.t.Errorf("attempt %d of a non-idempotent request that may have run", number)
 	}
 	h.mayHaveRun[id] = true
 	if h.fleet.onSendID != nil {
@@ -169,17 +169,17 @@
 		h.fleet.serveFrom(h.index, id, addr, timeout, done)
 		return
 	}
-	result, took := h.fleet.answer(addr, number)
+	result, took := h.fleet.respond(addr, number)
 	if took >= timeout {
 		result, took = Timeout, timeout
 	}
 	h.fleet.after(took, func() { done(result) })
 }
 
-func (h *fleetHost) end(id RequestID, served bool) {
+func (h *fleetActions) end(id RequestID, served bool) {
 	delete(h.attempts, id)
-	if !served && h.fleet.checkUnsafe && h.refusing && h.mayHaveRun[id] {
-		h.fleet.t.Error("refused an unsafe request that may have run")
+	if !served && h.fleet.checkNonIdempotent && h.rejecting && h.mayHaveRun[id] {
+		h.fleet.t.Error("rejected a non-idempotent request that may have run")
 	}
 	if h.fleet.onEnd != nil {
 		h.fleet.onEnd(served)
@@ -189,21 +189,21 @@
 	}
 }
 
-func (h *fleetHost) Reject(id RequestID, retryAfter time.Duration) {
-	if h.fleet.onRefuse != nil {
-		h.fleet.onRefuse(id, retryAfter)
+func (h *fleetActions) Reject(id RequestID, retryAfter time.Duration) {
+	if h.fleet.onReject != nil {
+		h.fleet.onReject(id, retryAfter)
 	}
-	h.refusing = true
+	h.rejecting = true
 	h.end(id, false)
-	h.refusing = false
+	h.rejecting = false
 }
-func (h *fleetHost) Fail(id RequestID) { h.end(id, false) }
-func (h *fleetHost) Watch() {
+func (h *fleetActions) Fail(id RequestID) { h.end(id, false) }
+func (h *fleetActions) Watch() {
 	if h.fleet.onWatch != nil {
 		h.fleet.onWatch(h.index)
 	}
 }
-func (h *fleetHost) After(d time.Duration, token uint64) {
+func (h *fleetActions) After(d time.Duration, token uint64) {
 	b := h.fleet.balancers[h.index]
 	h.fleet.after(d, func() { b.Timer(h.fleet.now, token) })
 }
@@ -227,7 +227,7 @@
 	return list
 }
 
-// All Balancers together must not overload a cold endpoint, although new endpoints answer
+// All Balancers together must not overload a cold endpoint, although new endpoints respond
 // three times as fast as warm ones. The requests to one within OverloadWindow stay below
 // OverloadFactor times its capacity.
 //
@@ -240,7 +240,7 @@
 		cfg := fleetConfig()
 		f := newFleet(t, cfg, 80, seed)
 		sends := map[string][]time.Duration{}
-		f.answer = func(addr string, _ int) (Result, time.Duration) {
+		f.respond = func(addr string, _ int) (Result, time.Duration) {
 			if addr[0] == 'c' {
 				return OK, 60 * ms
 			}
@@ -284,8 +284,8 @@
 		if bound := cfg.OverloadFactor * smallest; maxRatio > bound {
 			t.Errorf("seed %d: an endpoint was sent %.2f times its capacity within %v, want at most %.2f", seed, maxRatio, cfg.OverloadWindow, bound)
 		}
-		// The share of all cold endpoints by capacity over RampTime. They should get more,
-		// as they answer fastest.
+		// The share of all cold endpoints by capacity over SlowStartWindow. They should get more,
+		// as they respond fastest.
 		even := warmRate * cfg.SlowStartWindow.Seconds() * (1 + cfg.SlowStartInitialShare) / 2 * replaced
 		if float64(coldSends) < even {
 			t.Errorf("seed %d: cold endpoints got %d attempts, want at least their share by capacity, %.0f", seed, coldSends, even)
@@ -361,7 +361,7 @@
 	for seed := range uint64(3) {
 		f := newFleet(t, fleetConfig(), 80, seed)
 		var first, all [40]int // attempts per half second
-		f.answer = func(addr string, _ int) (Result, time.Duration) {
+		f.respond = func(addr string, _ int) (Result, time.Duration) {
 			var n int
 			fmt.Sscanf(addr, "w%d", &n)
 			if n%3 != 0 && f.now >= errorsAt && f.now < errorsAt+2*time.Second {
@@ -410,16 +410,16 @@
 	}
 }
 
-// An unsafe request must not run twice. With all kinds of failures and endpoints being
+// A non-idempotent request must not run twice. With all kinds of failures and endpoints being
 // replaced, no attempt follows one that may have run, no request that may have run is
-// refused, and each request ends once.
-func TestFleetRunsUnsafeRequestsOnce(t *testing.T) {
+// rejected, and each request ends once.
+func TestFleetRunsNonIdempotentRequestsOnce(t *testing.T) {
 	for seed := range uint64(3) {
 		f := newFleet(t, fleetConfig(), 80, seed)
-		f.checkUnsafe = true
+		f.checkNonIdempotent = true
 		results := []Result{OK, OK, OK, Error, Overloaded, Timeout, ConnectError, Reset}
 		retries := 0
-		f.answer = func(addr string, number int) (Result, time.Duration) {
+		f.respond = func(addr string, number int) (Result, time.Duration) {
 			if number > 0 {
 				retries++
 			}
@@ -470,7 +470,7 @@
 		fmt.Sscanf(addr, "w%d", &n)
 		return addr[0] == 'o' || n%3 == 0
 	}
-	f.answer = func(addr string, _ int) (Result, time.Duration) {
+	f.respond = func(addr string, _ int) (Result, time.Duration) {
 		if isUnreachable(addr) {
 			return ConnectError, 150 * ms
 		}
--- a/balance/idle_test.go
+++ b/balance/idle_test.go
@@ -17,7 +17,7 @@
 	const busyBefore, busyAfter, perSecond, took = 20 * time.Second, 5 * time.Second, 300, 20 * ms
 	f := newFleet(t, fleetConfig(), 20, seed)
 	faultAt, faulty := busyBefore+idle, map[string]bool{"a0": true, "a3": true, "a6": true, "a9": true}
-	f.answer = func(addr string, _ int) (Result, time.Duration) {
+	f.respond = func(addr string, _ int) (Result, time.Duration) {
 		if f.now >= faultAt && faulty[addr] && fault != nil {
 			return fault(addr)
 		}
@@ -78,7 +78,7 @@
 // After an idle hour all measurements are outdated. A fault that begins then must not
 // cost more requests or attempts than one under constant traffic.
 func TestFaultAfterIdleHour(t *testing.T) {
-	answers := func(result Result, took time.Duration) func(string) (Result, time.Duration) {
+	respondWith := func(result Result, took time.Duration) func(string) (Result, time.Duration) {
 		return func(string) (Result, time.Duration) { return result, took }
 	}
 	draining := readyEndpoints("a", 12)[:4]
@@ -95,13 +95,13 @@
 		list  []Endpoint
 	}{
 		{"no fault", nil, nil},
-		{"errors", answers(Error, 5*ms), nil},
-		{"resets", answers(Reset, 5*ms), nil},
-		{"refuses connections", answers(ConnectError, ms), nil},
-		{"connect timeouts", answers(ConnectError, 400*ms), nil},
-		{"rejects requests", answers(Overloaded, ms), nil},
-		{"hangs", answers(Timeout, time.Hour), nil},
-		{"slow", answers(OK, 200*ms), nil},
+		{"errors", respondWith(Error, 5*ms), nil},
+		{"resets", respondWith(Reset, 5*ms), nil},
+		{"refuses connections", respondWith(ConnectError, ms), nil},
+		{"connect timeouts", respondWith(ConnectError, 400*ms), nil},
+		{"rejects requests", respondWith(Overloaded, ms), nil},
+		{"hangs", respondWith(Timeout, time.Hour), nil},
+		{"slow", respondWith(OK, 200*ms), nil},
 		{"endpoints drain", nil, draining},
 		{"endpoints are added", nil, added},
 	} {
--- a/balance/large_fleet_test.go
+++ b/balance/large_fleet_test.go
@@ -45,14 +45,14 @@
 					return all
 				}
 				sends := map[string][]time.Duration{}
-				refuses := func() bool {
+				failsToConnect := func() bool {
 					return scenario == "fallback" && f.now >= startAt+startSpan/2 && f.now < startAt+startSpan/2+2*time.Second
 				}
-				f.answer = func(addr string, _ int) (Result, time.Duration) {
+				f.respond = func(addr string, _ int) (Result, time.Duration) {
 					switch {
 					case addr[0] == 'c':
 						return OK, 60 * ms
-					case refuses():
+					case failsToConnect():
 						return ConnectError, ms
 					}
 					return OK, 180 * ms
@@ -137,7 +137,7 @@
 		inner := newFleet(t, fleetConfig(), innerBalancers, seed+100)
 		inner.clock = entry // both fleets share the clock and the events
 		var firstAttempts, attempts [40]int
-		inner.answer = func(addr string, _ int) (Result, time.Duration) {
+		inner.respond = func(addr string, _ int) (Result, time.Duration) {
 			var n int
 			fmt.Sscanf(addr, "l%d", &n)
 			switch now := entry.now; {
@@ -214,27 +214,27 @@
 
 // Three of 36 new endpoints fail, and each Balancer has to detect that by itself. A
 // failing endpoint must get fewer attempts than a healthy one that is equally cold, and
-// safe requests are served by other endpoints. Requests whose attempt gets no answer are
-// lost, as it uses up their deadline.
+// idempotent requests are served by other endpoints. A request is lost if an attempt gets
+// no response, as the attempt uses up the deadline.
 func TestLargeFleetAvoidsFailingColdEndpoints(t *testing.T) {
 	const startAt, perSecond = 6 * time.Second, 2400.0
 	for _, c := range []struct {
 		kind      string
 		share     float64 // highest number of attempts, relative to a healthy cold endpoint
 		minServed float64 // lowest share of requests served
-	}{{"errors", 0.65, 0.995}, {"no answer", 0.65, 0.985}, {"slow", 0.65, 0.99}} {
+	}{{"errors", 0.65, 0.995}, {"no response", 0.65, 0.985}, {"slow", 0.65, 0.99}} {
 		t.Run(c.kind, func(t *testing.T) {
 			for seed := range uint64(2) {
 				f := newFleet(t, fleetConfig(), 300, seed)
 				isFailing := func(addr string) bool { return addr == "c0" || addr == "c12" || addr == "c24" }
-				f.answer = func(addr string, _ int) (Result, time.Duration) {
+				f.respond = func(addr string, _ int) (Result, time.Duration) {
 					took := time.Duration(40+f.rng.IntN(80)) * ms
 					switch {
 					case !isFailing(addr):
 						return OK, took
 					case c.kind == "errors":
 						return Error, 3 * ms
-					case c.kind == "no answer":
+					case c.kind == "no response":
 						return Timeout, time.Hour
 					}
 					return OK, 10 * took
@@ -290,7 +290,7 @@
 			return n%3 == 0
 		}
 		sends := map[string][]time.Duration{}
-		f.answer = func(addr string, _ int) (Result, time.Duration) {
+		f.respond = func(addr string, _ int) (Result, time.Duration) {
 			took := time.Duration(40+f.rng.IntN(80)) * ms
 			switch {
 			case !inZone(addr) || f.now < failsAt:
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -135,7 +135,7 @@
 		for seed := range uint64(2) {
 			f := newFleet(t, fleetConfig(), fleet, seed)
 			var firstAttempts, retries [maxChainSeconds]int
-			f.answer = func(string, int) (Result, time.Duration) {
+			f.respond = func(string, int) (Result, time.Duration) {
 				if f.now >= begin*time.Second && f.now < end*time.Second {
 					return result, 20 * ms
 				}
@@ -162,8 +162,8 @@
 	}
 }
 
-// Failures without overload must not make the entry refuse requests: one of eight nodes
-// returns errors, 40% of all answers are errors, or all are. After the failures, the
+// Failures without overload must not make the entry tier reject requests: one of eight nodes
+// returns errors, 40% of all responses are errors, or all are. After the failures, the
 // served share must return to normal.
 func TestFailingEndpointsAreNotOverload(t *testing.T) {
 	const begin, end = 8, 16
@@ -175,8 +175,8 @@
 		load         float64 // relative to the capacity; clients that repeat twice triple it
 	}{
 		{"errors of one node in eight", func(_ *tierChain, i int) bool { return i%8 == 0 }, 0.99, 0.99, 0.4},
-		{"errors in two of five answers", func(c *tierChain, _ int) bool { return c.entry.rng.Float64() < 0.4 }, 0.97, 0.99, 0.3},
-		{"errors in all answers", func(*tierChain, int) bool { return true }, 0.9, 0.97, 0.2},
+		{"errors in two of five responses", func(c *tierChain, _ int) bool { return c.entry.rng.Float64() < 0.4 }, 0.97, 0.99, 0.3},
+		{"errors in all responses", func(*tierChain, int) bool { return true }, 0.9, 0.97, 0.2},
 	} {
 		for _, tier := range []int{0, 1} {
 			t.Run(fmt.Sprintf("%s, tier %d", c.name, tier), func(t *testing.T) {
@@ -190,12 +190,12 @@
 						}
 					}
 					chain.run((end + 8) * time.Second)
-					refused := sumSeconds(&chain.refusedUnsent, begin, end) / sumSeconds(&chain.tries, begin, end)
+					rejected := sumSeconds(&chain.rejectedUnsent, begin, end) / sumSeconds(&chain.tries, begin, end)
 					before := sumSeconds(&chain.served, 3, begin) / sumSeconds(&chain.requests, 3, begin)
 					after := sumSeconds(&chain.served, end+2, end+6) / sumSeconds(&chain.requests, end+2, end+6)
-					t.Logf("seed %d: %.4f of tries refused unsent, served %.3f before the failures, %.3f during them, %.3f after them", seed, refused, before, sumSeconds(&chain.served, begin, end)/sumSeconds(&chain.requests, begin, end), after)
-					if refused > 1-c.minAttempted {
-						t.Errorf("seed %d: %.4f of tries refused unsent, want at most %.2f", seed, refused, 1-c.minAttempted)
+					t.Logf("seed %d: %.4f of tries rejected unsent, served %.3f before the failures, %.3f during them, %.3f after them", seed, rejected, before, sumSeconds(&chain.served, begin, end)/sumSeconds(&chain.requests, begin, end), after)
+					if rejected > 1-c.minAttempted {
+						t.Errorf("seed %d: %.4f of tries rejected unsent, want at most %.2f", seed, rejected, 1-c.minAttempted)
 					}
 					if after < c.after*before {
 						t.Errorf("seed %d: served %.3f after the failures, want at least %.2f of %.3f", seed, after, c.after, before)
--- a/balance/robustness_test.go
+++ b/balance/robustness_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// After a clock jump and an empty list each request still gets an answer, and the next
+// After a clock jump and an empty list each request still gets a response, and the next
 // list is used.
 func TestClockJumpAndEmptyList(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a")
@@ -53,8 +53,8 @@
 	b.UpdateEndpoints(later, Full, nil)
 	b.Request(later, 2, 0, 0, time.Second)
 	b.Timer(later+time.Second, 2<<timerBits|timerDeadline)
-	if len(h.refused)+len(h.failed) != 2 {
-		t.Fatalf("%d requests refused and %d failed, want 2 in all", len(h.refused), len(h.failed))
+	if len(h.rejected)+len(h.failed) != 2 {
+		t.Fatalf("%d requests rejected and %d failed, want 2 in all", len(h.rejected), len(h.failed))
 	}
 	b.UpdateEndpoints(later, Full, []Endpoint{{Addr: "a", State: Ready}})
 	n := len(h.sends)
@@ -64,7 +64,7 @@
 	}
 }
 
-// Invalid events from a faulty sidecar are ignored.
+// Calls with an unknown request, class or attempt number, and repeated calls, are ignored.
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
 	b, h := newTestBalancer(t, testConfig(), "a")
 	b.Outcome(0, 9, 0, OK, ms, true)
@@ -73,8 +73,8 @@
 	b.Timer(0, 9<<timerBits|timerLate)
 	b.Request(0, 1, 99, 0, time.Second)
 	b.Request(0, 1, -1, 0, time.Second)
-	if len(h.sends)+len(h.refused)+len(h.failed) != 0 {
-		t.Error("attempt or answer for an unknown request or class")
+	if len(h.sends)+len(h.rejected)+len(h.failed) != 0 {
+		t.Error("attempt or response for an unknown request or class")
 	}
 	b.Request(0, 1, 0, -5, time.Second)
 	b.Request(0, 1, 0, 0, time.Second) // a duplicate id
@@ -126,7 +126,7 @@
 	}
 }
 
-// Held requests must be freed after their answer, even if no endpoint becomes ready.
+// Held requests must be freed after their response, even if no endpoint becomes ready.
 func TestHeldRequestsAreFreed(t *testing.T) {
 	b, _ := newTestBalancer(t, testConfig())
 	for k := range RequestID(10000) {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// checker is a Host that simulates endpoints with random results. It checks the rules for
-// attempts and answers from the calls alone, without access to the state of the Balancer.
+// checker implements Actions and simulates endpoints with random results. It checks the rules for
+// attempts and responses from the calls alone, without access to the state of the Balancer.
 type checker struct {
 	t         *testing.T
 	now       time.Duration
@@ -22,10 +22,10 @@
 
 // requestState is what the checker knows of a request.
 type requestState struct {
-	class    int
-	deadline time.Duration
-	answered bool
-	attempts []attemptState
+	class     int
+	deadline  time.Duration
+	responded bool
+	attempts  []attemptState
 }
 
 type attemptState struct {
@@ -44,8 +44,8 @@
 func (c *checker) Send(id RequestID, addr string, timeout time.Duration) {
 	c.trace = append(c.trace, fmt.Sprint(c.now, " send ", id, addr))
 	w := c.requests[id]
-	if w.answered || c.now >= w.deadline {
-		c.errorf("request %d: attempt sent after its answer or deadline", id)
+	if w.responded || c.now >= w.deadline {
+		c.errorf("request %d: attempt sent after its response or deadline", id)
 	}
 	if c.endpoints[addr].State != Ready {
 		c.errorf("attempt sent to %s, which is not ready", addr)
@@ -62,38 +62,38 @@
 			c.errorf("request %d: retried although an attempt may have run", id)
 		}
 		if class.Idempotency == IdempotentByKey && (c.endpoints[t.addr].Cell != c.endpoints[addr].Cell || c.now-t.sent >= class.DeduplicationWindow) {
-			c.errorf("request %d: keyed retry outside its cell or the deduplication window", id)
+			c.errorf("request %d: retry of an IdempotentByKey request outside its cell or the deduplication window", id)
 		}
 	}
 	due := c.now + min(timeout, time.Duration(c.rng.IntN(1200))*ms)
 	w.attempts = append(w.attempts, attemptState{addr: addr, sent: c.now, endsAt: due})
 }
 
-// answer records the answer to a request.
-func (c *checker) answer(id RequestID, what string) *requestState {
+// respond records that a request was rejected or failed.
+func (c *checker) respond(id RequestID, what string) *requestState {
 	c.trace = append(c.trace, fmt.Sprint(c.now, what, id))
 	w := c.requests[id]
-	if w.answered {
-		c.errorf("request %d: answered twice", id)
+	if w.responded {
+		c.errorf("request %d: got two responses", id)
 	}
 	if c.now > w.deadline+2*ms {
-		c.errorf("request %d: answered after its deadline", id)
+		c.errorf("request %d: response after its deadline", id)
 	}
-	w.answered = true
+	w.responded = true
 	return w
 }
 
 func (c *checker) Reject(id RequestID, _ time.Duration) {
-	w := c.answer(id, " refuse ")
+	w := c.respond(id, " reject ")
 	for _, t := range w.attempts {
 		ran := !t.done || t.result != Overloaded && t.result != ConnectError && t.result != NotSent
 		if ran && c.cfg.Classes[w.class].Idempotency != Idempotent {
-			c.errorf("request %d: refused although it may have run", id)
+			c.errorf("request %d: rejected although it may have run", id)
 		}
 	}
 }
 
-func (c *checker) Fail(id RequestID) { c.answer(id, " fail ") }
+func (c *checker) Fail(id RequestID) { c.respond(id, " fail ") }
 func (c *checker) Watch()            {}
 func (c *checker) After(d time.Duration, token uint64) {
 	c.timers[token] = c.now + d
@@ -111,9 +111,9 @@
 			t.done = true
 			t.result = Result(c.rng.IntN(int(NotSent) + 1))
 			if t.result == OK {
-				w.answered = true
+				w.responded = true
 			}
-			b.Outcome(c.now, id, k, t.result, c.now-t.sent, w.answered)
+			b.Outcome(c.now, id, k, t.result, c.now-t.sent, w.responded)
 		}
 		for kind := range uint64(1 << timerBits) {
 			token := uint64(id)<<timerBits | kind
@@ -151,9 +151,9 @@
 			b.UpdateEndpoints(c.now, Delta, []Endpoint{e})
 		}
 		if c.rng.IntN(10) == 0 && id > 3 {
-			withdrawn := id - 1 - RequestID(c.rng.IntN(3))
-			c.requests[withdrawn].answered = true
-			b.Cancelled(c.now, withdrawn)
+			cancelled := id - 1 - RequestID(c.rng.IntN(3))
+			c.requests[cancelled].responded = true
+			b.Cancelled(c.now, cancelled)
 		}
 		budget := time.Duration(1+c.rng.IntN(900)) * ms
 		w := &requestState{class: c.rng.IntN(len(cfg.Classes)), deadline: c.now + budget}
@@ -165,12 +165,12 @@
 		c.step(b, requests)
 	}
 	for id := RequestID(1); id <= requests; id++ {
-		if !c.requests[id].answered {
-			c.errorf("request %d: no answer", id)
+		if !c.requests[id].responded {
+			c.errorf("request %d: no response", id)
 		}
 	}
 	if len(b.requests) != 0 || b.inFlight != 0 {
-		c.errorf("%d requests and %d attempts left after the last answer, want none", len(b.requests), b.inFlight)
+		c.errorf("%d requests and %d attempts left after the last response, want none", len(b.requests), b.inFlight)
 	}
 	return c.trace
 }
@@ -197,7 +197,7 @@
 
 func benchmarkRequest(b *testing.B, n int) {
 	cfg := testConfig()
-	bal, err := New(cfg, 1, discardHost{})
+	bal, err := New(cfg, 1, discardActions{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -217,10 +217,10 @@
 func BenchmarkRequest20(b *testing.B)  { benchmarkRequest(b, 20) }
 func BenchmarkRequest500(b *testing.B) { benchmarkRequest(b, 500) }
 
-type discardHost struct{}
+type discardActions struct{}
 
-func (discardHost) Send(RequestID, string, time.Duration) {}
-func (discardHost) Reject(RequestID, time.Duration)       {}
-func (discardHost) Fail(RequestID)                        {}
-func (discardHost) After(time.Duration, uint64)           {}
-func (discardHost) Watch()                                {}
+func (discardActions) Send(RequestID, string, time.Duration) {}
+func (discardActions) Reject(RequestID, time.Duration)       {}
+func (discardActions) Fail(RequestID)                        {}
+func (discardActions) After(time.Duration, uint64)           {}
+func (discardActions) Watch()                                {}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -27,7 +27,7 @@
 	restarted         float64       // Balancers that restart without measurements during that period
 	listDelay         time.Duration // longest time from a restart until the current list arrives
 	reconfigured      bool          // all other Balancers get settings and a full list, half of them after Restore in a new process
-	unreliableClients bool          // clients leave early and repeat refused requests at once, and connections are reset
+	unreliableClients bool          // clients leave early and repeat rejected requests at once, and connections are reset
 	connectDelay      time.Duration // longest delay of a connection, for a third of the attempts
 }
 
@@ -39,8 +39,8 @@
 	slowStartClientRepeats = 4   // most repeats of a client request
 )
 
-// slowStartNode simulates an endpoint whose service rate ramps up linearly after a
-// start, with a bounded queue. It records all arrivals.
+// slowStartNode simulates an endpoint whose service rate grows linearly after a
+// start (slow start), with a bounded queue. It records all arrivals.
 type slowStartNode struct {
 	since       time.Duration // last start; 0 means long ago
 	warmRate    float64       // requests per second when warm
@@ -54,7 +54,7 @@
 	informed bool // the Balancer had been informed of the start when it sent the attempt
 }
 
-// slowStartCapacityShare is the share of its capacity that an endpoint has.
+// slowStartCapacityShare returns the share of its capacity that an endpoint has.
 func slowStartCapacityShare(cfg Config, since, now time.Duration) float64 {
 	if since == 0 {
 		return 1
@@ -100,7 +100,7 @@
 	return r
 }
 
-// meanRate is the capacity of an endpoint of mean size. After the increase of the request
+// meanRate returns the capacity of an endpoint of mean size. After the increase of the request
 // rate, all warm endpoints are fully used.
 func (r *slowStartRun) meanRate() float64 {
 	return r.size.perBalancer * float64(r.size.balancers) / float64(r.size.endpoints)
@@ -132,7 +132,7 @@
 	f.onBegin = func(id RequestID) {
 		if r.scenario.unreliableClients && f.rng.Float64() < slowStartLeaveShare {
 			from := chosen
-			f.after(time.Duration(f.rng.Int64N(int64(150*ms))), func() { r.withdraw(from, id) })
+			f.after(time.Duration(f.rng.Int64N(int64(150*ms))), func() { r.cancel(from, id) })
 		}
 	}
 	f.onEndID = func(id RequestID, served bool) {
@@ -151,9 +151,9 @@
 	}
 }
 
-// withdraw simulates a client that leaves: its request is withdrawn and the attempt in
-// flight is cancelled.
-func (r *slowStartRun) withdraw(from int, id RequestID) {
+// cancel simulates a client that leaves: its request and the attempt in flight are
+// cancelled.
+func (r *slowStartRun) cancel(from int, id RequestID) {
 	if b := r.fleet.balancers[from]; b.requests[id] != nil {
 		b.Cancelled(r.fleet.now, id)
 	}
@@ -252,7 +252,7 @@
 	changes []Endpoint
 }
 
-// scheduleEvents schedules the changes of the scenario, and the sum of the capacity.
+// scheduleEvents schedules the changes of the scenario, and the calculation of servable.
 func (r *slowStartRun) scheduleEvents() {
 	f, n := r.fleet, r.size.endpoints
 	count := func(x float64) int { return int(math.Ceil(x * float64(n))) }
@@ -361,8 +361,8 @@
 	}
 }
 
-// slowStartMaxRequests is the most requests that an endpoint withstands if the settings
-// allow n: n plus two standard deviations of a Poisson count, or three for a small n.
+// slowStartMaxRequests returns how many requests may reach an endpoint for which the
+// settings allow n on average: n plus two standard deviations of a Poisson count, or three for a small n.
 func slowStartMaxRequests(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
--- a/balance/tier_chain_test.go
+++ b/balance/tier_chain_test.go
@@ -17,8 +17,8 @@
 	inner    []*fleet // inner[k] makes the calls of tier k
 	tiers    [][]*node
 	settings chainSettings
-	calls    []map[RequestID]func(served bool)                                       // callbacks of the open calls of each tier
-	clients  map[RequestID]func(served bool, refused bool, retryAfter time.Duration) // callbacks of the open tries
+	calls    []map[RequestID]func(served bool)                                        // callbacks of the open calls of each tier
+	clients  map[RequestID]func(served bool, rejected bool, retryAfter time.Duration) // callbacks of the open tries
 
 	attempted   map[RequestID]bool // tries with at least one attempt
 	offeredRate float64            // client requests per second, without repeats
@@ -30,7 +30,7 @@
 	attempts         [maxChainSeconds]int // at all tiers
 	lastTierAttempts [maxChainSeconds]int // at the last tier
 	rejected         [maxChainSeconds]int // attempts rejected by nodes
-	refusedUnsent    [maxChainSeconds]int // tries refused without an attempt
+	rejectedUnsent   [maxChainSeconds]int // tries rejected without an attempt
 }
 
 const maxChainSeconds = 60 // longest simulation in seconds
@@ -58,7 +58,7 @@
 	cores       float64 // current capacity; less than 1 during a fault
 	concurrency int
 	queueLength int
-	failing     func() (fails bool) // answers immediately with an error if true; may be nil
+	failing     func() (fails bool) // responds immediately with an error if true; may be nil
 
 	connecting      int // connections being established
 	busy            int // calls being processed
@@ -103,7 +103,7 @@
 	nodeMaxConns         = 60                     // limit on connections that are not idle
 )
 
-// coreShare is the share of a core that each running task gets. It falls with the number
+// coreShare returns the share of a core that each running task gets. It falls with the number
 // of tasks.
 func (n *node) coreShare() float64 {
 	running := float64(len(n.running))
@@ -255,20 +255,20 @@
 	entryConfig.Entry = true
 	c.entry = newFleet(t, entryConfig, settings.entryBalancers, seed)
 	c.entry.onSendID = func(id RequestID) { c.attempted[id] = true }
-	c.entry.onRefuse = func(id RequestID, retryAfter time.Duration) {
+	c.entry.onReject = func(id RequestID, retryAfter time.Duration) {
 		if !c.attempted[id] {
-			c.refusedUnsent[c.currentSecond()]++
+			c.rejectedUnsent[c.currentSecond()]++
 		}
 		delete(c.attempted, id)
-		if answer := c.clients[id]; answer != nil {
+		if respond := c.clients[id]; respond != nil {
 			delete(c.clients, id)
-			answer(false, true, retryAfter)
+			respond(false, true, retryAfter)
 		}
 	}
 	c.entry.onEndID = func(id RequestID, served bool) {
-		if answer := c.clients[id]; answer != nil {
+		if respond := c.clients[id]; respond != nil {
 			delete(c.clients, id)
-			answer(served, false, 0)
+			respond(served, false, 0)
 		}
 	}
 	above := c.entry
@@ -305,9 +305,9 @@
 		next := newFleet(t, cfg, n, seed+100*uint64(k+1))
 		next.clock = c.entry
 		next.onEndID = func(id RequestID, served bool) {
-			if answer := calls[id]; answer != nil {
+			if respond := calls[id]; respond != nil {
 				delete(calls, id)
-				answer(served)
+				respond(served)
 			}
 		}
 		c.inner = append(c.inner, next)
@@ -316,7 +316,7 @@
 	return c
 }
 
-// capacity is the number of requests per second that the tiers can serve, without the
+// capacity returns the number of requests per second that the tiers can serve, without the
 // cost of connections.
 func (c *tierChain) capacity() float64 {
 	least, calls := 1e9, 1.0
@@ -348,7 +348,7 @@
 		c.tries[c.currentSecond()]++
 		c.entry.lastID++
 		id := c.entry.lastID
-		c.clients[id] = func(served, refused bool, retryAfter time.Duration) {
+		c.clients[id] = func(served, rejected bool, retryAfter time.Duration) {
 			if served {
 				c.served[startSecond]++
 				if c.entry.now-start <= class.LatencyTarget {
@@ -356,11 +356,11 @@
 				}
 				return
 			}
-			if left == 0 || !refused && class.Idempotency == NonIdempotent {
+			if left == 0 || !rejected && class.Idempotency == NonIdempotent {
 				return
 			}
 			wait := time.Duration(10+c.entry.rng.IntN(80)) * ms
-			if refused && honoursRetryAfter {
+			if rejected && honoursRetryAfter {
 				wait = max(wait, min(retryAfter, 800*ms))
 			}
 			c.entry.after(wait, func() { try(left - 1) })
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// balancer is a balance.Balancer, or a capture.Tap around one.
+// balancer is a balance.Balancer, or a capture.Recorder around one.
 type balancer interface {
 	UpdateEndpoints(now time.Duration, kind balance.UpdateKind, list []balance.Endpoint)
 	Request(now time.Duration, id balance.RequestID, class, tenant int, budget time.Duration)
@@ -39,9 +39,10 @@
 	Timer(now time.Duration, token uint64)
 }
 
-// host writes the actions of one instance's balancer to the simulator.
-type host struct {
-	instance    int
+// instance is one balancer of the simulation. It implements balance.Actions by writing the
+// actions to the simulator.
+type instance struct {
+	number      int
 	out         *simproto.Writer
 	balancer    balancer
 	record      *recording // nil without --capture
@@ -50,35 +51,35 @@
 	attempts    map[balance.RequestID]int // number of attempts by open request
 }
 
-func (h *host) Send(id balance.RequestID, addr string, timeout time.Duration) {
-	h.out.Send(h.instance, uint64(id), addr, timeout)
+func (h *instance) Send(id balance.RequestID, addr string, timeout time.Duration) {
+	h.out.Send(h.number, uint64(id), addr, timeout)
 	if h.conns.sent(uint64(id), h.attempts[id], addr) {
-		h.out.After(h.instance, h.idleTimeout, sweepToken)
+		h.out.After(h.number, h.idleTimeout, sweepToken)
 	}
 	h.attempts[id]++
 }
 
-func (h *host) Reject(id balance.RequestID, retryAfter time.Duration) {
-	h.out.Reject(h.instance, uint64(id), retryAfter)
+func (h *instance) Reject(id balance.RequestID, retryAfter time.Duration) {
+	h.out.Reject(h.number, uint64(id), retryAfter)
 	delete(h.attempts, id)
 }
 
-func (h *host) Fail(id balance.RequestID) {
-	h.out.Fail(h.instance, uint64(id))
+func (h *instance) Fail(id balance.RequestID) {
+	h.out.Fail(h.number, uint64(id))
 	delete(h.attempts, id)
 }
 
-func (h *host) After(d time.Duration, token uint64) { h.out.After(h.instance, d, token) }
+func (h *instance) After(d time.Duration, token uint64) { h.out.After(h.number, d, token) }
 
-func (h *host) Watch() { h.out.Watch(h.instance) }
+func (h *instance) Watch() { h.out.Watch(h.number) }
 
 // run processes events until the end of in. If captureDir is not empty, each start of an
 // instance writes a capture file there.
 func run(in io.Reader, out io.Writer, captureDir string) (err error) {
 	r, w := simproto.NewReader(in), simproto.NewWriter(out)
-	hosts := map[int]*host{}
+	instances := map[int]*instance{}
 	defer func() {
-		for _, h := range hosts {
+		for _, h := range instances {
 			err = errors.Join(err, h.record.close())
 		}
 	}()
@@ -100,27 +101,28 @@
 			}
 		case simproto.InstanceStart:
 			starts++
-			if err := start(hosts, w, &e, captureDir, starts); err != nil {
+			if err := start(instances, w, &e, captureDir, starts); err != nil {
 				return err
 			}
 		case simproto.InstanceStop:
-			if h := hosts[e.Instance]; h != nil {
+			if h := instances[e.Instance]; h != nil {
 				if err := h.record.close(); err != nil {
 					return err
 				}
 			}
-			delete(hosts, e.Instance)
+			delete(instances, e.Instance)
 		default:
-			if h := hosts[e.Instance]; h != nil {
+			if h := instances[e.Instance]; h != nil {
 				deliver(h, &e)
 			}
 		}
 	}
 }
 
-// start starts an instance. Invalid settings are reported to the simulator as a FAULT.
-func start(hosts map[int]*host, w *simproto.Writer, e *simproto.Event, captureDir string, number int) error {
-	h := &host{instance: e.Instance, out: w, attempts: map[balance.RequestID]int{}}
+// start starts an instance. Invalid settings are reported to the simulator as a FAULT
+// action. startNumber counts the starts of all instances and makes capture file names unique.
+func start(instances map[int]*instance, w *simproto.Writer, e *simproto.Event, captureDir string, startNumber int) error {
+	h := &instance{number: e.Instance, out: w, attempts: map[balance.RequestID]int{}}
 	settings, err := simproto.ParseSettings(e.Settings)
 	var config balance.Config
 	if err == nil {
@@ -129,7 +131,7 @@
 		err = settings.Err()
 	}
 	if err == nil && captureDir != "" {
-		if h.record, err = newRecording(captureDir, e.Instance, number); err != nil {
+		if h.record, err = newRecording(captureDir, e.Instance, startNumber); err != nil {
 			return err
 		}
 		h.balancer, err = capture.NewRecorder(config, e.Seed, h, h.record.write)
@@ -143,7 +145,7 @@
 		}
 		return errors.Join(h.record.close(), os.Remove(h.record.file.Name())) // the instance never ran
 	}
-	hosts[e.Instance] = h
+	instances[e.Instance] = h
 	return nil
 }
 
@@ -153,8 +155,8 @@
 	writer *capture.Writer
 }
 
-func newRecording(dir string, instance, number int) (*recording, error) {
-	f, err := os.Create(filepath.Join(dir, fmt.Sprintf("%d-%d.capture", instance, number)))
+func newRecording(dir string, instance, startNumber int) (*recording, error) {
+	f, err := os.Create(filepath.Join(dir, fmt.Sprintf("%d-%d.capture", instance, startNumber)))
 	if err != nil {
 		return nil, err
 	}
@@ -171,11 +173,11 @@
 }
 
 // deliver passes an event to the instance's balancer.
-func deliver(h *host, e *simproto.Event) {
+func deliver(h *instance, e *simproto.Event) {
 	b, id := h.balancer, balance.RequestID(e.ID)
 	switch e.Kind {
-	case simproto.Members:
-		b.UpdateEndpoints(e.Now, e.ListKind, e.List)
+	case simproto.EndpointUpdate:
+		b.UpdateEndpoints(e.Now, e.UpdateKind, e.List)
 	case simproto.Request:
 		b.Request(e.Now, id, e.Class, e.Tenant, e.Budget)
 	case simproto.Outcome:
@@ -184,14 +186,14 @@
 			delete(h.attempts, id)
 		}
 		b.Outcome(e.Now, id, e.Number, e.Result, e.Elapsed, e.Final)
-	case simproto.Withdrawn:
+	case simproto.Cancelled:
 		delete(h.attempts, id)
 		b.Cancelled(e.Now, id)
 	case simproto.Timer:
 		if e.ID != sweepToken {
 			b.Timer(e.Now, e.ID)
-		} else if h.conns.sweep(func(addr string) { h.out.Release(h.instance, addr) }) {
-			h.out.After(h.instance, h.idleTimeout, sweepToken)
+		} else if h.conns.sweep(func(addr string) { h.out.Release(h.number, addr) }) {
+			h.out.After(h.number, h.idleTimeout, sweepToken)
 		}
 	}
 }
--- a/cmd/voter/main.go
+++ b/cmd/voter/main.go
@@ -1,5 +1,5 @@
-// Command voter runs one member of the Raft cluster that stores leases. It is a separate
-// program so that sidecars do not include a Raft library and its log.
+// Command voter runs one voter of the lease server, a Raft cluster that stores leases. It is
+// a separate program so that sidecars do not include a Raft library.
 package main
 
 import (
@@ -35,7 +35,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	var c commands
-	command := kong.Parse(&c, kong.Name("voter"), kong.Description("Stores leases together with the other voters of its cluster."), kong.BindTo(ctx, (*context.Context)(nil)))
+	command := kong.Parse(&c, kong.Name("voter"), kong.Description("Runs one voter of the lease server, which stores leases."), kong.BindTo(ctx, (*context.Context)(nil)))
 	if err := command.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/internal/leaseclient/client.go
+++ b/internal/leaseclient/client.go
@@ -13,7 +13,7 @@
 	"gorselink/lease"
 )
 
-// Client sends requests to a quorum. It keeps at most one connection, to the leader once
+// Client sends requests to the lease server. It keeps at most one connection, to the leader once
 // that is known, and is safe for concurrent use.
 type Client struct {
 	cluster string
@@ -27,11 +27,11 @@
 	watchers      map[string]map[chan lease.Record]bool // by the name of the lease
 }
 
-// NewClient returns a client of a cluster. The voters' addresses must be reachable from
+// NewClient returns a client of a cluster of voters. The voters' addresses must be reachable from
 // this process; they may differ from the addresses that the voters use for each other.
 func NewClient(cluster string, voters []Voter) (*Client, error) {
 	if len(voters) == 0 {
-		return nil, errors.New("quorum: no voters are configured")
+		return nil, errors.New("leaseclient: no voters are configured")
 	}
 	return &Client{cluster: cluster, voters: voters, target: rand.IntN(len(voters)), watchers: map[string]map[chan lease.Record]bool{}}, nil
 }
@@ -134,7 +134,7 @@
 	}
 }
 
-// drop closes a connection and selects a new target.
+// drop closes a connection and selects the next target, see retarget.
 func (c *Client) drop(cc *clientConn, leaderID uint64) {
 	cc.close()
 	c.mu.Lock()
@@ -208,7 +208,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return nil, fmt.Errorf("quorum: %w: %w (last attempt: %w)", ErrNoResponse, ctx.Err(), lastErr)
+			return nil, fmt.Errorf("leaseclient: %w: %w (last attempt: %w)", ErrNoResponse, ctx.Err(), lastErr)
 		case <-timer.C:
 		}
 	}
@@ -257,8 +257,8 @@
 	}
 }
 
-// Do executes a command. Result.Err is the quorum's refusal; the error that Do returns
-// means that the outcome is unknown.
+// Do executes a command. If the lease server rejects it, Result.Err is set; an error
+// returned by Do means that the outcome is unknown.
 func (c *Client) Do(ctx context.Context, cmd lease.Command) (lease.Result, error) {
 	response, err := c.request(ctx, Request{Command: &cmd})
 	if err != nil {
--- a/internal/leaseclient/frame.go
+++ b/internal/leaseclient/frame.go
@@ -1,6 +1,6 @@
-// Package leaseclient is the client side of a quorum of voters: the framing of messages on a
-// connection, a client that finds the leader, and the timers and requests that drive a
-// lease.Holder. The voters are in package voter, which sidecars do not import.
+// Package leaseclient is the client side of the lease server: the frames on a connection, a
+// client that finds the leader among the voters, and the timers and requests that drive a
+// lease.Holder. The voters are in package leaseserver, which sidecars do not import.
 package leaseclient
 
 import (
@@ -24,7 +24,7 @@
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("quorum: clock_gettime: " + err.Error()) // supported since Linux 2.6.39
+		panic("leaseclient: clock_gettime: " + err.Error()) // supported since Linux 2.6.39
 	}
 	return time.Duration(ts.Nano())
 }
@@ -44,7 +44,7 @@
 	HandshakeTimeout    = 5 * time.Second
 )
 
-// Voter is a member of the quorum.
+// Voter is a replica of the lease server.
 type Voter struct {
 	ID      uint64 // at least 1; the ID of a removed voter is never reused
 	Address string
@@ -79,7 +79,7 @@
 }
 
 // Response is the response to the Request with the same ID. With NotLeader, Leader is the
-// ID of the voter to ask instead, if it is known.
+// ID of the voter to send the request to instead, if it is known.
 type Response struct {
 	RequestID uint64                  `json:"number"`
 	Error     string                  `json:"error,omitempty"`
@@ -97,7 +97,7 @@
 	Record lease.Record `json:"record"`
 }
 
-// errorsByCode maps Response.Code to the errors that callers distinguish.
+// errorsByCode maps each Response.Code to the error that callers compare with.
 var errorsByCode = map[string]error{"held": lease.ErrHeld, "stale": lease.ErrStale, "unknown": lease.ErrUnknownLease, "bounds": lease.ErrInvalidCommand}
 
 // ErrorCode returns the Response.Code for err, or "" if it has none.
@@ -166,7 +166,7 @@
 	return f.WriteFrame(kind, body)
 }
 
-// Handshake sends the own hello and returns the peer's. If the protocol versions or the
+// Handshake sends this side's hello and returns the peer's. If the protocol versions or the
 // clusters differ, it fails at both ends.
 func (f *FrameConn) Handshake(own Hello) (peer Hello, err error) {
 	f.SetDeadline(time.Now().Add(HandshakeTimeout))
--- a/internal/leaseclient/holder_actions.go
+++ b/internal/leaseclient/holder_actions.go
@@ -14,24 +14,24 @@
 	Epoch lease.Epoch // the fencing token for all operations of the task
 	Value []byte      // stored by an earlier holder
 
-	host *holderHost
+	actions *holderActions
 }
 
 // ReportProgress records that the task is making progress. If HolderConfig.StallTimeout is
 // set, a task that does not call it in time is stopped and loses the lease.
 func (g *Grant) ReportProgress() {
-	g.host.withLock(func(now time.Duration) { g.host.holder.ReportProgress(now) })
+	g.actions.withLock(func(now time.Duration) { g.actions.holder.ReportProgress(now) })
 }
 
 // SetReleaseValue sets the value that is stored for the next holder on release.
 func (g *Grant) SetReleaseValue(value []byte) {
-	g.host.withLock(func(time.Duration) { g.host.holder.SetReleaseValue(value) })
+	g.actions.withLock(func(time.Duration) { g.actions.holder.SetReleaseValue(value) })
 }
 
 // Put stores a value for the next holder at once, so that it survives a crash of this
 // process.
 func (g *Grant) Put(ctx context.Context, value []byte) error {
-	r, err := g.host.client.Do(ctx, lease.Command{Kind: lease.Put, Lease: g.host.cfg.Lease, Client: g.host.cfg.Client, Epoch: g.Epoch, Value: value})
+	r, err := g.actions.client.Do(ctx, lease.Command{Kind: lease.Put, Lease: g.actions.cfg.Lease, Client: g.actions.cfg.Client, Epoch: g.Epoch, Value: value})
 	if err != nil {
 		return err
 	}
@@ -41,9 +41,9 @@
 // ClaimEnd returns the time, on the clock of Now, at which the claim ends unless it is
 // renewed, and whether it is valid at present.
 func (g *Grant) ClaimEnd() (at time.Duration, held bool) {
-	g.host.mu.Lock()
-	defer g.host.mu.Unlock()
-	e, until, ok := g.host.holder.Claim(Now())
+	g.actions.mu.Lock()
+	defer g.actions.mu.Unlock()
+	e, until, ok := g.actions.holder.Claim(Now())
 	return until, ok && e == g.Epoch
 }
 
@@ -60,9 +60,9 @@
 // before the claim ends; the task must return before the end of the claim.
 type Task func(ctx context.Context, g *Grant)
 
-// holderHost is the lease.Host of one lease.Holder: it provides timers, requests to the
-// quorum and the goroutine of the task.
-type holderHost struct {
+// holderActions implements lease.Actions for one lease.Holder: it provides timers, requests
+// to the lease server and the goroutine of the task.
+type holderActions struct {
 	client *Client
 	cfg    lease.HolderConfig
 	task   Task
@@ -74,22 +74,22 @@
 	mu         sync.Mutex // guards the fields below and all calls of holder
 	holder     *lease.Holder
 	timer      *time.Timer
-	cancelTask context.CancelFunc // of the last task
+	cancelTask context.CancelFunc // cancels the context of the last task
 	taskDone   chan struct{}      // closed when the last task has ended
 }
 
 // Hold runs the task whenever this process holds the lease, until ctx ends. It returns
 // when the task has ended and the lease has been released or has expired. onStop is called
-// with the reason each time the task is told to stop; it may be nil.
+// with the reason each time the task is requested to stop; it may be nil.
 func (c *Client) Hold(ctx context.Context, cfg lease.HolderConfig, task Task, onStop func(reason lease.Reason)) {
-	hostCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	holderCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	if cfg.Rand == nil {
 		cfg.Rand = rand.Float64
 	}
-	h := &holderHost{client: c, cfg: cfg, task: task, onStop: onStop, ctx: hostCtx}
+	h := &holderActions{client: c, cfg: cfg, task: task, onStop: onStop, ctx: holderCtx}
 	h.holder = lease.NewHolder(cfg, h)
-	watchCtx, stopWatch := context.WithCancel(hostCtx)
+	watchCtx, stopWatch := context.WithCancel(holderCtx)
 	defer stopWatch()
 	changes := c.Watch(watchCtx, cfg.Lease)
 	h.withLock(h.holder.Start)
@@ -128,14 +128,14 @@
 }
 
 // withLock calls f with the current time while holding the lock of the Holder.
-func (h *holderHost) withLock(f func(now time.Duration)) {
+func (h *holderActions) withLock(f func(now time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(Now())
 }
 
-// Send implements lease.Host. The caller holds h.mu.
-func (h *holderHost) Send(requestID uint64, cmd lease.Command) {
+// Send implements lease.Actions. The caller holds h.mu.
+func (h *holderActions) Send(requestID uint64, cmd lease.Command) {
 	h.requests.Go(func() {
 		ctx, cancel := context.WithTimeout(h.ctx, h.cfg.Length)
 		defer cancel()
@@ -146,12 +146,12 @@
 	})
 }
 
-// StartTask implements lease.Host. The caller holds h.mu.
-func (h *holderHost) StartTask(e lease.Epoch, value []byte) {
+// StartTask implements lease.Actions. The caller holds h.mu.
+func (h *holderActions) StartTask(e lease.Epoch, value []byte) {
 	ctx, cancel := context.WithCancel(h.ctx)
 	taskDone := make(chan struct{})
 	h.cancelTask, h.taskDone = cancel, taskDone
-	g := &Grant{Epoch: e, Value: value, host: h}
+	g := &Grant{Epoch: e, Value: value, actions: h}
 	go func() {
 		defer cancel()
 		h.task(ctx, g)
@@ -160,16 +160,16 @@
 	}()
 }
 
-// StopTask implements lease.Host. The caller holds h.mu.
-func (h *holderHost) StopTask(reason lease.Reason) {
+// StopTask implements lease.Actions. The caller holds h.mu.
+func (h *holderActions) StopTask(reason lease.Reason) {
 	if h.onStop != nil {
 		h.onStop(reason)
 	}
 	h.cancelTask()
 }
 
-// WakeAt implements lease.Host. The caller holds h.mu.
-func (h *holderHost) WakeAt(at time.Duration) {
+// WakeAt implements lease.Actions. The caller holds h.mu.
+func (h *holderActions) WakeAt(at time.Duration) {
 	if h.timer != nil {
 		h.timer.Stop()
 	}
--- a/internal/leaseserver/disk_failure_test.go
+++ b/internal/leaseserver/disk_failure_test.go
@@ -49,6 +49,7 @@
 	fsys  func(op string) error                    // returns the error of a rename, removal or directory sync
 }
 
+// set replaces the injected failures by those of to.
 func (f *diskFaults) set(to *diskFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,7 +173,8 @@
 	return result
 }
 
-// scenario is a sequence of changes to a log: votes, entries, a replaced tail and snapshots.
+// scenario is a sequence of changes to a log: votes, entries, entries that replace a conflicting
+// tail, and snapshots.
 var scenario = []struct {
 	name string
 	do   func(d *diskStorage) error
@@ -353,8 +355,9 @@
 	}
 }
 
-// testFailure runs scenario[k] on a disk that fails first, fails differently on the first retry,
-// unless recovers is set, and then works.
+// testFailure runs scenario[k] with the failure first and retries it with the failure second.
+// Unless recovers is set, the retry must fail too, and a second retry on a working disk must
+// succeed. After each attempt a reopened log must have the old or the new content.
 func testFailure(t *testing.T, k int, name string, first, second *diskFaults, recovers bool) {
 	f := &diskFaults{}
 	d := openAfterSteps(t, f, k)
@@ -613,6 +616,7 @@
 	return n
 }
 
+// mustHandleReady calls handleReady and fails the test on an error.
 func (n *Node) mustHandleReady(t *testing.T) {
 	t.Helper()
 	if err := n.handleReady(); err != nil {
@@ -657,8 +661,8 @@
 	}
 }
 
-// After a failed write a leader must answer lease requests with "not the leader" and still answer
-// status requests.
+// After a failed write a leader must respond to lease requests with "not the leader" and still
+// respond to status requests.
 func TestLeaderWithFailedWriteRejectsRequests(t *testing.T) {
 	f := &diskFaults{}
 	n := newIdleNode(t, f, 1)
@@ -702,7 +706,7 @@
 	}
 }
 
-// A voter with a failing disk must keep running, answer status requests, acknowledge no entries, and
+// A voter with a failing disk must keep running, respond to status requests, acknowledge no entries, and
 // rejoin once the disk works. A majority of working disks must suffice to grant leases.
 func TestVoterSurvivesDiskFailures(t *testing.T) {
 	disks := []*diskFaults{{}, {}, {}}
--- a/internal/leaseserver/node.go
+++ b/internal/leaseserver/node.go
@@ -1,5 +1,5 @@
-// Package leaseserver replicates the lease state across a small cluster with etcd's Raft library and
-// serves lease requests of clients. It owns the sockets, the log file and the clock; package
+// Package leaseserver implements a voter of the lease server: it replicates the lease state
+// across a small cluster with etcd's Raft library and serves lease requests of clients. It owns the sockets, the log file and the clock; package
 // lease implements the lease state machine.
 package leaseserver
 
@@ -26,7 +26,7 @@
 	"gorselink/lease"
 )
 
-// Config configures a voter. Cluster and Voters are the same for all voters of a cluster.
+// Config configures a voter. Cluster and Voters must be equal at all voters of a cluster.
 type Config struct {
 	Cluster string
 	ID      uint64
@@ -58,23 +58,23 @@
 	seen := map[uint64]bool{}
 	for _, v := range c.Voters {
 		if v.ID == 0 || seen[v.ID] {
-			return fmt.Errorf("voter: voter ID %d: IDs must be positive and unique", v.ID)
+			return fmt.Errorf("leaseserver: voter ID %d: IDs must be positive and unique", v.ID)
 		}
 		if _, _, err := net.SplitHostPort(v.Address); err != nil {
-			return fmt.Errorf("voter: voter %d: %w", v.ID, err)
+			return fmt.Errorf("leaseserver: voter %d: %w", v.ID, err)
 		}
 		seen[v.ID] = true
 	}
 	if !seen[c.ID] {
-		return fmt.Errorf("voter: ID %d is not among the configured voters", c.ID)
+		return fmt.Errorf("leaseserver: ID %d is not among the configured voters", c.ID)
 	}
 	if c.Cluster == "" {
-		return errors.New("voter: cluster name is empty")
+		return errors.New("leaseserver: cluster name is empty")
 	}
 	return nil
 }
 
-// Node is a voter. Only the goroutine that runs loop accesses its mutable state.
+// Node is one voter of the lease server. Only the goroutine that runs loop accesses its mutable state.
 type Node struct {
 	cfg      Config
 	log      *slog.Logger
@@ -92,7 +92,7 @@
 	expiryTracker *lease.ExpiryTracker
 	pending       map[uint64]pendingRequest // by proposal number
 	lastNumber    uint64                    // number of the latest proposal
-	nonce         uint64                    // distinguishes proposals of this process from those of its predecessors
+	nonce         uint64                    // distinguishes proposals of this process from those of earlier ones
 	watchers      map[string]map[*session]bool
 	sessions      map[*session]bool
 	peerQueues    map[uint64]chan *raftpb.Message
@@ -156,7 +156,7 @@
 	}
 	if err != nil {
 		d.close()
-		return nil, fmt.Errorf("voter: %w", err)
+		return nil, fmt.Errorf("leaseserver: %w", err)
 	}
 	return n, nil
 }
@@ -175,8 +175,8 @@
 }
 
 // failedWrite holds a raft.Ready that could not be written. Until a retry succeeds the voter is
-// suspended: it ignores ticks and messages, sends nothing to peers and answers lease requests
-// with "not the leader".
+// suspended: it ignores ticks and messages, sends nothing to peers and responds to lease
+// requests with "not the leader".
 type failedWrite struct {
 	ready raft.Ready // to be written before any other work
 	delay time.Duration
@@ -225,7 +225,7 @@
 		case f := <-n.tasks:
 			f()
 		}
-		// Tasks that are already queued share one write of the log.
+		// Run the tasks that are already queued first, so that they share one write of the log.
 		for range maxBatch {
 			select {
 			case f := <-n.tasks:
@@ -359,7 +359,7 @@
 }
 
 // apply applies a committed entry to the lease state, notifies watchers and responds to the
-// client that is waiting for it.
+// client that sent the command.
 func (n *Node) apply(e *raftpb.Entry) {
 	n.appliedIndex = e.GetIndex()
 	status := n.rawNode.BasicStatus()
@@ -396,8 +396,8 @@
 	}
 }
 
-// failPending responds to all pending requests that this voter is not the leader. Their
-// proposals may still be committed.
+// failPending sends a "not the leader" response to all pending requests. Their proposals
+// may still be committed.
 func (n *Node) failPending() {
 	for number, request := range n.pending {
 		delete(n.pending, number)
@@ -405,6 +405,8 @@
 	}
 }
 
+// notLeaderResponse returns the response of a voter that cannot execute a request, with
+// the ID of the leader if another voter is known to be it.
 func (n *Node) notLeaderResponse(requestID uint64) leaseclient.Response {
 	response := leaseclient.Response{RequestID: requestID, NotLeader: true, Error: "not the leader"}
 	if leader := n.rawNode.BasicStatus().Lead; leader != n.cfg.ID {
@@ -426,6 +428,8 @@
 	}
 }
 
+// propose proposes an entry for the Raft log. It returns an error if Raft drops the
+// proposal, for example because this voter is not the leader.
 func (n *Node) propose(e logEntry) error {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -471,7 +475,7 @@
 		return
 	}
 	if req.Command == nil || req.Command.Kind == lease.Expire { // only the leader itself proposes expirations
-		s.send(leaseclient.FrameResponse, leaseclient.Response{RequestID: req.RequestID, Error: "no command", Code: "bounds"})
+		s.send(leaseclient.FrameResponse, leaseclient.Response{RequestID: req.RequestID, Error: "request has no command, or one that clients must not send", Code: "bounds"})
 		return
 	}
 	n.lastNumber++
@@ -596,7 +600,7 @@
 // servePeer receives Raft messages from another voter.
 func (n *Node) servePeer(frames *leaseclient.FrameConn, peerID uint64) {
 	if !slices.ContainsFunc(n.cfg.Voters, func(v leaseclient.Voter) bool { return v.ID == peerID }) || peerID == n.cfg.ID {
-		frames.WriteJSON(leaseclient.FrameHello, leaseclient.Hello{Error: fmt.Sprintf("voter %d is none of ours", peerID)})
+		frames.WriteJSON(leaseclient.FrameHello, leaseclient.Hello{Error: fmt.Sprintf("voter %d is not a voter of this cluster", peerID)})
 		return
 	}
 	for {
--- a/internal/leaseserver/storage.go
+++ b/internal/leaseserver/storage.go
@@ -37,7 +37,7 @@
 	needsRewrite bool
 }
 
-// identity names the voter that a log file belongs to. A voter that has lost its log must
+// identity identifies the voter that a log file belongs to. A voter that has lost its log must
 // not vote under its old ID, because it may already have voted in the current term.
 type identity struct {
 	Cluster string   `json:"cluster"`
@@ -82,12 +82,12 @@
 func initLog(fsys durable.FS, dir string, id identity) error {
 	path := filepath.Join(dir, dbFileName)
 	if _, err := os.Stat(path); err == nil {
-		return fmt.Errorf("voter: %s: log file already exists", path)
+		return fmt.Errorf("leaseserver: %s: log file already exists", path)
 	} else if !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("voter: %w", err)
+		return fmt.Errorf("leaseserver: %w", err)
 	}
 	if err := durable.MkdirAll(fsys, dir, 0o700); err != nil {
-		return fmt.Errorf("voter: %w", err)
+		return fmt.Errorf("leaseserver: %w", err)
 	}
 	one := uint64(1)
 	initial := logContent{
@@ -97,12 +97,12 @@
 	d := diskStorage{identity: id, path: path, fsys: fsys, openDB: openBolt}
 	db, err := d.writeTemp(&initial)
 	if err != nil {
-		return fmt.Errorf("voter: %s: %w", path, err)
+		return fmt.Errorf("leaseserver: %s: %w", path, err)
 	}
 	err = durable.Replace(fsys, path+tempSuffix, path)
 	if err = errors.Join(err, db.Close()); err != nil {
 		fsys.Remove(path) // no vote has been recorded in it
-		return fmt.Errorf("voter: %s: %w", path, err)
+		return fmt.Errorf("leaseserver: %s: %w", path, err)
 	}
 	return nil
 }
@@ -185,6 +185,7 @@
 	return v[4:], nil
 }
 
+// putProto stores a message with a checksum.
 func putProto(b *bbolt.Bucket, key []byte, m proto.Message) error {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -193,6 +194,7 @@
 	return b.Put(key, addChecksum(data))
 }
 
+// getProto reads a message that putProto stored, and verifies its checksum.
 func getProto(b *bbolt.Bucket, key []byte, m proto.Message) error {
 	data, err := verifyChecksum(b.Get(key))
 	if err != nil {
@@ -224,26 +226,28 @@
 func openDiskStorageWith(fsys durable.FS, openDB openDBFunc, dir string, id identity) (*diskStorage, error) {
 	path := filepath.Join(dir, dbFileName)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("voter: %s: %w; run 'voter init' for a new voter; a voter that lost its log must rejoin under a new ID", path, ErrNoLog)
+		return nil, fmt.Errorf("leaseserver: %s: %w; run 'voter init' for a new voter; a voter that lost its log must rejoin under a new ID", path, ErrNoLog)
 	}
 	d := &diskStorage{MemoryStorage: raft.NewMemoryStorage(), path: path, fsys: fsys, openDB: openDB}
 	if err := recoverPanics(func() (err error) {
 		d.db, err = d.openDB(path, lockTimeout)
 		return err
 	}); err != nil {
-		return nil, fmt.Errorf("voter: %s: %w", path, err)
+		return nil, fmt.Errorf("leaseserver: %s: %w", path, err)
 	}
 	if err := recoverPanics(func() error { return d.db.View(func(tx *bbolt.Tx) error { return d.load(tx, id) }) }); err != nil {
 		recoverPanics(d.db.Close)
-		return nil, fmt.Errorf("voter: %s: %w", path, err)
+		return nil, fmt.Errorf("leaseserver: %s: %w", path, err)
 	}
 	if err := d.fsys.SyncDir(dir); err != nil { // the process that created the file may have stopped before this sync
 		recoverPanics(d.db.Close)
-		return nil, fmt.Errorf("voter: %s: %w", path, err)
+		return nil, fmt.Errorf("leaseserver: %s: %w", path, err)
 	}
 	return d, nil
 }
 
+// load reads the file into memory. It fails if the file belongs to another voter or is
+// damaged.
 func (d *diskStorage) load(tx *bbolt.Tx, id identity) error {
 	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 	if meta == nil || log == nil {
@@ -314,7 +318,7 @@
 		return nil
 	}
 	if err := d.persist(rd); err != nil {
-		return fmt.Errorf("voter: %s: %w", d.path, err)
+		return fmt.Errorf("leaseserver: %s: %w", d.path, err)
 	}
 	if snap {
 		if err := d.ApplySnapshot(rd.Snapshot); err != nil {
@@ -330,7 +334,7 @@
 	return nil
 }
 
-// persist writes rd to the file, or rewrites the whole file if an earlier write failed.
+// persist writes rd to the file, or replaces the whole file if an earlier write failed.
 func (d *diskStorage) persist(rd *raft.Ready) error {
 	if d.needsRewrite {
 		return d.rewrite(rd)
@@ -468,7 +472,7 @@
 		}
 		return deleteEntries(tx.Bucket(bucketLog), 0, index+1-min(keep, index))
 	}); err != nil {
-		return fmt.Errorf("voter: %s: snapshot: %w", d.path, err)
+		return fmt.Errorf("leaseserver: %s: snapshot: %w", d.path, err)
 	}
 	return nil
 }
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -21,41 +21,41 @@
 
 // The kinds of event.
 const (
-	BatchStart    Kind = iota // a batch begins; Now is set
-	BatchEnd                  // a batch ends and needs a reply
-	InstanceStart             // an instance starts
-	InstanceStop              // an instance is killed
-	Members                   // an endpoint list, or the failure to obtain one
+	BatchStart     Kind = iota // a batch begins; Now is set
+	BatchEnd                   // a batch ends and needs a reply
+	InstanceStart              // an instance starts
+	InstanceStop               // an instance was killed
+	EndpointUpdate             // an endpoint update, or a failure of discovery
 	Request
 	Opened
 	Outcome
-	Withdrawn
+	Cancelled
 	Timer
 	ProbeResult
 	PeerMessage
 )
 
-// maxLists is the number of endpoint lists that can be defined.
+// maxLists is the number of endpoint lists that can be defined at the same time.
 const maxLists = 16
 
 // Event is one event. Which fields are set depends on Kind.
 type Event struct {
-	Kind     Kind
-	Now      time.Duration
-	Instance int
-	Seed     uint64
-	Settings string
-	ID       uint64 // of the request, or the token of a timer
-	Class    int
-	Tenant   int
-	Flags    int
-	Budget   time.Duration
-	Number   int // of the attempt
-	Result   balance.Result
-	Elapsed  time.Duration
-	Final    bool
-	ListKind balance.UpdateKind
-	List     []balance.Endpoint // valid until the list with its number is defined again
+	Kind       Kind
+	Now        time.Duration
+	Instance   int
+	Seed       uint64
+	Settings   string
+	ID         uint64 // of the request, or the token of a timer
+	Class      int
+	Tenant     int
+	Flags      int
+	Budget     time.Duration
+	Number     int // of the attempt
+	Result     balance.Result
+	Elapsed    time.Duration
+	Final      bool
+	UpdateKind balance.UpdateKind
+	List       []balance.Endpoint // valid until the list with its number is defined again
 }
 
 // Reader reads events and keeps the endpoint lists defined so far.
@@ -85,6 +85,7 @@
 	return nil
 }
 
+// read returns the next line without its newline. It returns io.EOF only between batches.
 func (r *Reader) read() ([]byte, error) {
 	text, err := r.in.ReadSlice('\n')
 	if err == io.EOF && len(text) == 0 && !r.inBatch {
@@ -100,6 +101,7 @@
 	return bytes.TrimSuffix(text, []byte("\n")), nil
 }
 
+// decode decodes one line, and for a MANIFEST also the list and the event that follow it.
 func (r *Reader) decode(text []byte, e *Event) error {
 	word, rest, _ := bytes.Cut(text, []byte(" "))
 	if string(word) == "MARK" {
@@ -131,7 +133,7 @@
 		e.Kind = Timer
 		return r.decodeID(e, 3)
 	case "WITHDRAWN":
-		e.Kind = Withdrawn
+		e.Kind = Cancelled
 		return r.decodeID(e, 3)
 	case "KILLED":
 		e.Kind = InstanceStop
@@ -147,6 +149,7 @@
 	return fmt.Errorf("unknown event %q", word)
 }
 
+// decodeMark decodes MARK, which starts a batch and sets its time.
 func (r *Reader) decodeMark(rest []byte, e *Event) error {
 	if r.inBatch {
 		return errors.New("MARK inside a batch, want an event or GO")
@@ -160,6 +163,7 @@
 	return nil
 }
 
+// decodeBorn decodes BORN, the start of an instance. Its settings contain spaces.
 func decodeBorn(rest []byte, e *Event) error {
 	parts := strings.SplitN(string(rest), " ", 3)
 	if len(parts) != 3 {
@@ -216,6 +220,7 @@
 	return err
 }
 
+// listNumber decodes the number of an endpoint list.
 func (r *Reader) listNumber(field []byte) (int, error) {
 	n, err := parseInt(field)
 	if err == nil && n >= maxLists {
@@ -224,6 +229,8 @@
 	return n, err
 }
 
+// decodeManifest decodes MANIFEST and the entries that follow it: an endpoint list, to
+// which later VIEW events refer by its number. It then decodes the next event.
 func (r *Reader) decodeManifest(e *Event) error {
 	if err := r.requireFields(3); err != nil {
 		return err
@@ -262,6 +269,7 @@
 	return r.decode(text, e)
 }
 
+// decodeItem decodes ITEM, one entry of an endpoint list.
 func (r *Reader) decodeItem() (entry balance.Endpoint, err error) {
 	if string(r.fields[0]) != "ITEM" {
 		return entry, fmt.Errorf("list entry starts with %q, want ITEM", r.fields[0])
@@ -294,8 +302,9 @@
 	return entry, err
 }
 
+// decodeView decodes VIEW, an endpoint update for one instance with a list defined earlier.
 func (r *Reader) decodeView(e *Event) error {
-	e.Kind = Members
+	e.Kind = EndpointUpdate
 	if err := r.decodeInstance(e, 5); err != nil {
 		return err
 	}
@@ -306,8 +315,8 @@
 	if scope > int(balance.ListFailed) {
 		return fmt.Errorf("VIEW: scope %d, want 0 to 3", scope)
 	}
-	e.ListKind = balance.UpdateKind(scope)
-	if e.ListKind == balance.ListFailed {
+	e.UpdateKind = balance.UpdateKind(scope)
+	if e.UpdateKind == balance.ListFailed {
 		return nil
 	}
 	n, err := r.listNumber(r.fields[4])
@@ -321,6 +330,7 @@
 	return nil
 }
 
+// decodeArrival decodes ARRIVAL, a request of a client.
 func (r *Reader) decodeArrival(e *Event) (err error) {
 	e.Kind = Request
 	if err := r.decodeInstance(e, 9); err != nil {
@@ -350,6 +360,7 @@
 	"NOCONN": balance.ConnectError, "RST": balance.Reset, "CXL": balance.Cancelled, "NOP": balance.NotSent,
 }
 
+// decodeResult decodes the result of an attempt or a probe.
 func (r *Reader) decodeResult(field []byte, e *Event) error {
 	result, ok := results[string(field)]
 	if !ok {
@@ -359,6 +370,7 @@
 	return nil
 }
 
+// decodeReply decodes REPLY, the outcome of an attempt.
 func (r *Reader) decodeReply(e *Event) (err error) {
 	e.Kind = Outcome
 	if err := r.decodeInstance(e, 9); err != nil {
@@ -384,6 +396,7 @@
 	return fmt.Errorf("REPLY: final flag %q, want 0 or 1", r.fields[7])
 }
 
+// decodeOpened decodes OPENED: a connection was opened for an attempt.
 func (r *Reader) decodeOpened(e *Event) (err error) {
 	e.Kind = Opened
 	if err := r.decodeInstance(e, 6); err != nil {
@@ -399,6 +412,7 @@
 	return err
 }
 
+// decodeProbeResult decodes PING_RESULT, the result of a probe.
 func (r *Reader) decodeProbeResult(e *Event) (err error) {
 	e.Kind = ProbeResult
 	if err := r.decodeInstance(e, 6); err != nil {
@@ -427,6 +441,7 @@
 	return int(n), nil
 }
 
+// absent reports whether a field is "-", which stands for a missing value.
 func absent(field []byte) bool { return len(field) == 1 && field[0] == '-' }
 
 func parseOptionalInt(field []byte) (int, error) {
@@ -436,7 +451,8 @@
 	return parseInt(field)
 }
 
-// maxSeconds bounds times, well within the range of time.Duration.
+// maxSeconds is the largest absolute value of a time. It is well within the range of
+// time.Duration.
 const maxSeconds = 4e9
 
 // parseSeconds parses a time in seconds, with microsecond precision.
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Text returns a setting as it is, or "" if it is missing.
+// Text returns the text of a setting, or "" if it is missing.
 func (s *Settings) Text(path string) string { return s.values[path] }
 
 // AddError records that a setting is invalid, unless there is an error already.
@@ -115,7 +115,7 @@
 	return time.Duration(math.Round(s.number(path)*1e6)) * time.Microsecond
 }
 
-// maxCount bounds integer settings.
+// maxCount is the largest value of an integer setting.
 const maxCount = 1 << 20
 
 // Integer returns a setting that is an integer of 0 or more, or 0 if it is missing.
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -39,7 +39,7 @@
 	}
 	entry := events[1].List[0]
 	want := balance.Endpoint{Addr: "10.18.74.7:9003", State: balance.Ready, Zone: 2, Cell: 4, Since: 6100 * time.Millisecond}
-	if entry != want || events[1].ListKind != balance.Cached {
+	if entry != want || events[1].UpdateKind != balance.Cached {
 		t.Errorf("cached list: got entry %+v, want %+v", entry, want)
 	}
 	if e := events[2]; e.Now != 8412250*time.Microsecond || e.ID != 1257971715314116 || e.Class != 1 || e.Budget != 240*time.Millisecond {
--- a/internal/simproto/writer.go
+++ b/internal/simproto/writer.go
@@ -18,6 +18,7 @@
 	return &Writer{out: bufio.NewWriterSize(out, 1<<16)}
 }
 
+// start begins a line with the action and the instance.
 func (w *Writer) start(word string, instance int) {
 	w.buf = append(w.buf[:0], word...)
 	w.integer(uint64(instance))
@@ -59,7 +60,7 @@
 	w.end()
 }
 
-// Refuse writes that a request is refused.
+// Reject writes that a request is rejected.
 func (w *Writer) Reject(instance int, id uint64, retryAfter time.Duration) {
 	w.start("BOUNCE", instance)
 	w.integer(id)
@@ -89,7 +90,7 @@
 	w.end()
 }
 
-// Watch writes that an instance subscribes to endpoint list changes.
+// Watch writes that an instance subscribes to endpoint updates.
 func (w *Writer) Watch(instance int) {
 	w.start("FOLLOW", instance)
 	w.integer(1)
@@ -103,7 +104,7 @@
 	w.end()
 }
 
-// Reply ends the reply to a batch and flushes the output.
+// Reply writes the end of the response to a batch and flushes the output.
 func (w *Writer) Reply() error {
 	w.out.WriteString("ACK\n")
 	return w.out.Flush()
--- a/lease/clock_test.go
+++ b/lease/clock_test.go
@@ -23,7 +23,7 @@
 func (m machine) now() time.Duration { return m.Clock().Since(m.booted) }
 
 // machineHolder is a Holder on its own machine. It queues the commands that the Holder
-// sends, for the test to answer or to drop.
+// sends, for the test to execute or to drop.
 type machineHolder struct {
 	machine
 	holder      *Holder
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Host carries out the decisions of a Holder. The Holder calls its methods from within its
+// Actions carries out the decisions of a Holder. The Holder calls its methods from within its
 // own methods, so an implementation must neither block nor call the Holder back.
 type Actions interface {
-	// Send sends a command to the quorum. The result, if there is one, is passed to
+	// Send sends a command to the lease server. The result, if there is one, is passed to
 	// Holder.HandleResult with the same request ID.
 	Send(requestID uint64, c Command)
 	// StartTask starts the task under a new claim.
 	StartTask(e Epoch, value []byte)
-	// StopTask tells the task to stop. The task must have stopped when the claim ends.
+	// StopTask requests the task to stop. The task must have ended when the claim ends.
 	StopTask(reason Reason)
 	// WakeAt schedules a call of Holder.Wake at the given time or earlier. It replaces the
 	// call that was scheduled before.
 	WakeAt(at time.Duration)
 }
 
-// Reason tells why a task is stopped.
+// Reason is the reason why a task is stopped.
 type Reason uint8
 
 const (
 	StopRequested Reason = iota + 1 // Holder.Stop was called, or the task returned by itself
 	QuorumTimeout                   // no renewal succeeded in time
 	Stalled                         // the task reported no progress within the stall timeout
-	Replaced                        // the quorum no longer has this claim on record
+	Replaced                        // the lease server rejected a renewal: the lease is no longer held with this epoch
 )
 
 var reasonNames = [...]string{"none", "asked", "unheard", "stalled", "replaced"}
@@ -36,7 +36,7 @@
 	Lease         string
 	Client        string // unique to this run of the process
 	Length        time.Duration
-	Grace         time.Duration  // how long before the end of the claim the task is told to stop
+	Grace         time.Duration  // how long before the end of the claim the task is requested to stop
 	StallTimeout  time.Duration  // time without progress after which the task is stopped; 0 disables the check
 	RetryInterval time.Duration  // mean interval between attempts to acquire the lease
 	Rand          func() float64 // returns a value from 0 to 1, for jitter
@@ -45,8 +45,8 @@
 // Holder acquires and renews one lease and tracks the claim on it. The task runs from
 // StartTask to TaskEnded and is only started under a claim.
 type Holder struct {
-	cfg  HolderConfig
-	host Actions
+	cfg     HolderConfig
+	actions Actions
 
 	wanted        bool // whether the lease is to be acquired and kept
 	lastRequestID uint64
@@ -54,11 +54,11 @@
 	claimEpoch    Epoch                     // 0 without a claim
 	claimEnd      time.Duration
 	taskRunning   bool          // the task has been started and has not ended
-	taskStopping  bool          // the running task has been told to stop
+	taskStopping  bool          // the running task has been requested to stop
 	lastProgress  time.Duration // when the task last reported progress
 	nextRenewal   time.Duration
 	nextAcquire   time.Duration
-	releasedEpoch Epoch  // highest epoch that this Holder has released
+	releasedEpoch Epoch  // highest epoch released by this Holder
 	releaseValue  []byte // sent with the release, for the next holder
 	stopReason    Reason
 }
@@ -69,8 +69,8 @@
 }
 
 // NewHolder returns a Holder that does nothing until Start is called.
-func NewHolder(cfg HolderConfig, host Actions) *Holder {
-	return &Holder{cfg: cfg, host: host, pending: map[uint64]pendingRequest{}}
+func NewHolder(cfg HolderConfig, actions Actions) *Holder {
+	return &Holder{cfg: cfg, actions: actions, pending: map[uint64]pendingRequest{}}
 }
 
 // Claim returns the epoch and the end of the current claim, and whether it is valid now.
@@ -95,8 +95,8 @@
 // ReportProgress records that the task is making progress.
 func (h *Holder) ReportProgress(now time.Duration) { h.lastProgress = now }
 
-// LeaseFreed reports that the quorum has the lease as free. All waiting clients learn this
-// at once, so the next attempt is delayed at random to spread their requests.
+// LeaseFreed reports that the lease is free. All waiting clients learn this at once, so
+// the next attempt to acquire it is delayed at random to spread their requests.
 func (h *Holder) LeaseFreed(now time.Duration) {
 	if h.wanted && !h.taskRunning {
 		h.nextAcquire = min(h.nextAcquire, now+time.Duration(h.cfg.Rand()*float64(h.cfg.RetryInterval)/4))
@@ -107,7 +107,7 @@
 // SetReleaseValue sets the value that is stored for the next holder on release.
 func (h *Holder) SetReleaseValue(value []byte) { h.releaseValue = value }
 
-// TaskEnded reports that the task has ended, whether or not it was told to stop.
+// TaskEnded reports that the task has ended, whether or not it was requested to stop.
 func (h *Holder) TaskEnded(now time.Duration) {
 	if !h.taskRunning {
 		return
@@ -124,11 +124,11 @@
 	h.Wake(now)
 }
 
-// stopTask tells the task to stop, unless it has been told already.
+// stopTask requests the task to stop, unless that has been done already.
 func (h *Holder) stopTask(_ time.Duration, reason Reason) {
 	if h.taskRunning && !h.taskStopping {
 		h.taskStopping, h.stopReason = true, reason
-		h.host.StopTask(reason)
+		h.actions.StopTask(reason)
 	}
 }
 
@@ -140,17 +140,17 @@
 func (h *Holder) send(now time.Duration, c Command) {
 	h.lastRequestID++
 	h.pending[h.lastRequestID] = pendingRequest{c.Kind, now}
-	h.host.Send(h.lastRequestID, c)
+	h.actions.Send(h.lastRequestID, c)
 }
 
-// release gives a grant back. Results may arrive out of order, so the epoch is recorded:
+// release releases a granted lease. Results may arrive out of order, so the epoch is recorded:
 // an older result for the same grant must not start the task again.
 func (h *Holder) release(now time.Duration, e Epoch, value []byte) {
 	h.releasedEpoch = max(h.releasedEpoch, e)
 	h.send(now, Command{Kind: Release, Lease: h.cfg.Lease, Client: h.cfg.Client, Epoch: e, Value: value})
 }
 
-// HandleResult processes the result of a request. A claim is counted from the time when
+// HandleResult processes the result of a command. A claim is counted from the time when
 // the request was sent, so a late result extends it by little or not at all.
 func (h *Holder) HandleResult(now time.Duration, requestID uint64, r Result) {
 	request, ok := h.pending[requestID]
@@ -171,7 +171,7 @@
 		}
 		h.claimEpoch, h.claimEnd, h.taskRunning, h.lastProgress = r.Record.Epoch, until, true, now
 		h.nextRenewal = request.sentAt + r.Record.Length/3
-		h.host.StartTask(h.claimEpoch, r.Record.Value)
+		h.actions.StartTask(h.claimEpoch, r.Record.Value)
 	case Renew:
 		switch {
 		case r.Record.Epoch != h.claimEpoch || h.claimEpoch == 0: // result for an earlier claim
@@ -228,5 +228,5 @@
 	default:
 		return
 	}
-	h.host.WakeAt(next)
+	h.actions.WakeAt(next)
 }
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// recordingHost is a Host that records the calls of a Holder.
-type recordingHost struct {
+// recordingActions implements Actions and records the calls of a Holder.
+type recordingActions struct {
 	commands []Command
 	started  []Epoch
 	stopped  []Reason
 	wakeAt   time.Duration
 }
 
-func (r *recordingHost) Send(_ uint64, c Command)    { r.commands = append(r.commands, c) }
-func (r *recordingHost) StartTask(e Epoch, _ []byte) { r.started = append(r.started, e) }
-func (r *recordingHost) StopTask(reason Reason)      { r.stopped = append(r.stopped, reason) }
-func (r *recordingHost) WakeAt(at time.Duration)     { r.wakeAt = at }
+func (r *recordingActions) Send(_ uint64, c Command)    { r.commands = append(r.commands, c) }
+func (r *recordingActions) StartTask(e Epoch, _ []byte) { r.started = append(r.started, e) }
+func (r *recordingActions) StopTask(reason Reason)      { r.stopped = append(r.stopped, reason) }
+func (r *recordingActions) WakeAt(at time.Duration)     { r.wakeAt = at }
 
 // sent returns the number of commands of a kind.
-func (r *recordingHost) sent(k Kind) (n int) {
+func (r *recordingActions) sent(k Kind) (n int) {
 	return len(slices.DeleteFunc(slices.Clone(r.commands), func(c Command) bool { return c.Kind != k }))
 }
+
+// granted returns the result of a successful acquire or renew command.
 func granted(e Epoch, seq uint64) Result {
 	return Result{Record: Record{Holder: "me", Epoch: e, Seq: seq, Length: time.Second}}
 }
-func newRecordedHolder(stallTimeout time.Duration) (*Holder, *recordingHost) {
-	r := &recordingHost{}
+func newRecordedHolder(stallTimeout time.Duration) (*Holder, *recordingActions) {
+	r := &recordingActions{}
 	return NewHolder(HolderConfig{Lease: "l", Client: "me", Length: time.Second, Grace: 100 * ms, StallTimeout: stallTimeout, RetryInterval: 200 * ms, Rand: func() float64 { return 0.5 }}, r), r
 }
 
 // wakeUntil calls Wake at each scheduled time before until, and beforeWake, if not nil,
 // before each call.
-func wakeUntil(h *Holder, r *recordingHost, until time.Duration, beforeWake func(now time.Duration)) {
+func wakeUntil(h *Holder, r *recordingActions, until time.Duration, beforeWake func(now time.Duration)) {
 	for n := 0; r.wakeAt < until; n++ {
 		now := r.wakeAt
 		r.wakeAt = until
@@ -93,8 +95,8 @@
 	}
 }
 
-// A stalled task must be told to stop and must lose its claim even if it keeps running,
-// although the process still gets results from the quorum.
+// A stalled task must be requested to stop and must lose its claim even if it keeps running,
+// although the process still gets results from the lease server.
 func TestStalledTaskLosesItsClaim(t *testing.T) {
 	h, r := newRecordedHolder(300 * ms)
 	h.Start(0)
@@ -123,8 +125,8 @@
 	}
 }
 
-// A refused renewal must stop the task, but only if the refusal is for the current claim.
-func TestOnlyRefusalOfCurrentClaimStopsTask(t *testing.T) {
+// A rejected renewal must stop the task, but only if it was for the current claim.
+func TestOnlyRejectionOfCurrentClaimStopsTask(t *testing.T) {
 	h, r := newRecordedHolder(0)
 	h.Start(0)
 	h.HandleResult(0, 1, granted(4, 1))
@@ -132,7 +134,7 @@
 	id := h.lastRequestID
 	h.HandleResult(400*ms, id, Result{Err: ErrStale, Record: Record{Holder: "other", Epoch: 3}})
 	if len(r.stopped) != 0 {
-		t.Error("a refusal for another epoch stops the task")
+		t.Error("a rejected renewal of another epoch stops the task")
 	}
 	wakeUntil(h, r, 500*ms, nil)
 	h.HandleResult(500*ms, h.lastRequestID, Result{Err: ErrStale, Record: Record{Epoch: 4}})
@@ -141,7 +143,7 @@
 	}
 }
 
-// The results of commands in sequence, then a snapshot and a fence.
+// TestState checks the results of a sequence of commands, a snapshot and a Fence.
 func TestState(t *testing.T) {
 	var s State
 	apply := func(c Command) Result { return s.Apply(c) }
--- a/lease/sim_test.go
+++ b/lease/sim_test.go
@@ -20,7 +20,7 @@
 
 const ms = time.Millisecond
 
-// simulation runs a quorum of raft nodes and its clients in virtual time. It injects
+// simulation runs the voters of a lease server and their clients in virtual time. It injects
 // message loss, delays, network partitions, paused and crashed processes, and clocks that
 // differ in rate by up to 1%. Raft draws its election timeouts from a random source of its
 // own, so a seed repeats the faults but not the elections.
@@ -290,7 +290,7 @@
 	paused       bool
 	pending      []func() // input that arrived during the pause
 	taskRunning  bool
-	ignoresStop  bool // the task keeps running after it is told to stop
+	ignoresStop  bool // the task keeps running after it is requested to stop
 	lastSequence int
 	wakeAt       time.Duration
 }
--- a/lease/state.go
+++ b/lease/state.go
@@ -1,12 +1,12 @@
 // Package lease implements leases that at most one client holds at a time. State is the
-// state machine that a quorum replicates to every voter; Holder is the client's side and
-// knows when its claim ends. The package reads no clock, does no I/O and starts no
+// state machine that the lease server replicates to every voter. Holder is the client's
+// side and tracks when its claim ends. The package reads no clock, does no I/O and starts no
 // goroutine: callers pass in times of their own monotonic clock, which are never sent.
 //
 // A claim is the time during which a holder may act under its lease. It lasts for the
 // lease's length on the holder's clock, counted from before the request was sent. The
-// leader of the quorum expires a lease only after the length plus a margin for clock
-// drift, counted on its own clock from when it learnt of the last renewal or became
+// leader of the lease server expires a lease only after the length plus a margin for clock
+// drift, counted on its own clock from when it applied the last renewal or became
 // leader. Both are later than the request, so no two claims on a lease overlap while the
 // rates of the clocks differ by at most MaxClockDrift.
 //
@@ -35,7 +35,7 @@
 	Release                 // frees the lease
 	Put                     // stores a value for the next holder
 	Expire                  // sent by the leader: frees a lease that was not renewed in time
-	Evict                   // sent by an operator: refuses further renewals by the holder
+	Evict                   // sent by an operator: renewals by the holder are rejected from now on
 )
 
 var kindNames = [...]string{"none", "acquire", "renew", "release", "put", "expire", "evict"}
@@ -47,18 +47,18 @@
 	return fmt.Sprintf("kind-%d", uint8(k))
 }
 
-// Command is one entry of the quorum's log.
+// Command is one entry of the lease server's log.
 type Command struct {
 	Kind   Kind          `json:"kind"`
 	Lease  string        `json:"lease"`
 	Client string        `json:"client,omitempty"` // unique to one run of a process: after a restart it is another client
 	Length time.Duration `json:"length,omitempty"` // of Acquire
-	Epoch  Epoch         `json:"epoch,omitempty"`  // of all kinds but Acquire
+	Epoch  Epoch         `json:"epoch,omitempty"`  // of all kinds except Acquire
 	Seq    uint64        `json:"seq,omitempty"`    // of Expire: the last renewal that the leader has seen
 	Value  []byte        `json:"value,omitempty"`  // of Put and Release
 }
 
-// Limits of the state. A command that exceeds them is refused and changes nothing.
+// Limits of the state. A command that exceeds them is rejected and changes nothing.
 const (
 	MaxLeases     = 100_000
 	MaxNameBytes  = 200
@@ -82,7 +82,7 @@
 	Seq    uint64        `json:"seq"`              // grows with each grant and renewal
 	Length time.Duration `json:"length"`
 	Value  []byte        `json:"value,omitempty"`
-	Evict  bool          `json:"evict,omitempty"` // renewals by the holder are refused
+	Evict  bool          `json:"evict,omitempty"` // renewals by the holder are rejected
 }
 
 // State is the replicated state machine. The zero value has no leases. It changes only by
@@ -121,6 +121,8 @@
 	return Result{Err: s.applyTo(r, &c), Record: r.clone()}
 }
 
+// applyTo applies a valid command to the record of its lease. On error the record is
+// unchanged.
 func (s *State) applyTo(r *Record, c *Command) error {
 	heldByClient := r.Holder != "" && r.Holder == c.Client && r.Epoch == c.Epoch
 	switch c.Kind {
@@ -246,8 +248,8 @@
 	return length + time.Duration(2*MaxClockDrift*float64(length)) + time.Millisecond
 }
 
-// ExpiryTracker is the leader's record of when it learnt of each grant and renewal, by its
-// own clock. It is valid for one term of leadership: a new leader creates a new tracker,
+// ExpiryTracker records when the leader applied the last grant or renewal of each lease, on
+// its own clock. It is valid for one term of leadership: a new leader creates a new tracker,
 // which counts every lease from then on.
 type ExpiryTracker struct {
 	observed map[string]observation
@@ -287,8 +289,8 @@
 	}
 }
 
-// Due returns the Expire commands to propose now, and when to call it again. It returns
-// each command once, unless ProposalDropped is called.
+// Due returns the Expire commands to propose now, and the time of the next call. It
+// returns each command once, or again after ProposalDropped.
 func (t *ExpiryTracker) Due(s *State, now time.Duration) (expire []Command, next time.Duration) {
 	next = now + MaxLength
 	for _, name := range slices.Sorted(maps.Keys(t.observed)) {
