--- a/internal/bytebudget/bytebudget.go
+++ b/internal/bytebudget/bytebudget.go
@@ -5,23 +5,23 @@
 
 // Bytes is a memory budget that is safe for concurrent use. The zero value has a total of 0.
 // Reserving does not block: it fails if too little memory is available.
-type Bytes struct {
+type Budget struct {
 	total, available atomic.Int64
 }
 
 // SetTotal changes the size of the budget. Existing reservations stay valid; if they exceed the
 // new total, Reserve fails until enough of them has been released.
-func (b *Bytes) SetTotal(total int64) { b.available.Add(total - b.total.Swap(total)) }
+func (b *Budget) SetTotal(total int64) { b.available.Add(total - b.total.Swap(total)) }
 
 // Total returns the size of the budget.
-func (b *Bytes) Total() int64 { return b.total.Load() }
+func (b *Budget) Total() int64 { return b.total.Load() }
 
 // Available returns the number of bytes that can be reserved. It is negative while reservations
 // exceed the total.
-func (b *Bytes) Available() int64 { return b.available.Load() }
+func (b *Budget) Available() int64 { return b.available.Load() }
 
 // Reserve reserves n bytes of the budget and reports whether they were available.
-func (b *Bytes) Reserve(n int64) (Reservation, bool) {
+func (b *Budget) Reserve(n int64) (Reservation, bool) {
 	if n == 0 {
 		return Reservation{budget: b}, true
 	}
@@ -35,7 +35,7 @@
 // Reservation is a reserved part of a budget. The zero value reserves nothing. It is not safe
 // for concurrent use.
 type Reservation struct {
-	budget *Bytes
+	budget *Budget
 	bytes  int64
 }
 
@@ -51,7 +51,7 @@
 func (r *Reservation) Size() int64 { return r.bytes }
 
 // BelongsTo reports whether r is a part of b.
-func (r *Reservation) BelongsTo(b *Bytes) bool { return r.budget == b }
+func (r *Reservation) BelongsTo(b *Budget) bool { return r.budget == b }
 
 // Shrink reduces the reservation to n bytes if it is larger.
 func (r *Reservation) Shrink(n int64) {
--- a/internal/bytebudget/bytebudget_test.go
+++ b/internal/bytebudget/bytebudget_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestBytes(t *testing.T) {
-	var b Bytes
+	var b Budget
 	if _, ok := b.Reserve(1); ok {
 		t.Error("reserved a byte of the zero budget")
 	}
@@ -40,7 +40,7 @@
 
 // Concurrent reservations neither lose nor create available bytes.
 func TestBytesConcurrent(t *testing.T) {
-	var b Bytes
+	var b Budget
 	b.SetTotal(1000)
 	var wg sync.WaitGroup
 	for i := range 8 {
--- a/internal/daemon/age_test.go
+++ b/internal/daemon/age_test.go
@@ -23,9 +23,9 @@
 	nodes := fmt.Sprintf("discovery = %q\n", agent.Addr())
 	d := startDaemon(t, baseConfig, poolText("a", nodes), routeText("", "a"))
 	old := d.Pool("a")
-	eventually(t, "the first node is known", func() bool { return old.Knows("n-1") })
+	eventually(t, "the first node is known", func() bool { return old.EverListed("n-1") })
 	agent.Update(entry("n-2", time.Now().Add(-clockLag)))
-	eventually(t, "the second node is known", func() bool { return old.Knows("n-2") })
+	eventually(t, "the second node is known", func() bool { return old.EverListed("n-2") })
 	applyConfig(t, d, baseConfig, poolText("a", nodes+"attempts = 2\n"), routeText("", "a"))
 	next := d.Pool("a")
 	if next == old {
--- a/internal/httpserver/body.go
+++ b/internal/httpserver/body.go
@@ -30,7 +30,7 @@
 	data       []byte
 	rest       *bodyReader // nil if data is the whole body
 	reserved   bytebudget.Reservation
-	longBudget *bytebudget.Bytes // for more than initialBodyBytes, unless its total is 0
+	longBudget *bytebudget.Budget // for more than initialBodyBytes, unless its total is 0
 }
 
 // grow extends the reservation to n bytes, more than initialBodyBytes, and reports
@@ -58,8 +58,8 @@
 
 // bodyMemory is the memory that request bodies are reserved from.
 type bodyMemory struct {
-	shortBudget, longBudget *bytebudget.Bytes // longBudget is for bodies over initialBodyBytes and may have a total of 0
-	canStream               bool              // a body without memory is forwarded while it arrives
+	shortBudget, longBudget *bytebudget.Budget // longBudget is for bodies over initialBodyBytes and may have a total of 0
+	canStream               bool               // a body without memory is forwarded while it arrives
 }
 
 // maxHeld returns the length of the longest body that can be held in memory.
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -286,7 +286,7 @@
 	if req.Length < 0 || req.Length > int64(c.in.Buffered()) {
 		c.paced.startBody()
 	}
-	body, err := readBody(c.in, &req.Head, bodyMemory{p.Pool.Bodies(), p.Pool.LongBodies(), p.Pool.Streams()}, p.MaxBody)
+	body, err := readBody(c.in, &req.Head, bodyMemory{p.Pool.BodyBudget(), p.Pool.LongBodyBudget(), p.Pool.StreamingEnabled()}, p.MaxBody)
 	if err != nil {
 		c.paced.endBody()
 		c.rejectBody(err)
@@ -565,14 +565,14 @@
 func (c *callerConn) submit(p *Plan, b *requestBody) (*Plan, *pool.Request, *response) {
 	for tries := 0; ; tries++ {
 		r := &pool.Request{
-			Class:       p.Class,
-			Tenant:      p.Tenant,
-			Budget:      c.server.remainingBudget(p.Budget),
-			Resubmitted: p.Repeat,
-			Outgoing:    p.Upstream,
-			CallID:      p.callID,
-			Reply:       c.reply,
-			Caller:      c,
+			Class:        p.Class,
+			Tenant:       p.Tenant,
+			Budget:       c.server.remainingBudget(p.Budget),
+			Resubmitted:  p.Repeat,
+			Outgoing:     p.Upstream,
+			CallID:       p.callID,
+			ResponseChan: c.reply,
+			Caller:       c,
 		}
 		switch {
 		case b != nil && b.rest != nil:
--- a/internal/httpserver/stream_test.go
+++ b/internal/httpserver/stream_test.go
@@ -272,8 +272,8 @@
 				}
 			}
 			eventually(t, "one connection is idle and no request is open", func() bool { return r.Conns().OpenConns() == 1 && r.Pool.OpenRequests() == 0 })
-			if left := r.Bodies().Available(); left != r.Bodies().Total() {
-				t.Errorf("%d bytes of body memory available of %d, want all", left, r.Bodies().Total())
+			if left := r.BodyBudget().Available(); left != r.BodyBudget().Total() {
+				t.Errorf("%d bytes of body memory available of %d, want all", left, r.BodyBudget().Total())
 			}
 		})
 	}
--- a/internal/httpserver/table_router_test.go
+++ b/internal/httpserver/table_router_test.go
@@ -192,14 +192,14 @@
 				t.Fatal(err)
 			}
 			in.Discard(len(raw))
-			var b bytebudget.Bytes
+			var b bytebudget.Budget
 			b.SetTotal(c.budget)
 			reserved, _ := b.Reserve(min(100, c.budget/2))
 			if c.err == nil || c.err == errBodyTooLong || c.err == io.ErrUnexpectedEOF {
 				reserved.Release()
 			}
 			before := b.Available()
-			got, err := readBody(in, &h, bodyMemory{shortBudget: &b, longBudget: new(bytebudget.Bytes)}, c.maxBytes)
+			got, err := readBody(in, &h, bodyMemory{shortBudget: &b, longBudget: new(bytebudget.Budget)}, c.maxBytes)
 			if c.err != nil {
 				if err == nil || !strings.Contains(err.Error(), c.err.Error()) {
 					t.Errorf("error %v, want it to contain %v", err, c.err)
--- a/internal/pool/disabled.go
+++ b/internal/pool/disabled.go
@@ -14,7 +14,7 @@
 const maxFormerNames = 4096
 
 // Knows reports whether an endpoint has ever been listed, in this process or the previous one.
-func (p *Pool) Knows(name string) bool {
+func (p *Pool) EverListed(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, known := p.known[name]
@@ -23,7 +23,7 @@
 
 // KnownNames returns the names for which Knows returns true. Endpoints that left the list come
 // first, in the order in which they left.
-func (p *Pool) KnownNames() []string {
+func (p *Pool) EverListedNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	names := slices.Clone(p.formerNames)
@@ -35,7 +35,7 @@
 }
 
 // AddKnownNames adds names for which Knows returns true.
-func (p *Pool) AddKnownNames(names []string) {
+func (p *Pool) AddEverListedNames(names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addFormerNames(names...)
--- a/internal/pool/disabled_test.go
+++ b/internal/pool/disabled_test.go
@@ -100,24 +100,24 @@
 	cfg := testConfig()
 	cfg.Known = undatedList("127.0.0.1:1")
 	p := newPool(t, cfg)
-	p.AddKnownNames([]string{"before"})
+	p.AddEverListedNames([]string{"before"})
 	p.mu.Lock()
 	p.applyList(balance.Full, undatedList("127.0.0.1:2"))
 	p.mu.Unlock()
 	for name, want := range map[string]bool{"127.0.0.1:1": true, "127.0.0.1:2": true, "before": true, "never": false} {
-		if got := p.Knows(name); got != want {
+		if got := p.EverListed(name); got != want {
 			t.Errorf("%s: known %t, want %t", name, got, want)
 		}
 	}
-	if names := p.KnownNames(); !slices.Contains(names, "127.0.0.1:1") || !slices.Contains(names, "before") || !slices.Contains(names, "127.0.0.1:2") {
+	if names := p.EverListedNames(); !slices.Contains(names, "127.0.0.1:1") || !slices.Contains(names, "before") || !slices.Contains(names, "127.0.0.1:2") {
 		t.Errorf("known names %q, want the current, the former and the added one", names)
 	}
 	var many []string
 	for i := range 2 * maxFormerNames {
 		many = append(many, fmt.Sprint(i))
 	}
-	p.AddKnownNames(many)
-	if n := len(p.KnownNames()); n > maxFormerNames+1 {
+	p.AddEverListedNames(many)
+	if n := len(p.EverListedNames()); n > maxFormerNames+1 {
 		t.Errorf("%d known names, want the limit and the listed endpoint at most", n)
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -45,8 +45,8 @@
 	conns      *upstream.Pool
 	clock      clock.Clock
 	start      time.Time // Balancer time 0
-	bodies     bytebudget.Bytes
-	longBodies bytebudget.Bytes
+	bodies     bytebudget.Budget
+	longBodies bytebudget.Budget
 
 	maxRequests  atomic.Int64 // Limits.Requests
 	openRequests atomic.Int64 // requests between Submit and Done
@@ -91,7 +91,7 @@
 	Resubmitted bool   // the pool may have had the request before, so it accepts it even when retired
 	OnFinished  func() // called once when nothing more is sent and no attempt is pending
 
-	Reply chan Response // receives the answer and needs a free slot; Submit creates it if it is nil
+	ResponseChan chan Response // receives the answer and needs a free slot; Submit creates it if it is nil
 
 	// Caller, unless it is nil, is checked for a disconnect right before each attempt.
 	Caller Caller
@@ -195,15 +195,15 @@
 func (p *Pool) Conns() *upstream.Pool { return p.conns }
 
 // Bodies returns the memory budget for request bodies.
-func (p *Pool) Bodies() *bytebudget.Bytes { return &p.bodies }
+func (p *Pool) BodyBudget() *bytebudget.Budget { return &p.bodies }
 
 // LongBodies returns the memory budget for request bodies over 64 KiB. If its total is 0 they
 // share the budget of Bodies.
-func (p *Pool) LongBodies() *bytebudget.Bytes { return &p.longBodies }
+func (p *Pool) LongBodyBudget() *bytebudget.Budget { return &p.longBodies }
 
 // Streams reports whether a body that does not fit into the memory budget is streamed to the
 // node.
-func (p *Pool) Streams() bool { return p.conns.StreamingEnabled() }
+func (p *Pool) StreamingEnabled() bool { return p.conns.StreamingEnabled() }
 
 // SetLimits changes the limits. Requests and memory beyond the new limits are kept until they
 // end or are released.
@@ -292,8 +292,8 @@
 // accepted is answered once on Answer. The caller must call RunFirstAttempt for it, and Done
 // at its end.
 func (p *Pool) Submit(r *Request) error {
-	if r.Reply == nil {
-		r.Reply = make(chan Response, 1)
+	if r.ResponseChan == nil {
+		r.ResponseChan = make(chan Response, 1)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -321,7 +321,7 @@
 }
 
 // Answer returns the channel that receives the answer to a submitted request.
-func (r *Request) Response() <-chan Response { return r.Reply }
+func (r *Request) Response() <-chan Response { return r.ResponseChan }
 
 // meanOpenSamples is the number of samples over which meanOpenNs is averaged.
 const meanOpenSamples = 16
@@ -409,7 +409,7 @@
 	r.errorAnswer = nil
 	r.call.End()
 	delete(p.requests, r.id)
-	r.Reply <- a
+	r.ResponseChan <- a
 	return true
 }
 
--- a/internal/sidecar/age_test.go
+++ b/internal/sidecar/age_test.go
@@ -24,7 +24,7 @@
 	writeFile(t, path, configJSON(freeAddr(t), agent.Addr()))
 	old, _ := startInstance(t, path, temp)
 	agent.Update(entry("s-2", time.Now().Add(-clockLag)))
-	eventually(t, "the second endpoint is listed", func() bool { return old.pool.Knows("s-2") })
+	eventually(t, "the second endpoint is listed", func() bool { return old.pool.EverListed("s-2") })
 	next, _ := startInstance(t, path, temp)
 	for name, p := range map[string]*sidecarInstance{"old": old, "next": next} {
 		incarnations := p.pool.Ages().Incarnations
--- a/internal/sidecar/operator_api.go
+++ b/internal/sidecar/operator_api.go
@@ -16,7 +16,7 @@
 
 // EverListed implements fleet.Controller.
 func (o operatorAPI) EverListed(id string) bool {
-	return o.sidecar.pool.Knows(id) || o.sidecar.operatorState.State().Disabled[id]
+	return o.sidecar.pool.EverListed(id) || o.sidecar.operatorState.State().Disabled[id]
 }
 
 // SetDisabled implements fleet.Controller.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -179,7 +179,7 @@
 	if err != nil {
 		return fmt.Errorf("create endpoint pool: %w", err)
 	}
-	s.pool.AddKnownNames(inherited.KnownNames)
+	s.pool.AddEverListedNames(inherited.KnownNames)
 	routerConfig, err := s.newRouterConfig(cfg)
 	if err != nil {
 		return err
@@ -269,7 +269,7 @@
 
 // handoverSnapshot returns the state to send to the successor.
 func (s *Sidecar) handoverSnapshot() any {
-	return handoverState{Endpoints: s.pool.List().Endpoints, KnownNames: s.pool.KnownNames(), Learned: s.pool.LearnedState()}
+	return handoverState{Endpoints: s.pool.List().Endpoints, KnownNames: s.pool.EverListedNames(), Learned: s.pool.LearnedState()}
 }
 
 // takeOverFrom takes over caller connections from the process at the other end of link,
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -84,7 +84,7 @@
 type Pool struct {
 	cfg            Config
 	now            func() time.Time // clock for the budgets told to endpoints
-	responseMemory bytebudget.Bytes
+	responseMemory bytebudget.Budget
 	chunks         chunkPool // for read-ahead and uploads
 
 	reuseWaits atomic.Int64 // attempts that waited for the reuse delay
