--- a/internal/acceptloop/acceptloop.go
+++ b/internal/acceptloop/acceptloop.go
@@ -1,9 +1,9 @@
 // Package acceptloop accepts connections until their listener is closed.
 //
-// accept(2) can fail while the listener is sound: when descriptors, memory or buffers are
-// short, on a network error pending on the new connection, or when a firewall rejects it.
-// The net package reports only some of these errors as temporary. A loop that ended on any
-// of them would leave a running process that serves no requests.
+// accept(2) can fail although the listener works: if file descriptors, memory or buffers are
+// exhausted, if a network error is pending on the new connection, or if a firewall rejects
+// it. The net package reports only some of these errors as temporary. If the loop ended on
+// one of them, the process would keep running without serving requests.
 package acceptloop
 
 import (
@@ -17,19 +17,19 @@
 )
 
 const (
-	// minBackoff is the wait after the first failure. It is also the interval at which
-	// a longer wait checks whether the listener has been closed.
+	// minBackoff is the backoff after the first failure, and the interval at which a longer
+	// backoff checks whether the listener has been closed.
 	minBackoff = 5 * time.Millisecond
-	// maxBackoff is well below the shortest request deadlines, because clients wait in
-	// the listen queue meanwhile.
+	// maxBackoff is well below the shortest request deadlines, because new connections wait
+	// in the listen queue meanwhile.
 	maxBackoff = 100 * time.Millisecond
 	// logInterval is the minimum time between two log lines of one listener.
 	logInterval = time.Second
 )
 
 // Listener is a net.Listener whose Accept fails only after the listener has been closed.
-// Any other failure is counted, logged at a limited rate and retried with an exponential
-// backoff, which each call of Accept starts anew.
+// Any other failure is counted, logged at a limited rate and retried with exponential
+// backoff. Each call of Accept starts with the minimum backoff.
 type Listener struct {
 	net.Listener
 
@@ -101,7 +101,8 @@
 	}
 }
 
-// isClosed reports whether the listener is closed. It is false for one without a socket.
+// isClosed reports whether the listener is closed. It returns false for a listener without a
+// socket.
 func (l *Listener) isClosed() bool {
 	s, ok := l.Listener.(syscall.Conn)
 	if !ok {
--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -26,8 +26,7 @@
 	return l
 }
 
-// A connection is accepted after any transient error, and only closing the listener ends
-// the loop.
+// Accepting continues after any transient error and ends only when the listener is closed.
 func TestAcceptContinuesAfterTransientErrors(t *testing.T) {
 	for _, errno := range fakeserver.TransientAcceptErrors {
 		l := fakeserver.NewFailingListener(listen(t), errno, errno)
@@ -51,7 +50,8 @@
 	}
 }
 
-// failingListener is a listener without a socket. Its Accept fails while it is open.
+// failingListener is a listener without a socket, whose Accept fails. As a syscall.RawConn it
+// reports whether it is closed.
 type failingListener struct {
 	mu     sync.Mutex
 	closed bool
--- a/internal/bytebudget/bytebudget.go
+++ b/internal/bytebudget/bytebudget.go
@@ -1,10 +1,10 @@
-// Package bytebudget bounds the memory that is in use at once.
+// Package bytebudget limits the memory in use by reservations from a shared budget.
 package bytebudget
 
 import "sync/atomic"
 
-// Bytes is a memory budget that is safe for concurrent use. The zero value has a total of 0.
-// Reserving does not block: it fails if too little memory is available.
+// Budget is a memory budget that is safe for concurrent use. The zero value has a total of 0.
+// Reserve does not block: it fails if too little memory is available.
 type Budget struct {
 	total, available atomic.Int64
 }
@@ -32,15 +32,15 @@
 	return Reservation{budget: b, bytes: n}, true
 }
 
-// Reservation is a reserved part of a budget. The zero value reserves nothing. It is not safe
-// for concurrent use.
+// Reservation is a part of a budget that is in use. The zero value is empty. A Reservation is
+// not safe for concurrent use.
 type Reservation struct {
 	budget *Budget
 	bytes  int64
 }
 
-// Grow increases the reservation to n bytes if it is smaller. It reports whether they were
-// available; if not, the reservation does not change.
+// Grow increases the reservation to n bytes if it is smaller. If too few are available, it
+// returns false and does not change the reservation. The zero value must not grow.
 func (r *Reservation) Grow(n int64) bool {
 	more, ok := r.budget.Reserve(max(0, n-r.bytes))
 	r.bytes += more.bytes
@@ -61,7 +61,7 @@
 	}
 }
 
-// Release releases the reservation. Further calls do nothing.
+// Release returns all reserved bytes to the budget. Further calls do nothing.
 func (r *Reservation) Release() {
 	if r.budget != nil {
 		r.budget.available.Add(r.bytes)
--- a/internal/bytebudget/bytebudget_test.go
+++ b/internal/bytebudget/bytebudget_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestBytes(t *testing.T) {
+// Reserve, Grow, Shrink, Release and SetTotal change the available bytes and never exceed the total.
+func TestBudget(t *testing.T) {
 	var b Budget
 	if _, ok := b.Reserve(1); ok {
 		t.Error("reserved a byte of the zero budget")
@@ -39,7 +40,7 @@
 }
 
 // Concurrent reservations neither lose nor create available bytes.
-func TestBytesConcurrent(t *testing.T) {
+func TestBudgetConcurrentUse(t *testing.T) {
 	var b Budget
 	b.SetTotal(1000)
 	var wg sync.WaitGroup
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock provides the wall clock and the monotonic clock of a machine. The wall clock is
-// the time of day: it can be stepped in either direction and is comparable with times that other
-// machines have written. The monotonic clock is not stepped; deadlines, windows, delays and ages
-// use it.
+// Package clock reads the wall clock and the monotonic clock of a machine. The wall clock gives
+// the time of day: it can be stepped in either direction, and its times can be compared with
+// those of other machines. The monotonic clock is never stepped, so deadlines, windows, delays
+// and ages use it.
 package clock
 
 import (
@@ -14,8 +14,8 @@
 	manual *Manual // nil for the system clocks
 }
 
-// Now returns the current monotonic time, for Since and Sub. It is not the time of day; use
-// Wall for that.
+// Now returns the current monotonic time, for use with Since and time.Time.Sub. For the time of
+// day use Wall.
 func (c Clock) Now() time.Time {
 	if c.manual == nil {
 		return time.Now()
@@ -42,15 +42,16 @@
 	return wall
 }
 
-// Manual is a pair of clocks for tests. Advance moves both clocks, and Step moves only the wall
-// clock. It is safe for concurrent use.
+// Manual is a pair of clocks for tests. Advance moves both, and Step moves only the wall clock. It
+// is safe for concurrent use.
 type Manual struct {
 	mu         sync.Mutex
 	now        time.Time
 	wallOffset time.Duration
 }
 
-// NewManual returns a Manual whose wall clock differs from the system's by wallOffset.
+// NewManual returns a Manual that starts at the system time, with the wall clock ahead by
+// wallOffset.
 func NewManual(wallOffset time.Duration) *Manual {
 	return &Manual{now: time.Now(), wallOffset: wallOffset}
 }
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -14,11 +14,11 @@
 	"testing"
 )
 
-// root is the directory of the module, relative to that of this package, where the tests run.
+// root is the module's root directory, relative to this package's directory, in which tests run.
 const root = "../.."
 
-// wallUses lists by file all places outside of tests that read a wall-clock time or convert a
-// number to one. docs/clocks.md gives the reason for each.
+// wallUses lists, by file, the functions for which wallUse may return a name outside of tests.
+// docs/clocks.md gives the reason for each file.
 var wallUses = map[string][]string{
 	"internal/clock/clock.go":        {"Round"},
 	"internal/httpserver/server.go":  {"Unix"},
@@ -36,13 +36,13 @@
 	"scripts/fleetlog/main.go":       {"Parse"},
 }
 
-// wallNames are the functions and methods that read a wall-clock time or create one.
+// wallNames are the functions, methods and constants that read or create wall-clock times.
 var wallNames = []string{
 	"Unix", "UnixMilli", "UnixMicro", "UnixNano", "ModTime", "Wall", "ParseInLocation", "ParseTime",
 	"Date", "Clock", "Weekday", "YearDay", "CLOCK_REALTIME", "CLOCK_REALTIME_COARSE", "Gettimeofday",
 }
 
-// wallUse returns the name of the wall-clock function that n uses, or "".
+// wallUse returns the name of the wall-clock function that n calls or refers to, or "" for none.
 func wallUse(n ast.Node) string {
 	switch n := n.(type) {
 	case *ast.CallExpr:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -13,7 +13,7 @@
 
 // Timeouts bound the HTTP calls of a Discovery.
 type Timeouts struct {
-	LongPoll  time.Duration // how long the service may hold a call until the list changes
+	LongPoll  time.Duration // how long the service may hold a call open until the list changes
 	Response  time.Duration // added to LongPoll for the response; also the connect timeout
 	Immediate time.Duration // for a call without long polling
 }
@@ -25,9 +25,9 @@
 // calls cost little. drainGrace is how long after the announcement of a drain a request may
 // still be sent to the endpoint; 0 means the default.
 //
-// No call takes as long as half of drainGrace, since a call that is open when the agent
-// stalls may never be answered. Three calls in a row that time out still end within 6 s,
-// the time within which the sidecar has to apply a change.
+// A call that is open when the agent stalls may never get a response, so every call times
+// out in less than half of drainGrace. Three consecutive timeouts end within 6 s, the time
+// within which the sidecar has to apply a change.
 func LocalAgentTimeouts(drainGrace time.Duration) Timeouts {
 	quarter := min(max(cmp.Or(drainGrace, defaultDrainGrace)/4, minTimeout), maxAgentLongPoll)
 	return Timeouts{LongPoll: quarter, Response: max(quarter/2, minTimeout), Immediate: max(quarter, 2*minTimeout)}
@@ -41,22 +41,23 @@
 		// Half of the 2 s within which a change has to be applied, so that a second
 		// call can still fetch it.
 		Response: time.Second,
-		// A part of the 6 s within which the whole list has to be applied.
+		// A part of the 6 s within which a snapshot has to be applied.
 		Immediate: 2 * time.Second,
 	}
 }
 
 const (
-	// minTimeout allows for an agent that is not scheduled for a while because it has
-	// only a share of a core.
+	// minTimeout allows for an agent that has only a share of a core and is therefore not
+	// scheduled for some time.
 	minTimeout       = 100 * time.Millisecond
 	maxAgentLongPoll = 500 * time.Millisecond
 
-	// minCallInterval separates calls that return nothing new. It is below the 200 ms
-	// without a call after which long polling counts as ended.
+	// minCallInterval is the minimum interval between calls that return no change. It is
+	// below 200 ms, because a client without an open call for that long counts as one that
+	// has stopped long polling.
 	minCallInterval = 50 * time.Millisecond
 
-	maxResponseBytes = 2 << 20 // some thousand endpoints take less than 1 MiB
+	maxResponseBytes = 2 << 20 // several thousand endpoints take less than 1 MiB
 )
 
 // Discovery is a Source that follows the endpoint list of a discovery service over HTTP
@@ -67,7 +68,7 @@
 	timeouts   Timeouts
 	client     http.Client
 	index      uint64
-	hasIndex   bool // index is valid for this service
+	hasIndex   bool // index was reported by this service, or set by Resume
 	lastFailed bool // the last call failed
 	immediate  bool // the next call is made without long polling
 }
@@ -87,10 +88,10 @@
 
 // Resume makes the first call request only the changes since index, which costs a shared
 // service much less than a snapshot. If the service cannot provide these changes, Follow
-// still delivers a snapshot first.
+// delivers a snapshot first. Resume must be called before Follow.
 //
 // The first call is made without long polling, so that a service that does not respond is
-// detected at once. Resume must be called before Follow.
+// detected early.
 func (d *Discovery) Resume(index uint64) {
 	d.index, d.hasIndex, d.immediate = index, true, true
 }
@@ -108,7 +109,7 @@
 // Close closes the idle connection to the service.
 func (d *Discovery) Close() { d.client.CloseIdleConnections() }
 
-// Follow implements Source. It passes a snapshot and then each change to update until a
+// Follow implements Source. It passes a snapshot and then each delta to update until a
 // call fails or ctx ends. A later call of Follow continues from the last index.
 func (d *Discovery) Follow(ctx context.Context, update func(List)) error {
 	for {
@@ -136,7 +137,7 @@
 	}
 	longPoll, timeout := d.timeouts.LongPoll, d.timeouts.LongPoll+d.timeouts.Response
 	if d.lastFailed || d.immediate {
-		// Missed changes are available at once, and a long poll would only delay the
+		// Missed changes are returned at once, and long polling would only delay the
 		// detection of a service that does not respond.
 		longPoll, timeout = 0, d.timeouts.Immediate
 	}
@@ -146,7 +147,7 @@
 		return List{}, err
 	}
 	if list.Index < d.index && !list.Snapshot {
-		// The service has restarted, so its changes do not apply to the old list.
+		// The service has restarted, so its delta does not apply to the previous list.
 		return d.fetchSnapshot(ctx)
 	}
 	d.index = list.Index
@@ -158,7 +159,7 @@
 	if err != nil {
 		return List{}, err
 	}
-	list.Snapshot = true // a call without an index always returns one
+	list.Snapshot = true // a call without an index always returns a snapshot
 	d.index, d.hasIndex = list.Index, true
 	return list, nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -117,6 +117,7 @@
 	}
 }
 
+// A response with a missing or invalid field is rejected. A terminated endpoint needs no address.
 func TestDecode(t *testing.T) {
 	response := func(endpoint string) string { return `{"index":1,"snapshot":true,"endpoints":[` + endpoint + `]}` }
 	for _, c := range []struct {
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// maxFileBytes allows for some ten thousand nodes.
+	// maxFileBytes is enough for some ten thousand nodes.
 	maxFileBytes = 4 << 20
 
-	// settleDelay is how long new content has to stay unchanged before it is used, since
-	// a file that is rewritten in place may be read incomplete.
+	// settleDelay is how long new content has to stay unchanged before it is used, because
+	// a file that is rewritten in place may be incomplete when it is read.
 	settleDelay = 100 * time.Millisecond
-	// maxUnsettledReads is how many consecutive reads may each return different content.
-	// The last one is then used, since a file that is replaced that often never settles.
+	// maxUnsettledReads is how many consecutive reads may return different content. The
+	// next content is used at once, because a file that changes that often never settles.
 	maxUnsettledReads = 20
 )
 
@@ -34,13 +34,13 @@
 	errUnterminatedLine = errors.New("truncated file: the last line has no newline, and that of the previous list had one")
 )
 
-// File is a Source that reads a list of nodes from a file and polls it for changes. It
-// compares the content, because the modification time does not reveal every change.
-// Replacing the file by a rename or by changing a symbolic link is therefore noticed too.
+// File is a Source that reads an endpoint list from a file and polls it for changes. It
+// compares the content, because the modification time does not show every change. It
+// therefore also detects that a rename or a symbolic link has replaced the file.
 //
 // A file that is missing, unreadable, blank or truncated within a line leaves the current
-// list unchanged. A file truncated between two nodes, or after new comments, looks like
-// a shorter list, so writers should rename the file into place.
+// list unchanged. A file truncated between two nodes, or after new comments, cannot be told
+// from a shorter list, so writers should rename the file into place.
 //
 // A file that starts with "{" has the format of a discovery response, in which the index
 // is optional. Any other file lists one node per line, the address first:
@@ -166,7 +166,7 @@
 // isDiscoveryFormat reports whether a text has the format of a discovery response.
 func isDiscoveryFormat(text []byte) bool { return bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) }
 
-// ReadFile reads a node file. The error of an invalid line gives its number.
+// ReadFile reads a node file. The error for an invalid line contains the line number.
 func ReadFile(path string) (List, error) {
 	text, err := readFile(path)
 	if err != nil {
--- a/internal/discovery/file_settle_test.go
+++ b/internal/discovery/file_settle_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// A change of the content is noticed with any modification time, even if the size is equal.
+// A change of the content is detected with any modification time, even if the size is equal.
 func TestFileChangeIsSeenWithAnyModificationTime(t *testing.T) {
 	f := newDeliveredFile(t, "127.0.0.1:1000\n")
 	modTime := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -7,11 +7,11 @@
 	"net/netip"
 )
 
-// List is a snapshot of the endpoints of a service, or the changes since the last one.
+// List is a snapshot of the endpoints of a service, or a delta to the previous List.
 type List struct {
 	Index     uint64 // version of the list at the source
-	Snapshot  bool   // all endpoints; otherwise only the changed ones
-	Undated   bool   // the source does not know when processes started
+	Snapshot  bool   // the list has all endpoints; otherwise only the changed ones
+	Undated   bool   // the source does not report when processes started
 	Endpoints []Endpoint
 }
 
@@ -21,7 +21,7 @@
 // The statuses of an endpoint.
 const (
 	InService   Status = "in_service"
-	Terminating Status = "terminating" // completes its requests and accepts no new ones
+	Terminating Status = "terminating" // draining: completes its requests and accepts no new ones
 	Terminated  Status = "terminated"
 )
 
@@ -36,7 +36,7 @@
 }
 
 // Decode parses a discovery response. One invalid endpoint makes the whole response
-// invalid, because the current list is preferable to an incomplete one.
+// invalid, because the current list is better than an incomplete one.
 func Decode(text []byte) (List, error) { return decode(text, true) }
 
 func decode(text []byte, indexRequired bool) (List, error) {
@@ -74,7 +74,7 @@
 	}
 	switch e.Status {
 	case Terminated:
-		return nil // receives no requests, so the address is not needed
+		return nil // receives no requests, so it needs no address
 	case InService, Terminating:
 	default:
 		return fmt.Errorf("status: %q, want in_service, terminating or terminated", e.Status)
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -1,5 +1,5 @@
-// Package discovery provides the endpoint lists of services. Their sources are a list in the
-// configuration, a file that is polled, and a discovery service over HTTP.
+// Package discovery provides the endpoint lists of services. A list comes from the
+// configuration, from a file that is polled, or from a discovery service over HTTP.
 package discovery
 
 import (
@@ -11,17 +11,17 @@
 
 // Source delivers the endpoint list of a service.
 type Source interface {
-	// Follow passes a snapshot and then each change to update, until ctx ends or an
-	// error occurs, which it returns. A later call continues from the last list.
+	// Follow passes a snapshot and then each endpoint update to update, until ctx ends or
+	// an error occurs, which it returns. A later call continues from the last list.
 	Follow(ctx context.Context, update func(List)) error
-	// Close releases what Follow left open.
+	// Close closes the connections that Follow left open.
 	Close()
 	// String names the source in logs. Two sources with the same name deliver the
 	// same lists.
 	String() string
 }
 
-// Fixed is a Source of a list that does not change. Only Address is required.
+// Fixed is a Source of a list that does not change. Of each entry only Address is required.
 type Fixed []Endpoint
 
 // Follow implements Source. It delivers the list once and waits until ctx ends.
@@ -89,7 +89,7 @@
 	return err
 }
 
-// Sleep waits for d or until ctx ends. It reports false if ctx ended first.
+// Sleep waits for d or until ctx ends. It returns false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/fleet/accept_test.go
+++ b/internal/fleet/accept_test.go
@@ -18,7 +18,7 @@
 
 func (readyController) Ready() bool { return true }
 
-// The console answers a request after any transient error of accept.
+// The console serves requests after any transient error of accept.
 func TestConsoleAcceptContinuesAfterTransientErrors(t *testing.T) {
 	for _, errno := range fakeserver.TransientAcceptErrors {
 		l := fakeserver.NewFailingListener(listen(t), errno)
--- a/internal/fleet/console.go
+++ b/internal/fleet/console.go
@@ -27,8 +27,8 @@
 }
 
 const (
-	// consoleTimeout bounds the time to read a request. A connection that sends an
-	// incomplete request, or none, is closed after it.
+	// consoleTimeout bounds the time to read a request, so that a connection with an
+	// incomplete request, or without one, is closed.
 	consoleTimeout = 2 * time.Second
 	// maxConsoleConns leaves file descriptors for the connections of callers.
 	maxConsoleConns = 16
@@ -124,7 +124,8 @@
 
 // LimitedListener is a listener with a limited number of open connections. A connection
 // over the limit closes the oldest one, which is most likely idle because requests take
-// only milliseconds. Waiting for a free slot would let idle connections block the console.
+// only milliseconds. If Accept waited for a connection to end, idle connections would block
+// the console.
 type LimitedListener struct {
 	net.Listener
 	maxConns int
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -92,7 +92,7 @@
 func TestHandover(t *testing.T) {
 	dir := t.TempDir()
 	if l, _, err := TakeOver(dir, new(string)); l != nil || err != nil {
-		t.Fatalf("no old process: link %v, error %v", l, err)
+		t.Fatalf("no previous process: link %v, error %v", l, err)
 	}
 	oldListener := listen(t)
 	state := strings.Repeat("0123456789", 30_000)
@@ -114,9 +114,9 @@
 	select {
 	case oldLink = <-ready:
 	case <-time.After(testTimeout):
-		t.Fatal("the old process did not receive the ready message")
+		t.Fatal("the previous process did not receive the ready message")
 	}
-	// The old process accepts a connection, reads some bytes and hands it over.
+	// The previous process accepts a connection, reads some bytes and hands it over.
 	client, err := net.Dial("tcp", oldListener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -145,14 +145,14 @@
 	if line, err := bufio.NewReader(client).ReadString('\n'); line != "read and sent later <nil>\n" {
 		t.Errorf("response %q, error %v", line, err)
 	}
-	// The listener works in the new process after the old one has ended.
+	// The listener works in the successor after the previous one has ended.
 	oldListener.Close()
 	s.Close()
 	oldLink.Close()
 	select {
 	case <-link.Done():
 	case <-time.After(testTimeout):
-		t.Fatal("the new process did not notice the end of the old one")
+		t.Fatal("the successor did not notice the end of the previous one")
 	}
 	go net.Dial("tcp", listener.Addr().String())
 	if c, err := listener.Accept(); err != nil {
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -20,17 +20,17 @@
 // Kinds of handover messages, given in the first byte. The Unix socket preserves message
 // boundaries (SOCK_SEQPACKET), so that a descriptor arrives with the message it belongs to.
 const (
-	statePartMessage = 'p' // from the old process: a part of the state
-	stateEndMessage  = 's' // from the old process: the last part of the state, with the listener
-	readyMessage     = 'r' // from the new process: it serves requests
-	connMessage      = 'c' // from the old process: a caller's connection, with the bytes read from it
+	statePartMessage = 'p' // from the previous process: a part of the state
+	stateEndMessage  = 's' // from the previous process: the last part of the state, with the listener
+	readyMessage     = 'r' // from the successor: it is ready to serve requests
+	connMessage      = 'c' // from the previous process: a caller's connection, with the bytes read from it
 )
 
 const (
 	socketName = "next"
 
-	// stateTimeout bounds the transfer of the state, so that a hung old process does not
-	// delay the start of the new one.
+	// stateTimeout bounds the transfer of the state, so that a hung previous process does
+	// not block the start of its successor.
 	stateTimeout = 1500 * time.Millisecond
 	// sendTimeout bounds the sending of any other message.
 	sendTimeout = time.Second
@@ -48,8 +48,8 @@
 // errTruncated means that a part of a message, or its descriptor, was lost.
 var errTruncated = errors.New("handover: message or its control data truncated")
 
-// HandoverLink connects the old and the new process of a sidecar during a
-// handover. The link ends when either process ends.
+// HandoverLink connects a process of a sidecar and its successor during the handover. The
+// link ends when either process ends.
 type HandoverLink struct {
 	conn *net.UnixConn
 	mu   sync.Mutex // serializes sending
@@ -142,11 +142,11 @@
 	return os.NewFile(uintptr(fds[0]), "handover descriptor"), nil
 }
 
-// SendReady tells the old process that this one serves requests.
+// SendReady reports to the previous process that this one is ready to serve requests.
 func (l *HandoverLink) SendReady() error { return l.send(readyMessage, nil, nil, sendTimeout) }
 
-// SendConn sends a caller's connection to the new process, with the bytes already read from
-// it. The caller of SendConn still has to close the connection.
+// SendConn hands over a caller's connection to the successor, with the bytes already read
+// from it. The connection c must still be closed in this process.
 func (l *HandoverLink) SendConn(c net.Conn, buffered []byte) error {
 	socket, ok := c.(syscall.Conn)
 	if !ok || len(buffered) > maxBufferedBytes {
@@ -155,15 +155,15 @@
 	return l.send(connMessage, buffered, socket, sendTimeout)
 }
 
-// ReceiveConns passes each connection from the old process to handle until the old process
-// has ended. The new process must call it once.
+// ReceiveConns passes each connection from the previous process to handle until that
+// process has ended. The successor must call it once.
 func (l *HandoverLink) ReceiveConns(handle func(c net.Conn, buffered []byte)) {
 	defer l.Close()
 	buf := make([]byte, maxBufferedBytes+1)
 	for {
 		kind, buffered, file, err := l.receive(buf)
 		if errors.Is(err, errTruncated) { // only one connection is lost
-			slog.Error("handover of a connection failed; waiting for the next one", "error", err)
+			slog.Error("receiving a handed-over connection failed; waiting for the next one", "error", err)
 			continue
 		}
 		if err != nil {
@@ -180,15 +180,15 @@
 	}
 }
 
-// TakeOver requests the listener and the state of the process that serves in the directory
-// dir. It decodes the state from JSON into the value that state points to. The link is nil
-// if there is no such process. After an error state is unchanged, and the old process
-// continues to serve requests.
+// TakeOver requests the listener and the state of the running process whose handover socket
+// is in the directory dir. It decodes the state from JSON into the value that state points
+// to. If there is no such process, the link, the listener and the error are nil. After an
+// error the value is unchanged, and the previous process continues to serve requests.
 func TakeOver(dir string, state any) (*HandoverLink, net.Listener, error) {
 	c, err := net.DialTimeout("unixpacket", filepath.Join(dir, socketName), stateTimeout)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-			return nil, nil, nil // no process serves there
+			return nil, nil, nil // no process listens there
 		}
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
@@ -243,7 +243,7 @@
 	return listener, nil
 }
 
-// SuccessorListener accepts the processes that take over from this one.
+// SuccessorListener accepts successors and hands over the listener and the state to them.
 type SuccessorListener struct {
 	listener net.Listener // set once; serve reads it without the mutex
 
@@ -253,9 +253,10 @@
 }
 
 // ListenForSuccessor creates the handover socket in the directory dir, in place of that of
-// an older process. Each new process receives the listener and the state, one process at a
-// time. onConnect is called once a process has them and onReady once it serves requests.
-// If the socket cannot be created, the older one stays in place and the creation is retried.
+// the previous process. Each successor receives the listener and the state, one successor at
+// a time. onConnect is called when it has received them, and onReady when it is ready to
+// serve requests. If the socket cannot be created, that of the previous process remains and
+// the creation is retried.
 func ListenForSuccessor(dir string, listener net.Listener, state func() any, onConnect, onReady func(*HandoverLink)) (*SuccessorListener, error) {
 	socket, ok := listener.(syscall.Conn)
 	if !ok {
@@ -281,16 +282,16 @@
 	return s, nil
 }
 
-// listenAt listens at a path and replaces what was there.
+// listenAt listens on a socket at the path and replaces an existing file there.
 func listenAt(path string) (*net.UnixListener, error) {
-	// The rename replaces the socket of the old process atomically.
+	// The rename replaces the socket of the previous process atomically.
 	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(tempPath)
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: tempPath, Net: "unixpacket"})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // the path may belong to the next process by then
+	l.SetUnlinkOnClose(false) // by then the path may belong to the successor
 	if err := os.Rename(tempPath, path); err != nil {
 		l.Close()
 		os.Remove(tempPath)
@@ -299,7 +300,7 @@
 	return l, nil
 }
 
-// retryListen retries listenAt until it succeeds. It reports false after Close.
+// retryListen retries listenAt until it succeeds. It returns false after Close.
 func (s *SuccessorListener) retryListen(path string) bool {
 	for wait := minRetryWait; ; wait = min(2*wait, maxRetryWait) {
 		select {
@@ -308,13 +309,13 @@
 		case <-time.After(wait):
 		}
 		if l, err := listenAt(path); err == nil {
-			slog.Info("handover socket created; another process can take over")
+			slog.Info("handover socket created; a successor can take over")
 			return s.setListener(l)
 		}
 	}
 }
 
-// setListener stores the listener. It reports false after Close.
+// setListener stores the listener. After Close it closes the listener instead and returns false.
 func (s *SuccessorListener) setListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -326,7 +327,7 @@
 	return true
 }
 
-// Close stops accepting new processes.
+// Close stops accepting successors.
 func (s *SuccessorListener) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/handover_test.go
+++ b/internal/fleet/handover_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// handoverMessage is a message from the old process.
+// handoverMessage is a message from the previous process.
 type handoverMessage struct {
 	kind   byte
 	text   []byte
@@ -48,8 +48,8 @@
 	return append(messages, handoverMessage{stateEndMessage, text, socket})
 }
 
-// serveOldProcess sends the messages to the first process that connects and then closes.
-func serveOldProcess(t *testing.T, dir string, messages []handoverMessage) {
+// servePreviousProcess sends the messages to the first process that connects and then closes.
+func servePreviousProcess(t *testing.T, dir string, messages []handoverMessage) {
 	t.Helper()
 	path := filepath.Join(dir, socketName)
 	os.Remove(path)
@@ -106,7 +106,7 @@
 	}
 	for name, incomplete := range cases {
 		dir := t.TempDir()
-		serveOldProcess(t, dir, incomplete)
+		servePreviousProcess(t, dir, incomplete)
 		var got multipartState
 		link, l, err := TakeOver(dir, &got)
 		if link != nil || l != nil || err == nil || !reflect.DeepEqual(got, multipartState{}) {
@@ -114,7 +114,7 @@
 		}
 	}
 	dir := t.TempDir()
-	serveOldProcess(t, dir, messages)
+	servePreviousProcess(t, dir, messages)
 	var got multipartState
 	link, l, err := TakeOver(dir, &got)
 	if err != nil || !reflect.DeepEqual(got, newMultipartState()) {
@@ -124,9 +124,9 @@
 	l.Close()
 }
 
-// A new process that ends at any point of the handover does not affect the old one, which
-// serves the next new process.
-func TestFailedHandoverLeavesOldProcessServing(t *testing.T) {
+// A successor that ends at any point of the handover does not affect the previous process,
+// which hands over to the next successor.
+func TestFailedHandoverLeavesPreviousProcessServing(t *testing.T) {
 	dir := t.TempDir()
 	listener := listen(t)
 	connected := make(chan *HandoverLink, 100)
@@ -167,7 +167,7 @@
 			select {
 			case <-link.Done():
 			case <-timeout:
-				t.Fatal("the end of a new process was not noticed")
+				t.Fatal("the end of a successor was not noticed")
 			}
 		case <-timeout:
 			t.Fatal("no process connected")
@@ -176,7 +176,7 @@
 }
 
 // While the handover socket cannot be created, no temporary file is left. Once it can be
-// created, new processes can take over.
+// created, successors can take over.
 func TestSuccessorListenerRetries(t *testing.T) {
 	for name, failure := range map[string]struct{ begin, end func(dir string) error }{
 		"no directory": {
--- a/internal/fleet/operator_store.go
+++ b/internal/fleet/operator_store.go
@@ -1,5 +1,5 @@
-// Package fleet provides the operator console of a sidecar, the operator state that its
-// processes share, and the handover from a running process to its successor.
+// Package fleet provides the operator console of a sidecar, the operator state that the
+// processes of the sidecar share, and the handover from a running process to its successor.
 package fleet
 
 import (
@@ -32,12 +32,12 @@
 	dirListed bool // the directory has been read once
 	dirSynced bool // the directory's own entry has been synced to disk
 
-	// pendingRollbacks maps each file that could not be restored after a failed change to
-	// whether it has to exist. It overrides the content of the directory.
+	// pendingRollbacks has the files whose previous state could not be restored after a
+	// failed change, and whether each existed. It overrides the content of the directory.
 	pendingRollbacks map[string]bool
 }
 
-// OperatorState is what operators have set.
+// OperatorState is the state that operators have set.
 type OperatorState struct {
 	Disabled map[string]bool // endpoints by id; must not be modified
 	Drained  bool
@@ -54,11 +54,11 @@
 	// maxFileNameBytes is below the limit of common file systems.
 	maxFileNameBytes = 250
 
-	// watchInterval is the time between two reads of the directory. A change made by
-	// another process has to be effective within 1 s.
+	// watchInterval is the interval between reads of the directory. A change made by
+	// another process must be effective within 1 s.
 	watchInterval = 200 * time.Millisecond
 
-	// maxRollbackTicks is the maximum number of ticks between two attempts of a rollback.
+	// maxRollbackTicks bounds the backoff between attempts of a rollback, in watch intervals.
 	maxRollbackTicks = 25
 )
 
@@ -81,8 +81,8 @@
 	return s, nil
 }
 
-// UnusableOperatorStore returns an empty store for a directory that cannot be used. Each
-// change fails with the cause, because it would be lost when the process ends.
+// UnusableOperatorStore returns an empty store in place of one whose directory cannot be
+// used. Each change fails with cause, because it would be lost when the process ends.
 func UnusableOperatorStore(cause error, notify func(OperatorState)) *OperatorStore {
 	s := &OperatorStore{notify: notify, state: OperatorState{Disabled: map[string]bool{}}, unusable: cause}
 	notify(s.state)
@@ -132,7 +132,7 @@
 }
 
 // persist creates or removes a file of the store. After an error it restores the previous
-// content of the directory, or leaves that to retryRollbacks.
+// content of the directory or, if that fails too, leaves this to retryRollbacks.
 func (s *OperatorStore) persist(name string, exists bool) error {
 	if len(name) > maxFileNameBytes {
 		return fmt.Errorf("file name takes %d bytes, want at most %d", len(name), maxFileNameBytes)
@@ -155,7 +155,7 @@
 }
 
 // setFile creates or removes a file. It reports whether the directory has changed, which
-// is possible even with an error.
+// is possible even if it returns an error.
 func (s *OperatorStore) setFile(name string, exists bool) (changed bool, err error) {
 	path := filepath.Join(s.dir, name)
 	if exists {
--- a/internal/fleet/operator_store_test.go
+++ b/internal/fleet/operator_store_test.go
@@ -24,7 +24,7 @@
 
 func ignoreState(OperatorState) {}
 
-// openModelStore opens the store on a modelled file system, as a new process does.
+// openModelStore opens the store in a simulated file system, as a new process does.
 func openModelStore(t *testing.T, fsys *durabletest.MemFS) *OperatorStore {
 	t.Helper()
 	store, err := openOperatorStore(fsys, modelDir, ignoreState)
@@ -244,7 +244,7 @@
 	}
 }
 
-// A change made by another process is noticed with any modification time of the directory,
+// A change made by another process is detected with any modification time of the directory,
 // because the wall clock may be set back or not advance between two changes.
 func TestStateChangeIsSeenWithAnyModificationTime(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/linkedlist/linkedlist.go
+++ b/internal/linkedlist/linkedlist.go
@@ -1,9 +1,9 @@
-// Package linkedlist provides intrusive doubly linked lists: the links are part of the elements. Unlike
-// container/list, adding an element does not allocate.
+// Package linkedlist provides intrusive doubly linked lists, in which the links are part of the
+// elements. Unlike with container/list, adding an element does not allocate.
 package linkedlist
 
-// Link is an element's position in a list. It can be in one list at a time. The owner of the
-// element sets Value once.
+// Link links an element, of which it is a field, into a list. It can be in one list at a time.
+// Value refers to the element and must be set once, before the Link is used.
 type Link[T any] struct {
 	Value      T
 	next, prev *Link[T]
--- a/internal/pool/budget_test.go
+++ b/internal/pool/budget_test.go
@@ -28,9 +28,9 @@
 // budgetRecorder is an endpoint that records the budget in each request and serves it.
 type budgetRecorder struct {
 	net.Listener
-	budgets     chan receivedBudget
-	idleConns   chan struct{}  // receives a value for each connection without a request
-	answerTimes chan time.Time // just before each answer
+	budgets       chan receivedBudget
+	idleConns     chan struct{}  // receives a value for each connection without a request
+	responseTimes chan time.Time // just before each response
 }
 
 func (b *budgetRecorder) serve() {
@@ -59,7 +59,7 @@
 				}
 				b.budgets <- receivedBudget{time.Duration(ms) * time.Millisecond, now}
 				io.Copy(io.Discard, r.Body)
-				b.answerTimes <- time.Now()
+				b.responseTimes <- time.Now()
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			}
 		}()
@@ -69,7 +69,7 @@
 // newBudgetRecorder returns a budgetRecorder that listens on l, or on a free port if l is nil.
 func newBudgetRecorder(t *testing.T, l net.Listener) *budgetRecorder {
 	t.Helper()
-	b := &budgetRecorder{Listener: l, budgets: make(chan receivedBudget, 8), idleConns: make(chan struct{}, 64), answerTimes: make(chan time.Time, 8)}
+	b := &budgetRecorder{Listener: l, budgets: make(chan receivedBudget, 8), idleConns: make(chan struct{}, 64), responseTimes: make(chan time.Time, 8)}
 	if l == nil {
 		var err error
 		if b.Listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -80,9 +80,9 @@
 	return b
 }
 
-// The budget that an attempt forwards is the time left when its header is written: at most the
-// time left at the end of a delay before that, and at least the time left when the endpoint has
-// read the header. Both are measured by the test, so that it also holds on a busy machine.
+// An attempt forwards the time left when its header is written as the budget. The test measures
+// an upper bound, the time left at the end of an earlier delay, and a lower bound, the time left
+// when the endpoint has read the header, so that it is valid on a busy machine too.
 func TestForwardedBudgetIsRemainingTime(t *testing.T) {
 	const budget = testTimeout
 	const wait = 200 * time.Millisecond
@@ -186,7 +186,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for range 60 { // each adds to the retry budget
+			for range 60 { // each request adds to the retry budget
 				expired := &Request{Tenant: -1, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
 				if err := p.Submit(expired); err != nil {
 					t.Fatal(err)
@@ -216,7 +216,7 @@
 				a.Upstream.Release()
 				p.Done(r)
 				<-endpoint.budgets
-				waitEndedAt = (<-endpoint.answerTimes).Add(wait)
+				waitEndedAt = (<-endpoint.responseTimes).Add(wait)
 			}
 			r := request()
 			began := time.Now()
@@ -269,7 +269,7 @@
 			}
 			a := <-r.Response()
 			if a.Outcome != Served {
-				t.Fatalf("verdict %v, want Served", a.Outcome)
+				t.Fatalf("outcome %v, want Served", a.Outcome)
 			}
 			got := <-endpoint.budgets
 			a.Upstream.Release()
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -14,13 +14,13 @@
 )
 
 // An attempt whose connection is established late is sent only if the decision for it still
-// holds: not if the endpoint has begun to drain, or no longer drops a repeated request.
+// holds: not if the endpoint has begun to drain, or no longer deduplicates the retry.
 func TestAttemptIsConfirmedAfterSlowConnect(t *testing.T) {
 	for name, c := range map[string]struct {
-		isRetry         bool // a first attempt fails at another endpoint
-		drainsMeanwhile bool
-		memorySpan      time.Duration // time in which the endpoint drops repeated requests
-		wantRequests    int64         // at the late endpoint
+		isRetry             bool // a first attempt fails at another endpoint
+		drainsMeanwhile     bool
+		deduplicationWindow time.Duration // time in which the endpoint deduplicates repeated requests
+		wantRequests        int64         // at the late endpoint
 	}{
 		"unchanged":       {false, false, time.Hour, 1},
 		"drain":           {false, true, time.Hour, 0},
@@ -43,7 +43,7 @@
 			t.Cleanup(aborting.Close)
 			cfg := testConfig()
 			cfg.Balance.SlowStartWindow = 0
-			cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, PriorityWeight: 1, Idempotency: balance.IdempotentByKey, DeduplicationWindow: c.memorySpan}}
+			cfg.Balance.Classes = []balance.Class{{Deadline: testTimeout, PriorityWeight: 1, Idempotency: balance.IdempotentByKey, DeduplicationWindow: c.deduplicationWindow}}
 			cfg.Known = discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{{Name: "late", Address: late.Addr().String(), Zone: "a", Status: discovery.InService}}}
 			if c.isRetry {
 				cfg.Known.Endpoints = append(cfg.Known.Endpoints, discovery.Endpoint{Name: "aborting", Address: aborting.Listener.Addr().String(), Zone: "a", Status: discovery.InService})
@@ -58,7 +58,7 @@
 				p.SetDisabled(map[string]bool{"late": true})
 			}
 			r := &Request{Tenant: -1, Budget: testTimeout, Outgoing: upstream.Request{Method: "POST", URI: "/", Host: "x"}}
-			for range 10 { // each adds to the retry budget
+			for range 10 { // each request adds to the retry budget
 				expired := &Request{Tenant: -1, Outgoing: r.Outgoing}
 				if err := p.Submit(expired); err != nil {
 					t.Fatal(err)
@@ -81,7 +81,7 @@
 				_, mostConns := conns.ConnStats()
 				return mostConns == 1 && (!c.isRetry || p.Stats().LaterAttempts > 0)
 			})
-			time.Sleep(400 * time.Millisecond) // longer than the shorter memorySpan
+			time.Sleep(400 * time.Millisecond) // longer than the shorter deduplicationWindow
 			if c.drainsMeanwhile {
 				p.SetDisabled(map[string]bool{"late": true, "aborting": true})
 			}
@@ -108,7 +108,7 @@
 				t.Errorf("the late endpoint received %d requests, want %d", n, c.wantRequests)
 			}
 			if served := a.Outcome == Served; served != (c.wantRequests == 1) {
-				t.Errorf("verdict %v, want Served only if the late endpoint is to receive the request", a.Outcome)
+				t.Errorf("outcome %v, want Served only if the late endpoint is to receive the request", a.Outcome)
 			}
 		})
 	}
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -85,7 +85,7 @@
 	return p, servers
 }
 
-// doMethodRequest makes one request, unsafe with POST and safe otherwise, and returns its verdict.
+// doMethodRequest makes one request, non-idempotent if it is a POST, and returns its outcome.
 func (p *Pool) doMethodRequest(t *testing.T, method, callID string) Outcome {
 	class := 0
 	if method == "POST" {
@@ -125,7 +125,7 @@
 						method = "POST"
 					}
 					if v := p.doMethodRequest(t, method, fmt.Sprint(method, i)); v != Served {
-						t.Errorf("%s %d: verdict %d, want Served", method, i, v)
+						t.Errorf("%s %d: outcome %d, want Served", method, i, v)
 					}
 				})
 			}
@@ -174,7 +174,7 @@
 						default:
 						}
 						if v := p.doMethodRequest(t, "GET", fmt.Sprint("background", i, k)); v != Served {
-							t.Errorf("background request %d: verdict %d, want Served", k, v)
+							t.Errorf("background request %d: outcome %d, want Served", k, v)
 							return
 						}
 						time.Sleep(time.Millisecond)
@@ -183,7 +183,7 @@
 			}
 			for i := range 20 {
 				if v := p.doMethodRequest(t, "GET", fmt.Sprint(i)); v != Served {
-					t.Errorf("request %d: verdict %d, want Served", i, v)
+					t.Errorf("request %d: outcome %d, want Served", i, v)
 				}
 			}
 			close(stop)
@@ -212,7 +212,7 @@
 	p, servers := newDialerPool(t, d, 1)
 	began := time.Now()
 	if v := p.doMethodRequest(t, "GET", "1"); v != Served {
-		t.Fatalf("verdict %d, want Served", v)
+		t.Fatalf("outcome %d, want Served", v)
 	}
 	took := time.Since(began)
 	mean := p.LearnedState().Balancer.Endpoints[servers[0].Name()].Mean
--- a/internal/pool/disabled.go
+++ b/internal/pool/disabled.go
@@ -9,11 +9,10 @@
 	"gorselink/internal/discovery"
 )
 
-// maxFormerNames bounds the names that are kept of endpoints that left the list, and so the
-// memory for them.
+// maxFormerNames bounds the number of names kept of endpoints that left the list.
 const maxFormerNames = 4096
 
-// Knows reports whether an endpoint has ever been listed, in this process or the previous one.
+// EverListed reports whether an endpoint has ever been listed, in this process or the previous one.
 func (p *Pool) EverListed(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -21,8 +20,8 @@
 	return known || p.isFormerName[name]
 }
 
-// KnownNames returns the names for which Knows returns true. Endpoints that left the list come
-// first, in the order in which they left.
+// EverListedNames returns the names for which EverListed returns true. Endpoints that left the
+// list come first, in the order in which they left.
 func (p *Pool) EverListedNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,7 +33,7 @@
 	return names
 }
 
-// AddKnownNames adds names for which Knows returns true.
+// AddEverListedNames makes EverListed return true for the names.
 func (p *Pool) AddEverListedNames(names []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,9 +57,9 @@
 // disabled endpoint as draining, whatever its listed status: once SetDisabled returns it gets
 // no new attempts, and pending ones continue.
 //
-// An endpoint that is enabled again counts as started now until the list reports a start
-// after it was disabled, because operators disable endpoints to restart them and the list may
-// report the restart late.
+// Operators disable endpoints to restart them, and the list may report the restart late. An
+// endpoint that is enabled again therefore counts as started now, until the list reports a start
+// time after it was disabled.
 func (p *Pool) SetDisabled(disabled map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +84,7 @@
 	if len(changed) > 0 {
 		p.updateBalancer(balance.Delta, changed)
 	}
-	for name, period := range p.reenabled { // the list has reported any restart by then
+	for name, period := range p.reenabled { // by then the list has reported any restart
 		if now-period.end > p.cfg.Balance.SlowStartWindow+time.Minute {
 			delete(p.reenabled, name)
 		}
@@ -103,7 +102,7 @@
 	return e
 }
 
-// effectiveStart returns the start time of an endpoint that the Balancer is given.
+// effectiveStart returns the start time of an endpoint for the Balancer.
 func (p *Pool) effectiveStart(name string) time.Duration {
 	start := p.incarnations[name].start
 	if period, ok := p.reenabled[name]; ok && (start == 0 || start < period.start) {
@@ -112,7 +111,7 @@
 	return start
 }
 
-// updateBalancer gives the Balancer a list of endpoints and records it in balancerView.
+// updateBalancer passes an endpoint update to the Balancer and records it in balancerView.
 func (p *Pool) updateBalancer(kind balance.UpdateKind, entries []balance.Endpoint) {
 	p.balancer.UpdateEndpoints(p.now(), kind, entries)
 	if kind == balance.Full || kind == balance.Cached {
--- a/internal/pool/disconnect_test.go
+++ b/internal/pool/disconnect_test.go
@@ -8,8 +8,8 @@
 	"gorselink/internal/upstream"
 )
 
-// disconnectingCaller is a Caller that disconnects at check number disconnectAt, or never if that
-// is 0. Each check takes checkDelay.
+// disconnectingCaller is a Caller that disconnects at check number disconnectAt, or never if
+// disconnectAt is 0. A check takes checkDelay.
 type disconnectingCaller struct {
 	disconnectAt int64
 	checkDelay   time.Duration
@@ -27,7 +27,7 @@
 func TestCallerIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		caller       *disconnectingCaller
-		wantVerdict  Outcome
+		wantOutcome  Outcome
 		minChecks    int64
 		wantRequests int
 	}{
@@ -50,8 +50,8 @@
 			}
 			p.Done(r)
 			// On a busy machine a check may be slow by itself and is then repeated.
-			if n := c.caller.checks.Load(); a.Outcome != c.wantVerdict || n < c.minChecks || healthy.count("/x") != c.wantRequests {
-				t.Errorf("verdict %v after %d checks and %d requests at the endpoint, want %v, at least %d and %d", a.Outcome, n, healthy.count("/x"), c.wantVerdict, c.minChecks, c.wantRequests)
+			if n := c.caller.checks.Load(); a.Outcome != c.wantOutcome || n < c.minChecks || healthy.count("/x") != c.wantRequests {
+				t.Errorf("outcome %v after %d checks and %d requests at the endpoint, want %v, at least %d and %d", a.Outcome, n, healthy.count("/x"), c.wantOutcome, c.minChecks, c.wantRequests)
 			}
 		})
 	}
--- a/internal/pool/failover_test.go
+++ b/internal/pool/failover_test.go
@@ -38,8 +38,8 @@
 	return c.byPath[path]
 }
 
-// newTwoNodePool returns a Pool with a healthy node and the one at otherAddr, whose class 0 is safe
-// and class 1 unsafe. Its retry budget allows some retries.
+// newTwoNodePool returns a Pool with a healthy node and the node at otherAddr. Class 0 is
+// idempotent and class 1 non-idempotent. The retry budget allows some retries.
 func newTwoNodePool(t *testing.T, otherAddr string, dialTimeout time.Duration) (*Pool, *requestCounter) {
 	t.Helper()
 	healthy := &requestCounter{}
@@ -72,7 +72,7 @@
 	return p, healthy
 }
 
-// doClassRequest makes one request of a class and returns its verdict.
+// doClassRequest makes one request of a class and returns its outcome.
 func doClassRequest(t *testing.T, p *Pool, class int, path string) Outcome {
 	t.Helper()
 	r := &Request{Class: class, Tenant: -1, Budget: testTimeout, Outgoing: upstream.Request{Method: "POST", URI: path, Host: "x", NonIdempotent: class == 1}}
@@ -88,8 +88,8 @@
 	return a.Outcome
 }
 
-// Requests whose connection times out are sent once to the other endpoint, including unsafe ones.
-// The first endpoint receives none of them when it accepts connections later.
+// Requests whose connection times out are sent once to the other endpoint, including
+// non-idempotent ones. The first endpoint receives none of them when it accepts connections later.
 func TestConnectTimeoutFailsOver(t *testing.T) {
 	late, err := fakeserver.ListenFull()
 	if err != nil {
@@ -102,7 +102,7 @@
 	for i := range requests {
 		pending.Go(func() {
 			if v := doClassRequest(t, p, i%2, fmt.Sprint("/", i)); v != Served {
-				t.Errorf("request %d: verdict %v, want it served", i, v)
+				t.Errorf("request %d: outcome %v, want it served", i, v)
 			}
 		})
 	}
@@ -127,8 +127,9 @@
 	}
 }
 
-// If an endpoint resets the connection before the end of its response, an unsafe request fails
-// without a retry and without the verdict Refused. A safe one is served by the other endpoint.
+// If an endpoint resets the connection before the end of its response, a non-idempotent request
+// fails without a retry and is not reported as Rejected. An idempotent one is served by the other
+// endpoint.
 func TestNodeFailsDuringRequest(t *testing.T) {
 	for name, response := range map[string]string{
 		"before the response": "",
@@ -169,7 +170,7 @@
 				p.SetDisabled(map[string]bool{"healthy": true})
 				path := fmt.Sprint("/", class)
 				if v := doClassRequest(t, p, class, path); v != want {
-					t.Errorf("class %d: verdict %v, want %v", class, v, want)
+					t.Errorf("class %d: outcome %v, want %v", class, v, want)
 				}
 				if n, retries := failing.count(path), healthy.count(path); n != 1 || retries != 1-class {
 					t.Errorf("class %d: %d attempts at the failing endpoint and %d at the healthy one", class, n, retries)
--- a/internal/pool/incarnation.go
+++ b/internal/pool/incarnation.go
@@ -15,8 +15,8 @@
 // An endpoint that a faulty list omits for less than this keeps its start time.
 const departedRetention = 30 * time.Second
 
-// maxWatchDelay bounds the delay with which an open watch reports a change: the time that
-// discovery has to answer. A change that the watch reports now is at most this old.
+// maxWatchDelay is the longest delay with which an open watch reports a change. A change that
+// the watch reports now is at most this old.
 const maxWatchDelay = time.Second
 
 // incarnation is one run of an endpoint's process. Its start time is computed when the list
@@ -33,8 +33,8 @@
 	departedAt time.Duration
 }
 
-// recordStarts computes the start time of each incarnation in l that is not known yet. In an
-// undated list it also sets the entries' timestamps. The caller holds the mutex.
+// recordStarts computes the start time of each incarnation in l that is not known yet. If l is
+// undated it also sets the missing timestamps of its entries. The caller holds the mutex.
 func (p *Pool) recordStarts(kind balance.UpdateKind, l *discovery.List) {
 	now := p.now()
 	p.evictDeparted(now)
@@ -68,22 +68,23 @@
 // first to report can have started: the time at which the previous list was last known to be
 // current. It returns never if the previous list gives no bound.
 //
-// The answer that delivers l does not count: an endpoint that appears after an outage of
-// discovery may have started at any time during the outage.
+// The arrival of l itself is no bound: an endpoint that appears after an outage of discovery may
+// have started at any time during the outage.
 func (p *Pool) startLowerBound(kind balance.UpdateKind, l *discovery.List) time.Duration {
 	switch {
 	case kind == balance.Cached:
 		return never // the age of a cached list is unknown
 	case l.Undated && !p.knowsAny(l):
-		// The list is of another service, not of this one restarted. If all of its
-		// endpoints were cold, each would get very little load.
+		// The list belongs to another service: not all endpoints of this one were restarted.
+		// If all were cold, each would get very little load.
 		return never
 	}
 	return p.lastSync
 }
 
-// recordSync records up to which time a list from src confirms the previous list. first
-// reports whether src has just replaced another source. The caller holds the mutex.
+// recordSync sets lastSync to the time until which the previous list was current, as far as the
+// arrival of l from src shows. first reports whether src has just replaced another source. The
+// caller holds the mutex.
 func (p *Pool) recordSync(src *source, first bool, l *discovery.List) {
 	if first && l.Snapshot && (l.Undated != p.undated || !p.knowsAny(l)) {
 		p.lastSync = never // endpoints that the other source did not list may be old
@@ -91,10 +92,10 @@
 	if p.lastSync == never {
 		return
 	}
-	_, answers := src.Source.(*discovery.Discovery)
+	_, isDiscovery := src.Source.(*discovery.Discovery)
 	switch {
-	case !answers:
-		p.lastSync = p.now() // such a source is read continuously and reports only changes
+	case !isDiscovery:
+		p.lastSync = p.now() // other sources are read continuously and report only changes
 	case src.watchOpen:
 		p.lastSync = max(p.lastSync, p.now()-maxWatchDelay)
 	}
@@ -113,7 +114,8 @@
 // startTime converts a list timestamp to Balancer time, limited to the range from lowerBound
 // to now, because the clock of its writer or of this machine may be wrong. It uses the wall
 // clock as it was when the Pool was created. Without a lower bound, as in the first list of a
-// process, endpoints that started while the wall clock was slow are cold for at most one ramp.
+// process, an endpoint that started while the wall clock was slow is cold for at most one
+// slow-start window.
 func (p *Pool) startTime(sinceMs int64, lowerBound, now time.Duration) time.Duration {
 	start := never
 	if sinceMs != 0 {
--- a/internal/pool/incarnation_test.go
+++ b/internal/pool/incarnation_test.go
@@ -24,11 +24,11 @@
 	lastIndex uint64
 }
 
-const testRampTime = 10 * time.Second
+const testSlowStartWindow = 10 * time.Second
 
 func manualClockConfig(clocks *clock.Manual) Config {
 	cfg := testConfig()
-	cfg.Balance.SlowStartWindow, cfg.Balance.SlowStartInitialShare = testRampTime, 0.1
+	cfg.Balance.SlowStartWindow, cfg.Balance.SlowStartInitialShare = testSlowStartWindow, 0.1
 	cfg.Balance.OverloadWindow, cfg.Balance.OverloadFactor = 2*time.Second, 2
 	cfg.Clock = clocks.Clock()
 	return cfg
@@ -72,7 +72,7 @@
 
 // A new endpoint beside known ones starts between the last list without it and now, whatever
 // its timestamp and the wall clock of this machine are. It gets the share of a cold endpoint at
-// first and an equal share after one ramp.
+// first and an equal share after the slow-start window.
 func TestNewEndpointIsColdWhateverItsTimestamp(t *testing.T) {
 	for _, offset := range wallOffsets {
 		for _, delivery := range []string{"delta", "snapshot", "restart", "delta in a long watch"} {
@@ -124,7 +124,7 @@
 					}
 					cold, warm := p.attemptShares(t, "c")
 					if cold > 0.2 || warm < 0.25 {
-						t.Errorf("it gets %.2f of the attempts at first and %.2f after the ramp, want about 0.05 and a third", cold, warm)
+						t.Errorf("it gets %.2f of the attempts at first and %.2f after the slow start, want about 0.05 and a third", cold, warm)
 					}
 				})
 			}
@@ -196,7 +196,7 @@
 }
 
 // attemptShares returns the shares of all attempts that an endpoint gets in the first second and
-// after its ramp, in virtual time, from a Balancer with the same endpoints as the Pool's.
+// after its slow start, in virtual time, from a Balancer with the same endpoints as the Pool's.
 func (p *manualClockPool) attemptShares(t *testing.T, name string) (first, after float64) {
 	t.Helper()
 	host := &attemptCounter{}
@@ -228,7 +228,7 @@
 		return float64(host.attempts[name]) / float64(n)
 	}
 	first = run(time.Second)
-	run(testRampTime)
+	run(testSlowStartWindow)
 	return first, run(5 * time.Second)
 }
 
@@ -286,8 +286,8 @@
 	run          func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool
 }
 
-// stepScenarios step the wall clock by calling step, each at another point. Each returns the
-// Pool, whose final ages are compared.
+// stepScenarios are scenarios that call step, which steps the wall clock, at different points. A
+// scenario returns the Pool, whose final ages are compared.
 var stepScenarios = map[string]stepScenario{
 	"before a new endpoint": {500 * time.Millisecond, map[string]time.Duration{"fresh": 100 * time.Millisecond, "late": 500 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
 		p := newSyncedPool(t, clocks)
@@ -303,7 +303,7 @@
 		p.receiveList(false, endpointSince("late", timestampAgo(clocks.trueWall(), maxWatchDelay-200*time.Millisecond)), endpointSince("wrong", timestampAgo(clocks.trueWall(), time.Hour)))
 		return p
 	}},
-	"during a ramp": {500 * time.Millisecond, map[string]time.Duration{"fresh": 4200 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+	"during a slow start": {500 * time.Millisecond, map[string]time.Duration{"fresh": 4200 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
 		p := newSyncedPool(t, clocks)
 		clocks.Advance(500 * time.Millisecond)
 		fresh := endpointSince("fresh", timestampAgo(clocks.trueWall(), 200*time.Millisecond))
@@ -346,12 +346,12 @@
 		clocks.Advance(time.Second)
 		return p
 	}},
-	"after being enabled again": {0, map[string]time.Duration{"old": testRampTime + 30*time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
+	"after being enabled again": {0, map[string]time.Duration{"old": testSlowStartWindow + 30*time.Second}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
 		p := newSyncedPool(t, clocks)
 		p.SetDisabled(map[string]bool{"old": true, "dated": true})
 		clocks.Advance(time.Second)
 		p.SetDisabled(nil)
-		clocks.Advance(testRampTime + 30*time.Second) // less than the time for which the period is kept
+		clocks.Advance(testSlowStartWindow + 30*time.Second) // less than the time for which the period is kept
 		step()
 		p.SetDisabled(nil)
 		return p
@@ -522,7 +522,7 @@
 				case recovered.Load():
 					fmt.Fprintf(w, `{"index":2,"snapshot":true,"endpoints":[`+entry+","+entry+","+entry+`]}`, "old", 0, "right", newSinceMs.Load(), "wrong", 1)
 				default:
-					time.Sleep(10 * time.Millisecond) // answers before the wait of the watch ends
+					time.Sleep(10 * time.Millisecond) // responds before the wait of the watch ends
 					fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[`+entry+`]}`, "old", 0)
 				}
 			}))
--- a/internal/pool/learned_state.go
+++ b/internal/pool/learned_state.go
@@ -7,8 +7,8 @@
 	"gorselink/balance"
 )
 
-// LearnedState is what a Pool has learned, for the Pool that replaces it. It can be encoded
-// as JSON; the names in its tags are read by other versions of the program.
+// LearnedState is what a Pool has learned, for the Pool that replaces it. Other versions of the
+// program read its JSON encoding, so the names in its tags must not change.
 type LearnedState struct {
 	Balancer balance.Snapshot `json:"Learnt"`
 	Classes  []balance.Class  `json:"Classes"` // the classes of Balancer, in the same order
@@ -27,12 +27,12 @@
 	End   int64 `json:"Back"`
 }
 
-// Ages are time spans that end when Ages is called. Unlike wall-clock times they are not
-// affected by steps of the clock. They are short by the duration of the handover, so that
-// nothing counts as older than it is.
+// Ages are the ages of events at the time of the call of Pool.Ages. Steps of the wall clock do
+// not affect them. The next Pool does not add the duration of the handover, so it takes all
+// events for slightly more recent than they are.
 type Ages struct {
-	// WallMs is the first reading of the wall clock plus the monotonic time since, in Unix ms,
-	// so that it excludes later steps. The next Pool converts the timestamps of lists by it.
+	// WallMs is the wall-clock time at the first start plus the monotonic time since, in Unix
+	// ms, so that it excludes later steps. The next Pool uses it to convert timestamps of lists.
 	WallMs int64 `json:"Wall"`
 
 	LastSync     *time.Duration                `json:"Heard,omitempty"` // since the list was last known to be current; nil if it never was
@@ -47,7 +47,7 @@
 	Age     time.Duration `json:"Age"`
 }
 
-// DisabledPeriodAges is how long ago an endpoint was disabled and enabled again.
+// DisabledPeriodAges is how long ago an endpoint was disabled and how long ago enabled again.
 type DisabledPeriodAges struct {
 	Start time.Duration `json:"Out"`
 	End   time.Duration `json:"Back"`
@@ -106,8 +106,8 @@
 	return a
 }
 
-// restoreAges restores the ages of the endpoints in Config.Known from the previous Pool. An
-// endpoint without an age started long ago. The caller holds the mutex.
+// restoreAges restores the start times of the endpoints in Config.Known from the previous Pool.
+// An endpoint without an age started long ago. The caller holds the mutex.
 func (p *Pool) restoreAges(a *Ages) {
 	if a == nil {
 		return
@@ -128,8 +128,8 @@
 
 // restoreDisabled restores which endpoints operators have disabled and enabled again. Without
 // Ages it ignores the wall-clock times, which a step of the clock may have made wrong, and
-// counts all changes as made now: an endpoint then goes through at most one more ramp. The
-// caller holds the mutex.
+// counts all changes as made now: an endpoint then goes through at most one more slow
+// start. The caller holds the mutex.
 func (p *Pool) restoreDisabled(s *LearnedState) {
 	for name := range s.Disabled {
 		p.disabled[name] = 0
@@ -148,9 +148,9 @@
 	}
 }
 
-// Restore takes over what another Pool has learned of the classes and endpoints that this one
-// has too. Without it the Balancer would limit its load by what the first seconds served. Call
-// it before the first request and before SetDisabled.
+// Restore sets the learned state of those classes and endpoints that this Pool has too. Without
+// it, admission control would be based only on the load served in the first seconds. It must be
+// called before the first request and before SetDisabled.
 func (p *Pool) Restore(s LearnedState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/learned_state_test.go
+++ b/internal/pool/learned_state_test.go
@@ -51,7 +51,7 @@
 	got := next.LearnedState().Balancer
 	near := func(a, b float64) bool { return a > b*0.98 && a < b*1.02 }
 	if got.Limit != 12 || !near(got.Served, 40) || !near(got.InTargetConcurrency, 30) {
-		t.Errorf("limit %v, served %v, in aim %v, want 12, 40, 30", got.Limit, got.Served, got.InTargetConcurrency)
+		t.Errorf("admission limit %v, served %v, within the latency target %v, want 12, 40, 30", got.Limit, got.Served, got.InTargetConcurrency)
 	}
 	if !near(got.Classes[0].Mean, 0.3) || got.Classes[0].N != 20 || !near(got.Classes[1].Mean, 0.1) {
 		t.Errorf("classes %+v, want the learned state of pay and view in this order", got.Classes)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,6 +1,6 @@
-// Package pool runs the load balancing of one service. A Pool connects a Balancer with the
-// connections to the service's nodes, the source of its node list and its limits: frontends
-// submit requests, the Balancer decides, and the Pool carries out its decisions.
+// Package pool balances the requests to one service. A Pool combines a Balancer with the
+// connections to the service's endpoints, the source of its endpoint list and its limits: HTTP
+// servers submit requests, the Balancer decides, and the Pool carries out the decisions.
 package pool
 
 import (
@@ -22,24 +22,24 @@
 	Name    string
 	Seed    uint64 // for the random choices of the Balancer
 	Balance balance.Config
-	Zones   map[string]int // zone numbers by name; nil numbers zones in order of appearance, OwnZone first
+	Zones   map[string]int // zone numbers by name; if nil, zones are numbered as they appear in lists, OwnZone first
 	OwnZone string
 	Known   discovery.List // the last known list, which may be outdated
 	Source  discovery.Source
 	Limits  Limits
 
-	Ages  *Ages       // ages of the endpoints in Known, from the previous Pool; nil if there was none
-	Clock clock.Clock // the zero value reads the system clocks
+	Ages  *Ages       // from the previous Pool, with Known as its list; nil if there was none
+	Clock clock.Clock // the zero value is the system clocks
 }
 
 // Limits bound the resources of a Pool. They can change while it serves.
 type Limits struct {
-	Requests  int   // open requests, from the complete request to the written answer; 0 for no limit
+	Requests  int   // requests between Submit and Done; 0 for no limit
 	BodyBytes int64 // memory for request bodies
-	LongBytes int64 // memory for request bodies over 64 KiB; 0 if they share BodyBytes
+	LongBytes int64 // memory for request bodies over 64 KiB; if 0, they use BodyBytes too
 }
 
-// Pool balances the requests to the nodes of one service.
+// Pool balances the requests to the endpoints of one service.
 type Pool struct {
 	cfg        Config
 	conns      *upstream.Pool
@@ -50,32 +50,32 @@
 
 	maxRequests  atomic.Int64 // Limits.Requests
 	openRequests atomic.Int64 // requests between Submit and Done
-	meanOpenNs   atomic.Int64 // mean time that a request is open, in ns
+	meanOpenNs   atomic.Int64 // moving average of the time between Submit and Done, in ns
 	newSources   chan discovery.Source
 
 	startWall time.Time // wall-clock time at start, for converting the timestamps of lists
 
 	mu           sync.Mutex // guards the following fields and the marked ones of Request
 	balancer     *balance.Balancer
-	requests     map[balance.RequestID]*Request // requests without an answer
+	requests     map[balance.RequestID]*Request // requests without a response
 	lastID       balance.RequestID
 	classes      map[balance.Class]int // class numbers
 	retired      bool
 	hasList      bool
-	listVersion  uint64 // see nodes.List.Index
-	known        map[string]discovery.Endpoint
-	balancerView map[string]balance.Endpoint    // known endpoints as last given to the Balancer
-	formerNames  []string                       // names of endpoints that left the list, see Knows
+	listVersion  uint64                         // see discovery.List.Index
+	known        map[string]discovery.Endpoint  // the current list by name
+	balancerView map[string]balance.Endpoint    // known endpoints as last passed to the Balancer
+	formerNames  []string                       // names of endpoints that left the list, oldest first; see EverListed
 	isFormerName map[string]bool                // the names in formerNames
 	disabled     map[string]time.Duration       // endpoints that operators have disabled, and since when in Balancer time
-	reenabled    map[string]disabledPeriod      // endpoints that were disabled; the list may not have reported a restart yet
+	reenabled    map[string]disabledPeriod      // endpoints that were enabled again, until the list must have reported any restart
 	incarnations map[string]incarnation         // of the endpoints in known
 	departed     map[string]departedIncarnation // of endpoints that recently left the list
 	lastSync     time.Duration                  // when the list was last known to be current, or never
-	undated      bool                           // the source of the list does not know start times
+	undated      bool                           // the current list has no start times, see discovery.List.Undated
 	zones        map[string]int
-	watchWanted  bool      // the Balancer requested a watch before there was a source
-	sources      []*source // the source in use and, after SetSource, the one to replace it
+	watchWanted  bool      // the Balancer has requested a watch before Run set the first source
+	sources      []*source // the source in use, followed by its replacement while that has no list
 	timers       timerQueue
 	stats        Stats
 	lastReported Stats // as of the last Report
@@ -88,20 +88,20 @@
 	Tenant      int // -1 for none
 	Budget      time.Duration
 	Outgoing    upstream.Request
-	Resubmitted bool   // the pool may have had the request before, so it accepts it even when retired
-	OnFinished  func() // called once when nothing more is sent and no attempt is pending
+	Resubmitted bool   // may have been submitted to this Pool before, so a retired Pool accepts it
+	OnFinished  func() // called once when the response is delivered and no attempt is pending
 
-	ResponseChan chan Response // receives the answer and needs a free slot; Submit creates it if it is nil
+	ResponseChan chan Response // receives the response and needs a free slot; Submit creates it if it is nil
 
-	// Caller, unless it is nil, is checked for a disconnect right before each attempt.
+	// Caller is checked for a disconnect right before each attempt, unless it is nil.
 	Caller Caller
 
-	// CallID is the caller's name for the request, for the log only.
+	// CallID is the caller's identifier of the request, for the log only.
 	CallID string
 
 	id          balance.RequestID
 	submittedAt time.Time
-	call        upstream.Call // ends when nothing more may be sent for the request
+	call        upstream.Call // ends when no more attempts may be sent
 	first       attempt       // the attempt that RunFirstAttempt makes
 	hasFirst    bool          // first is set
 
@@ -109,36 +109,36 @@
 	submitting     bool // Submit is in progress
 	attempts       int
 	pending        int // attempts without an outcome
-	answered       bool
-	withdrawn      bool
-	detached       bool               // see detach
-	errorAnswer    *upstream.Response // the last error answer of a node
-	verdict        Outcome            // set when answered
+	responded      bool
+	cancelled      bool
+	detached       bool               // removed from the Balancer, see detach
+	errorResponse  *upstream.Response // the last error response of an endpoint
+	outcome        Outcome            // set with responded
 	attemptRecords []attemptRecord    // for the log, if the request may end abnormally
 }
 
 // Caller is the sender of a request.
 type Caller interface {
-	// Disconnected reports whether the caller has gone away. It must be safe for concurrent use.
+	// Disconnected reports whether the caller has disconnected. It must be safe for concurrent use.
 	Disconnected() bool
 }
 
-// Verdict tells how a request ended.
+// Outcome is how a request ended.
 type Outcome int
 
 const (
-	Served     Outcome = iota // a node answered
-	Rejected                  // the request had no effect and can be repeated safely
-	Failed                    // a node answered with an error, or none could be reached
+	Served     Outcome = iota // an endpoint responded
+	Rejected                  // the request had no effect and can be repeated
+	Failed                    // an endpoint responded with an error, or none could be reached
 	TimedOut                  // the budget was exhausted; an attempt may still run
 	CallerGone                // the caller disconnected
 )
 
-// Answer is the only answer to a Request. The receiver must release Upstream.
+// Response is the only response to a Request. The receiver must release Upstream.
 type Response struct {
 	Outcome    Outcome
-	Upstream   *upstream.Response // set with Served, and with Failed if a node answered
-	RetryAfter time.Duration      // with Refused; 0 for none
+	Upstream   *upstream.Response // set with Served, and with Failed if an endpoint responded
+	RetryAfter time.Duration      // with Rejected; 0 for none
 }
 
 // Errors of Submit. Nothing was sent for the request.
@@ -147,8 +147,8 @@
 	ErrRetired = errors.New("pool has been replaced")
 )
 
-// New returns a Pool that sends over conns and starts with the list cfg.Known. It follows its
-// source once Run is called. The Pool does not close conns, which later Pools may use.
+// New returns a Pool that sends over conns and starts with the list cfg.Known. Run makes it
+// follow its source. The Pool does not close conns, so that later Pools can use them.
 func New(cfg Config, conns *upstream.Pool) (*Pool, error) {
 	p := &Pool{
 		cfg:          cfg,
@@ -194,26 +194,26 @@
 // Conns returns the connections that the Pool sends over.
 func (p *Pool) Conns() *upstream.Pool { return p.conns }
 
-// Bodies returns the memory budget for request bodies.
+// BodyBudget returns the memory budget for request bodies.
 func (p *Pool) BodyBudget() *bytebudget.Budget { return &p.bodies }
 
-// LongBodies returns the memory budget for request bodies over 64 KiB. If its total is 0 they
-// share the budget of Bodies.
+// LongBodyBudget returns the memory budget for request bodies over 64 KiB. If its total is 0,
+// they use BodyBudget.
 func (p *Pool) LongBodyBudget() *bytebudget.Budget { return &p.longBodies }
 
-// Streams reports whether a body that does not fit into the memory budget is streamed to the
-// node.
+// StreamingEnabled reports whether a request body that does not fit into the memory budget is
+// streamed to the endpoint.
 func (p *Pool) StreamingEnabled() bool { return p.conns.StreamingEnabled() }
 
-// SetLimits changes the limits. Requests and memory beyond the new limits are kept until they
-// end or are released.
+// SetLimits changes the limits. Open requests and reserved memory beyond the new limits remain
+// until the requests end.
 func (p *Pool) SetLimits(l Limits) {
 	p.maxRequests.Store(int64(l.Requests))
 	p.bodies.SetTotal(l.BodyBytes)
 	p.longBodies.SetTotal(l.LongBytes)
 }
 
-// ClassNumber returns the number of a class, and adds the class to the Balancer if it is new.
+// ClassNumber returns the number of a class. It adds the class to the Balancer if it is new.
 func (p *Pool) ClassNumber(class balance.Class) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,8 +228,8 @@
 	return i, nil
 }
 
-// Reconfigure gives the Balancer new settings; on an error it changes none. The classes stay
-// the same: ClassNumber adds new ones.
+// Reconfigure changes the settings of the Balancer, or none after an error. It does not change
+// the classes, which ClassNumber adds.
 func (p *Pool) Reconfigure(cfg balance.Config) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -240,14 +240,14 @@
 	return nil
 }
 
-// ClassCount returns the number of classes that the Balancer has, used or not.
+// ClassCount returns the number of classes of the Balancer, including unused ones.
 func (p *Pool) ClassCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.classes)
 }
 
-// HasList reports whether a list with any node has ever been received.
+// HasList reports whether a non-empty list has ever been received.
 func (p *Pool) HasList() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,34 +263,35 @@
 	return maxOpen > 0 && p.openRequests.Load() >= maxOpen
 }
 
-// Bounds of RetryAfter: long enough that rejected callers do not all retry at once, and no
-// longer than users wait.
+// Bounds of RetryAfter: the minimum keeps rejected callers from retrying at once, and users do
+// not wait longer than the maximum.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// RetryAfter returns when a full pool is likely to accept requests again: when about a quarter
-// of the open requests should have ended.
+// RetryAfter returns the delay after which a full Pool is likely to accept requests again. It
+// is a quarter of the mean duration of a request, in which about a quarter of the open requests
+// end.
 func (p *Pool) RetryAfter() time.Duration {
 	return min(max(time.Duration(p.meanOpenNs.Load())/4, minRetryAfter), maxRetryAfter)
 }
 
-// CountFull counts a request that was rejected before it was complete because the pool was
-// full.
+// CountFull counts a request that was rejected because the Pool was full, before Submit was
+// called for it.
 func (p *Pool) CountFull() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Full++
 }
 
-// now returns the Balancer time. The caller holds the mutex, so that the Balancer never sees
-// time go backwards.
+// now returns the Balancer time. The caller holds the mutex, so that the times passed to the
+// Balancer never decrease.
 func (p *Pool) now() time.Duration { return p.clock.Since(p.start) }
 
-// Submit gives a request to the Balancer, or returns ErrFull or ErrRetired. A request that was
-// accepted is answered once on Answer. The caller must call RunFirstAttempt for it, and Done
-// at its end.
+// Submit passes a request to the Balancer, or returns ErrFull or ErrRetired. An accepted request
+// gets one response, on the channel of Response. The caller must then call RunFirstAttempt, and
+// Done at the end.
 func (p *Pool) Submit(r *Request) error {
 	if r.ResponseChan == nil {
 		r.ResponseChan = make(chan Response, 1)
@@ -320,13 +321,13 @@
 	return nil
 }
 
-// Answer returns the channel that receives the answer to a submitted request.
+// Response returns the channel that receives the response to a submitted request.
 func (r *Request) Response() <-chan Response { return r.ResponseChan }
 
-// meanOpenSamples is the number of samples over which meanOpenNs is averaged.
+// meanOpenSamples is the number of samples by which the moving average meanOpenNs is smoothed.
 const meanOpenSamples = 16
 
-// Done must be called when the answer to r has been written or cannot be written.
+// Done must be called when the response to r has been written or cannot be written.
 func (p *Pool) Done(r *Request) {
 	mean := p.meanOpenNs.Load() // a concurrent update may be lost, which is harmless
 	p.meanOpenNs.Store(mean + (int64(time.Since(r.submittedAt))-mean)/meanOpenSamples)
@@ -334,15 +335,15 @@
 	p.logAbnormalEnd(r)
 }
 
-// Withdraw tells the Balancer that the caller of r has disconnected. Pending attempts
-// continue: a caller that has closed only its sending side still receives their answer.
+// Cancel ends r because its caller has disconnected. Pending attempts continue: a caller that
+// has closed only its sending side still receives their response.
 func (p *Pool) Cancel(r *Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r.answered || r.detached || r.withdrawn {
+	if r.responded || r.detached || r.cancelled {
 		return
 	}
-	r.withdrawn = true
+	r.cancelled = true
 	r.call.End()
 	delete(p.requests, r.id)
 	p.stats.Cancelled++
@@ -358,15 +359,15 @@
 	p.retired = true
 }
 
-// Reactivate undoes Retire.
+// Reactivate makes Submit accept all requests again after Retire.
 func (p *Pool) Reactivate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retired = false
 }
 
-// Close answers all open requests at once, for a process that exits. It also cuts off pending
-// attempts, because the goroutine that writes the answer may be running the attempt.
+// Close responds to all open requests at once. It is called when the process exits. It aborts
+// pending attempts, because the goroutine that writes the response may be running the attempt.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -374,42 +375,42 @@
 		r.call.Abort()
 	}
 	p.balancer.Close(p.now())
-	for _, r := range p.requests { // detached requests, which the Balancer does not know
+	for _, r := range p.requests { // detached requests, which are unknown to the Balancer
 		p.stats.Failed++
 		p.deliver(r, Response{Outcome: TimedOut})
 		p.finishIfDone(r)
 	}
 }
 
-// finishIfDone finishes r if no attempt is pending: it answers a withdrawn request and calls
-// OnFinished for an answered one. The caller holds the mutex.
+// finishIfDone finishes r if no attempt is pending: it delivers CallerGone for a cancelled
+// request without a response, and calls OnFinished. The caller holds the mutex.
 func (p *Pool) finishIfDone(r *Request) {
 	if r.pending > 0 {
 		return
 	}
-	if r.withdrawn {
+	if r.cancelled {
 		p.deliver(r, Response{Outcome: CallerGone})
 	}
-	if r.answered && r.OnFinished != nil {
+	if r.responded && r.OnFinished != nil {
 		r.OnFinished()
 		r.OnFinished = nil
 	}
 }
 
-// deliver sends the answer to r unless it has one, and reports whether it did. Nothing is sent
-// to nodes for r afterwards. The caller holds the mutex.
-func (p *Pool) deliver(r *Request, a Response) bool {
-	if r.answered {
+// deliver sends the response to r to its channel, unless r has one, and reports whether it did.
+// Afterwards nothing more is sent to endpoints for r. The caller holds the mutex.
+func (p *Pool) deliver(r *Request, response Response) bool {
+	if r.responded {
 		return false
 	}
-	r.answered, r.verdict = true, a.Outcome
-	if r.errorAnswer != nil && r.errorAnswer != a.Upstream {
-		r.errorAnswer.Release()
+	r.responded, r.outcome = true, response.Outcome
+	if r.errorResponse != nil && r.errorResponse != response.Upstream {
+		r.errorResponse.Release()
 	}
-	r.errorAnswer = nil
+	r.errorResponse = nil
 	r.call.End()
 	delete(p.requests, r.id)
-	r.ResponseChan <- a
+	r.ResponseChan <- response
 	return true
 }
 
@@ -418,13 +419,13 @@
 	pool          *Pool
 	request       *Request
 	number        int
-	node          string
+	endpoint      string
 	sent, timeout time.Duration
 }
 
-// RunFirstAttempt makes the first attempt for a submitted request, if the Balancer wants one
-// at once, and returns after its outcome. Using the goroutine of the submitter saves one for
-// most requests; later and concurrent attempts run in goroutines of their own.
+// RunFirstAttempt makes the first attempt for a submitted request and waits for its outcome, if
+// the Balancer has started one during Submit. It runs in the goroutine of the caller, which
+// saves a goroutine for most requests. Later and concurrent attempts run in their own.
 func (p *Pool) RunFirstAttempt(r *Request) {
 	if r.hasFirst {
 		p.runAttempt(r, &r.first)
@@ -437,13 +438,13 @@
 		u.ResponseTimeout = r.Budget
 		u.Commit = func() bool { return p.detach(r, a) }
 	}
-	// The deadline is a point in time that counts from a.sent, because this goroutine may
-	// start late and the process may be suspended after the Balancer has read the clock.
+	// The deadline counts from a.sent and not from now, because this goroutine may start late
+	// and the process may be suspended after the Balancer has read the clock.
 	deadline := p.start.Add(a.sent + a.timeout)
 	if end := r.submittedAt.Add(r.Budget); end.Before(deadline) {
 		deadline = end
 	}
-	up, result := p.conns.Do(&r.call, a.node, &r.Outgoing, deadline, a)
+	up, result := p.conns.Do(&r.call, a.endpoint, &r.Outgoing, deadline, a)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.detached {
@@ -457,33 +458,33 @@
 	p.recordAttempt(r, a, result, now)
 	elapsed := now - a.sent
 	if up != nil {
-		elapsed -= up.LocalDelay // delays on this machine do not count against the node
+		elapsed -= up.LocalDelay // delays on this machine do not count against the endpoint
 	}
 	switch {
 	case up == nil:
-	case r.answered:
+	case r.responded:
 		up.Release()
 	case result == balance.OK:
 		p.stats.Served++
 		p.deliver(r, Response{Outcome: Served, Upstream: up})
 	default:
-		if r.errorAnswer != nil {
-			r.errorAnswer.Release()
+		if r.errorResponse != nil {
+			r.errorResponse.Release()
 		}
-		r.errorAnswer = up
+		r.errorResponse = up
 	}
-	over := r.answered || r.withdrawn
-	p.balancer.Outcome(now, r.id, a.number, result, elapsed, over)
+	ended := r.responded || r.cancelled
+	p.balancer.Outcome(now, r.id, a.number, result, elapsed, ended)
 	p.finishIfDone(r)
 }
 
 // confirmInterval is how long a decision of the Balancer, or a check of the caller, stays valid.
 const confirmInterval = 10 * time.Millisecond
 
-// Confirm implements upstream.Confirmer. It checks the caller as the last step before each
-// attempt, because no attempt may begin 0.1 s or more after the caller has disconnected, and
-// the goroutine that watches the caller may not have run. If the checks take longer than
-// confirmInterval they are repeated.
+// Confirm implements upstream.Confirmer. It checks the caller right before each attempt, because
+// no attempt may begin 0.1 s or more after the caller has disconnected, and the goroutine that
+// watches the caller may not have run yet. If the checks take longer than confirmInterval, they
+// are repeated.
 func (a *attempt) Confirm() bool {
 	for {
 		began := time.Now()
@@ -501,7 +502,7 @@
 }
 
 // stillValid reports whether the decision for the attempt still holds. While a connection is
-// established, the node may begin to drain, or the time in which it drops a repeat may end.
+// established, the endpoint may begin to drain, or the deduplication window of a retry may end.
 func (a *attempt) stillValid(now time.Time) bool {
 	p := a.pool
 	if now.Sub(p.start)-a.sent < confirmInterval {
@@ -520,7 +521,7 @@
 func (h *balancerHost) Send(id balance.RequestID, addr string, timeout time.Duration) {
 	p := (*Pool)(h)
 	r := p.requests[id]
-	a := attempt{pool: p, request: r, number: r.attempts, node: addr, sent: p.now(), timeout: timeout}
+	a := attempt{pool: p, request: r, number: r.attempts, endpoint: addr, sent: p.now(), timeout: timeout}
 	if r.attempts++; r.attempts == 1 {
 		p.stats.FirstAttempts++
 	} else {
@@ -535,11 +536,11 @@
 	go p.runAttempt(r, &own)
 }
 
-// Refuse implements balance.Host.
+// Reject implements balance.Host.
 func (h *balancerHost) Reject(id balance.RequestID, retryAfter time.Duration) {
 	p := (*Pool)(h)
 	r := p.requests[id]
-	if r.errorAnswer != nil && r.pending == 0 { // the node's error answer tells the caller more
+	if r.errorResponse != nil && r.pending == 0 { // the caller learns more from the endpoint's error response
 		h.Fail(id)
 		return
 	}
@@ -557,14 +558,14 @@
 	case r.pending > 0:
 		p.deliver(r, Response{Outcome: TimedOut})
 	default:
-		p.deliver(r, Response{Outcome: Failed, Upstream: r.errorAnswer})
+		p.deliver(r, Response{Outcome: Failed, Upstream: r.errorResponse})
 	}
 	p.finishIfDone(r)
 }
 
 // Watch implements balance.Host.
 func (h *balancerHost) Watch() {
-	h.watchWanted = len(h.sources) == 0 // Run has not started
+	h.watchWanted = len(h.sources) == 0 // Run has not set a source yet
 	for _, src := range h.sources {
 		select {
 		case src.watchRequests <- struct{}{}:
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -22,8 +22,8 @@
 	return l
 }
 
-// In an undated list, the first endpoints and those that replace all others are warm. An endpoint
-// that is added to known ones is cold.
+// In an undated list, the first endpoints and those that replace all others are not cold. An
+// endpoint that is added to known ones is cold.
 func TestStartsInUndatedLists(t *testing.T) {
 	cfg := testConfig()
 	cfg.Known = undatedList("127.0.0.1:1", "127.0.0.1:2")
@@ -62,7 +62,7 @@
 	checkCold(false)
 }
 
-// doRequest makes one safe request and returns its answer.
+// doRequest makes one idempotent request and returns its response.
 func doRequest(t *testing.T, p *Pool, resubmitted bool) (Response, error) {
 	t.Helper()
 	r := &Request{Tenant: -1, Budget: testTimeout, Resubmitted: resubmitted, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x"}}
@@ -89,7 +89,7 @@
 		t.Helper()
 		a, err := doRequest(t, p, resubmitted)
 		if !errors.Is(err, want) || err == nil && a.Outcome != Served {
-			t.Errorf("answer %+v, error %v, want %v", a, err, want)
+			t.Errorf("response %+v, error %v, want %v", a, err, want)
 		}
 		if a.Upstream != nil {
 			a.Upstream.Release()
@@ -114,14 +114,14 @@
 	}
 	n.SetMode(fakeserver.ModeServe)
 	if a := <-done; a.Outcome != Served {
-		t.Errorf("answer %+v, want Served", a)
+		t.Errorf("response %+v, want Served", a)
 	}
 	if s := p.Stats(); s.Submitted != 4 || s.Served != 4 || s.Full != 2 || p.OpenRequests() != 0 {
 		t.Errorf("stats %+v with %d open requests, want 4 submitted, 4 served, 2 full and 0 open", s, p.OpenRequests())
 	}
 }
 
-// If no node serves a request, the last error response of a node is the answer. All other
+// If no node serves a request, the last error response of a node is passed through. All other
 // responses are released.
 func TestNodeErrorIsPassedThrough(t *testing.T) {
 	cfg := testConfig()
@@ -139,14 +139,14 @@
 	p := newPool(t, cfg)
 	a, err := doRequest(t, p, false)
 	if err != nil || a.Outcome != Failed || a.Upstream == nil || a.Upstream.Status != 500 || len(a.Upstream.Body) == 0 {
-		t.Fatalf("answer %+v, error %v, want Failed with the response of a node", a, err)
+		t.Fatalf("response %+v, error %v, want Failed with the response of a node", a, err)
 	}
 	a.Upstream.Release()
 	for _, n := range servers {
 		n.Crash()
 	}
 	if a, err = doRequest(t, p, false); err != nil || a.Upstream != nil || a.Outcome == Served {
-		t.Errorf("after the nodes have stopped: answer %+v, error %v, want no response", a, err)
+		t.Errorf("after the nodes have stopped: response %+v, error %v, want no response", a, err)
 	}
 }
 
--- a/internal/pool/replacement_test.go
+++ b/internal/pool/replacement_test.go
@@ -46,12 +46,12 @@
 func (n *countingNode) address() string { return n.Server.Listener.Addr().String() }
 
 // sendRequests makes requests of a class one after another until stop is closed and counts their
-// verdicts.
-func sendRequests(p *Pool, class int, stop <-chan struct{}) (verdicts [CallerGone + 1]int) {
+// outcomes.
+func sendRequests(p *Pool, class int, stop <-chan struct{}) (outcomes [CallerGone + 1]int) {
 	for {
 		select {
 		case <-stop:
-			return verdicts
+			return outcomes
 		case <-time.After(3 * time.Millisecond):
 		}
 		r := &Request{Class: class, Tenant: -1, Budget: 2 * time.Second, Outgoing: upstream.Request{Method: "GET", URI: "/", Host: "x", NonIdempotent: class == 1}}
@@ -63,15 +63,16 @@
 		if a.Upstream != nil {
 			a.Upstream.Release()
 		}
-		verdicts[a.Outcome]++
+		outcomes[a.Outcome]++
 		p.Done(r)
 	}
 }
 
 // Three of six nodes are replaced one by one while discovery rejects two of three calls. Each drain
-// is delivered within AskWithin, a draining node gets no new requests, and no request is lost.
+// is delivered within MaxWatchInterval, a draining node gets no new requests, and no request is
+// lost.
 func TestRollingReplacementDuringDiscoveryErrors(t *testing.T) {
-	const askWithin = 4 * time.Second
+	const maxWatchInterval = 4 * time.Second
 	type change struct {
 		Name    string `json:"name"`
 		Address string `json:"address"`
@@ -81,8 +82,8 @@
 		SinceMs int64  `json:"since_ms"`
 	}
 	var mu sync.Mutex
-	var changes []change // the list index is their number
-	calls, answered := 0, 0
+	var changes []change // the list index is the number of changes
+	calls, accepted := 0, 0
 	drainSentAt := map[string]time.Time{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
@@ -118,7 +119,7 @@
 		}
 		body, _ := json.Marshal(map[string]any{"index": len(changes), "snapshot": snapshot, "endpoints": list})
 		w.Write(body)
-		answered++
+		accepted++
 		for _, c := range list {
 			if _, ok := drainSentAt[c.Name]; !ok && c.Status == string(discovery.Terminating) {
 				drainSentAt[c.Name] = time.Now()
@@ -140,7 +141,7 @@
 		addChange(fmt.Sprintf("old-%d", i), string(discovery.InService))
 	}
 	cfg := testConfig()
-	cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
+	cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, maxWatchInterval
 	cfg.Source = discovery.NewDiscovery(srv.Listener.Addr().String(), discovery.Timeouts{LongPoll: time.Second, Response: time.Second, Immediate: 2 * time.Second})
 	p := newPool(t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -152,8 +153,8 @@
 	var unserved atomic.Int64
 	for i := range 4 {
 		callers.Go(func() {
-			verdicts := sendRequests(p, i%2, stop)
-			unserved.Add(int64(verdicts[Rejected] + verdicts[Failed] + verdicts[TimedOut]))
+			outcomes := sendRequests(p, i%2, stop)
+			unserved.Add(int64(outcomes[Rejected] + outcomes[Failed] + outcomes[TimedOut]))
 		})
 	}
 	drainAddedAt := map[string]time.Time{}
@@ -175,8 +176,8 @@
 	mu.Lock()
 	defer mu.Unlock()
 	for name, sentAt := range drainSentAt {
-		if took := sentAt.Sub(drainAddedAt[name]); took > askWithin {
-			t.Errorf("%s: drain delivered after %v, want at most %v", name, took, askWithin)
+		if took := sentAt.Sub(drainAddedAt[name]); took > maxWatchInterval {
+			t.Errorf("%s: drain delivered after %v, want at most %v", name, took, maxWatchInterval)
 		}
 		// The drain grace is 2 s; a request that is sent as the list arrives is received later.
 		if last := time.Unix(0, nodesByName[name].lastRequest.Load()); last.After(sentAt.Add(500 * time.Millisecond)) {
@@ -189,15 +190,15 @@
 		}
 	}
 	if n := unserved.Load(); n > 0 {
-		t.Errorf("%d requests were refused, failed or timed out, want none", n)
+		t.Errorf("%d requests were rejected, failed or timed out, want none", n)
 	}
-	if calls < 2*answered {
-		t.Errorf("discovery answered %d of %d calls, want it to reject two of three", answered, calls)
+	if calls < 2*accepted {
+		t.Errorf("discovery accepted %d of %d calls, want it to reject two of three", accepted, calls)
 	}
 }
 
 // A node is replaced by another one with a new name at the same address while connections to the
-// old one are still kept. No unsafe request fails on these connections.
+// old one are still kept. No non-idempotent request fails on these connections.
 func TestAddressIsReusedByAnotherNode(t *testing.T) {
 	first, steady := newCountingNode(t, nil), newCountingNode(t, nil)
 	entry := func(name string, n *countingNode, status discovery.Status, since time.Time) discovery.Endpoint {
@@ -220,10 +221,10 @@
 		stop = make(chan struct{})
 		for range 4 {
 			callers.Go(func() {
-				verdicts := sendRequests(p, 1, stop)
+				outcomes := sendRequests(p, 1, stop)
 				mu.Lock()
 				defer mu.Unlock()
-				for i, n := range verdicts {
+				for i, n := range outcomes {
 					sum[i] += n
 				}
 			})
@@ -233,11 +234,11 @@
 	stopCallers := startCallers()
 	eventually(t, "both nodes have received requests", func() bool { return first.requests.Load() > 20 && steady.requests.Load() > 20 })
 	if sum := stopCallers(); sum[Failed]+sum[TimedOut]+sum[Rejected] > 0 {
-		t.Fatalf("served, refused, failed, late, left: %v with two healthy nodes, want only served", sum)
+		t.Fatalf("served, rejected, failed, timed out, caller gone: %v with two healthy nodes, want only served", sum)
 	}
 
 	address := first.address()
-	first.Close() // its process exits, which ends its connections
+	first.Close() // as when its process exits: its connections end
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -253,7 +254,7 @@
 	stopCallers = startCallers()
 	eventually(t, "the new node has received requests", func() bool { return second.requests.Load() > 50 && steady.requests.Load() > 50 })
 	if sum := stopCallers(); sum[Failed]+sum[TimedOut]+sum[Rejected] > 0 {
-		t.Errorf("served, refused, failed, late, left: %v with another node at the address, want only served", sum)
+		t.Errorf("served, rejected, failed, timed out, caller gone: %v with another node at the address, want only served", sum)
 	}
 	if n := first.requests.Load() - before; n > 0 {
 		t.Errorf("the replaced node received %d requests", n)
--- a/internal/pool/slow_test.go
+++ b/internal/pool/slow_test.go
@@ -13,11 +13,11 @@
 	"gorselink/internal/discovery"
 )
 
-// newSlowDiscovery starts a discovery service that sends each answer after answerDelay, in pieces
-// with pauses of pieceDelay. Its endpoint drains once draining is set.
-func newSlowDiscovery(t *testing.T, answerDelay, pieceDelay time.Duration, draining *atomic.Bool) *httptest.Server {
+// newSlowDiscovery starts a discovery service that sends each response after responseDelay, in
+// pieces with pauses of pieceDelay. Its endpoint drains once draining is set.
+func newSlowDiscovery(t *testing.T, responseDelay, pieceDelay time.Duration, draining *atomic.Bool) *httptest.Server {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(answerDelay)
+		time.Sleep(responseDelay)
 		index, status := 7, discovery.InService
 		wait, _ := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 		for end := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
@@ -48,9 +48,9 @@
 	t.Parallel()
 	var pending sync.WaitGroup
 	for _, c := range []struct {
-		name                    string
-		onDemand                bool
-		answerDelay, pieceDelay time.Duration
+		name                      string
+		onDemand                  bool
+		responseDelay, pieceDelay time.Duration
 	}{
 		{"push, late", false, 100 * time.Millisecond, 0},
 		{"push, in pieces", false, 0, 15 * time.Millisecond},
@@ -59,7 +59,7 @@
 		{"on demand, late and in pieces", true, 300 * time.Millisecond, 40 * time.Millisecond},
 	} {
 		var draining atomic.Bool
-		srv := newSlowDiscovery(t, c.answerDelay, c.pieceDelay, &draining)
+		srv := newSlowDiscovery(t, c.responseDelay, c.pieceDelay, &draining)
 		times := discovery.LocalAgentTimeouts(2 * time.Second)
 		if c.onDemand {
 			times = discovery.SharedServiceTimeouts()
--- a/internal/pool/source.go
+++ b/internal/pool/source.go
@@ -13,16 +13,17 @@
 	"gorselink/internal/upstream"
 )
 
-// Retry delays after failed calls to an agent that pushes its list. The changes that an agent
-// has count as received as soon as it is reachable again, so the delays are short compared with
-// the drain grace; see nodes.PushTimes.
+// Retry delays after failed calls to an agent that pushes its list. A drain must be applied
+// within the drain grace after the agent is reachable again, so the delays are much shorter; see
+// discovery.LocalAgentTimeouts.
 const (
 	pushRetryMin = 50 * time.Millisecond
 	pushRetryMax = 100 * time.Millisecond
 )
 
-// Retry delays for a source that is watched on demand, after a call without any answer and
-// before its first list. After an error answer the Balancer chooses the delay.
+// Retry delays for a source that is watched on demand: the silent ones after a call without any
+// response, the others before the first list. After an error response the Balancer chooses the
+// delay.
 const (
 	silentRetryMin    = 50 * time.Millisecond
 	silentRetryMax    = 250 * time.Millisecond
@@ -30,7 +31,7 @@
 	firstListRetryMax = time.Second
 )
 
-// source is a node source that the Pool follows.
+// source is a source of the endpoint list that the Pool follows.
 type source struct {
 	discovery.Source
 	number        int           // increases with each new source
@@ -57,8 +58,8 @@
 }
 
 // SetSource sets the source to follow from now on. The previous source is followed until the
-// new one has delivered its whole list, so that no change is lost if the new one is slow or
-// unreachable. It does nothing if the new source has the name of the one last set.
+// new one has delivered a snapshot, so that no change is missed if the new one is slow or
+// unreachable. It does nothing if the new source has the same name as the one last set.
 func (p *Pool) SetSource(src discovery.Source) {
 	select {
 	case <-p.newSources: // discards a source that Run has not received yet
@@ -67,7 +68,7 @@
 	p.newSources <- src
 }
 
-// Run keeps the list of nodes up to date until ctx ends.
+// Run keeps the endpoint list up to date until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	p.startFollowing(ctx, p.cfg.Source)
 	for {
@@ -80,7 +81,7 @@
 	}
 }
 
-// startFollowing starts to follow the source to, unless it was the last one set.
+// startFollowing starts to follow the source to, unless it has the name of the last one.
 func (p *Pool) startFollowing(ctx context.Context, to discovery.Source) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,18 +93,18 @@
 		}
 		number = last.number + 1
 		if n > 1 {
-			// It has not delivered a list, so the source before it is still in use.
+			// The last source has not delivered a list, so the one before it is still in use.
 			last.cancel()
 			p.sources = p.sources[:n-1]
 		}
-		slog.Info("switching to another node source", "pool", p.cfg.Name, "from", last.String(), "to", to.String())
+		slog.Info("switching to another endpoint list source", "pool", p.cfg.Name, "from", last.String(), "to", to.String())
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	src := &source{Source: to, number: number, watchRequests: make(chan struct{}, 1), cancel: cancel}
 	p.sources = append(p.sources, src)
 	if p.cfg.Balance.PullDiscovery {
 		if number > 1 || p.watchWanted {
-			src.watchRequests <- struct{}{} // the Balancer made its request before this source was set
+			src.watchRequests <- struct{}{} // the Balancer requested a watch before this source was set
 		}
 		go p.followOnDemand(ctx, src)
 	} else {
@@ -111,7 +112,7 @@
 	}
 }
 
-// followPush follows a source that can be called at any time and retries after failures.
+// followPush follows a source continuously and retries after failures.
 func (p *Pool) followPush(ctx context.Context, src *source) {
 	defer src.Close()
 	jitter := rand.New(rand.NewPCG(p.cfg.Seed, uint64(src.number)))
@@ -130,10 +131,10 @@
 	}
 }
 
-// followOnDemand opens a watch when the Balancer requests one and reports failures to it,
-// because one discovery service answers all sidecars. It retries without a request in two
-// cases, where the Balancer's delay would be too long: once after a call without any answer,
-// and until a source that a reload has set delivers its first list.
+// followOnDemand opens a watch when the Balancer requests one and reports failures to the
+// Balancer, which limits the load on a discovery service that all sidecars share. In two cases
+// the delay of the Balancer would be too long and it retries by itself: once after a call
+// without any response, and until a source set by a reload delivers its first list.
 func (p *Pool) followOnDemand(ctx context.Context, src *source) {
 	defer src.Close()
 	jitter := rand.New(rand.NewPCG(p.cfg.Seed, uint64(src.number)))
@@ -173,8 +174,8 @@
 	}
 }
 
-// handleList handles a list from a source. The first list of a new source is a whole list; it
-// ends the previous source, whose changes do not apply to that list.
+// handleList applies a list from a source. The first list of a new source is a snapshot. It ends
+// the previous source, whose changes do not apply to that snapshot.
 func (p *Pool) handleList(src *source, l discovery.List) {
 	defer func() { src.watchOpen = true }()
 	p.mu.Lock()
@@ -200,8 +201,8 @@
 	p.applyList(kind, l)
 }
 
-// ListVersion returns the version of the newest list. known reports whether a list with any
-// node has ever been received.
+// ListVersion returns the version of the current list. known reports whether a non-empty list
+// has ever been received.
 func (p *Pool) ListVersion() (index uint64, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,8 +221,8 @@
 	for i := range list {
 		entries = append(entries, p.balancerEndpoint(&list[i]))
 	}
-	// Connections accept new endpoints before the Balancer learns of them, and removed ones
-	// until the Balancer has been told of the removal.
+	// Endpoints are added to conns before, and removed after, the update of the Balancer, so
+	// that conns knows every endpoint that the Balancer may choose.
 	for _, e := range list {
 		if e.Status != discovery.Terminated {
 			p.conns.Set(e.Name, upstream.Target{Address: e.Address, StartMs: e.SinceMs})
@@ -232,9 +233,9 @@
 		p.lastSync = p.now()
 	}
 	p.hasList = p.hasList || len(entries) > 0
-	whole := kind == balance.Full || kind == balance.Cached
+	complete := kind == balance.Full || kind == balance.Cached
 	previous := p.known
-	if whole {
+	if complete {
 		p.known = make(map[string]discovery.Endpoint, len(list))
 	}
 	for _, e := range list {
@@ -248,7 +249,7 @@
 		p.addFormerNames(e.Name)
 		p.recordDeparture(e.Name)
 	}
-	if whole {
+	if complete {
 		for _, name := range slices.Sorted(maps.Keys(previous)) {
 			if _, stays := p.known[name]; !stays {
 				p.addFormerNames(name)
@@ -259,7 +260,7 @@
 	}
 }
 
-// List returns the known nodes, sorted by name.
+// List returns the current endpoint list, sorted by name.
 func (p *Pool) List() discovery.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -270,7 +271,7 @@
 	return l
 }
 
-// sortedNames returns the names of the known nodes in order.
+// sortedNames returns the names of the listed endpoints in order.
 func (p *Pool) sortedNames() []string { return slices.Sorted(maps.Keys(p.known)) }
 
 // balancerEndpoint converts a listed endpoint for the Balancer. Its Addr is the endpoint's
@@ -287,7 +288,7 @@
 	return b
 }
 
-// maxZones bounds the number of distinct zones if the configuration names none. All further
+// maxZones bounds the number of distinct zones if the configuration lists none. All further
 // zones share one number.
 const maxZones = 64
 
--- a/internal/pool/spread_test.go
+++ b/internal/pool/spread_test.go
@@ -18,9 +18,9 @@
 )
 
 // The calls of many sidecars to a discovery service that rejects all calls are spread over time,
-// also when it recovers. Each sidecar has the list within AskWithin of the recovery.
+// also after its recovery. Each sidecar has the list within MaxWatchInterval of the recovery.
 func TestDiscoveryCallsAreSpread(t *testing.T) {
-	const sidecars, askWithin = 20, 10 * time.Second
+	const sidecars, maxWatchInterval = 20, 10 * time.Second
 	var mu sync.Mutex
 	var calls []time.Time
 	available := false
@@ -47,7 +47,7 @@
 		cfg := testConfig()
 		cfg.Seed = uint64(i)
 		cfg.Balance.Index, cfg.Balance.Instances = i, sidecars
-		cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, askWithin
+		cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval = true, maxWatchInterval
 		cfg.Source = discovery.NewDiscovery(srv.Listener.Addr().String(), discovery.SharedServiceTimeouts())
 		pools[i] = newPool(t, cfg)
 		go pools[i].Run(ctx)
@@ -65,8 +65,8 @@
 	eventually(t, "each sidecar has the list", func() bool {
 		return !slices.ContainsFunc(pools, func(p *Pool) bool { return !p.HasList() })
 	})
-	if took := time.Since(recoveredAt); took > askWithin {
-		t.Errorf("all sidecars had the list %v after the recovery, want at most %v", took, askWithin)
+	if took := time.Since(recoveredAt); took > maxWatchInterval {
+		t.Errorf("all sidecars had the list %v after the recovery, want at most %v", took, maxWatchInterval)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -76,11 +76,12 @@
 		for n < len(calls) && calls[n].Sub(calls[i]) < 100*time.Millisecond {
 			n++
 		}
-		// This includes the watch that each sidecar opens right after its call for the list.
+		// Includes the watch that each sidecar opens right after its call for the list.
 		mostCalls = max(mostCalls, n-i)
 	}
 	t.Logf("%d calls, at most %d in 100 ms", len(calls), mostCalls)
-	// Spread over at least 0.4 s, 5 calls for the list are made in 100 ms, or 10 with the watches.
+	// If the 20 calls for the list are spread evenly over 0.4 s, 5 of them fall within 100 ms, or
+	// 10 calls with the watches.
 	if mostCalls > 15 {
 		t.Errorf("%d calls within 100 ms by %d sidecars, want them spread", mostCalls, sidecars)
 	}
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -9,7 +9,7 @@
 
 // Stats counts the events of a Pool since its start.
 type Stats struct {
-	Submitted     int // requests given to the Balancer
+	Submitted     int // requests passed to the Balancer
 	Full          int // requests rejected because too many were open
 	Served        int
 	Rejected      int
--- a/internal/pool/timers.go
+++ b/internal/pool/timers.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// timerQueue holds the timers that the Balancer has set, earliest first. The Balancer sets
-// some for each request and cancels none. They share one runtime timer, which fires for the
-// earliest, because one for each would need more memory and processor time.
+// timerQueue is a min-heap of the timers that the Balancer has set. The Balancer sets several
+// per request and cancels none. They share one runtime timer, set for the earliest, because a
+// runtime timer for each would need more memory and processor time.
 type timerQueue struct {
 	heap   []timerEntry
 	timer  *time.Timer
-	firing bool // due timers are being delivered, and the runtime timer is set afterwards
+	firing bool // fireTimers is running and sets the runtime timer at its end
 }
 
 type timerEntry struct {
@@ -60,7 +60,7 @@
 		i = child
 	}
 	q.heap[i] = entry
-	// The heap shrinks after a burst.
+	// Free memory after a burst.
 	if c := cap(q.heap); c > 1024 && last < c/8 {
 		q.heap = append(make([]timerEntry, 0, c/4), q.heap...)
 	}
--- a/internal/pool/upload.go
+++ b/internal/pool/upload.go
@@ -6,15 +6,15 @@
 )
 
 // detach removes a request with a streamed body from the Balancer, just before the first byte
-// that is not buffered is sent to the node. It reports whether the request continues.
+// that is not buffered is sent to the endpoint. It reports whether the request continues.
 //
 // From then on no second attempt is possible, and the duration depends on how fast the caller
-// sends. The Balancer would take a slow upload for an overloaded node, so it is told that
-// nothing was sent and does not learn the outcome.
+// sends. Because a slow upload would look like an overloaded endpoint, the Balancer gets the
+// result NotSent and not the actual one.
 func (p *Pool) detach(r *Request, a *attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r.answered || r.withdrawn {
+	if r.responded || r.cancelled {
 		return false
 	}
 	r.detached = true
@@ -22,30 +22,30 @@
 	return true
 }
 
-// finishUpload answers a detached request by the outcome of its only attempt. The caller holds
+// finishUpload responds to a detached request with the result of its only attempt. The caller holds
 // the mutex.
 func (p *Pool) finishUpload(r *Request, up *upstream.Response, result balance.Result) {
 	r.pending--
-	a := Response{Upstream: up}
+	response := Response{Upstream: up}
 	switch result {
 	case balance.OK:
 		p.stats.Served++
-		a.Outcome = Served
-	case balance.Overloaded, balance.ConnectError, balance.NotSent: // the request never ran
+		response.Outcome = Served
+	case balance.Overloaded, balance.ConnectError, balance.NotSent: // the request was not executed
 		if r.Outgoing.Upload.Err() != nil {
 			p.stats.Cancelled++
-			a.Outcome = CallerGone
+			response.Outcome = CallerGone
 			break
 		}
 		p.stats.Rejected++
-		a.Outcome, a.RetryAfter = Rejected, p.RetryAfter()
+		response.Outcome, response.RetryAfter = Rejected, p.RetryAfter()
 	case balance.Timeout:
 		p.stats.Failed++
-		a.Outcome = TimedOut
+		response.Outcome = TimedOut
 	default:
 		p.stats.Failed++
-		a.Outcome = Failed
+		response.Outcome = Failed
 	}
-	p.deliver(r, a)
+	p.deliver(r, response)
 	p.finishIfDone(r)
 }
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -14,14 +14,14 @@
 	"gorselink/internal/discovery"
 )
 
-// scriptedDiscovery is a discovery service whose answers a test controls.
+// scriptedDiscovery is a discovery service whose responses a test controls.
 type scriptedDiscovery struct {
 	*httptest.Server
 	mu                 sync.Mutex
 	calls              int
 	status             string        // of its only endpoint
-	silentCalls        int           // next calls that are never answered
-	rejectedCalls      int           // next calls that are rejected
+	silentCalls        int           // number of next calls that get no response
+	rejectedCalls      int           // number of next calls that are rejected
 	resetCalls         chan struct{} // closing it resets the open calls
 	silentCallReceived chan struct{} // receives a value for each silent call
 }
@@ -87,7 +87,7 @@
 	cfg := testConfig()
 	cfg.Source = src
 	if onDemand {
-		// After an error answer the Balancer waits for 3 to 15 s.
+		// After an error response the Balancer waits for 3 to 15 s.
 		cfg.Balance.PullDiscovery, cfg.Balance.MaxWatchInterval, cfg.Balance.Instances = true, time.Minute, 300
 	}
 	p := newPool(t, cfg)
@@ -110,12 +110,12 @@
 	}
 }
 
-// After an agent that did not answer recovers, a drain is received within the drain grace of 2 s,
-// although the calls that were open are never answered.
+// After the recovery of an agent that did not respond, a drain is received within the drain grace
+// of 2 s, although the calls that were open never get a response.
 func TestDrainAfterAgentRecovers(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	t.Cleanup(node.Close)
-	for _, calls := range []int{1, 2, 5} { // consecutive calls without an answer
+	for _, calls := range []int{1, 2, 5} { // consecutive calls without a response
 		t.Run(fmt.Sprint(calls), func(t *testing.T) {
 			t.Parallel()
 			s := newScriptedDiscovery(t, node.Listener.Addr().String())
--- a/internal/socketstate/interrupted_test.go
+++ b/internal/socketstate/interrupted_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// System calls interrupted by signals are repeated and give the same results.
+// System calls interrupted by signals are retried, so that the results are correct.
 func TestInterruptedCallsAreRetried(t *testing.T) {
 	const times = 3
 	interrupted := 0
@@ -54,12 +54,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Read(func(fd uintptr) bool { // until the byte and the end have arrived
+	raw.Read(func(fd uintptr) bool { // waits until the byte and the FIN have arrived
 		events, err := pollOnce(int(fd), pollReadable)
 		return err != nil || events&pollReadable == pollReadable
 	})
 	if s := peeker.State(); s != DataPending || !HasPendingData(conn) || !PeerClosed(conn) {
-		t.Errorf("connection with unread data and an end: state %v, pending data %t, peer closed %t", s, HasPendingData(conn), PeerClosed(conn))
+		t.Errorf("closed connection with unread data: state %v, pending data %t, peer closed %t", s, HasPendingData(conn), PeerClosed(conn))
 	}
 	if interrupted == 0 {
 		t.Error("no call was interrupted")
--- a/internal/socketstate/peeker.go
+++ b/internal/socketstate/peeker.go
@@ -8,32 +8,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is the result of a check of a connection.
+// State is the state of a connection, as a Peeker or Poller reports it.
 type State int
 
 const (
-	Closed      State = iota // closed by the peer or broken; for a Peeker also past its read deadline
+	Closed      State = iota // closed by the peer or broken; from a Peeker also if the read deadline has passed
 	Idle                     // open, no unread data
 	DataPending              // unread data
 )
 
-// Peeker checks one connection without allocating. It is not safe for concurrent use.
+// Peeker checks one connection by peeking at its unread data, without allocating. It is not safe
+// for concurrent use.
 type Peeker struct {
 	raw   syscall.RawConn
 	peek  func(fd uintptr) bool
 	state State
 }
 
-// HasPendingData reports whether c has unread data. It may be called while another goroutine
-// reads, ignores the read deadline, and allocates.
+// HasPendingData reports whether c has unread data. It ignores the read deadline and may be called
+// while another goroutine reads. Unlike a Peeker it allocates.
 func HasPendingData(c net.Conn) bool {
 	n := 0
 	withFD(c, func(fd int) { n, _ = peek(fd) })
 	return n > 0
 }
 
-// PeerClosed reports whether the peer has closed or reset c, even if unread data precedes the
-// end. It may be called while another goroutine reads.
+// PeerClosed reports whether the peer has closed or reset c, even if there is still unread data.
+// It may be called while another goroutine reads.
 func PeerClosed(c net.Conn) (closed bool) {
 	withFD(c, func(fd int) {
 		events, err := poll(fd, unix.POLLRDHUP)
@@ -42,7 +43,7 @@
 	return closed
 }
 
-// System calls, replaced in tests.
+// The system calls of peek and poll, which tests replace.
 var (
 	peekCall = peekOnce
 	pollCall = pollOnce
@@ -64,8 +65,8 @@
 	return n, err
 }
 
-// poll returns those of events that are pending on fd, without waiting. A call interrupted by
-// a signal is repeated.
+// poll returns which of the given events are pending on the socket fd, without waiting. A call
+// interrupted by a signal is repeated.
 func poll(fd int, events int16) (int16, error) {
 	for {
 		if got, err := pollCall(fd, events); err != syscall.EINTR {
@@ -80,7 +81,7 @@
 	return p[0].Revents, err
 }
 
-// withFD calls f with the descriptor of c if c is an open socket.
+// withFD calls f with the file descriptor of c if c is an open socket.
 func withFD(c net.Conn, f func(fd int)) {
 	if sys, ok := c.(syscall.Conn); ok {
 		if raw, err := sys.SyscallConn(); err == nil {
--- a/internal/socketstate/peeker_test.go
+++ b/internal/socketstate/peeker_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// A Peeker distinguishes idle, pending and closed connections without consuming data.
 func TestPeekerState(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,11 +62,11 @@
 	if n := testing.AllocsPerRun(100, func() { peeker.State() }); n > 0 {
 		t.Errorf("%v allocations per check", n)
 	}
-	peer.Write([]byte("z")) // hides the end from the Peeker
+	peer.Write([]byte("z")) // a Peeker sees this byte and not the FIN behind it
 	peer.Close()
 	for end := time.Now().Add(20 * time.Second); !PeerClosed(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("end after unread data not reported")
+			t.Fatal("close by the peer after unread data not reported")
 		}
 	}
 	if s := peeker.State(); s != DataPending {
--- a/internal/socketstate/poller.go
+++ b/internal/socketstate/poller.go
@@ -43,9 +43,9 @@
 	return p
 }
 
-// State returns Closed if the peer has closed or reset the connection, even if unread data
-// precedes the end. With DataPending the peer may have closed too, if the receive buffer was
-// too full for the end to arrive.
+// State returns Closed if the peer has closed or reset the connection, even if there is still
+// unread data. If it returns DataPending the peer may have closed the connection too: the end
+// (FIN) does not arrive while the receive buffer is full.
 func (p *Poller) State() State {
 	if p.raw == nil {
 		return Idle
@@ -53,16 +53,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = Idle
-	p.raw.Control(p.poll) // fails on a locally closed connection, which leaves Idle
+	p.raw.Control(p.poll) // if this side has closed the connection, Control fails and the state stays Idle
 	return p.state
 }
 
-// maxDiscardReads bounds the reads of one Discard call against a peer that keeps writing.
+// maxDiscardReads bounds the reads of one Discard call, because the peer may keep sending.
 const maxDiscardReads = 32
 
-// Discard reads and drops the unread data of c, using b as a buffer, without waiting for more.
-// It returns the number of bytes dropped. It may be called while another goroutine reads,
-// which then misses those bytes, and ignores the read deadline.
+// Discard reads and discards the unread data of c, using b as a buffer, without waiting for more.
+// It returns the number of discarded bytes. It ignores the read deadline and may be called while
+// another goroutine reads, which then does not receive these bytes.
 func Discard(c net.Conn, b []byte) (n int) {
 	withFD(c, func(fd int) {
 		for range maxDiscardReads {
--- a/internal/socketstate/poller_test.go
+++ b/internal/socketstate/poller_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A Poller detects an end after unread data, allocates nothing and can be used from several
-// goroutines.
+// A Poller detects that the peer has closed a connection with unread data, does not allocate, and
+// can be used by several goroutines.
 func TestPoller(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -27,10 +27,10 @@
 	Fields        http1.Fields // hop-by-hop fields are not sent; never modified
 	Body          []byte
 	Upload        *Upload // replaces Body if it is not nil
-	NonIdempotent bool    // must not be executed twice, so it cannot be retried after a reset
+	NonIdempotent bool    // must not be executed twice, so it is not retried after a reset
 }
 
-// timeLeft returns the time that the endpoint has for r. untilDeadline is the time until the
+// timeLeft returns the budget that the endpoint has for r. untilDeadline is the time until the
 // deadline of the attempt.
 func (r *Request) timeLeft(untilDeadline time.Duration) time.Duration {
 	if r.Upload != nil && r.Upload.Incomplete != nil && r.Upload.Incomplete() {
@@ -39,16 +39,16 @@
 	return untilDeadline
 }
 
-// Response is the response of an endpoint, complete except for what Remaining still has to
-// receive. Whoever gets a Response must release it.
+// Response is the response of an endpoint. If Remaining is not nil, it still has to receive the
+// rest of the body. The receiver of a Response must release it.
 type Response struct {
 	Status    int
 	Fields    http1.Fields
 	Body      []byte
 	Remaining *BodyStream // nil if Body is complete
 
-	// LocalDelay is the time for which failures of this machine delayed the connection of the
-	// attempt. It is not the endpoint's latency.
+	// LocalDelay is the time by which failures of this machine delayed the dial for the attempt.
+	// It does not count as latency of the endpoint.
 	LocalDelay time.Duration
 
 	memory bytebudget.Reservation
@@ -66,9 +66,9 @@
 }
 
 const (
-	// defaultMaxResponseBytes is above the platform protocol's limit (SmallResponseBytes):
-	// endpoints whose data has outgrown that limit all return the same long response, so
-	// rejecting it would only cause retries.
+	// defaultMaxResponseBytes is above the platform protocol's limit (SmallResponseBytes). If a
+	// response has outgrown that limit, all endpoints return the same long response, so treating
+	// it as an error would only cause retries.
 	defaultMaxResponseBytes = 1 << 20
 
 	// defaultStallTimeout bounds a pause inside a response that has started.
@@ -85,8 +85,8 @@
 	// sent.
 	minBudget = time.Millisecond
 
-	// endGracePeriod bounds the wait for a response after the call has ended. A response
-	// within it allows the connection to be reused.
+	// endGracePeriod bounds the wait for a response after the call has ended. If the response
+	// arrives in time, the connection can be reused.
 	endGracePeriod = 500 * time.Millisecond
 )
 
@@ -95,14 +95,13 @@
 
 // Do makes one attempt at the named endpoint and waits for its result until the deadline. A
 // response is returned with balance.OK and, if Config.PassThroughStatus is set and the
-// endpoint sent one, with balance.Error. If confirmer is not nil, it is asked right before the
-// first byte is written, because the decision to send may become invalid while a connection is
+// endpoint sent one, with balance.Error. If confirmer is not nil, Do calls it right before it
+// writes the first byte, because the decision to send may become invalid while a connection is
 // opened.
 //
-// The deadline is a point in time, so that a delay of this process before the request is sent
-// does not extend it. The endpoint is told the time left when the request head is written;
-// with less than minBudget left, nothing is sent. For an Upload the time left counts from its
-// last byte, see Upload.ResponseTimeout.
+// A delay of this process before the request is sent does not extend the deadline. The request
+// head contains the time left at the time of writing; if that is less than minBudget, nothing
+// is sent. For an Upload the time left counts from its last byte, see Upload.ResponseTimeout.
 func (p *Pool) Do(call *Call, name string, r *Request, deadline time.Time, confirmer Confirmer) (*Response, balance.Result) {
 	if deadline.Sub(p.now()) < minBudget {
 		return nil, balance.NotSent
@@ -161,8 +160,8 @@
 	return resp, result
 }
 
-// checkInUnused returns a connection to the pool on which no request is in progress. Its state
-// is checked at the next checkout.
+// checkInUnused returns a connection without a request in progress to the pool. Its state is
+// checked at the next checkout.
 func (p *Pool) checkInUnused(c *conn) {
 	c.SetDeadline(time.Time{})
 	p.checkIn(c, false)
@@ -202,7 +201,7 @@
 func (p *Pool) checkOutReusable(name string, nonIdempotent bool) checkoutResult {
 	got := p.checkOut(name, nonIdempotent)
 	for got.conn != nil && got.wait > 0 {
-		// The wait ignores the end of the call, which is checked before anything is sent.
+		// The wait does not end with the call; prepare checks for the end before anything is sent.
 		if c := p.awaitReuse(got.conn, got.wait, got.extra); c != nil {
 			return checkoutResult{conn: c, target: got.target}
 		}
@@ -211,13 +210,13 @@
 	return got
 }
 
-// dialTarget dials t. After a failure of this machine it waits; shouldRedial is then true,
-// unless the call has ended or the time for redials is over.
+// dialTarget dials t. After a failure that may be caused by this machine it waits, and
+// shouldRedial is then true unless the call has ended or the time for redials is over.
 func (p *Pool) dialTarget(call *Call, t *target, dials *redial, deadline time.Time) (c *conn, shouldRedial bool, result balance.Result) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	attempt := activeAttempt{cancelDial: &cancel}
-	// Without time left the dial would fail and count against the endpoint.
+	// A dial without time left would fail and count against the endpoint.
 	if time.Until(deadline) < minBudget || !call.register(attempt) {
 		p.connClosed(t)
 		return nil, false, balance.NotSent
@@ -240,16 +239,16 @@
 }
 
 const (
-	// stallThreshold is the duration of prepare from which the process is taken to have been
-	// suspended meanwhile: without that, it takes microseconds.
+	// stallThreshold is the duration of one round of prepare, which normally takes microseconds,
+	// from which the process is assumed to have been suspended.
 	stallThreshold = 5 * time.Millisecond
 	// maxPrepareRounds bounds the repetitions of prepare after stalls.
 	maxPrepareRounds = 3
 )
 
-// prepare encodes the head of r and returns the time of encoding and the budget told to the
-// endpoint; a budget of 0 means that r must not be sent. It starts again if the process seems
-// to have been suspended, because the clock reading and the confirmation are then outdated.
+// prepare encodes the head of r and returns the time of encoding and the budget in the head. A
+// budget of 0 means that r must not be sent. If the process seems to have been suspended,
+// prepare starts again, because the clock reading and the confirmation are outdated.
 func (c *conn) prepare(call *Call, r *Request, deadline time.Time, confirmer Confirmer) (sentAt time.Time, budget time.Duration) {
 	for range maxPrepareRounds {
 		start := c.target.pool.now()
@@ -317,8 +316,8 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// unsentResult returns the result of an attempt whose last byte was not written. The endpoint
-// may have rejected the request before it had received all of it.
+// unsentResult returns the result of an attempt whose last byte was not written. That is
+// Overloaded if the endpoint has already rejected the incomplete request.
 func (c *conn) unsentResult(call *Call) balance.Result {
 	if call.Ended() {
 		return balance.NotSent
@@ -373,8 +372,8 @@
 
 const protocolPrefix = "HTTP/1."
 
-// midResponseError converts a read error inside a response. A timeout there makes the response
-// invalid; a broken connection does not.
+// midResponseError converts a read error in the middle of a response. A timeout makes the
+// response invalid, and a broken connection does not.
 func midResponseError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return invalidResponseError{err}
@@ -488,7 +487,7 @@
 	return body.Bytes(), memory, err
 }
 
-// unsizedBodyError converts a read error inside a body without a length.
+// unsizedBodyError converts a read error inside a body of unknown length.
 func unsizedBodyError(err error, chunked bool) error {
 	var netErr net.Error
 	if chunked && !errors.As(err, &netErr) && !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -67,6 +67,8 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
+// The result of an attempt and the reuse of its connection depend on the response. Invalid and
+// endless responses end the attempt well before its deadline.
 func TestResponses(t *testing.T) {
 	pad := strings.Repeat("X-Pad: pppppppp\r\n", 10000)
 	for _, c := range []struct {
@@ -155,6 +157,7 @@
 	}
 }
 
+// A connection closed before the end of the response is a reset, but it ends a body without length.
 func TestConnectionClosedDuringResponse(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -284,7 +287,7 @@
 }
 
 // With PassThroughStatus every status below 500 is a success, and the response comes with an
-// error of the endpoint. A rejection is still recognised.
+// error of the endpoint. A rejection is still detected.
 func TestPassThroughStatus(t *testing.T) {
 	for _, c := range []struct {
 		method, text string
@@ -315,8 +318,8 @@
 	}
 }
 
-// A lower limit closes idle connections at once. Only a response over the maximum length is
-// rejected.
+// A lower limit closes idle connections at once. A response over the maximum length is an error,
+// and one of the maximum length is not.
 func TestSetLimits(t *testing.T) {
 	p, conns := scriptedEndpoint(t, func(nc net.Conn, n int) { fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") })
 	sendGet(p, testTimeout)
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Call is one request of a caller, for which several attempts may be made. After its end
-// nothing more is sent, and attempts already sent have a grace period to finish. The zero
-// value is a call that has not ended.
+// Call controls the attempts for one request of a caller. After its end nothing more is sent, and
+// attempts already sent have a grace period to finish. The zero value is a call that has not
+// ended.
 //
-// It replaces a context, which would need a goroutine, a channel and five allocations for each
-// request and attempt.
+// It is used instead of a context, which would need a goroutine, a channel and five allocations
+// for each request and attempt.
 type Call struct {
 	mu     sync.Mutex
 	ended  bool
@@ -81,8 +81,8 @@
 	return true
 }
 
-// unregister removes an attempt, which the end of the call no longer affects. It reports
-// whether the call has ended.
+// unregister removes an attempt, so that the end of the call no longer affects it. It reports
+// whether the call has already ended.
 func (c *Call) unregister(a activeAttempt) (ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -19,20 +19,20 @@
 	responseStarted bool                   // the response to the current request has started
 	idleSince       time.Time              // of the last check-in; zero before
 	idleLink        linkedlist.Link[*conn] // element of Pool.idle
-	responseHead    http1.Head             // last head; a Response may keep its fields
+	responseHead    http1.Head             // head of the last response; a Response may keep its fields
 	peeker          *socketstate.Peeker
 
-	// While a response is being received, each read extends the read deadline to stallTimeout
-	// from now, at most to responseDeadline. 0 disables this.
+	// While a response is being received, each read moves the read deadline to stallTimeout
+	// from now, but not beyond responseDeadline. A stallTimeout of 0 disables this.
 	stallTimeout     time.Duration
 	responseDeadline time.Time
 }
 
 const (
-	// Requests up to writeBufferSize are written in one call from one buffer; longer bodies
-	// are not copied.
+	// writeBufferSize is the longest request that is copied into one buffer for a single write.
+	// Longer bodies are written without a copy.
 	writeBufferSize = 4 << 10
-	// receiveBufferSize is the kernel's receive buffer, which holds a usual response.
+	// receiveBufferSize is the size of the kernel's receive buffer, enough for a typical response.
 	// Autotuning could grow it to megabytes, beyond the memory limit of the process.
 	receiveBufferSize = 64 << 10
 )
@@ -51,8 +51,8 @@
 	return c
 }
 
-// Read implements net.Conn. Data extends the read deadline, so that a slow response is not
-// taken for a stalled one.
+// Read implements net.Conn. Received data extends the read deadline, so that a slow response is
+// not taken for a stalled one.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 && c.stallTimeout > 0 {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -15,13 +15,13 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// faultSource tells what caused a dial failure.
+// faultSource is the cause of a dial failure.
 type faultSource int
 
 const (
-	endpointFault  faultSource = iota // refused by the endpoint, or no reply
+	endpointFault  faultSource = iota // connection refused or reset, or timeout
 	localFault                        // resource shortage or restriction on this machine
-	ambiguousFault                    // either of them, see Pool.classifyDialFailure
+	ambiguousFault                    // one of the two, see Pool.classifyDialFailure
 )
 
 // localErrnos are errors of this machine that occur before anything is sent.
@@ -32,8 +32,8 @@
 }
 
 // ambiguousErrnos mean that this machine has lost its network or that the endpoint cannot be
-// reached. ETIMEDOUT here is the kernel's, whose timeout is longer than that of any dial: it
-// is reported at once or not at all.
+// reached. ETIMEDOUT does not mean that a dial has timed out, because the kernel's connect timeout
+// is longer than that of any dial.
 var ambiguousErrnos = [...]syscall.Errno{
 	syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EHOSTDOWN,
 	syscall.ENONET, syscall.ETIMEDOUT,
@@ -57,7 +57,8 @@
 	// Backoff between dials to the same endpoint.
 	minRedialDelay, maxRedialDelay = 5 * time.Millisecond, 100 * time.Millisecond
 
-	// transientRedials is the number of redials before a failure counts as lasting.
+	// transientRedials is the number of redials after which a failure is no longer assumed to be
+	// transient.
 	transientRedials = 2
 
 	// sameCauseWindow is the time within which dial failures to two endpoints are attributed
@@ -71,8 +72,8 @@
 	at     time.Time
 }
 
-// recentEvents holds the last events of two different endpoints, so that one of them is always
-// another endpoint than a given one.
+// recentEvents holds the last events of two different endpoints, so that for any given endpoint it
+// has an event of another one.
 type recentEvents [2]targetEvent
 
 func (e *recentEvents) record(t *target, now time.Time) {
@@ -110,13 +111,13 @@
 	}
 }
 
-// recordFailure records a failed dial to t. It reports whether to dial again after a delay, or
-// else returns the result of the attempt. Nothing has been sent in either case.
+// recordFailure records a failed dial to t. It reports whether to dial again after d.delay; if
+// not, it returns the result of the attempt.
 func (d *redial) recordFailure(p *Pool, t *target, err error, deadline time.Time) (shouldRedial bool, result balance.Result) {
 	now := time.Now()
 	if d.failures++; d.failures == 1 {
 		d.firstFailure, d.delay = now, minRedialDelay
-		// Leaves time for attempts at other endpoints.
+		// The other half of the time is for attempts at other endpoints.
 		d.redialUntil = now.Add(deadline.Sub(now) / 2)
 	} else {
 		d.delay = min(2*d.delay, maxRedialDelay)
@@ -130,9 +131,9 @@
 	return false, result
 }
 
-// classifyDialFailure returns balance.ConnectError if the endpoint is at fault,
-// balance.NotSent if it is not, and balance.OK if the dial is to be repeated because the cause
-// is unknown. A local fault never counts against the endpoint.
+// classifyDialFailure returns balance.ConnectError if the endpoint is at fault, balance.NotSent if
+// the attempt must end without counting against the endpoint, and balance.OK if the dial should
+// be repeated. A local fault never counts against the endpoint.
 func (p *Pool) classifyDialFailure(t *target, err error, d *redial) balance.Result {
 	source := classifyFault(err)
 	if source == endpointFault {
@@ -145,7 +146,7 @@
 		return balance.OK
 	}
 	switch {
-	case d.otherReached: // so this machine has a network
+	case d.otherReached: // so the network of this machine works
 		if source == ambiguousFault {
 			return balance.ConnectError
 		}
--- a/internal/upstream/extra_conn.go
+++ b/internal/upstream/extra_conn.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// minUsesPerConn is the number of requests per connection, within the time for which an idle
-// connection is kept, that justifies one more connection. A request normally waits for the reuse
-// delay of an open connection, because a new one costs the endpoint work.
+// minUsesPerConn is the number of requests per connection, within the idle timeout, from which
+// one more connection is justified. Below it a request waits for the reuse delay of an open
+// connection, because a new connection costs the endpoint processor time.
 const minUsesPerConn = 2
 
-// usage counts the requests to a target. The zero value is that of an unused target.
+// usage counts the requests to a target in the current and the previous window. The zero value
+// is ready for use.
 type usage struct {
 	windowStart time.Time // start of the current window
 	current     int       // requests in the current window
 	previous    int       // requests in the previous window
 }
 
-// countRequest records a request. A window is as long as idle connections are kept.
+// countRequest counts a request. The length of a window is the idle timeout.
 func (u *usage) countRequest(now time.Time, window time.Duration) {
 	if elapsed := now.Sub(u.windowStart); elapsed >= window {
 		u.previous = u.current
@@ -33,9 +34,9 @@
 func (u *usage) sustains(n int) bool { return max(u.current, u.previous) >= minUsesPerConn*n }
 
 // reusableIndex returns the index of the idle connection to use next among those idle for at
-// least minIdle, or -1. It is the most recently used one, so that surplus connections expire,
-// or the least recently used one if all are needed, so that the others complete their reuse
-// delay.
+// least minIdle, or -1. It is the most recently used one, so that surplus connections expire.
+// If all connections are needed, it is the least recently used one, so that the others complete
+// their reuse delay.
 func (t *target) reusableIndex(now time.Time, minIdle time.Duration) int {
 	i := len(t.idle) - 1
 	for i >= 0 && now.Sub(t.idle[i].idleSince) < minIdle {
@@ -47,9 +48,9 @@
 	return i
 }
 
-// dialExtra dials another connection for a request that waits for the reuse delay of one, if
-// it would be used, and returns the channel on which it arrives, or nil. It dials none while
-// endpoints are known to send stray data. p.mu must be held.
+// dialExtra dials another connection for a request that waits for the reuse delay of one, and
+// returns the channel that delivers it. It returns nil if the connection would be used too
+// rarely, no further one is allowed, or stray data has recently been received. p.mu must be held.
 func (p *Pool) dialExtra(t *target, now time.Time) <-chan *conn {
 	if !t.usage.sustains(t.open+1) || p.open >= p.cfg.MaxConns || now.Before(p.strayUntil) {
 		return nil
--- a/internal/upstream/failure_test.go
+++ b/internal/upstream/failure_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// The cause of a wrapped error is found.
+// An errno is classified even if it is wrapped in other errors.
 func TestClassifyFaultUnwrapsErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/internal/upstream/readahead.go
+++ b/internal/upstream/readahead.go
@@ -64,8 +64,8 @@
 	done        chan struct{}
 }
 
-// minReadAheadChunks is the number of chunks reserved for a body of unknown length at first,
-// and the number that a readAhead always keeps.
+// minReadAheadChunks is the number of chunks initially reserved for a body of unknown length, and
+// the number that a readAhead always keeps reserved.
 const minReadAheadChunks = 2
 
 // ReadAhead starts to receive the rest of the body into memory if there is room for it. It
@@ -89,7 +89,7 @@
 	return true
 }
 
-// run reads until the body ends or reading fails.
+// run reads the body into chunks until it ends or reading fails.
 func (a *readAhead) run() {
 	defer close(a.done)
 	var chunk *[]byte
@@ -108,7 +108,7 @@
 		offset += n
 		a.mu.Lock()
 		if err == io.EOF {
-			a.stream.releaseConn() // lets the next request use the connection
+			a.stream.releaseConn() // before the caller has read the body, so that the next request can use it
 		}
 		a.writeOffset, a.err = offset, err
 		a.changed.Broadcast()
@@ -160,7 +160,7 @@
 	}
 }
 
-// close ends the reading at once and frees the memory.
+// close stops reading at once and frees the memory.
 func (a *readAhead) close() {
 	a.mu.Lock()
 	if a.aborted = true; a.err == nil {
--- a/internal/upstream/stall_test.go
+++ b/internal/upstream/stall_test.go
@@ -38,9 +38,9 @@
 	return true
 }
 
-// A stall of the process after a clock reading does not extend the budget told to the
-// endpoint, and the confirmation is repeated after it. Only a stall right before the write
-// goes unnoticed.
+// A stall of the process after a clock reading does not extend the budget sent to the
+// endpoint, and Confirm is called again after it. Only a stall right before the write
+// is not detected.
 func TestBudgetAfterStall(t *testing.T) {
 	const stallTime = 150 * time.Millisecond
 	// Do reads the clock at its start, before and after Confirm, and after encoding the head.
@@ -63,7 +63,7 @@
 				io.WriteString(w, "ok")
 			}))
 			defer srv.Close()
-			// attempt makes one attempt and returns the budget told, the result and the deadline.
+			// attempt makes one attempt and returns the budget sent, the result and the deadline.
 			attempt := func(clock *stallingClock, confirmer *recordingConfirmer, timeout time.Duration, connected bool) (time.Duration, balance.Result, time.Time) {
 				p := New(Config{DialTimeout: testTimeout, IdleTimeout: testTimeout, MaxConns: 5})
 				defer p.Close()
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -13,8 +13,8 @@
 	"gorselink/internal/http1"
 )
 
-// streamStallTimeout bounds a pause inside a streamed response. It is long, because a streamed
-// response cannot be retried, and only keeps a stalled endpoint from holding the connection.
+// streamStallTimeout bounds a pause inside a streamed response. It is long because a streamed
+// response cannot be retried. It only prevents a stalled endpoint from occupying the connection.
 const streamStallTimeout = 10 * time.Second
 
 // BodyStream is the part of a response body that has not been received yet. Read returns
@@ -28,14 +28,14 @@
 	chunked   bool
 	reusable  bool // the connection can be reused after the body
 	complete  bool
-	released  bool        // the connection has been returned or closed
-	aborted   atomic.Bool // reading is to end at once
+	released  bool        // the connection has been checked in or closed
+	aborted   atomic.Bool // reading must end at once
 	ahead     *readAhead
 }
 
-// startStream returns a response whose body is too long to be buffered as a stream. For a body
-// of known length up to SmallResponseBytes it reads nothing and returns nil; a shorter one of
-// unknown length is returned complete.
+// startStream returns a response whose body is longer than SmallResponseBytes as a stream. If the
+// body is not longer, it returns nil without reading if the length is known, and the complete
+// response otherwise.
 func (c *conn) startStream(h *http1.Head) (resp *Response, reusable bool, err error) {
 	maxBytes := c.target.pool.cfg.MaxStreamBytes
 	if h.Length > maxBytes {
@@ -123,7 +123,7 @@
 			s.complete, err = true, io.EOF
 		}
 	default:
-		s.complete = true // the body ends with the connection
+		s.complete = true // the end of the connection is the end of the body
 	}
 	return n, err
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -10,25 +10,25 @@
 )
 
 // Upload is the body of a request that is forwarded while it is received, because there is no
-// memory to buffer it. Once Commit has returned true there is no second attempt. An endpoint
-// does not execute a request before it has received its last byte, so an upload that fails
+// memory to buffer it. Once Commit has returned true, no second attempt is possible. An endpoint
+// does not execute a request before it has received the last byte, so an upload that fails
 // earlier has had no effect.
 type Upload struct {
 	Buffered  []byte        // the buffered beginning of the body
 	Remaining io.Reader     // the rest; read by one attempt at a time
 	Length    int64         // of the whole body in bytes; -1 for chunked
-	Done      chan struct{} // closed once no attempt uses the Upload any more
+	Done      chan struct{} // closed when no attempt uses the Upload any more
 
 	// ResponseTimeout is the time for the response, counted from the last byte of the body. It
-	// applies if Incomplete is not nil and returns true; otherwise the remaining time of the
-	// attempt applies.
+	// applies if Incomplete is not nil and returns true; otherwise the time left until the
+	// deadline of the attempt applies, also counted from the last byte.
 	ResponseTimeout time.Duration
 
-	// Incomplete reports whether the last byte of the body has certainly not arrived at this
-	// machine yet. It is called while nothing reads Remaining.
+	// Incomplete reports whether the last byte of the body is known not to have arrived at this
+	// machine yet. It is not called while Remaining is being read.
 	Incomplete func() bool
 
-	// Commit is called once before Remaining is read and reports whether the request goes on.
+	// Commit is called before Remaining is first read. It reports whether to continue.
 	Commit func() bool
 
 	mu      sync.Mutex
@@ -37,7 +37,7 @@
 	aborted bool
 }
 
-// Abort records that the caller has disconnected. Nothing more of the body is forwarded.
+// Abort stops forwarding the body, because the caller has disconnected.
 func (u *Upload) Abort() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -85,7 +85,7 @@
 // uploadWriteTimeout bounds the write of one piece of a body to an endpoint.
 const uploadWriteTimeout = 10 * time.Second
 
-// upload sends the head and the body piece by piece.
+// upload sends the head and then the body, piece by piece as it is received.
 func (c *conn) upload(call *Call, head []byte, u *Upload) error {
 	buf := c.target.pool.chunks.get()
 	defer c.target.pool.chunks.put(buf)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,8 +1,8 @@
 // Package upstream sends attempts to endpoints and manages the connections to them.
 //
-// It does not use http.Transport, which retries some requests by itself, dials more
-// connections than needed and does not report whether the last byte of a request was written,
-// which decides whether an attempt may have been executed.
+// It does not use http.Transport, which retries some requests by itself, dials more connections
+// than needed, and does not report whether it has written the last byte of a request. An
+// endpoint may have executed a request only if it has received the last byte.
 package upstream
 
 import (
@@ -20,14 +20,14 @@
 // Config holds the settings of a Pool.
 type Config struct {
 	DialTimeout        time.Duration
-	IdleTimeout        time.Duration // endpoints close connections that are idle for longer
+	IdleTimeout        time.Duration // after which endpoints close an idle connection
 	MaxConns           int           // to all endpoints together
-	LargeResponseBytes int64         // memory for all responses over SmallResponseBytes
+	LargeResponseBytes int64         // memory for buffered responses over SmallResponseBytes, all together
 
 	// ReuseDelay is the time between a response and the next request on the same connection; 0
 	// for none. An endpoint may send a duplicate response some milliseconds late, which would
-	// be taken for the response to the next request. After stray data has been received the
-	// delay is longer for some time.
+	// be taken for the response to the next request. The delay is longer for some time after
+	// stray data has been received.
 	ReuseDelay time.Duration
 
 	MaxResponseBytes     int           // longest buffered body; 0 for 1 MiB
@@ -38,15 +38,15 @@
 	// apply. 0 disables streaming.
 	MaxStreamBytes int64
 
-	// PassThroughStatus makes every response with a status below 500 a success and returns the
-	// others with balance.Error. Without it, as in the platform's protocol, only status 200 is
-	// a success, and no other response is returned.
+	// PassThroughStatus makes every status below 500 a success and returns responses with other
+	// statuses together with balance.Error. Without it, only status 200 is a success and no
+	// other response is returned, as the platform protocol requires.
 	PassThroughStatus bool
 
 	Dialer Dialer // nil for a net.Dialer with DialTimeout
 }
 
-// Costs at an endpoint, in seconds of one core.
+// Costs at an endpoint, in core-seconds.
 const (
 	handshakeCost = 0.0024 // of a new connection
 	openConnCost  = 0.0096 // of an open connection, per second
@@ -58,11 +58,12 @@
 )
 
 // OptimalIdleTimeout returns the time for which a sidecar keeps an idle connection. The prices
-// are weights in the operators' goal: handshakePrice of new connections per first attempt, and
-// connectionPrice of the average number of open connections per hundred endpoints.
+// are weights that operators set: handshakePrice for the number of new connections per first
+// attempt, and connectionPrice for the mean number of open connections per hundred endpoints.
 //
-// A connection kept until its idle cost equals the cost of a new one costs at most twice as
-// much as with knowledge of its next use (ski-rental problem).
+// A connection is kept until its idle cost equals the cost of a new one. The total cost is then
+// at most twice that of an optimal choice that knows the time of the next use (ski-rental
+// problem).
 func OptimalIdleTimeout(handshakePrice, connectionPrice float64) time.Duration {
 	newConnCost := handshakeCost + requestCost*max(0, handshakePrice)
 	idleConnCost := openConnCost + typicalLoad/100*max(0, connectionPrice)
@@ -79,22 +80,22 @@
 	StartMs int64 // start of the process; a change invalidates the open connections
 }
 
-// Pool holds the connections to all endpoints. Each carries one request at a time. The most
-// recently used one is reused first, so that surplus connections expire.
+// Pool holds the connections to all endpoints. Each connection carries one request at a time. The
+// most recently used connection is normally reused first, so that surplus ones expire.
 type Pool struct {
 	cfg            Config
-	now            func() time.Time // clock for the budgets told to endpoints
+	now            func() time.Time // clock for the budgets sent to endpoints
 	responseMemory bytebudget.Budget
 	chunks         chunkPool // for read-ahead and uploads
 
-	reuseWaits atomic.Int64 // attempts that waited for the reuse delay
+	reuseWaits atomic.Int64 // waits for a reuse delay
 	mu         sync.Mutex
 	targets    map[string]*target
 	idle       linkedlist.List[*conn] // least recently used first
 	open       int                    // connections, including those being dialled
 	closed     bool
-	strayUntil time.Time // until then endpoints are known to send stray data
-	staleUntil time.Time // until then idle connections may have been closed unnoticed
+	strayUntil time.Time // end of the longer reuse delay after stray data
+	staleUntil time.Time // end of the period in which idle connections are suspected to be stale
 
 	contacts     recentEvents // successful dials and responses
 	dialFailures recentEvents // dials that failed on this machine or for an ambiguous cause
@@ -106,8 +107,8 @@
 	pool    *Pool
 	idle    []*conn // most recently used last
 	open    int     // connections, including those being dialled
-	removed bool    // replaced or no longer listed; its connections are not reused
-	usage   usage   // counted only with a reuse delay
+	removed bool    // replaced or removed; its connections are not reused
+	usage   usage   // counted only if there is a reuse delay
 }
 
 // New returns an empty Pool.
@@ -124,7 +125,7 @@
 }
 
 // SetLimits changes the limits of the Pool. Surplus idle connections are closed at once, and
-// others when their attempts end.
+// surplus connections in use when their attempts end.
 func (p *Pool) SetLimits(maxConns int, largeBytes int64) {
 	p.responseMemory.SetTotal(largeBytes)
 	p.mu.Lock()
@@ -146,8 +147,8 @@
 	return p.cfg.MaxConns
 }
 
-// Set adds the named endpoint or changes its target. After a change the idle connections are
-// closed, because they lead to a dead process or a former address.
+// Set adds the named endpoint or changes its target. A change closes the idle connections, which
+// lead to the previous process or address.
 func (p *Pool) Set(name string, t Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -218,9 +219,9 @@
 	return endpoints, most
 }
 
-// idleTimeoutFraction is the part of Config.IdleTimeout after which a connection is no longer
-// used. A request sent while the endpoint closes the connection would be reset, and could not
-// be retried unless it is idempotent.
+// idleTimeoutFraction is the fraction of Config.IdleTimeout after which an idle connection is no
+// longer reused. A request sent while the endpoint closes the connection would be reset, and a
+// non-idempotent request cannot be retried after a reset.
 const idleTimeoutFraction = 0.8
 
 func (p *Pool) idleTimeout() time.Duration {
@@ -249,17 +250,18 @@
 }
 
 const (
-	// For strayDataPeriod after stray data, which belongs to no request, the reuse delay is
-	// multiplied by strayDelayFactor. The endpoint is likely to send more, which could be
-	// given to a caller as the response to another request.
+	// For strayDataPeriod after stray data (data that no request has caused), the reuse delay
+	// is multiplied by strayDelayFactor. Endpoints are likely to send more, and stray data on a
+	// reused connection would be taken for the response to the next request.
 	strayDataPeriod  = 30 * time.Second
 	strayDelayFactor = 5
 
-	// maxTrustedIdle is the idle time up to which a connection counts as in use: devices that
-	// close idle connections wait for longer.
+	// maxTrustedIdle is the idle time up to which a connection is not suspected to be stale:
+	// network devices close connections only after a longer idle time.
 	maxTrustedIdle = 100 * time.Millisecond
 
-	// stalePeriod is the time for which one stale connection makes other idle ones suspect.
+	// stalePeriod is the time after a stale connection for which other idle connections are
+	// suspected to be stale too.
 	stalePeriod = 10 * time.Second
 )
 
@@ -271,16 +273,17 @@
 	return p.cfg.ReuseDelay
 }
 
-// noteStrayData records stray data on an idle connection that is given up. p.mu must be held.
+// noteStrayData starts the longer reuse delay if c, which is about to be closed, has received
+// stray data. p.mu must be held.
 func (p *Pool) noteStrayData(c *conn) {
 	if p.cfg.ReuseDelay > 0 && (c.reader.Buffered() > 0 || c.peeker.State() == socketstate.DataPending) {
 		p.strayUntil = time.Now().Add(strayDataPeriod)
 	}
 }
 
-// noteStaleConn records that a connection that had been idle broke before any response to the
-// request on it: the endpoint, or a device on the way, had closed it unnoticed. For
-// stalePeriod non-idempotent requests then avoid connections that have been idle.
+// noteStaleConn records that a reused connection broke before any byte of the response. If it
+// had been idle for maxTrustedIdle, the endpoint or a network device had probably closed it.
+// Non-idempotent requests then avoid idle connections for stalePeriod.
 func (p *Pool) noteStaleConn(c *conn, sentAt time.Time) {
 	if c.idleSince.IsZero() || sentAt.Sub(c.idleSince) < maxTrustedIdle {
 		return
@@ -303,20 +306,20 @@
 	c.Close()
 }
 
-// checkoutResult is what an attempt gets from the pool: an idle connection, or only the target
-// to dial, which has been counted as open. Both are nil if the endpoint is unknown or no
+// checkoutResult is an idle connection, or, if conn is nil, the target to dial, for which a
+// connection has already been counted as open. Both are nil if the endpoint is unknown or no
 // further connection is allowed.
 type checkoutResult struct {
 	conn   *conn
 	target *target
-	wait   time.Duration // remaining reuse delay of conn; the connection may be closed meanwhile
+	wait   time.Duration // remaining reuse delay of conn, during which the connection may be closed
 
 	// extra delivers another connection during the wait, if one is being dialled.
 	extra <-chan *conn
 }
 
-// checkOut returns an idle connection to the named endpoint, which may have to wait for its
-// reuse delay, or the target to dial. A connection that can be used at once has been checked.
+// checkOut returns an idle connection to the named endpoint, or the target to dial. A connection
+// without a remaining reuse delay has been checked and can be used at once.
 func (p *Pool) checkOut(name string, nonIdempotent bool) checkoutResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -330,7 +333,7 @@
 		t.usage.countRequest(now, p.idleTimeout())
 	}
 	if len(t.idle) > 0 {
-		c := t.idle[0] // idle longest: all others would wait longer
+		c := t.idle[0] // the longest idle one: all others have to wait longer
 		if wait := p.reuseDelay(now) - now.Sub(c.idleSince); wait > 0 {
 			t.idle = slices.Delete(t.idle, 0, 1)
 			p.idle.Remove(&c.idleLink)
@@ -343,7 +346,7 @@
 			break
 		}
 		c := t.idle[i]
-		// A suspect connection is closed and replaced by a new one.
+		// A connection that may be stale is closed and replaced by a new one.
 		maybeStale := nonIdempotent && now.Before(p.staleUntil) && now.Sub(c.idleSince) >= maxTrustedIdle
 		if maybeStale || !c.reusable() {
 			p.noteStrayData(c)
@@ -369,7 +372,7 @@
 	return checkoutResult{target: t}
 }
 
-// checkIn returns a connection for further use. responded tells that the endpoint has just
+// checkIn returns a connection to the pool. responded reports whether the endpoint has just
 // responded on it.
 func (p *Pool) checkIn(c *conn, responded bool) {
 	p.mu.Lock()
@@ -388,8 +391,8 @@
 	c.target.idle = append(c.target.idle, c)
 }
 
-// closeConn closes a connection that cannot be reused. If its response was valid, data after
-// the response counts as stray.
+// closeConn closes a connection that cannot be reused. If the response was valid, data received
+// after it is stray data.
 func (p *Pool) closeConn(c *conn, valid bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
