--- a/cmd/gorselink/commands_test.go
+++ b/cmd/gorselink/commands_test.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		rows++
-		for _, n := range f[5:7] { // refused and failed
+		for _, n := range f[5:7] { // rejected and failed
 			k, err := strconv.Atoi(n)
 			if err != nil {
 				t.Errorf("row %q: %v", line, err)
@@ -252,7 +252,7 @@
 		w := capture.NewWriter(f)
 		events := []capture.Event{
 			{Kind: capture.Start, Config: &cfg},
-			{Kind: capture.Members, ListKind: balance.Full, Endpoints: []balance.Endpoint{{Addr: "s-1", State: balance.Ready}}},
+			{Kind: capture.EndpointUpdate, UpdateKind: balance.Full, Endpoints: []balance.Endpoint{{Addr: "s-1", State: balance.Ready}}},
 			{Kind: capture.Request, At: time.Second, ID: 7, Duration: time.Second},
 			{Kind: capture.After, At: time.Second, ID: 7 << 3, Duration: time.Second},
 			{Kind: capture.Send, At: time.Second, ID: 7, Addr: "s-1", Duration: time.Second},
--- a/internal/daemon/transaction.go
+++ b/internal/daemon/transaction.go
@@ -23,7 +23,7 @@
 	cfg          *config.Daemon
 	pools        map[string]*managedPool
 	created      []*managedPool          // the pools that this transaction has created
-	replaced     map[string]*managedPool // current pools that have a successor in created, by name
+	replaced     map[string]*managedPool // current pools that have a replacement in created, by name
 	reactivated  []*managedPool
 	newListeners []*listener
 	tables       map[string]*httpserver.Table
@@ -35,7 +35,7 @@
 }
 
 // prepare creates pools, listening sockets and routing tables. The only change to
-// objects in use is that pools learn new classes, which has no effect on requests.
+// objects in use is that classes are added to pools, which has no effect on requests.
 func (tx *transaction) prepare() error {
 	for i := range tx.cfg.Pools {
 		if err := tx.preparePool(&tx.cfg.Pools[i]); err != nil {
@@ -114,7 +114,7 @@
 func (tx *transaction) preparePool(c *config.Pool) error {
 	old := tx.daemon.pools[c.Name]
 	if old == nil {
-		// A draining pool is reused, because it knows its nodes and the keys of requests.
+		// A draining pool is reused, because it knows its endpoints and the keys of requests.
 		for _, p := range tx.daemon.retired {
 			if p.cfg.Name == c.Name && tx.canReusePool(p, c) && !p.sharesConns {
 				old = p
@@ -128,7 +128,7 @@
 		tx.pools[c.Name] = old
 		return nil
 	}
-	known := c.NodeSource.InitialList()
+	known := c.EndpointSource.InitialList()
 	var conns *upstream.Pool
 	var ages *pool.Ages
 	if old != nil && sameConnSettings(&old.cfg, c) {
@@ -144,7 +144,7 @@
 		Balance: balanceConfig(tx.cfg, c),
 		OwnZone: c.Zone,
 		Known:   known,
-		Source:  c.NodeSource.NewSource(),
+		Source:  c.EndpointSource.NewSource(),
 		Limits:  poolLimits(c),
 		Ages:    ages,
 	}, conns)
@@ -173,7 +173,7 @@
 // be changed while the pool is running.
 func sameBalancerSettings(a, b *config.Pool) bool {
 	return a.Zone == b.Zone && a.PreferOwnZone == b.PreferOwnZone && a.Attempts == b.Attempts &&
-		a.WarmUp == b.WarmUp && a.ColdShare == b.ColdShare && sameConnSettings(a, b)
+		a.SlowStartWindow == b.SlowStartWindow && a.SlowStartInitialShare == b.SlowStartInitialShare && sameConnSettings(a, b)
 }
 
 // sameConnSettings reports whether connections opened for a can be used for b.
@@ -186,10 +186,10 @@
 	return pool.Limits{Requests: c.Requests, BodyBytes: c.Memory / config.RequestBodyMemoryDivisor}
 }
 
-// crossZonePrice makes a node in another zone count as twice as slow.
+// crossZonePrice makes an endpoint in another zone count as twice as slow.
 const crossZonePrice = 0.01
 
-// overloadWindow is the period over which the load of a cold node is evaluated.
+// overloadWindow is the period over which the load of a cold endpoint is evaluated.
 const overloadWindow = 3 * time.Second
 
 // balanceConfig returns the settings of a pool's Balancer.
@@ -199,8 +199,8 @@
 		Instances:             cfg.Process.Instances,
 		Entry:                 true,
 		AttemptLimit:          c.Attempts,
-		SlowStartInitialShare: c.ColdShare,
-		SlowStartWindow:       c.WarmUp,
+		SlowStartInitialShare: c.SlowStartInitialShare,
+		SlowStartWindow:       c.SlowStartWindow,
 		OverloadWindow:        overloadWindow,
 		IdleConnTimeout:       c.IdleTimeout,
 		Multiplex:             1,
@@ -225,7 +225,7 @@
 }
 
 // classVariants returns the classes of the Balancer for a configured class, indexed
-// by semantics.
+// by idempotency.
 func classVariants(c *config.Class) (all [3]balance.Class) {
 	for i := range all {
 		all[i] = c.Class
@@ -364,14 +364,14 @@
 		} else {
 			tx.addChange("pool %s: replaced, the previous one is draining", name)
 			old.sharesConns = next.pool.Conns() == old.pool.Conns()
-			old.pool.SetSource(next.cfg.NodeSource.NewSource()) // it must learn of drained nodes until it is closed
+			old.pool.SetSource(next.cfg.EndpointSource.NewSource()) // it needs endpoint updates until it is closed
 		}
 		retired = append(retired, old)
 	}
 	d.retired = append(d.retired, retired...)
 	for _, p := range tx.created {
 		if tx.replaced[p.cfg.Name] == nil {
-			tx.addChange("pool %s: added, node source: %s", p.cfg.Name, &p.cfg.NodeSource)
+			tx.addChange("pool %s: added, node source: %s", p.cfg.Name, &p.cfg.EndpointSource)
 		}
 		var ctx context.Context
 		ctx, p.stop = context.WithCancel(d.ctx)
@@ -396,7 +396,7 @@
 		{"connection limit", old.Connections, c.Connections},
 		{"memory in bytes", old.Memory, c.Memory},
 		{"maximum body size in bytes", old.MaxBody, c.MaxBody},
-		{"node source", old.NodeSource.String(), c.NodeSource.String()},
+		{"node source", old.EndpointSource.String(), c.EndpointSource.String()},
 	} {
 		if setting.previous != setting.current {
 			tx.addChange("pool %s: %s is now %v, was %v", c.Name, setting.name, setting.current, setting.previous)
@@ -406,8 +406,8 @@
 	if old.Memory != c.Memory {
 		p.pool.Conns().SetLimits(p.pool.Conns().MaxConns(), c.Memory/config.LargeResponseMemoryDivisor)
 	}
-	if old.NodeSource.String() != c.NodeSource.String() {
-		p.pool.SetSource(c.NodeSource.NewSource())
+	if old.EndpointSource.String() != c.EndpointSource.String() {
+		p.pool.SetSource(c.EndpointSource.NewSource())
 	}
 }
 
