--- a/cmd/prove/main.go
+++ b/cmd/prove/main.go
@@ -1,4 +1,4 @@
-// Command prove runs experiments with many processes of the program, in front of stand-in nodes
+// Command prove runs experiments with many processes of the program, in front of fake nodes
 // and over emulated network links. It is separate from gorselink because the chart library
 // would add five megabytes to every sidecar's memory.
 package main
@@ -77,7 +77,7 @@
 // run parses the arguments and runs the command.
 func run(env *environment, args []string) error {
 	var c commands
-	parser, err := kong.New(&c, kong.Name("prove"), kong.Description("Run an experiment: many processes in front of stand-in nodes, with faults, measured from outside."),
+	parser, err := kong.New(&c, kong.Name("prove"), kong.Description("Run an experiment: many processes in front of fake nodes, with faults, measured from outside."),
 		kong.Writers(env.out, env.err), kong.UsageOnError())
 	if err != nil {
 		return err
@@ -191,6 +191,7 @@
 	return nil
 }
 
+// writeFiles writes the table and the page with charts to the results folder.
 func (c *playCommand) writeFiles(e *experiment.Experiment, names []string, results []*experiment.Result) error {
 	table, err := os.Create(filepath.Join(c.Out, "table.txt"))
 	if err != nil {
--- a/cmd/prove/scale.go
+++ b/cmd/prove/scale.go
@@ -65,6 +65,8 @@
 	return nil
 }
 
+// writeScaleFiles writes the result as JSON, the slopes for the capacity page, the table and the
+// page with charts.
 func writeScaleFiles(dir, file string, res *experiment.ScaleResult) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -85,7 +85,8 @@
 	return l.Predict(x) - halfWidth, l.Predict(x) + halfWidth
 }
 
-// studentQuantile returns the 0.975 quantile of Student's t distribution.
+// studentQuantile returns the 0.975 quantile of Student's t distribution with the given degrees of
+// freedom.
 func studentQuantile(freedom int) float64 {
 	table := [...]float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131}
 	if freedom <= len(table) {
@@ -121,5 +122,6 @@
 // WithinTolerance reports whether the slope may be used for estimates.
 func (p *Prediction) WithinTolerance() bool { return p.RelativeError() <= PredictionTolerance }
 
-// SmallerHalf returns how many of the smallest sizes are used to predict the largest one.
+// SmallerHalf returns how many of the smallest sizes are used to predict the largest of the given
+// number of sizes.
 func SmallerHalf(sizes int) int { return sizes / 2 }
--- a/internal/capacity/inputs.go
+++ b/internal/capacity/inputs.go
@@ -87,7 +87,7 @@
 	Bound      string   // the bound of the fleet that applies
 	Fleet      string   // the only fleet that the row applies to; empty for all
 	Text       string   // in place of a value, where none exists
-	Reference  string
+	Reference  string   // origin of the value, shown on the page
 }
 
 // Role is a function that is performed for the fleet, with its costs.
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -160,7 +160,7 @@
 }
 
 // Checks that invalid inputs are rejected, such as references to slopes that do not exist.
-func TestInputFaults(t *testing.T) {
+func TestInvalidInputs(t *testing.T) {
 	in := &Inputs{}
 	if err := in.ReadSlopes("s.toml", []byte(testSlopes)); err != nil {
 		t.Fatal(err)
--- a/internal/experiment/background_churn.go
+++ b/internal/experiment/background_churn.go
@@ -15,10 +15,10 @@
 	"gorselink/traffic"
 )
 
-// BackgroundChurn measures the request latency of one real sidecar while service lists
-// that its requests don't use change. Calm windows and windows with changes are paired.
+// BackgroundChurn measures the request latency of one real sidecar while endpoint lists that its
+// requests don't use change. Each calm window, without changes, is paired with a churn window.
 type BackgroundChurn struct {
-	Fleet  Size    // Fleet.Changes are the changes a minute in the windows with changes
+	Fleet  Size    // Fleet.Changes are the changes per minute in the churn windows
 	Rate   float64 // requests per second
 	Pairs  int
 	Window time.Duration
@@ -34,8 +34,8 @@
 	return b
 }
 
-// runBackgroundChurn runs the load and the changes. The order of calm and churn alternates
-// from pair to pair, so that a drift affects both in the same way.
+// runBackgroundChurn runs the load and the changes. The order of the calm and the churn window
+// alternates from pair to pair, so that slow changes of the machine's speed affect both equally.
 func runBackgroundChurn(ctx context.Context, s *ScaleExperiment, o *ScaleOptions) (*Measured, error) {
 	b := s.BackgroundChurn
 	c, err := newFleetRun(s, b.Fleet, nil, o)
@@ -131,6 +131,7 @@
 // alternates: calm first in one pair, churn first in the next.
 func isChurnWindow(window int) bool { return (window/2)%2 != window%2 }
 
+// changeLists changes endpoints at an even rate during the churn windows.
 func (c *fleetRun) changeLists(ctx context.Context, b *BackgroundChurn, begin time.Time) error {
 	every := time.Duration(float64(time.Minute) / b.Fleet.Changes)
 	for due := time.Duration(0); due < time.Duration(2*b.Pairs)*b.Window; due += every {
@@ -168,8 +169,8 @@
 			calm, churn, diffs = append(calm, pair[0]), append(churn, pair[1]), append(diffs, pair[1]-pair[0])
 		}
 		slices.Sort(diffs)
-		low, high, sure := signInterval(diffs)
+		low, high, confidence := signInterval(diffs)
 		m.Costs["load_calm_"+name], m.Costs["load_storm_"+name], m.Costs["load_diff_"+name] = median(calm), median(churn), median(diffs)
-		m.Costs["load_low_"+name], m.Costs["load_high_"+name], m.Costs["load_sure"] = low, high, 100*sure
+		m.Costs["load_low_"+name], m.Costs["load_high_"+name], m.Costs["load_sure"] = low, high, 100*confidence
 	}
 }
--- a/internal/experiment/chain.go
+++ b/internal/experiment/chain.go
@@ -21,13 +21,13 @@
 )
 
 // Chains describes request chains through several tiers: each tier is a process of the
-// program in front of stand-in nodes, and each node requests the next tier. It measures how
-// retries and refusals multiply attempts.
+// program in front of fake nodes, and each node sends a request to the next tier. It measures how
+// retries and rejections multiply attempts.
 type Chains struct {
 	Rate        float64       // requests per second at the first tier
 	Nodes       int           // nodes per tier
 	Work        time.Duration // time that a node spends on a request
-	Queue       int           // requests that may wait at an overloaded node; it refuses more
+	Queue       int           // requests that may wait at an overloaded node; further ones get status 503
 	Baseline    time.Duration
 	Overload    time.Duration // duration of the overload, in which the middle tier can serve half of the load
 	RecoveryGap time.Duration // time between the end of the overload and the recovery phase
@@ -97,6 +97,8 @@
 	}
 }
 
+// serve handles a request at a node: it waits for a free slot if the node is overloaded, works, and
+// returns the status of the next tier.
 func (t *tier) serve(w http.ResponseWriter, q *http.Request, client *http.Client, node int) {
 	t.mu.Lock()
 	if !t.startedAt.IsZero() {
@@ -131,6 +133,7 @@
 	w.WriteHeader(status)
 }
 
+// getStatus sends a GET request and returns the status of the response.
 func getStatus(ctx context.Context, client *http.Client, url string) (status int, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/experiment/chain_test.go
+++ b/internal/experiment/chain_test.go
@@ -25,14 +25,14 @@
 		"after_last": 1, "after_most": 2, "after_failed": 0, "after_p50": 1000, "after_p99": 1000,
 	}
 	if !maps.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("costs %v, want %v", got, want)
 	}
 }
 
 // With three tiers of the program and no overload, every request succeeds with few attempts.
 // While the middle tier is overloaded, requests fail, retries are bounded at every tier, and
-// refused requests never reach the last tier. Without overload the last tier may lack requests
-// that are still on their way at the end of the phase.
+// rejected requests never reach the last tier. The last tier may have fewer requests than the
+// first, as some are still in flight at the end of a phase.
 func TestChainOfTiers(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
@@ -68,6 +68,6 @@
 	m := &Measured{Costs: map[string]float64{}}
 	(&BackgroundChurn{}).recordDifferences(m, took)
 	if x := m.Costs; x["load_diff_p50"] != 2 || x["load_low_p99"] != 2 || x["load_high_p99"] != 2 || x["load_calm_p50"] != 35 || x["load_storm_p99"] != 38 || x["load_sure"] < 95 {
-		t.Errorf("%v", x)
+		t.Errorf("costs of paired windows: %v", x)
 	}
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
 // Package experiment runs experiments against the program: many of its processes in front of
-// stand-in nodes, with open-loop load, emulated network faults and scheduled events. All
-// measures are taken at the nodes and at the callers.
+// fake nodes, with open-loop load, emulated network faults and scheduled events. All measures
+// are taken at the nodes and at the callers.
 package experiment
 
 import (
@@ -23,7 +23,7 @@
 	Name           string
 	Seed           uint64
 	Duration       time.Duration // of the load
-	Step           time.Duration // interval over which peaks are computed
+	Step           time.Duration // interval over which the measures peak and cold are computed
 	Instances      Instances
 	Nodes          Nodes
 	Streams        []traffic.Stream
@@ -55,7 +55,7 @@
 	argumentTemplates []*template.Template
 }
 
-// Nodes describes the stand-in nodes.
+// Nodes describes the fake nodes.
 type Nodes struct {
 	Count        int
 	Cores        int
@@ -64,7 +64,7 @@
 	Queue        int
 	WarmUp       time.Duration // how long a returned node is cold
 	ColdShare    float64       // share of its speed with which a cold node begins
-	DrainTime    time.Duration // time in which a node that has left the list may still get requests
+	DrainTime    time.Duration // how long a node that has left the list may still get requests
 	AbsentGroup  string        // group of nodes that are not on the list at the start
 }
 
@@ -77,7 +77,8 @@
 	KindNodes     Kind = "nodes"
 )
 
-// Group is a set of callers, instances or nodes of one kind, by index.
+// Group is a set of parties of one kind, by index. A party is an instance, a node, or all callers
+// together.
 type Group struct {
 	Name    string
 	Kind    Kind
@@ -99,10 +100,10 @@
 type Event struct {
 	At         time.Duration
 	Action     string
-	Target     string
-	Factor     float64       // for slow
+	Target     string        // name of a group or a link
+	Factor     float64       // of the action slow
 	Direction  Direction     // for actions on a link
-	Conditions Conditions    // for weather
+	Conditions Conditions    // of the action weather
 	Stagger    time.Duration // delay from one member to the next
 	Repeat     int           // number of times that the action is performed
 	Period     time.Duration // time between repetitions
@@ -297,11 +298,11 @@
 			top.AddErrorAt("streams", "", "at least one stream, [[streams]], or a span without requests")
 		}
 	} else if span != 0 {
-		top.AddError("span", span, "no span together with streams, as the streams determine it")
+		top.AddError("span", span, "no span, as the streams determine it")
 	}
 }
 
-// partyCount returns the number of members of a kind.
+// partyCount returns the number of parties of a kind. All callers together are one party.
 func (e *Experiment) partyCount(k Kind) int {
 	switch k {
 	case KindInstances:
@@ -360,7 +361,7 @@
 		case from == nil:
 			t.AddError("from", l.From, "callers or a group of instances")
 		case to == nil || from.Kind == KindCallers && to.Kind == KindNodes:
-			t.AddError("to", l.To, "a group of instances, or of nodes where from is one of instances")
+			t.AddError("to", l.To, "a group of instances; or a group of nodes, if from is a group of instances")
 		default:
 			listenersPerPair := 1
 			if from.Kind == KindInstances && to.Kind == KindInstances {
@@ -388,7 +389,7 @@
 }
 
 // Actions on groups of nodes, on groups of instances and on links. Nodes also accept the
-// modes in standin.Modes.
+// modes in fakeserver.ModesByName.
 var (
 	nodeActions     = []string{"slow", "vanish", "return", "leave", "join"}
 	instanceActions = []string{"kill", "stop", "continue", "term", "start", "restart"}
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -39,23 +39,24 @@
 	"p99":     {atCallers, "99th percentile of the latency, ms", func(c *selection) float64 { return c.quantile(0.99) }},
 	"p999":    {atCallers, "99.9th percentile of the latency, ms", func(c *selection) float64 { return c.quantile(0.999) }},
 	"rate":    {atCallers, "requests per second", func(c *selection) float64 { return float64(len(c.endings())) / (c.To - c.From).Seconds() }},
-	"failed":  {atCallers, "requests not answered with a status below 400", func(c *selection) float64 { return c.count(func(o load.Outcome) bool { return o != load.OK }) }},
-	"refused": {atCallers, "requests answered 429 or 503", func(c *selection) float64 { return c.count(func(o load.Outcome) bool { return o == load.Refused }) }},
-	"lost":    {atCallers, "requests without an answer", func(c *selection) float64 { return c.count(isUnanswered) }},
+	"failed":  {atCallers, "requests without a response of a status below 400", func(c *selection) float64 { return c.count(func(o load.Outcome) bool { return o != load.OK }) }},
+	"refused": {atCallers, "requests with a response of status 429 or 503", func(c *selection) float64 { return c.count(func(o load.Outcome) bool { return o == load.Refused }) }},
+	"lost":    {atCallers, "requests without a response", func(c *selection) float64 { return c.count(hasNoResponse) }},
 	"tries":   {atAll, "requests at nodes per request of the callers", func(c *selection) float64 { return float64(len(c.arrivals())) / float64(len(c.endings())) }},
-	"twice":   {atAll, "requests executed more than once although unsafe to repeat, or answered twice, in the whole run", (*selection).duplicateExecutions},
+	"twice":   {atAll, "non-idempotent requests executed more than once, and requests with two responses, in the whole run", (*selection).duplicateExecutions},
 	"crashes": {atAll, "processes that exited unexpectedly, in the whole run", func(c *selection) float64 { return float64(len(c.record.Crashes)) }},
 	"drains":  {atAll, "processes that did not exit cleanly after SIGTERM, in the whole run", func(c *selection) float64 { return float64(len(c.record.DrainFailures)) }},
 }
 
-// standingExpectations are checked in every run: no request is executed or answered twice if
-// that is unsafe, no process crashes, and drains complete.
+// standingExpectations are checked in every run: no non-idempotent request is executed twice, no
+// request gets two responses, no process crashes, all drains complete, and no node gets requests
+// after it left the list and its drain time passed.
 var standingExpectations = []Expectation{
 	{Measure: "twice", Min: math.Inf(-1)}, {Measure: "crashes", Min: math.Inf(-1)},
 	{Measure: "drains", Min: math.Inf(-1)}, {Measure: "strays", Min: math.Inf(-1)},
 }
 
-func isUnanswered(o load.Outcome) bool {
+func hasNoResponse(o load.Outcome) bool {
 	return o == load.Broken || o == load.NoConn || o == load.TimedOut || o == load.Unanswered
 }
 
@@ -222,7 +223,7 @@
 			n++
 		}
 	}
-	// A request that ends twice got more than one answer.
+	// A request that ends twice got more than one response.
 	type request struct {
 		stream int
 		index  uint64
--- a/internal/experiment/netpath.go
+++ b/internal/experiment/netpath.go
@@ -51,7 +51,7 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	conditions  [dirCount]Conditions
-	freeAt      [dirCount]time.Time // when the previous bytes have been sent, if Rate is set
+	freeAt      [dirCount]time.Time // when the bytes scheduled so far will have been sent, if Rate is set
 	changed     chan struct{}       // closed when the conditions change
 	connections map[*pathConnection]bool
 	closed      bool
@@ -87,7 +87,7 @@
 	}
 }
 
-// close resets all connections and refuses new ones.
+// close resets all connections, and relay then resets new ones.
 func (w *netPath) close() {
 	w.mu.Lock()
 	w.closed = true
@@ -170,7 +170,7 @@
 	})
 }
 
-// chunk is the data of one read.
+// chunk is the data of one read, to be written at a given time.
 type chunk struct {
 	at   time.Time
 	data []byte // nil for the end of the stream
@@ -184,9 +184,9 @@
 // relay relays an accepted connection over the path to a target. It returns when both
 // directions have ended.
 //
-// The system accepts the connection first, so a connection over a cut path opens and then gets
-// no data, where a real one would hang while connecting. The first byte is delayed by one
-// round trip, which stands for the handshake.
+// The kernel accepts the connection before relay is called, so connecting over a cut path succeeds
+// and no data follows, while on a real network the connect would hang. To account for the
+// handshake, the first byte is delayed by one additional round trip.
 func (w *netPath) relay(ctx context.Context, near *net.TCPConn, dialer *net.Dialer, target string) {
 	p := &pathConnection{path: w}
 	p.ctx, p.cancel = context.WithCancel(ctx)
@@ -202,12 +202,12 @@
 	}
 	far, err := dialer.DialContext(p.ctx, "tcp", target)
 	if err != nil {
-		return // a refused connection appears as a reset
+		return // the near side sees a refused connection as a reset
 	}
 	w.mu.Lock()
 	p.sockets[dirBack] = far.(*net.TCPConn)
 	aborted := p.ctx.Err() != nil
-	first := time.Now().Add(w.conditions[dirOut].Delay + w.conditions[dirBack].Delay)
+	earliest := time.Now().Add(w.conditions[dirOut].Delay + w.conditions[dirBack].Delay)
 	w.mu.Unlock()
 	if aborted {
 		far.Close()
@@ -215,23 +215,23 @@
 	}
 	var both sync.WaitGroup
 	for dir := range dirCount {
-		pieces := make(chan chunk, maxChunksInFlight)
-		both.Go(func() { p.receive(dir, pieces) })
-		both.Go(func() { p.deliver(dir, first, pieces) })
+		chunks := make(chan chunk, maxChunksInFlight)
+		both.Go(func() { p.receive(dir, chunks) })
+		both.Go(func() { p.deliver(dir, earliest, chunks) })
 	}
 	both.Wait()
 }
 
-// receive reads the data of one direction.
-func (p *pathConnection) receive(dir int, pieces chan<- chunk) {
-	defer close(pieces)
+// receive reads the data of one direction and schedules the delivery of each chunk.
+func (p *pathConnection) receive(dir int, chunks chan<- chunk) {
+	defer close(chunks)
 	buf := make([]byte, maxChunkSize)
 	for {
 		n, err := p.sockets[dir].Read(buf)
 		if n > 0 {
 			at, _ := p.path.schedule(dir, n, true)
 			select {
-			case pieces <- chunk{at, append([]byte(nil), buf[:n]...)}:
+			case chunks <- chunk{at, append([]byte(nil), buf[:n]...)}:
 			case <-p.ctx.Done():
 				return
 			}
@@ -239,7 +239,7 @@
 		if errors.Is(err, io.EOF) {
 			at, _ := p.path.schedule(dir, 0, true)
 			select {
-			case pieces <- chunk{at: at}:
+			case chunks <- chunk{at: at}:
 			case <-p.ctx.Done():
 			}
 			return
@@ -252,12 +252,12 @@
 }
 
 // deliver writes the chunks in order, each at its time.
-func (p *pathConnection) deliver(dir int, first time.Time, pieces <-chan chunk) {
+func (p *pathConnection) deliver(dir int, earliest time.Time, chunks <-chan chunk) {
 	to := p.sockets[1-dir]
-	for x := range pieces {
+	for x := range chunks {
 		at := x.at
-		if at.Before(first) {
-			at = first
+		if at.Before(earliest) {
+			at = earliest
 		}
 		if !sleep(p.ctx, time.Until(at)) || !p.path.waitUncut(p.ctx, dir) {
 			return
@@ -291,7 +291,7 @@
 // forwarder listens in place of a party, on TCP and optionally on the same UDP port.
 type forwarder struct {
 	target  string
-	pathFor func(from netip.Addr) *netPath // path for a sender's address; nil to refuse it
+	pathFor func(from netip.Addr) *netPath // path for a sender's address; nil to reset its connections and drop its datagrams
 
 	ctx     context.Context // of all relayed connections
 	cancel  context.CancelFunc
@@ -365,7 +365,7 @@
 	maxDatagramSize = 64 << 10
 )
 
-// relayDatagrams relays datagrams to the target, with a socket for each sender, and the answers
+// relayDatagrams relays datagrams to the target, with a socket for each sender, and the replies
 // back.
 func (f *forwarder) relayDatagrams() {
 	buf := make([]byte, maxDatagramSize)
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -80,7 +80,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil && !n.process.hasExited() {
-		return fmt.Errorf("%s: is already running", n.info.Name)
+		return fmt.Errorf("%s: already running", n.info.Name)
 	}
 	if err := os.WriteFile(n.info.Config, []byte(n.config), 0o600); err != nil {
 		return err
@@ -138,7 +138,7 @@
 	defer n.mu.Unlock()
 	p := n.process
 	if p == nil || p.hasExited() {
-		return nil, fmt.Errorf("%s: is not running", n.info.Name)
+		return nil, fmt.Errorf("%s: not running", n.info.Name)
 	}
 	p.exitExpected = p.exitExpected || exitExpected
 	return p, p.cmd.Process.Signal(s)
@@ -182,7 +182,7 @@
 	}
 }
 
-// awaitReady waits until the process answers its readiness request with 200.
+// awaitReady waits until the process responds to a readiness request with status 200.
 func (n *instance) awaitReady(ctx context.Context, client *http.Client) error {
 	n.mu.Lock()
 	p := n.process
--- a/internal/experiment/record.go
+++ b/internal/experiment/record.go
@@ -27,10 +27,10 @@
 	mu            sync.Mutex
 	arrivals      []arrival // sorted by time at the end
 	endings       []load.Completion
-	executions    map[string]int  // by request ID, over all nodes
+	executions    map[string]int  // number of executions by request ID, over all nodes
 	nonIdempotent map[string]bool // IDs of requests that must not be repeated
 	coldSpans     []nodeSpan      // spans in which a node is cold
-	absentSpans   []nodeSpan
+	absentSpans   []nodeSpan      // spans in which a node is not on the list
 }
 
 type arrival struct {
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -31,7 +31,7 @@
 	Seconds       []Second       `json:"seconds"`
 }
 
-// Failure is a request that was not answered with a status below 400.
+// Failure is a request without a response of a status below 400.
 type Failure struct {
 	Due      float64 `json:"due_s"`
 	Took     float64 `json:"took_s"`
@@ -43,7 +43,7 @@
 // maxFailures bounds the failures that a result lists.
 const maxFailures = 200
 
-// Figure is the value of a measure and its bounds.
+// Figure is the value of a measure in one run, with the bounds that the experiment expects.
 type Figure struct {
 	Name  string   `json:"what"`
 	Value *float64 `json:"value"` // null if there was nothing to measure
@@ -223,9 +223,9 @@
 
 // signInterval returns the narrowest interval of order statistics that holds the median with
 // minConfidence, or the widest one if none does, with its confidence. all must be sorted.
-func signInterval(all []float64) (low, high, sure float64) {
+func signInterval(all []float64) (low, high, confidence float64) {
 	n := len(all)
-	tail := math.Pow(0.5, float64(n)) // probability that the median is below the k+1 lowest
+	tail := math.Pow(0.5, float64(n)) // probability that the median is below all[k]
 	term, k := tail, 0
 	for 2*k+2 < n {
 		next := term * float64(n-k) / float64(k+1)
--- a/internal/experiment/role_process.go
+++ b/internal/experiment/role_process.go
@@ -25,11 +25,11 @@
 	input   io.WriteCloser
 	exited  chan struct{}
 
-	mu      sync.Mutex // serializes calls
-	answers *json.Decoder
+	mu        sync.Mutex // serializes calls
+	responses *json.Decoder
 }
 
-// startRoleProcess starts this program again with a role.
+// startRoleProcess starts a role process with the command self and the role's name.
 func startRoleProcess(n *processSpawner, self []string, roleName, name, dir string, maxProcs int) (*roleProcess, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -43,7 +43,7 @@
 	if r.input, err = cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	// StdoutPipe isn't used, as Wait would close it while an answer may still be unread.
+	// StdoutPipe isn't used, as Wait would close it while a response may still be unread.
 	outRead, outWrite, err := os.Pipe()
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 		outRead.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	r.answers = json.NewDecoder(bufio.NewReader(outRead))
+	r.responses = json.NewDecoder(bufio.NewReader(outRead))
 	go func() {
 		cmd.Wait()
 		outRead.Close()
@@ -64,7 +64,7 @@
 	return r, nil
 }
 
-// call sends a command to the role process and waits for its answer.
+// call sends a command to the role process and waits for its response.
 func (r *roleProcess) call(c *hollow.Command) (*hollow.Response, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 	a := &hollow.Response{}
 	if err == nil {
-		err = r.answers.Decode(a)
+		err = r.responses.Decode(a)
 	}
 	if err == nil && a.Error != "" {
 		err = fmt.Errorf("%s", a.Error)
@@ -105,8 +105,8 @@
 }
 
 // processUsage reads the usage of a process. It sums the CPU times of the threads, which have a
-// resolution of a nanosecond instead of a hundredth of a second. The times of threads that
-// exited are not included, but Go programs rarely end threads.
+// resolution of one nanosecond; the CPU time of the process has one of 10 ms. The times of threads
+// that exited are not included, but Go programs rarely end threads.
 func processUsage(pid int) (u usage, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(tasks) == 0 {
--- a/internal/experiment/scale.go
+++ b/internal/experiment/scale.go
@@ -37,7 +37,7 @@
 	Sidecars  int
 	Services  int
 	Endpoints int     // per service
-	Changes   float64 // of service lists, per minute
+	Changes   float64 // endpoint changes per minute, over all services
 }
 
 // Sweep measures one dimension at several sizes in rising order. The other dimensions are those
@@ -172,7 +172,7 @@
 		Endpoints: t.Integer("endpoints", defaults.Endpoints, 1, 250), Changes: t.Number("changes", defaults.Changes, 0, 1e5),
 	}
 	if n := s.Sidecars * s.Services; n > maxConnections {
-		t.AddError("sidecars", n, fmt.Sprintf("at most %d sidecars times services, each pair is a connection", maxConnections))
+		t.AddError("sidecars", n, fmt.Sprintf("sidecars times services at most %d, as each pair is a connection", maxConnections))
 	}
 	return s
 }
@@ -203,7 +203,7 @@
 			t.AddError("sizes", list, fmt.Sprintf("a depth of at most %d, as each tier is a process", maxChainDepth))
 		}
 		if w.Dimension != "endpoints" && w.Dimension != "changes" && last.Sidecars*last.Services > maxConnections || last.Endpoints > 250 || last.Changes > 1e5 {
-			t.AddError("sizes", list, fmt.Sprintf("at most %d sidecars times services, 250 endpoints and 100,000 changes a minute", maxConnections))
+			t.AddError("sizes", list, fmt.Sprintf("sizes with at most %d for sidecars times services, 250 endpoints and 100,000 changes per minute", maxConnections))
 		}
 	}
 	t.RejectUnknownKeys()
@@ -240,6 +240,7 @@
 // zoneOf returns the zone of a sidecar.
 func (d *Day) zoneOf(sidecar int) int { return sidecar % d.Zones }
 
+// machineOf returns the machine of a sidecar. All sidecars of a machine are in one zone.
 func (d *Day) machineOf(sidecar int) int {
 	return d.zoneOf(sidecar) + d.Zones*(sidecar/d.Zones/d.SidecarsPerMachine)
 }
@@ -277,9 +278,9 @@
 	conditions Conditions
 }
 
-// actionsInOrder returns all actions of a day by time; they depend only on the seed. Six tenths
-// of the changes are between 9:00 and 13:00, two tenths are in batches, as in releases, and the
-// rest are at any hour.
+// actionsInOrder returns all actions of a day by time; they depend only on the seed. 60% of the
+// changes are between 9:00 and 13:00, 20% are in batches at random hours, as in releases, and the
+// rest are single changes at random hours.
 func (d *Day) actionsInOrder(seed uint64) (all []dayAction) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
 	batches := d.Changes / 5 / changesPerBatch
--- a/internal/experiment/scale_result.go
+++ b/internal/experiment/scale_result.go
@@ -69,7 +69,7 @@
 	PredictedLow  *float64  `json:"predicted_low"`
 	PredictedHigh *float64  `json:"predicted_high"`
 	Measured      *float64  `json:"measured"` // null if the largest size is void
-	Used          bool      `json:"used"`     // the prediction missed by at most a fifth
+	Used          bool      `json:"used"`     // true if the prediction is within capacity.PredictionTolerance
 }
 
 // fittedCosts are the costs that get a linear fit, with their units, in the order of the tables.
@@ -79,8 +79,8 @@
 	{"peak", "calls in the busiest 100 ms"},
 	{"sidecar_cpu", "thousandths of a core, all sidecars"},
 	{"sidecar_memory", "MiB resident, all sidecars"},
-	{"registry_cpu", "thousandths of a core, the stand-in registry"},
-	{"registry_memory", "MiB resident, the stand-in registry"},
+	{"registry_cpu", "thousandths of a core, the fake registry"},
+	{"registry_memory", "MiB resident, the fake registry"},
 	{"force50", "ms until a change reaches 50% of the sidecars, median over changes"},
 	{"force99", "ms, 99% of the sidecars"},
 	{"force100", "ms, all sidecars"},
@@ -146,7 +146,7 @@
 			parts = append(parts, fmt.Sprintf("%s %.4g", c.name, x))
 		}
 	}
-	return strings.Join(parts, ", ") + fmt.Sprintf("; %d changes, %d unreached, %d apart", m.Changes, m.Unreached, m.OutOfSync)
+	return strings.Join(parts, ", ") + fmt.Sprintf("; %d changes, %d deliveries missing, %d sidecars out of sync", m.Changes, m.Unreached, m.OutOfSync)
 }
 
 // costPoints returns the values of a cost at the sizes that are not void.
@@ -304,6 +304,7 @@
 	return tw.Flush()
 }
 
+// missText returns the relative error of the prediction, and whether the slope is used.
 func (l *LineResult) missText() string {
 	if l.Predicted == nil || l.Measured == nil {
 		return "not tested"
@@ -346,6 +347,7 @@
 	return scalePage.Execute(w, data)
 }
 
+// drawFit draws the measured costs, the fitted line and the prediction of a sweep.
 func drawFit(s *SweepResult, l *LineResult) (string, error) {
 	p := plot.New()
 	p.X.Label.Text = s.Dimension
--- a/internal/experiment/scale_run.go
+++ b/internal/experiment/scale_run.go
@@ -201,8 +201,9 @@
 	return b.String()
 }
 
-// startSpread is the time over which the starts of sidecars are spread, which is the wait of a
-// watch. Sidecars that start at once would keep polling in step.
+// startSpread is the time over which the starts of sidecars are spread. It equals the wait time of
+// a poll, so that the polls are evenly spaced. Sidecars started at once would keep polling at the
+// same moments.
 const startSpread = 500 * time.Millisecond
 
 // startHollow starts all hollow sidecars.
@@ -273,7 +274,7 @@
 	return ctx.Err()
 }
 
-// changeEndpoints changes n random endpoints.
+// changeEndpoints advances n random endpoints to the next status of their lifecycle.
 func (c *fleetRun) changeEndpoints(n int) error {
 	var edits []hollow.Edit
 	for range n {
@@ -304,7 +305,8 @@
 	return n + c.size.Sidecars - seen, nil
 }
 
-// awaitSync waits until all sidecars have the registry's lists, and returns how many don't.
+// awaitSync waits until all sidecars have the registry's lists or the timeout has passed, and
+// returns how many sidecars don't have them.
 func (c *fleetRun) awaitSync(ctx context.Context, timeout time.Duration) (outOfSync int, err error) {
 	for end := time.Now().Add(timeout); ; {
 		if outOfSync, err = c.countOutOfSync(); err != nil || outOfSync == 0 || time.Now().After(end) {
@@ -363,7 +365,7 @@
 	return all
 }
 
-// Limits beyond which a measurement is void or fails.
+// Sampling interval of a measurement, and the limits beyond which it is void or fails.
 const (
 	timerInterval  = 10 * time.Millisecond
 	maxTimerDelay  = 25 * time.Millisecond // 99th percentile
@@ -431,7 +433,8 @@
 	m.timerDelays <- delays
 }
 
-// finish returns the usage since the start of the measurement.
+// finish ends the measurement and returns the usage since its start. The result is void if the
+// machine was too busy or the timer was late.
 func (m *usageMeter) finish() (*Measured, error) {
 	span := time.Since(m.startedAt).Seconds()
 	m.stop()
@@ -608,6 +611,8 @@
 	}
 }
 
+// runSweep measures all sizes of a sweep. It predicts the costs of the largest size before
+// measuring it.
 func runSweep(ctx context.Context, s *ScaleExperiment, w Sweep, o *ScaleOptions) (*SweepResult, error) {
 	res := &SweepResult{Dimension: w.Dimension}
 	for i, n := range w.Sizes {
--- a/internal/experiment/scale_test.go
+++ b/internal/experiment/scale_test.go
@@ -170,8 +170,8 @@
 		t.Helper()
 		for _, w := range sidecars {
 			waitFor(t, fmt.Sprintf("change %d of list %d", index, list), func() bool {
-				news, _ := w.queries(list)
-				return len(news) > 0 && news[len(news)-1] == fmt.Sprintf("after=%d", index)
+				distinct, _ := w.queries(list)
+				return len(distinct) > 0 && distinct[len(distinct)-1] == fmt.Sprintf("after=%d", index)
 			})
 		}
 	}
@@ -257,7 +257,7 @@
 		t.Errorf("%d sockets to endpoints before the first request", opened)
 	}
 
-	// The real sidecar's list shows in where its requests go.
+	// The endpoints that the real sidecar sends requests to show its list.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	hollowLists := fleet.Lists(0)
 	for s := range services {
@@ -275,7 +275,7 @@
 			}
 			return names
 		}
-		// An endpoint that joined is warming up and may get none of the first 60 requests.
+		// An endpoint that joined is in slow start and may get none of the first 60 requests.
 		good := 0
 		waitFor(t, "60 requests through the real sidecar, at least one at each endpoint", func() bool {
 			req, err := http.NewRequest(http.MethodGet, "http://"+front+"/", nil)
@@ -328,7 +328,7 @@
 		}
 	}
 	if counts["edit"] != 2700 || counts["restart"] != 260 || counts["stop"] != 6 || counts["start"] != 6 || morningChanges < 1620 {
-		t.Errorf("%v, %d changes between 9:00 and 13:00", counts, morningChanges)
+		t.Errorf("actions: %v; %d changes between 9:00 and 13:00", counts, morningChanges)
 	}
 	seen := map[string]int{}
 	for i := range d.Fleet.Sidecars {
@@ -347,9 +347,9 @@
 // All errors in a scale experiment are reported at once, with line and key.
 func TestScaleReportsAllErrors(t *testing.T) {
 	_, err := ParseScale("x.toml", []byte("kind = \"scale\"\nspan = \"1\"\n[fleet]\nsidecars = 5000\nservices = 900\n[[sweeps]]\nof = \"moons\"\nsizes = [3, 4, 5]\n[[sweeps]]\nof = \"endpoints\"\nsizes = [4, 3, 5, 6, 7]\n[[reals]]\nsidecars = 2\n[day]\nnight = 1\n[[day.events]]\non = \"zone-9\"\ndo = \"cut\"\n"))
-	var faults tomlfile.Errors
-	if !errors.As(err, &faults) {
-		t.Fatalf("%v", err)
+	var parseErrors tomlfile.Errors
+	if !errors.As(err, &parseErrors) {
+		t.Fatalf("got error %v, want a list of errors", err)
 	}
 	for _, want := range []string{"x.toml:2: span", "x.toml:4: fleet.sidecars", "x.toml:7: sweeps[0].of", "x.toml:8: sweeps[0].sizes", "x.toml:11: sweeps[1].sizes", "x.toml:13: reals[0].sidecars", "x.toml:15: day.night", "x.toml:17: day.events[0].on"} {
 		if !strings.Contains(err.Error(), want) {
@@ -370,11 +370,11 @@
 	r.Sizes = append(r.Sizes, sized(4, 44))
 	r.fitLines()
 	if len(r.Lines) != 1 {
-		t.Fatalf("%+v", r.Lines)
+		t.Fatalf("got lines %+v, want one", r.Lines)
 	}
 	l := r.Lines[0]
 	if len(r.Sizes[2].Costs) != 0 || l.Predicted == nil || *l.Predicted != 40 || l.Measured == nil || *l.Measured != 44 || !l.Used || len(l.Residuals) != 3 {
-		t.Errorf("%+v, sizes %+v", l, r.Sizes)
+		t.Errorf("line %+v, sizes %+v", l, r.Sizes)
 	}
 	far := SweepResult{Sizes: []Measured{sized(1, 10), sized(2, 20), sized(3, 30)}}
 	far.predict(4)
@@ -398,10 +398,10 @@
 	}
 	var o ScaleOptions
 	if m, err := o.repeatIfVoid(measure(2)); err != nil || len(m.Void) > 0 || calls != 3 {
-		t.Errorf("%+v, %v after %d calls", m, err, calls)
+		t.Errorf("got %+v, error %v after %d measurements", m, err, calls)
 	}
 	if m, err := o.repeatIfVoid(measure(99)); err != nil || len(m.Void) == 0 || calls != 1+maxRepetitions-2 {
-		t.Errorf("%+v, %v after %d calls", m, err, calls)
+		t.Errorf("got %+v, error %v after %d measurements", m, err, calls)
 	}
 }
 
@@ -426,17 +426,17 @@
 		t.Fatalf("%v\n%s", err, b.String())
 	}
 	if len(in.Slopes) != 1 || in.Slopes[0].Name != "sidecars.calls" || in.Slopes[0].Slope != 19.95 || in.Slopes[0].Predicted != 830 || in.Slopes[0].Measured != 805 || in.Slopes[0].Base["services"] != 10 || in.Slopes[0].Base["sidecars"] != 0 || in.Slopes[0].MaxBusyPercent != 23 {
-		t.Errorf("%+v", in.Slopes)
+		t.Errorf("slopes: %+v", in.Slopes)
 	}
 	got := map[string]float64{}
 	for _, f := range in.Figures {
 		got[f.Name] = f.Value
 	}
 	if got["x.day.calls"] != 12.5 || got["x.day.changes"] != 3 || len(got) != 7 {
-		t.Errorf("%v", got)
+		t.Errorf("figures: %v", got)
 	}
 	if len(in.Runs) != 1 || in.Runs[0].Speedup != 1800 || in.Runs[0].Command != "prove x" {
-		t.Errorf("%+v", in.Runs)
+		t.Errorf("runs: %+v", in.Runs)
 	}
 }
 
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -25,7 +25,7 @@
 // Options configures a run.
 type Options struct {
 	Program string            // replaces the experiment's program; "" to keep it
-	Turn    uint64            // number of the repetition; it changes the random numbers
+	Turn    uint64            // number of the repetition; the random numbers depend on it
 	Log     func(line string) // called with progress messages; may be nil
 	OnReady func(pids []int)  // called once all instances are ready; may be nil
 }
@@ -53,6 +53,7 @@
 	to       int
 }
 
+// testbed holds the processes, fake nodes and network paths of one run.
 type testbed struct {
 	experiment      *Experiment
 	options         Options
@@ -298,7 +299,7 @@
 	return nil
 }
 
-// startAll starts all instances at once and waits until they are ready.
+// startAll starts all instances without waiting between them, and then waits until all are ready.
 func (r *testbed) startAll(ctx context.Context) error {
 	begin := time.Now()
 	for _, n := range r.instances {
@@ -348,7 +349,7 @@
 	}
 	run, err := load.New(load.Config{
 		Addrs: r.callerAddrs, ChooseTarget: instanceChooser(e, r.seed), Streams: e.Streams, Plan: traffic.NewPlan(e.Streams, r.seed), Seed: r.seed,
-		Conns: e.MaxConnections, Span: e.Duration, Grace: answerGrace(e), OnCompletion: r.record.recordEnding,
+		Conns: e.MaxConnections, Span: e.Duration, Grace: responseGrace(e), OnCompletion: r.record.recordEnding,
 	})
 	if err != nil {
 		return nil, err
@@ -384,8 +385,9 @@
 	return r.record.sortByTime(), nil
 }
 
-// answerGrace is how long to wait for answers after the load ends. All budgets end before it.
-func answerGrace(e *Experiment) (d time.Duration) {
+// responseGrace returns how long to wait for responses after the load ends. Every request's
+// budget ends within it.
+func responseGrace(e *Experiment) (d time.Duration) {
 	for i := range e.Streams {
 		d = max(d, e.Streams[i].Budget)
 	}
--- a/internal/experiment/testbed_test.go
+++ b/internal/experiment/testbed_test.go
@@ -46,7 +46,7 @@
 		fmt.Println(err)
 		return
 	}
-	dir, err := os.MkdirTemp("", "proving")
+	dir, err := os.MkdirTemp("", "experiment")
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
@@ -151,13 +151,13 @@
 	checkExperiment(t, "cut", "share of far in cut", "p99 of rest in cut", "failed of rest", "lost of one", "failed of one", "p50 of one in found out")
 }
 
-func TestProbingNeverFailsUnsafeRequests(t *testing.T) {
+func TestNonIdempotentRequestsAreNotProbes(t *testing.T) {
 	t.Parallel()
 	checkExperiment(t, "unsafe", "failed of pledge in known", "failed of read", "share of sick in back")
 }
 
-// runPeer runs an instance that echoes to its peers, and answers requests with 200 only if it
-// reaches all peers over TCP and UDP.
+// runPeer runs an instance that echoes to its peers, and responds to requests with status 200 only
+// if it reaches all peers over TCP and UDP.
 func runPeer(front string, addrs []string) {
 	own, peers := addrs[0], addrs[1:]
 	l, err := net.Listen("tcp", own)
@@ -452,12 +452,12 @@
 most = 1
 colour = "red"
 `))
-	var faults tomlfile.Errors
-	if !errors.As(err, &faults) {
+	var parseErrors tomlfile.Errors
+	if !errors.As(err, &parseErrors) {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, f := range faults {
+	for _, f := range parseErrors {
 		got = append(got, fmt.Sprintf("%d: %s", f.Line, f.Key))
 	}
 	want := []string{
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -1,7 +1,7 @@
-// Package hollow runs many headless sidecars in one process for experiments. A headless
-// sidecar runs the control plane of `gorselink serve` (discovery, Balancer updates, timers,
-// reloads) from its own configuration file, but serves no callers and opens no connections
-// to endpoints.
+// Package hollow runs many hollow sidecars in one process for experiments. A hollow sidecar has
+// the decision code and the discovery connections of `gorselink serve`, with its timers and
+// reloads, from its own configuration file. It has no listeners and opens no connections to
+// endpoints.
 package hollow
 
 import (
@@ -20,8 +20,8 @@
 	"gorselink/internal/discovery"
 )
 
-// Sidecars manages the headless sidecars of one process by number. The zero value is ready
-// to use.
+// Sidecars manages the hollow sidecars of one process, each identified by a number. The
+// zero value is ready to use.
 type Sidecars struct {
 	mu      sync.Mutex
 	running map[int]*sidecar
--- a/internal/hollow/role.go
+++ b/internal/hollow/role.go
@@ -98,6 +98,8 @@
 
 const listTimeout = 30 * time.Second
 
+// handle executes a command to start, stop, restart or reload sidecars, to wait for their first
+// endpoint lists ("listed") or to return the digests of their lists.
 func (sidecars *Sidecars) handle(c *Command) (*Response, error) {
 	start := time.Now()
 	response := &Response{}
@@ -132,7 +134,7 @@
 	return response, nil
 }
 
-// registryRole runs a stand-in registry and tracks the lifecycle of its endpoints.
+// registryRole runs a fake registry and tracks the lifecycle of its endpoints.
 type registryRole struct {
 	registry *fakeserver.Registry
 	steps    [][]int // by service and endpoint: the number of edits so far
@@ -160,10 +162,12 @@
 // PoolName returns the name of the pool for a service.
 func PoolName(service int) string { return fmt.Sprintf("s%03d", service) }
 
+// handle executes a command to start the registry, to change endpoints, or to return the counts,
+// the changes or the digest of its lists.
 func (r *registryRole) handle(c *Command) (*Response, error) {
 	response := &Response{}
 	if r.registry == nil && c.Action != "serve" {
-		return nil, fmt.Errorf("registry is not running: send serve first")
+		return nil, fmt.Errorf("registry is not running: want the command serve first")
 	}
 	switch c.Action {
 	case "serve":
--- a/scripts/faultinject/main.go
+++ b/scripts/faultinject/main.go
@@ -1,6 +1,6 @@
 // Command faultinject runs `gorselink serve` under strace with injected system call errors
-// and checks the results that clients receive: every request is answered, no GET fails and no
-// POST is executed twice. It starts the program and stand-in endpoints anew for each error of
+// and checks the results that clients receive: every request gets a response, no GET fails and
+// no POST is executed twice. It starts the program and fake nodes anew for each error of
 // each system call and prints one table row for it.
 //
 //	go build -o bin/ ./cmd/gorselink && go run ./scripts/faultinject -for 5s bin/gorselink
@@ -59,7 +59,7 @@
 		fmt.Fprintln(os.Stderr, "usage: faultinject [-for duration] [-clients n] [-call name] [-when invocations] PROGRAM")
 		os.Exit(2)
 	}
-	fmt.Println("| system call | error | injected | requests | unanswered | failed GETs | failed POSTs | repeated POSTs | maximum latency | result |")
+	fmt.Println("| system call | error | injected | requests | no response | failed GETs | failed POSTs | repeated POSTs | maximum latency | result |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	passed := true
 	for _, f := range injections {
@@ -87,33 +87,34 @@
 // trialResult counts what clients and endpoints observed in one trial.
 type trialResult struct {
 	mu                                         sync.Mutex
-	injected, requests, unanswered             int
-	failedGets, failedPosts                    int // answered with a status other than 200
+	injected, requests, withoutResponse        int
+	failedGets, failedPosts                    int // with a response of a status other than 200
 	repeatedPosts                              int
 	maxLatency                                 time.Duration
 	postIDs                                    map[string]bool
-	unansweredExample, getExample, postExample string
+	noResponseExample, getExample, postExample string
 }
 
 // passed reports whether the trial injected errors and met all conditions.
 func (c *trialResult) passed() bool {
-	return c.injected > 0 && c.requests > 0 && c.unanswered == 0 && c.failedGets == 0 && c.repeatedPosts == 0
+	return c.injected > 0 && c.requests > 0 && c.withoutResponse == 0 && c.failedGets == 0 && c.repeatedPosts == 0
 }
 
+// String returns the columns of the table from "injected" on.
 func (c *trialResult) String() string {
-	verdict := "pass"
+	result := "pass"
 	switch {
 	case c.injected == 0 || c.requests == 0:
-		verdict = "INCONCLUSIVE"
+		result = "INCONCLUSIVE"
 	case !c.passed():
-		verdict = "FAIL"
+		result = "FAIL"
 	}
-	for _, text := range []string{c.unansweredExample, c.getExample, c.postExample} {
+	for _, text := range []string{c.noResponseExample, c.getExample, c.postExample} {
 		if text != "" {
-			verdict += "; " + text
+			result += "; " + text
 		}
 	}
-	return fmt.Sprintf("%d | %d | %d | %d | %d | %d | %v | %s |", c.injected, c.requests, c.unanswered, c.failedGets, c.failedPosts, c.repeatedPosts, c.maxLatency.Round(time.Millisecond), verdict)
+	return fmt.Sprintf("%d | %d | %d | %d | %d | %d | %v | %s |", c.injected, c.requests, c.withoutResponse, c.failedGets, c.failedPosts, c.repeatedPosts, c.maxLatency.Round(time.Millisecond), result)
 }
 
 // runTrial runs the program with one injected error.
@@ -286,8 +287,8 @@
 	example := fmt.Sprintf("%s %s: status %d, %v", method, id, status, err)
 	switch {
 	case err != nil:
-		c.unanswered++
-		c.unansweredExample = example
+		c.withoutResponse++
+		c.noResponseExample = example
 	case status == http.StatusOK:
 	case method == http.MethodGet:
 		c.failedGets++
--- a/scripts/fleetlog/main.go
+++ b/scripts/fleetlog/main.go
@@ -38,6 +38,7 @@
 // attemptCounts counts the attempts of a fleet in one second.
 type attemptCounts struct{ firstAttempts, retries int }
 
+// summarize prints the table row for the logs below a directory.
 func summarize(dir string) error {
 	bySecond := map[time.Time]*attemptCounts{}
 	var meanConns, maxConns, totalConns []float64
--- a/scripts/idle/main.go
+++ b/scripts/idle/main.go
@@ -1,5 +1,5 @@
 // Command idle measures the resources that sidecars use without requests. It starts sidecars
-// with the platform's configuration and one stand-in discovery, waits until they are ready,
+// with the platform's configuration and one fake agent for discovery, waits until they are ready,
 // and reads the resource usage of each from /proc after a time.
 //
 //	go run ./scripts/idle -n 20 -for 30s bin/gorselink
@@ -47,6 +47,7 @@
 	threads     int
 }
 
+// measure starts n sidecars, measures their usage over duration and prints the table.
 func measure(program string, n, endpoints int, duration time.Duration) (err error) {
 	dir, err := os.MkdirTemp("", "idle")
 	if err != nil {
--- a/scripts/perf/main.go
+++ b/scripts/perf/main.go
@@ -118,6 +118,7 @@
 	addr string
 }
 
+// startProcess starts a child process and reads its address from the first line of its output.
 func startProcess(env []string, name string, args ...string) (*process, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Env, cmd.Stderr = append(os.Environ(), env...), os.Stderr
@@ -205,6 +206,7 @@
 // metricKey identifies the samples of a metric for one subject.
 type metricKey struct{ subject, metric string }
 
+// measure runs all rounds of all subjects and writes the report.
 func (o options) measure(ctx context.Context) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -263,8 +265,8 @@
 			if report.Outcomes["ok"] != report.Requests {
 				return fmt.Errorf("%s: not all requests succeeded: outcomes %v", s.name, report.Outcomes)
 			}
-			for _, why := range report.Verdict.Void {
-				fmt.Fprintf(os.Stderr, "round %d, %s: void measurement: %s\n", round, s.name, why)
+			for _, reason := range report.Verdict.Void {
+				fmt.Fprintf(os.Stderr, "round %d, %s: void measurement: %s\n", round, s.name, reason)
 			}
 			record(s.name, "p50", report.Latency.P50*1000)
 			record(s.name, "p99", report.Latency.P99*1000)
@@ -331,8 +333,9 @@
 	return load.ReadReport(f)
 }
 
+// writeReport writes the table with one row per metric and one column per subject.
 func (o options) writeReport(w io.Writer, samples map[metricKey][]float64, floor *load.Floor) error {
-	fmt.Fprintf(w, "%d rounds of %v, alternating; %d nodes in one process, answers of %d bytes, %d connections; proxies on %d cores\n", o.Rounds, o.For, o.Nodes, o.Body, o.Conns, o.Cores)
+	fmt.Fprintf(w, "%d rounds of %v, alternating; %d nodes in one process, responses of %d bytes, %d connections; proxies on %d cores\n", o.Rounds, o.For, o.Nodes, o.Body, o.Conns, o.Cores)
 	fmt.Fprintf(w, "latency floor of the load generator, an echo in its own process: p50 %.0f, p99 %.0f us\n\n", floor.P50*1000, floor.P99*1000)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\tnone\treverse\tgorselink\tgorselink/reverse\t")
--- a/scripts/verdict/main_test.go
+++ b/scripts/verdict/main_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-func line(action, pkg, test, output string) string {
+// eventLine returns a line of the output of go test -json.
+func eventLine(action, pkg, test, output string) string {
 	return `{"Action":"` + action + `","Package":"gorselink/` + pkg + `","Test":"` + test + `","Output":"` + output + `"}` + "\n"
 }
 
-// Checks the verdict and the report for listed and unlisted failures.
+// Checks the result and the report for listed and unlisted failures.
 func TestEvaluate(t *testing.T) {
-	passes := line("pass", "a", "TestOne", "") + line("output", "a", "", `ok  \tgorselink/a\t0.1s\n`) + line("pass", "a", "", "")
-	fails := line("output", "b", "TestTwo", `two: wrong\n`) + line("fail", "b", "TestTwo/part", "") + line("fail", "b", "TestTwo", "") + line("fail", "b", "", "")
-	otherFails := line("fail", "b", "TestTwo", "") + line("fail", "b", "TestThree", "") + line("fail", "b", "", "")
-	crash := line("output", "b", "", `panic: out of time\n`) + line("fail", "b", "", "")
-	fixed := line("pass", "b", "TestTwo", "") + line("pass", "b", "", "")
+	passes := eventLine("pass", "a", "TestOne", "") + eventLine("output", "a", "", `ok  \tgorselink/a\t0.1s\n`) + eventLine("pass", "a", "", "")
+	fails := eventLine("output", "b", "TestTwo", `two: wrong\n`) + eventLine("fail", "b", "TestTwo/part", "") + eventLine("fail", "b", "TestTwo", "") + eventLine("fail", "b", "", "")
+	otherFails := eventLine("fail", "b", "TestTwo", "") + eventLine("fail", "b", "TestThree", "") + eventLine("fail", "b", "", "")
+	crash := eventLine("output", "b", "", `panic: out of time\n`) + eventLine("fail", "b", "", "")
+	fixed := eventLine("pass", "b", "TestTwo", "") + eventLine("pass", "b", "", "")
 	const list = "# comment\n\nb TestTwo: the cause; issue 46\n"
 	for _, c := range []struct {
 		name, in, list string
@@ -30,7 +31,7 @@
 		{"a known failure passes", fixed, list, true, "PASSED: remove its line from the list"},
 		{"a known failure did not run", passes, list, false, "DID NOT RUN"},
 		{"no test ran", "", "", false, "no test ran"},
-		{"a package was not built", line("build-fail", "a", "", "") + passes, "", false, ""},
+		{"a package was not built", eventLine("build-fail", "a", "", "") + passes, "", false, ""},
 	} {
 		known, err := parseKnownFailures(c.list)
 		if err != nil {
