--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -43,7 +43,7 @@
 type managedPool struct {
 	cfg         config.Pool
 	pool        *pool.Pool
-	stop        context.CancelFunc // stops receiving updates from the node source
+	stop        context.CancelFunc // stops receiving updates from the endpoint list source
 	retainUntil time.Time          // once retired: until when requests with a key may be repeated
 	sharesConns bool               // once retired: its replacement uses the same connections
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// closeDrained closes the retired pools that have no open request and whose requests
+// closeDrained closes the retired pools that have no open request, once their requests
 // with an idempotency key can no longer be repeated. The caller must hold mu.
 func (d *Daemon) closeDrained(now time.Time) {
 	d.retired = slices.DeleteFunc(d.retired, func(p *managedPool) bool {
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// A full pool whose callers keep opening connections does not prevent callers of another pool
-// from connecting.
+// If the callers of a full pool keep opening connections, callers of another pool can still
+// connect.
 func TestFullPoolLeavesCallerConnections(t *testing.T) {
 	a, b := startNodes(t, "a", 1, fakeserver.NodeConfig{}), startNodes(t, "b", 1, fakeserver.NodeConfig{})
 	small := strings.Replace(baseConfig, "descriptors = 1032", "descriptors = 152", 1) // 60 of them for callers
--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -232,7 +232,7 @@
 
 func newRunCounter() *runCounter { return &runCounter{runs: map[string]int{}} }
 
-// respond is a NodeConfig.Answer that counts a run and returns the token.
+// respond is a NodeConfig.Respond that counts a run and returns the token.
 func (c *runCounter) respond(req *http.Request, body []byte) fakeserver.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/daemon/isolation_test.go
+++ b/internal/daemon/isolation_test.go
@@ -189,6 +189,7 @@
 	}
 }
 
+// writeFile replaces a file atomically, so that no reader sees an incomplete one.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
--- a/internal/daemon/transaction.go
+++ b/internal/daemon/transaction.go
@@ -371,7 +371,7 @@
 	d.retired = append(d.retired, retired...)
 	for _, p := range tx.created {
 		if tx.replaced[p.cfg.Name] == nil {
-			tx.addChange("pool %s: added, node source: %s", p.cfg.Name, &p.cfg.EndpointSource)
+			tx.addChange("pool %s: added, endpoint list source: %s", p.cfg.Name, &p.cfg.EndpointSource)
 		}
 		var ctx context.Context
 		ctx, p.stop = context.WithCancel(d.ctx)
@@ -383,7 +383,7 @@
 	return retired
 }
 
-// updatePool gives a pool that is kept its new limits and node source.
+// updatePool gives a pool that is kept its new limits and endpoint list source.
 func (tx *transaction) updatePool(p *managedPool) {
 	c := tx.poolConfig(p.cfg.Name)
 	old := p.cfg
@@ -396,7 +396,7 @@
 		{"connection limit", old.Connections, c.Connections},
 		{"memory in bytes", old.Memory, c.Memory},
 		{"maximum body size in bytes", old.MaxBody, c.MaxBody},
-		{"node source", old.EndpointSource.String(), c.EndpointSource.String()},
+		{"endpoint list source", old.EndpointSource.String(), c.EndpointSource.String()},
 	} {
 		if setting.previous != setting.current {
 			tx.addChange("pool %s: %s is now %v, was %v", c.Name, setting.name, setting.current, setting.previous)
