--- a/internal/pool/abnormal_end.go
+++ b/internal/pool/abnormal_end.go
@@ -28,8 +28,8 @@
 	r.attemptRecords = append(r.attemptRecords, attemptRecord{a.endpoint, result, p.start.Add(a.sent).Sub(r.submittedAt), now - a.sent})
 }
 
-// logAbnormalEnd logs a request that failed, whose caller disconnected, or whose response came
-// after the end of its budget. Rejected requests had no effect and are only counted in Report.
+// logAbnormalEnd logs a request that failed, was left by its caller, or got its response
+// after the end of its budget. Rejected requests can be repeated and are only counted in Report.
 // The id identifies the request in the caller's log. Endpoint and time identify its attempts in
 // the log of the endpoint's sidecar.
 func (p *Pool) logAbnormalEnd(r *Request) {
--- a/internal/pool/confirm_test.go
+++ b/internal/pool/confirm_test.go
@@ -13,8 +13,8 @@
 	"gorselink/internal/upstream"
 )
 
-// An attempt whose connection is established late is sent only if the decision for it still
-// holds: not if the endpoint has begun to drain, or no longer deduplicates the retry.
+// If the connection for an attempt is established late, the attempt is sent only if the decision
+// for it is still valid: not if the endpoint has begun to drain, or no longer deduplicates the retry.
 func TestAttemptIsConfirmedAfterSlowConnect(t *testing.T) {
 	for name, c := range map[string]struct {
 		isRetry             bool // a first attempt fails at another endpoint
--- a/internal/pool/incarnation_test.go
+++ b/internal/pool/incarnation_test.go
@@ -16,7 +16,7 @@
 	"gorselink/internal/discovery"
 )
 
-// manualClockPool is a Pool with manual clocks and one source, whose lists the test delivers.
+// manualClockPool is a Pool with manual clocks and one source. The test delivers its lists.
 type manualClockPool struct {
 	*Pool
 	t         *testing.T
@@ -132,9 +132,9 @@
 	}
 }
 
-// After a reload to another discovery service, its first list bounds the start of a new endpoint
-// by the last list of the previous source. A snapshot without any known endpoint belongs to
-// another service and is not bounded.
+// After a reload to another discovery service, an endpoint that is new in its first list cannot
+// have started before the last list of the previous source, whatever its timestamp says. This
+// does not apply to a snapshot without any known endpoint, which belongs to another service.
 func TestNewEndpointInFirstListOfNewSource(t *testing.T) {
 	const gap = 700 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -232,7 +232,7 @@
 	return first, run(5 * time.Second)
 }
 
-// attemptCounter is a balance.Host that counts attempts by endpoint.
+// attemptCounter implements balance.Actions and counts attempts by endpoint.
 type attemptCounter struct {
 	attempts map[string]int
 	lastAddr string
@@ -287,7 +287,7 @@
 }
 
 // stepScenarios are scenarios that call step, which steps the wall clock, at different points. A
-// scenario returns the Pool, whose final ages are compared.
+// scenario returns the Pool, and its final ages are compared.
 var stepScenarios = map[string]stepScenario{
 	"before a new endpoint": {500 * time.Millisecond, map[string]time.Duration{"fresh": 100 * time.Millisecond, "late": 500 * time.Millisecond}, func(t *testing.T, clocks *skewedClocks, step func()) *manualClockPool {
 		p := newSyncedPool(t, clocks)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -128,7 +128,7 @@
 
 const (
 	Served     Outcome = iota // an endpoint responded
-	Rejected                  // the request had no effect and can be repeated
+	Rejected                  // the caller may safely repeat the request
 	Failed                    // an endpoint responded with an error, or none could be reached
 	TimedOut                  // the budget was exhausted; an attempt may still run
 	CallerGone                // the caller disconnected
@@ -174,7 +174,7 @@
 	p.startWall = cfg.Clock.Wall()
 	p.SetLimits(cfg.Limits)
 	var err error
-	if p.balancer, err = balance.New(cfg.Balance, cfg.Seed, (*balancerHost)(p)); err != nil {
+	if p.balancer, err = balance.New(cfg.Balance, cfg.Seed, (*balancerActions)(p)); err != nil {
 		return nil, fmt.Errorf("pool %s: %w", cfg.Name, err)
 	}
 	for i, class := range cfg.Balance.Classes {
@@ -513,12 +513,12 @@
 	return p.balancer.Confirm(p.now(), a.request.id, a.number)
 }
 
-// balancerHost implements balance.Host for a Pool. Its methods are called with the mutex held
+// balancerActions implements balance.Actions for a Pool. Its methods are called with the mutex held
 // and do not block.
-type balancerHost Pool
+type balancerActions Pool
 
-// Send implements balance.Host.
-func (h *balancerHost) Send(id balance.RequestID, addr string, timeout time.Duration) {
+// Send implements balance.Actions.
+func (h *balancerActions) Send(id balance.RequestID, addr string, timeout time.Duration) {
 	p := (*Pool)(h)
 	r := p.requests[id]
 	a := attempt{pool: p, request: r, number: r.attempts, endpoint: addr, sent: p.now(), timeout: timeout}
@@ -536,8 +536,8 @@
 	go p.runAttempt(r, &own)
 }
 
-// Reject implements balance.Host.
-func (h *balancerHost) Reject(id balance.RequestID, retryAfter time.Duration) {
+// Reject implements balance.Actions.
+func (h *balancerActions) Reject(id balance.RequestID, retryAfter time.Duration) {
 	p := (*Pool)(h)
 	r := p.requests[id]
 	if r.errorResponse != nil && r.pending == 0 { // the caller learns more from the endpoint's error response
@@ -549,8 +549,8 @@
 	p.finishIfDone(r)
 }
 
-// Fail implements balance.Host.
-func (h *balancerHost) Fail(id balance.RequestID) {
+// Fail implements balance.Actions.
+func (h *balancerActions) Fail(id balance.RequestID) {
 	p := (*Pool)(h)
 	r := p.requests[id]
 	p.stats.Failed++
@@ -563,8 +563,8 @@
 	p.finishIfDone(r)
 }
 
-// Watch implements balance.Host.
-func (h *balancerHost) Watch() {
+// Watch implements balance.Actions.
+func (h *balancerActions) Watch() {
 	h.watchWanted = len(h.sources) == 0 // Run has not set a source yet
 	for _, src := range h.sources {
 		select {
--- a/internal/pool/source.go
+++ b/internal/pool/source.go
@@ -175,7 +175,7 @@
 }
 
 // handleList applies a list from a source. The first list of a new source is a snapshot. It ends
-// the previous source, whose changes do not apply to that snapshot.
+// the previous source, because further changes of that source do not apply to the snapshot.
 func (p *Pool) handleList(src *source, l discovery.List) {
 	defer func() { src.watchOpen = true }()
 	p.mu.Lock()
--- a/internal/pool/timers.go
+++ b/internal/pool/timers.go
@@ -67,8 +67,8 @@
 	return first.token, true
 }
 
-// After implements balance.Host.
-func (h *balancerHost) After(d time.Duration, token uint64) {
+// After implements balance.Actions.
+func (h *balancerActions) After(d time.Duration, token uint64) {
 	p := (*Pool)(h)
 	if p.timers.push(timerEntry{p.now() + max(d, 0), token}) {
 		p.scheduleNextTimer()
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -14,7 +14,7 @@
 	"gorselink/internal/discovery"
 )
 
-// scriptedDiscovery is a discovery service whose responses a test controls.
+// scriptedDiscovery is a discovery service with responses that a test controls.
 type scriptedDiscovery struct {
 	*httptest.Server
 	mu                 sync.Mutex
