--- a/balance/balance.go
+++ b/balance/balance.go
@@ -102,8 +102,8 @@
 	// Send starts the request's next attempt; attempts are numbered from 0. The timeout
 	// is the request's remaining time; a shorter one would cause more retries under high load.
 	Send(id RequestID, addr string, timeout time.Duration)
-	// Reject ends the request and promises the client that it had no effect, so that the
-	// client may repeat it.
+	// Reject ends the request and tells the client that it may safely repeat it: no attempt
+	// has run, or repeating the request is harmless.
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail ends the request with an error. The request may have run.
 	Fail(id RequestID)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -112,7 +112,7 @@
 	checkNear(t, "after a long time", pickShares(b, time.Hour, 100000)["b"], 0.5)
 }
 
-// An endpoint whose attempts fail immediately keeps its earlier low mean, which must not
+// An endpoint that fails all attempts immediately keeps its earlier low mean, which must not
 // make it win against healthy ones.
 func TestFailingEndpointDoesNotWinByMean(t *testing.T) {
 	b, _ := newTestBalancer(t, testConfig(), "failing", "b", "c", "d")
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -20,7 +20,8 @@
 	notifiedAt    []time.Duration // when each Balancer first received the change; 0 means not yet
 }
 
-// call handles a Watch call of Balancer i.
+// call simulates the call to the service that follows a Watch of Balancer i. The Balancer
+// receives an update when the call ends, or a failure.
 func (d *pullDiscovery) call(i int) {
 	const limit = 2 * time.Second
 	f := d.fleet
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -39,8 +39,8 @@
 	slowStartClientRepeats = 4   // most repeats of a client request
 )
 
-// slowStartNode simulates an endpoint whose service rate grows linearly after a
-// start (slow start), with a bounded queue. It records all arrivals.
+// slowStartNode simulates an endpoint with a bounded queue and a service rate that
+// grows linearly after a start (slow start). It records all arrivals.
 type slowStartNode struct {
 	since       time.Duration // last start; 0 means long ago
 	warmRate    float64       // requests per second when warm
