--- a/internal/experiment/scale_run.go
+++ b/internal/experiment/scale_run.go
@@ -201,9 +201,9 @@
 	return b.String()
 }
 
-// startSpread is the time over which the starts of sidecars are spread. It equals the wait time of
-// a poll, so that the polls are evenly spaced. Sidecars started at once would keep polling at the
-// same moments.
+// startSpread is the time over which the starts of sidecars are spread. It equals the LongPoll of
+// discovery.LocalAgentTimeouts(0), which the sidecars use: as long as the lists do not change, each
+// sidecar starts a new long poll after that time, so the polls of all sidecars are evenly spaced.
 const startSpread = 500 * time.Millisecond
 
 // startHollow starts all hollow sidecars.
@@ -284,7 +284,7 @@
 	return err
 }
 
-// countOutOfSync returns the number of sidecars whose lists differ from the registry's.
+// countOutOfSync returns the number of sidecars with lists that differ from the registry's.
 func (c *fleetRun) countOutOfSync() (n int, err error) {
 	a, err := c.registry.call(&hollow.Command{Action: "digest"})
 	if err != nil {
@@ -403,7 +403,7 @@
 	return m, nil
 }
 
-// sampleUntilStopped records the delays of its own timer, and reports if the role processes use
+// sampleUntilStopped measures how late a periodic timer fires, and reports if the role processes use
 // too much memory.
 func (m *usageMeter) sampleUntilStopped(ctx context.Context) {
 	var delays []time.Duration
