--- a/internal/acceptloop/acceptloop.go
+++ b/internal/acceptloop/acceptloop.go
@@ -21,13 +21,13 @@
 	// backoff checks whether the listener has been closed.
 	minBackoff = 5 * time.Millisecond
 	// maxBackoff is well below the shortest request deadlines, because new connections wait
-	// in the listen queue meanwhile.
+	// in the listen queue for that time.
 	maxBackoff = 100 * time.Millisecond
 	// logInterval is the minimum time between two log lines of one listener.
 	logInterval = time.Second
 )
 
-// Listener is a net.Listener whose Accept fails only after the listener has been closed.
+// Listener is a net.Listener with an Accept that fails only after the listener has been closed.
 // Any other failure is counted, logged at a limited rate and retried with exponential
 // backoff. Each call of Accept starts with the minimum backoff.
 type Listener struct {
--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// failingListener is a listener without a socket, whose Accept fails. As a syscall.RawConn it
+// failingListener is a listener without a socket. Its Accept always fails. As a syscall.RawConn it
 // reports whether it is closed.
 type failingListener struct {
 	mu     sync.Mutex
@@ -79,6 +79,8 @@
 func (f *failingListener) SyscallConn() (syscall.RawConn, error)    { return f, nil }
 func (f *failingListener) Read(func(fd uintptr) (done bool)) error  { return nil }
 func (f *failingListener) Write(func(fd uintptr) (done bool)) error { return nil }
+
+// Control implements syscall.RawConn. It only reports whether the listener is closed.
 func (f *failingListener) Control(func(fd uintptr)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/capture/event.go
+++ b/internal/capture/event.go
@@ -1,6 +1,6 @@
 // Package capture records the inputs and decisions of a Balancer in a file and replays
-// the inputs to a new Balancer with the same settings and seed, whose decisions must be
-// the same. The file format is described in docs/capture.md.
+// the inputs to a new Balancer with the same settings and seed. Its decisions must be the
+// same. The file format is described in docs/capture.md.
 package capture
 
 import (
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -20,7 +20,7 @@
 	now      time.Duration
 }
 
-// NewRecorder creates a Balancer whose decisions go to actions, and returns its Recorder.
+// NewRecorder creates a Balancer that passes its decisions to actions, and returns its Recorder.
 // Events are passed to emit, which must not retain them.
 func NewRecorder(cfg balance.Config, seed uint64, actions balance.Actions, emit func(*Event)) (*Recorder, error) {
 	r := &Recorder{actions: actions, emit: emit}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -143,7 +143,7 @@
 	return keys
 }
 
-// ParsePlatform parses a configuration file.
+// ParsePlatform parses the JSON configuration of a sidecar.
 func ParsePlatform(text []byte) (*Platform, error) {
 	var f platformFile
 	if err := json.Unmarshal(text, &f); err != nil {
--- a/internal/durable/durabletest/memfs.go
+++ b/internal/durable/durabletest/memfs.go
@@ -13,7 +13,7 @@
 	"gorselink/internal/durable"
 )
 
-// MemFS is an in-memory durable.FS. It keeps the state that programs see apart from the state
+// MemFS is an in-memory durable.FS. It distinguishes the state that programs see from the state
 // on disk: File.Sync makes content durable, and SyncDir makes directory entries durable.
 type MemFS struct {
 	mu         sync.Mutex
--- a/internal/experiment/chain.go
+++ b/internal/experiment/chain.go
@@ -204,7 +204,7 @@
 			return nil, err
 		}
 		defer p.kill()
-		// The last tier starts first, as the readiness request passes through all tiers behind.
+		// The last tier starts first, as the readiness request of a tier passes through all later tiers.
 		if err := p.awaitReady(ctx, client); err != nil {
 			return nil, err
 		}
--- a/internal/experiment/chain_test.go
+++ b/internal/experiment/chain_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Each churn window is compared with the calm window of its pair, whichever comes first.
+// Each churn window is compared with the calm window of its pair, in either order.
 func TestChurnWindowsAreComparedInPairs(t *testing.T) {
 	var took [][]float64
 	for w := range 12 {
--- a/internal/experiment/instance_info.go
+++ b/internal/experiment/instance_info.go
@@ -139,8 +139,8 @@
 // dirPrefix is followed by the process ID in the names of run directories.
 const dirPrefix = "gorselink-prove-"
 
-// makeRunDir makes the directory of a run, and removes those of runs whose process no longer
-// exists, as a killed process can't remove its own.
+// makeRunDir makes the directory of a run. It also removes the directories of processes that no
+// longer exist, as a killed process can't remove its own.
 func makeRunDir() (string, error) {
 	old, _ := filepath.Glob(filepath.Join(os.TempDir(), dirPrefix+"*"))
 	for _, dir := range old {
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -84,6 +84,7 @@
 	return measures[w.Measure].compute(c)
 }
 
+// arrivals returns the arrivals of all streams in the window.
 func (c *selection) arrivals() []arrival {
 	from, _ := slices.BinarySearchFunc(c.record.arrivals, c.From, func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) })
 	to, _ := slices.BinarySearchFunc(c.record.arrivals, c.To, func(a arrival, at time.Duration) int { return cmp.Compare(a.at, at) })
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -44,7 +44,7 @@
 	return <-got
 }
 
-// close ends the thread and thereby all remaining processes.
+// close ends the thread, which kills all remaining processes (Pdeathsig).
 func (n *processSpawner) close() {
 	close(n.requests)
 	<-n.done
@@ -132,7 +132,7 @@
 	return "; its log ends with\n\t" + strings.ReplaceAll(string(text), "\n", "\n\t")
 }
 
-// signal sends a signal to the process. exitExpected says that the process may exit due to it.
+// signal sends a signal to the process. exitExpected is set if the process may exit due to it.
 func (n *instance) signal(s syscall.Signal, exitExpected bool) (*process, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/experiment/scale_result.go
+++ b/internal/experiment/scale_result.go
@@ -44,7 +44,7 @@
 	Void      []string           `json:"void,omitempty"`
 	Changes   int                `json:"changes"`
 	Unreached int                `json:"unreached"` // connected subscribers that lack a change at the end, summed over all changes
-	OutOfSync int                `json:"apart"`     // sidecars whose lists differ from the registry's at the end
+	OutOfSync int                `json:"apart"`     // sidecars with lists that differ from the registry's at the end
 	Crashed   int                `json:"crashed,omitempty"`
 }
 
@@ -128,7 +128,7 @@
 	return r
 }
 
-// withoutVoidCosts removes the costs of a void measurement.
+// withoutVoidCosts removes the costs from m if the measurement is void. It returns m.
 func (m *Measured) withoutVoidCosts() *Measured {
 	if len(m.Void) > 0 {
 		m.Costs = nil
--- a/internal/fakeserver/failing_listener.go
+++ b/internal/fakeserver/failing_listener.go
@@ -15,7 +15,7 @@
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EPERM, syscall.EINTR, syscall.ETIMEDOUT,
 }
 
-// FailingListener is a listener whose first calls of Accept fail with given errors.
+// FailingListener is a listener that fails the first calls of Accept with given errors.
 type FailingListener struct {
 	net.Listener
 
--- a/internal/fakeserver/full_listener.go
+++ b/internal/fakeserver/full_listener.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// FullListener is a listener whose accept queue is full until Unblock is called. Until
+// FullListener is a listener with an accept queue that is full until Unblock is called. Until
 // then the kernel drops SYNs; clients retransmit them 1, 3 and 7 s after the first.
 type FullListener struct {
 	net.Listener
--- a/internal/fakeserver/registry.go
+++ b/internal/fakeserver/registry.go
@@ -272,6 +272,7 @@
 	return slices.Clone(l.queries)
 }
 
+// countCall counts a call in the total and in its interval, from which the peak rate is computed.
 func (r *Registry) countCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/handover.go
+++ b/internal/fleet/handover.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// TakeOver requests the listener and the state of the running process whose handover socket
-// is in the directory dir. It decodes the state from JSON into the value that state points
+// TakeOver requests the listener and the state of the running process that has its handover
+// socket in the directory dir. It decodes the state from JSON into the value that state points
 // to. If there is no such process, the link, the listener and the error are nil. After an
 // error the value is unchanged, and the previous process continues to serve requests.
 func TakeOver(dir string, state any) (*HandoverLink, net.Listener, error) {
@@ -341,6 +341,7 @@
 	}
 }
 
+// serve hands over to one successor at a time. If a successor disconnects, it accepts the next.
 func (s *SuccessorListener) serve(socket syscall.Conn, state func() any, onConnect, onReady func(*HandoverLink)) {
 	for {
 		c, err := s.listener.Accept()
--- a/internal/fleet/operator_store.go
+++ b/internal/fleet/operator_store.go
@@ -81,7 +81,7 @@
 	return s, nil
 }
 
-// UnusableOperatorStore returns an empty store in place of one whose directory cannot be
+// UnusableOperatorStore returns an empty store in place of one with a directory that cannot be
 // used. Each change fails with cause, because it would be lost when the process ends.
 func UnusableOperatorStore(cause error, notify func(OperatorState)) *OperatorStore {
 	s := &OperatorStore{notify: notify, state: OperatorState{Disabled: map[string]bool{}}, unusable: cause}
@@ -114,6 +114,8 @@
 	return s.update(drainedFile, drained, func(state *OperatorState) { state.Drained = drained })
 }
 
+// update creates or removes the named file and, if that succeeds, applies change to the state. A
+// store without a directory has only the state in memory.
 func (s *OperatorStore) update(name string, exists bool, change func(*OperatorState)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -33,7 +33,7 @@
 // Field is one field line of a head.
 type Field struct {
 	Name, Value string
-	// HopByHop is set if the field concerns this connection only, or is generated anew
+	// HopByHop is set if the field concerns this connection only, or is generated again
 	// for the next one, and is not forwarded (RFC 9110, section 7.6.1).
 	HopByHop bool
 }
@@ -146,8 +146,8 @@
 	return line, rest
 }
 
-// parseMinorVersion returns the minor version. Versions above 1.1 are treated like 1.1
-// (RFC 9110, section 2.5).
+// parseMinorVersion returns the minor version of HTTP/1.x, and whether version is one. Readers
+// of a head treat minor versions above 1 like 1 (RFC 9110, section 2.5).
 func parseMinorVersion(version string) (int, bool) {
 	if len(version) != len("HTTP/1.1") || version[:7] != "HTTP/1." || version[7] < '0' || version[7] > '9' {
 		return 0, false
--- a/internal/http1/head_test.go
+++ b/internal/http1/head_test.go
@@ -56,8 +56,8 @@
 	return ""
 }
 
-// FuzzParseRequest checks that net/http accepts every accepted head and reads it alike,
-// and that the forwarded head is read alike once more.
+// FuzzParseRequest checks that net/http accepts every accepted head and reads it
+// in the same way, and that the same holds for the forwarded head.
 func FuzzParseRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -109,7 +109,7 @@
 }
 
 // FuzzParseResponse checks that net/http accepts every accepted response head and reads
-// it alike.
+// it in the same way.
 func FuzzParseResponse(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.0 200 OK\r\n\r\nabc", "HTTP/1.1 204\r\nX: y\r\n\r\n",
@@ -143,7 +143,7 @@
 	})
 }
 
-// Fields that concern one connection or are generated anew are not forwarded, including
+// Fields that concern one connection or are generated for each message are not forwarded, including
 // those that Connection names.
 func TestHopByHopFieldsAreNotForwarded(t *testing.T) {
 	h, err := parseRequest([]byte("GET / HTTP/1.1\r\nHost: a\r\nX-A: 1\r\nconnection: close, x-b ,X-C\r\nX-B: 2\r\nx-c: 3\r\nKeep-Alive: 5\r\nTE: trailers\r\nUpgrade: h2c\r\nExpect: 100-continue\r\nContent-Length: 0\r\nx-a: 4\r\n\r\n"))
--- a/internal/httpserver/blocked_reader_test.go
+++ b/internal/httpserver/blocked_reader_test.go
@@ -12,7 +12,7 @@
 	"gorselink/internal/fakeserver"
 )
 
-// blockAfterReadConn is a connection whose n-th read that returns data does not return
+// blockAfterReadConn is a connection. Its n-th read that returns data does not return
 // until release is closed. It simulates a reading goroutine that is not scheduled.
 type blockAfterReadConn struct {
 	*net.TCPConn
--- a/internal/httpserver/body.go
+++ b/internal/httpserver/body.go
@@ -117,7 +117,8 @@
 	return b, nil
 }
 
-// readChunks reads a chunked body to its end, with n bytes reserved at first.
+// readChunks reads a chunked body to its end, with n bytes reserved at first. If no more memory
+// can be reserved, it leaves the rest to be streamed or, unless canStream is set, fails.
 func (b *requestBody) readChunks(in *bodyReader, n int64, canStream bool) error {
 	b.data = make([]byte, 0, n)
 	for {
--- a/internal/httpserver/close_test.go
+++ b/internal/httpserver/close_test.go
@@ -184,7 +184,7 @@
 	return r, func() { close(release) }
 }
 
-// connBlockedAfterRead returns a connection whose n-th request has been read. The goroutine that
+// connBlockedAfterRead returns a connection after its n-th request has been read. The goroutine that
 // read it is blocked until unblock is called.
 func (r *harness) connBlockedAfterRead(t *testing.T, n int) (conn net.Conn, unblock func()) {
 	t.Helper()
--- a/internal/httpserver/concurrency_test.go
+++ b/internal/httpserver/concurrency_test.go
@@ -14,7 +14,7 @@
 	"gorselink/internal/socketstate"
 )
 
-// blockBeforeReadConn is a connection whose n-th read does not start until release is closed. It
+// blockBeforeReadConn is a connection. Its n-th read does not start until release is closed. It
 // simulates a reading goroutine that is not scheduled.
 type blockBeforeReadConn struct {
 	*net.TCPConn
@@ -44,7 +44,7 @@
 	return g.TCPConn.Read(b)
 }
 
-// dialWrapped opens a connection whose server end is wrapped by wrap.
+// dialWrapped opens a connection and wraps its server end with wrap.
 func (r *harness) dialWrapped(t *testing.T, wrap func(net.Conn) net.Conn) net.Conn {
 	t.Helper()
 	c, serverConn := connected(t)
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -59,7 +59,7 @@
 	lingerTimeout  = 3 * time.Second
 	maxLingerBytes = 80 << 20
 
-	// rejectionDelay slows down a caller whose requests are rejected repeatedly on one
+	// rejectionDelay slows down a caller after repeated rejections of its requests on one
 	// connection, so that it leaves the processor to other callers.
 	rejectionDelay = 100 * time.Millisecond
 
--- a/internal/httpserver/disconnect_test.go
+++ b/internal/httpserver/disconnect_test.go
@@ -158,7 +158,7 @@
 	return g.release, g.blocked, g
 }
 
-// connect opens a connection whose server end is wrapped by wrap. If resume is set, the connection
+// connect opens a connection and wraps its server end with wrap. If resume is set, the connection
 // is handed over with ahead already read.
 func (d *disconnectHarness) connect(t *testing.T, wrap func(net.Conn) net.Conn, resume bool, ahead string) net.Conn {
 	t.Helper()
@@ -198,7 +198,7 @@
 	return d
 }
 
-// dialingHarness returns a harness whose endpoint accepts connections only once unblock is called.
+// dialingHarness returns a harness with an endpoint that accepts connections only once unblock is called.
 func dialingHarness(longBodyBytes int64) func(*testing.T) *disconnectHarness {
 	return func(t *testing.T) *disconnectHarness {
 		l, err := fakeserver.ListenFull()
--- a/internal/httpserver/key_bindings.go
+++ b/internal/httpserver/key_bindings.go
@@ -12,7 +12,7 @@
 // KeyBindings, shared by all listeners of a process, remembers which pool each
 // idempotency key was sent to. Endpoints of another pool do not know the key, so a
 // repeat that a new routing table sent there would run twice. If more than
-// maxKeysPerGeneration keys arrive within the retention time, keys are forgotten early
+// maxKeysPerGeneration keys arrive within the retention time, keys are evicted early
 // and Bind reports uncertainty.
 type KeyBindings struct {
 	retention time.Duration
@@ -22,7 +22,7 @@
 	mu                sync.Mutex
 	current, previous map[[2]uint64]string // pool by key hash; previous is dropped as a whole
 	generationStart   time.Duration        // when current was started
-	uncertainUntil    time.Duration        // until then, a key may have been forgotten early
+	uncertainUntil    time.Duration        // until then, a key may have been evicted early
 }
 
 // NewKeyBindings returns KeyBindings that remember keys for the retention time, which is
@@ -58,7 +58,7 @@
 
 // Bind returns the pool that a key was bound to within the retention time; a new key is
 // bound to the given pool. certain is false if the key may have been bound before and
-// forgotten.
+// evicted.
 func (k *KeyBindings) Bind(keyHash [2]uint64, pool string, now time.Duration) (bound string, certain bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/httpserver/platform_router.go
+++ b/internal/httpserver/platform_router.go
@@ -156,7 +156,7 @@
 		NonIdempotent: idempotency == balance.NonIdempotent,
 	}
 	for _, f := range req.Fields {
-		if !f.HopByHop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // set anew for each attempt
+		if !f.HopByHop && !strings.EqualFold(f.Name, "X-Budget-Ms") { // set for each attempt
 			out.Fields = append(out.Fields, f)
 		}
 	}
--- a/internal/httpserver/seen_ids.go
+++ b/internal/httpserver/seen_ids.go
@@ -12,7 +12,7 @@
 // SeenIDs remembers the ids of requests for at least the retention time. Every request,
 // also a repeat, has its own id. A duplicate id therefore belongs to another request,
 // which may still be running. If more than maxIDsPerGeneration ids arrive within the retention
-// time, the oldest are forgotten early.
+// time, the oldest are evicted early.
 type SeenIDs struct {
 	start time.Time
 
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -52,8 +52,8 @@
 	stateCount
 )
 
-// NewServer returns a Server for at most maxConns connections, whose requests router
-// routes.
+// NewServer returns a Server for at most maxConns connections. Their requests are routed
+// by router.
 func NewServer(router Router, maxConns int, timeouts Timeouts) *Server {
 	return &Server{router: router, maxConns: maxConns, timeouts: timeouts.withDefaults(), drained: make(chan struct{}, 1)}
 }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -372,7 +372,7 @@
 	}
 }
 
-// A request whose caller disconnects is cancelled, and its connection to the endpoint closes.
+// A request is cancelled when its caller disconnects, and its connection to the endpoint closes.
 func TestDisconnectCancelsTheRequest(t *testing.T) {
 	release := make(chan struct{})
 	r := newHarness(t, 4, release)
--- a/internal/httpserver/table_router_test.go
+++ b/internal/httpserver/table_router_test.go
@@ -124,13 +124,12 @@
 	if n := len(k.current) + len(k.previous); n > 2*maxKeysPerGeneration {
 		t.Errorf("%d keys are remembered, more than two generations", n)
 	}
-	checkBind("a", "one", "one", 4*time.Second, false) // forgotten early, which is reported
+	checkBind("a", "one", "one", 4*time.Second, false) // evicted early, which is reported
 	checkBind("b", "one", "one", 6*time.Second, true)
 }
 
-// While keys may have been forgotten, a request with a key whose route has changed is
-// rejected. The new
-// pool may not know that the request has run.
+// While keys may have been evicted early, a request with a key is rejected if its route has
+// changed, because the endpoints of the new pool cannot detect that it has run.
 func TestUncertainKeysAreNotRerouted(t *testing.T) {
 	router, open, closed := newTestRouter(t)
 	routeKey := func(key string) (*Plan, *Rejection) {
--- a/internal/leaseserver/disk_failure_test.go
+++ b/internal/leaseserver/disk_failure_test.go
@@ -588,7 +588,7 @@
 	}
 }
 
-// newIdleNode returns a voter whose loop does not run. The test calls its methods instead.
+// newIdleNode returns a voter without a running loop. The test calls its methods instead.
 func newIdleNode(t *testing.T, f *diskFaults, voters int) *Node {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/leaseserver/faults_test.go
+++ b/internal/leaseserver/faults_test.go
@@ -37,8 +37,8 @@
 	os.Exit(code)
 }
 
-// newExperiment returns an experiment whose first instances are voters and whose other instances
-// each request one of the leases. Instance N is the group pN, and l-FROM-TO is the link from an
+// newExperiment returns an experiment. Its first instances are voters, and each of the others
+// requests one of the leases. Instance N is the group pN, and l-FROM-TO is the link from an
 // instance to a voter.
 func newExperiment(t *testing.T, voters, clients, leases int, length, span time.Duration, events string) *experiment.Experiment {
 	t.Helper()
@@ -300,8 +300,8 @@
 	}
 }
 
-// A voter whose links are cut and restored every 200 ms must not disrupt the leader, because of
-// pre-vote, and the holder must keep its lease.
+// If the links of a voter are cut and restored every 200 ms, it must not disrupt the leader, due
+// to pre-vote, and the holder must keep its lease.
 func TestFlappingLinkKeepsLeader(t *testing.T) {
 	t.Parallel()
 	var events strings.Builder
--- a/internal/leaseserver/storage.go
+++ b/internal/leaseserver/storage.go
@@ -215,7 +215,7 @@
 	return f()
 }
 
-// openDiskStorage opens the log of a voter. A voter whose log cannot be opened must not vote.
+// openDiskStorage opens the log of a voter. If that fails, the voter must not vote.
 func openDiskStorage(dir string, id identity) (*diskStorage, error) {
 	return openDiskStorageWith(durable.OS{}, openBolt, dir, id)
 }
--- a/internal/load/engine_test.go
+++ b/internal/load/engine_test.go
@@ -75,7 +75,7 @@
 }
 
 // A step of the wall clock by an hour during a run changes neither the schedule nor
-// the measurements. It is simulated by a start time whose wall clock is off by an hour.
+// the measurements. It is simulated by a start time with a wall clock reading that is off by an hour.
 func TestWallClockStep(t *testing.T) {
 	for name, step := range map[string]time.Duration{"forward": time.Hour, "backward": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// A target that freezes for good stops neither the schedule nor the run, and costs no
+// A target that freezes permanently stops neither the schedule nor the run, and costs no
 // memory, because due requests wait in the plan.
 func TestStalledTargetMemory(t *testing.T) {
 	n := startNode(t, fakeserver.NodeConfig{})
--- a/internal/load/skip_reporter.go
+++ b/internal/load/skip_reporter.go
@@ -16,7 +16,7 @@
 	n   int
 }
 
-// Report reports one line.
+// Report writes a line about one skipped line, up to maxSkipsReported of them.
 func (s *SkipReporter) Report(file string, line *trace.BadLineError) {
 	if s.n++; s.n <= maxSkipsReported {
 		fmt.Fprintf(s.Out, "%s: skipped: %v\n", file, line)
--- a/internal/load/workers.go
+++ b/internal/load/workers.go
@@ -260,7 +260,7 @@
 	}
 }
 
-// wait waits for the process to end and returns its exit status.
+// wait waits for the process to end and returns its exit status as an error, even if it is 0.
 func (w *worker) wait() error {
 	w.ended = true
 	if err := w.cmd.Wait(); err != nil {
--- a/internal/sidecar/age_test.go
+++ b/internal/sidecar/age_test.go
@@ -9,7 +9,7 @@
 )
 
 // A successor takes the age of an endpoint from the handover, not from the endpoint's
-// timestamp, whose clock may be wrong.
+// timestamp, because the clock that set it may be wrong.
 func TestHandoverPreservesEndpointAges(t *testing.T) {
 	const clockLag = time.Hour // of the clock behind the timestamps
 	entry := func(name string, since time.Time) fakeserver.Entry {
--- a/internal/sidecar/production_test.go
+++ b/internal/sidecar/production_test.go
@@ -183,8 +183,8 @@
 }
 
 // The configuration is reloaded in quick succession under load, with changing discovery agents
-// and some truncated files. No request is lost or rejected, and the last configuration, whose
-// agent lists an endpoint as draining, takes effect in time.
+// and some truncated files. No request is lost or rejected, and the last configuration, with
+// an agent that lists an endpoint as draining, takes effect in time.
 func TestRapidReloads(t *testing.T) {
 	t.Parallel()
 	s := newScenario(t, "rapid reloads")
--- a/internal/sidecar/scenario_test.go
+++ b/internal/sidecar/scenario_test.go
@@ -67,7 +67,8 @@
 	return x.reset()
 }
 
-// writeRepeatedly sends text once per pause until the peer or the test ends.
+// writeRepeatedly sends text once per pause until the peer or the test ends. Its result is
+// always false, which closes the connection.
 func (x *receivedRequest) writeRepeatedly(text string, pause time.Duration) bool {
 	for {
 		if _, err := io.WriteString(x.conn, text); err != nil {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -60,7 +60,7 @@
 	// responseWriteMargin is the time reserved for writing the last responses.
 	responseWriteMargin = 50 * time.Millisecond
 	// minConnDrainPeriod is the minimum time for closing connections. It shortens
-	// newConnPeriod where SIGKILL comes early.
+	// newConnPeriod if SIGKILL arrives early.
 	minConnDrainPeriod = 150 * time.Millisecond
 	// exitMargin is how long before SIGKILL the process closes all open connections.
 	// killMargin less exitMargin is left to respond to requests if the process is not
--- a/internal/upstream/failure_test.go
+++ b/internal/upstream/failure_test.go
@@ -84,8 +84,7 @@
 	return result
 }
 
-// A request that was sent completely may have been executed; one whose last byte was not
-// written has not been. A resource shortage of this machine does not count against the
+// A request that was sent completely may have been executed. An incomplete one has not been. A resource shortage of this machine does not count against the
 // endpoint.
 func TestConnectionFailureResults(t *testing.T) {
 	connErrnos := []syscall.Errno{
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -410,7 +410,7 @@
 	p.connClosedLocked(t)
 }
 
-// connClosedLocked is connClosed with p.mu held.
+// connClosedLocked subtracts a connection to t from the open connections. p.mu must be held.
 func (p *Pool) connClosedLocked(t *target) {
 	p.open--
 	t.open--
--- a/lease/clock_test.go
+++ b/lease/clock_test.go
@@ -8,7 +8,7 @@
 	clocks "gorselink/internal/clock"
 )
 
-// machine has a wall clock and a monotonic clock of its own. Times passed to the code under
+// machine has its own wall clock and monotonic clock. Times passed to the code under
 // test are those of the monotonic clock.
 type machine struct {
 	*clocks.Manual
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -95,7 +95,7 @@
 // ReportProgress records that the task is making progress.
 func (h *Holder) ReportProgress(now time.Duration) { h.lastProgress = now }
 
-// LeaseFreed reports that the lease is free. All waiting clients learn this at once, so
+// LeaseFreed reports that the lease is free. All waiting clients are notified at the same time, so
 // the next attempt to acquire it is delayed at random to spread their requests.
 func (h *Holder) LeaseFreed(now time.Duration) {
 	if h.wanted && !h.taskRunning {
--- a/lease/state.go
+++ b/lease/state.go
@@ -272,6 +272,7 @@
 	return t
 }
 
+// observe restarts the expiry delay of a lease whose record has changed, and removes a free lease.
 func (t *ExpiryTracker) observe(name string, r *Record, now time.Duration) {
 	if r.Holder == "" {
 		delete(t.observed, name)
--- a/scripts/faultinject/main.go
+++ b/scripts/faultinject/main.go
@@ -1,6 +1,6 @@
 // Command faultinject runs `gorselink serve` under strace with injected system call errors
 // and checks the results that clients receive: every request gets a response, no GET fails and
-// no POST is executed twice. It starts the program and fake nodes anew for each error of
+// no POST is executed twice. It restarts the program and fake nodes for each error of
 // each system call and prints one table row for it.
 //
 //	go build -o bin/ ./cmd/gorselink && go run ./scripts/faultinject -for 5s bin/gorselink
--- a/scripts/perf/main.go
+++ b/scripts/perf/main.go
@@ -4,7 +4,7 @@
 // docs/performance.md; scripts/performance runs it.
 //
 // Rounds alternate (none, reverse, gorselink, none, ...), so that other load on
-// the machine affects all subjects alike. The report shows the median and range
+// the machine affects all subjects equally. The report shows the median and range
 // of the rounds; added latency is the median of the differences within a round.
 package main
 
