--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -31,7 +31,7 @@
 	Seconds       []Second       `json:"seconds"`
 }
 
-// Failure is a request without a response of a status below 400.
+// Failure is a request that got no response, or one with a status of 400 or above.
 type Failure struct {
 	Due      float64 `json:"due_s"`
 	Took     float64 `json:"took_s"`
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -134,7 +134,7 @@
 	s.due += s.seconds[i].Due
 }
 
-// resample replaces the contents by as many seconds as the run has, drawn with
+// resample replaces the contents with as many seconds as the run has, drawn with
 // replacement.
 func (s *sample) resample(rng *rand.Rand) {
 	clear(s.counts)
--- a/internal/load/spec.go
+++ b/internal/load/spec.go
@@ -309,8 +309,8 @@
 // reservedDescriptors is the number of file descriptors needed besides connections.
 const reservedDescriptors = 24
 
-// checkDescriptors checks the limit of file descriptors. Without them, failures to
-// open a connection would be counted as the target's.
+// checkDescriptors checks the limit of file descriptors. If there are too few, failures
+// to open a connection would be counted as the target's.
 func checkDescriptors(conns int) error {
 	var l syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// measureLag measures the longest and total scheduling lag of this process, in nanoseconds,
-// from when ctx is done.
+// measureLag measures the longest and total scheduling lag of this process in nanoseconds. The
+// measurement starts when ctx is done.
 func measureLag(ctx context.Context) (longest, total *atomic.Int64) {
 	const tick = 5 * time.Millisecond
 	longest, total = new(atomic.Int64), new(atomic.Int64)
