--- a/internal/discovery/file_settle_test.go
+++ b/internal/discovery/file_settle_test.go
@@ -230,7 +230,7 @@
 
 var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// Done implements context.Context.
+// Done implements context.Context. The returned channel is closed if done reports true.
 func (c contextUntil) Done() <-chan struct{} {
 	if c.done() {
 		return closedChannel
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -517,7 +517,8 @@
 // and do not block.
 type balancerActions Pool
 
-// Send implements balance.Actions.
+// Send implements balance.Actions. The first attempt made during Submit is only stored here;
+// RunFirstAttempt runs it. All other attempts start at once.
 func (h *balancerActions) Send(id balance.RequestID, addr string, timeout time.Duration) {
 	p := (*Pool)(h)
 	r := p.requests[id]
