--- a/internal/daemon/allocs_test.go
+++ b/internal/daemon/allocs_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// BenchmarkRequestAllocations measures a request over one connection, where only the daemon
+// BenchmarkAllocationsOfRequest measures a request over one connection, where only the daemon
 // allocates.
-func BenchmarkRequestAllocations(b *testing.B) {
+func BenchmarkAllocationsOfRequest(b *testing.B) {
 	request := newRequester(b)
 	for range 200 {
 		request()
